--- a/crates/pebblefold/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -2,13 +2,13 @@
 //! `cargo bench`. Times are reported, not checked; they depend on the machine.
 
 use hdrhistogram::Histogram;
-use pebblefold::core::cycle::{Cycle, Pace, TeamUse, Want};
-use pebblefold::core::preempt::{Victim, Victims, evict};
-use pebblefold::core::tables::{Cache, Estimates, Row};
-use pebblefold::core::teams::Bounds;
-use pebblefold::settings::TeamShare;
-use pebblefold::types::{Amounts, Image, Span, Time};
-use pebblefold::wire::users::Priority;
+use pebblefold_controller::core::cycle::{Cycle, Pace, TeamUse, Want};
+use pebblefold_controller::core::preempt::{Victim, Victims, evict};
+use pebblefold_controller::core::tables::{Cache, Estimates, Row};
+use pebblefold_controller::core::teams::Bounds;
+use pebblefold_controller::settings::TeamShare;
+use pebblefold_controller::types::{Amounts, Image, Span, Time};
+use pebblefold_controller::wire::users::Priority;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/pebblefold/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,5 +1,5 @@
 //! The program: everything is in the library.
 
 fn main() -> std::process::ExitCode {
-    pebblefold::cli::run()
+    pebblefold_controller::cli::run()
 }
--- a/crates/pebblefold/tests/lean.rs
+++ b/crates/controller/tests/lean.rs
@@ -29,7 +29,7 @@
             "tree",
             "--locked",
             "-p",
-            "pebblefold",
+            "pebblefold-controller",
             "-e",
             "normal",
             "--prefix",
@@ -59,7 +59,7 @@
 #[test]
 fn the_daemon_stays_lean() {
     let mut direct = tree("1");
-    direct.retain(|n| n != "pebblefold");
+    direct.retain(|n| n != "pebblefold-controller");
     assert_eq!(direct, DIRECT);
     let all = tree("99");
     assert!(all.len() <= MOST, "{}: {all:?}", all.len());
@@ -70,7 +70,7 @@
         "plotters",
         "indicatif",
         "schemars",
-        "pebblefold-rehearsal",
+        "pebblefold-simulator",
     ] {
         assert!(!all.iter().any(|n| n == heavy), "{heavy}");
     }
--- a/crates/state/benches/state.rs
+++ b/crates/kvstore/benches/state.rs
@@ -3,8 +3,10 @@
 //! `cargo bench -p pebblefold-state`; the figures are of the machine at hand.
 
 use hdrhistogram::Histogram;
-use pebblefold_state::{Asker, Disk, Image, Key, Limits, Memory, Service, Storage, Ticket, Value};
-use pebblefold_state::{Marks, archive};
+use pebblefold_kvstore::{
+    Asker, Disk, Image, Key, Limits, Memory, Service, Storage, Ticket, Value,
+};
+use pebblefold_kvstore::{Marks, archive};
 use pebblefold_wire::encode;
 use pebblefold_wire::http::Request;
 use pebblefold_wire::state::{Op, Txn};
--- a/crates/state/tests/common/mod.rs
+++ b/crates/kvstore/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests of the state service share.
 #![allow(dead_code, reason = "each test program uses a part")]
 
-use pebblefold_state::{Answer, Asker, Limits, Outcome, Service, Storage, Ticket};
+use pebblefold_kvstore::{Answer, Asker, Limits, Outcome, Service, Storage, Ticket};
 use pebblefold_wire::http::Request;
 use pebblefold_wire::state::{Changes, Condition, Entries, KeyAnswer, Lease, LeaseRequest, Op};
 use pebblefold_wire::state::{Revision, Txn};
--- a/crates/state/tests/power.rs
+++ b/crates/kvstore/tests/power.rs
@@ -3,9 +3,9 @@
 
 mod common;
 use common::*;
-use pebblefold_state::archive::{self, ArchiveError};
-use pebblefold_state::cut::{CutDisk, Left};
-use pebblefold_state::{Asker, Disk, Outcome, Service, Ticket};
+use pebblefold_kvstore::archive::{self, ArchiveError};
+use pebblefold_kvstore::cut::{CutDisk, Left};
+use pebblefold_kvstore::{Asker, Disk, Outcome, Service, Ticket};
 
 /// A disk with an empty store: its making is whole before anybody uses it.
 fn made() -> CutDisk {
--- a/crates/state/tests/protocol.rs
+++ b/crates/kvstore/tests/protocol.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pebblefold_state::{Asker, Limits, Memory, Service, Ticket};
+use pebblefold_kvstore::{Asker, Limits, Memory, Service, Ticket};
 use pebblefold_wire::encode;
 use pebblefold_wire::state::{LeaseRequest, Op};
 use proptest::prelude::*;
--- a/crates/pebblectl/benches/steps.rs
+++ b/crates/pebblectl/benches/steps.rs
@@ -5,8 +5,8 @@
 
 use pebblefold_client::{Client, Policy};
 use pebblefold_net::{Client as Net, Sent};
-use pebblefold_rehearsal::loopback::{Loopback, Options as Cluster};
-use pebblefold_rehearsal::script::Script;
+use pebblefold_simulator::loopback::{Loopback, Options as Cluster};
+use pebblefold_simulator::script::Script;
 use pebblefold_wire::encode;
 use pebblefold_wire::steps::Description;
 use pebblefold_wire::users::{Priority, Shape, Submission};
--- a/crates/pebblectl/src/ask.rs
+++ b/crates/pebblectl/src/ask.rs
@@ -3,7 +3,7 @@
 use crate::output::Failure;
 use pebblefold_client::{Client, ClientError, Policy};
 use pebblefold_net::{Client as Net, Sent};
-use pebblefold_rehearsal::loopback::LoopbackError;
+use pebblefold_simulator::loopback::LoopbackError;
 use pebblefold_wire::decode;
 use pebblefold_wire::types::Span;
 use pebblefold_wire::users::Submission;
--- a/crates/pebblectl/src/main.rs
+++ b/crates/pebblectl/src/main.rs
@@ -23,7 +23,7 @@
     if let Verb::Controller { settings } = &args.verb {
         return told(up::controller(settings));
     }
-    pebblefold::logging::start(tracing::Level::WARN);
+    pebblefold_controller::logging::start(tracing::Level::WARN);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -60,7 +60,7 @@
         }
         Verb::Man { dir } => return output::man_pages(Args::command(), dir),
         Verb::Schema => {
-            let schema = pebblefold_rehearsal::script::Script::schema();
+            let schema = pebblefold_simulator::script::Script::schema();
             println!("{}", output::pretty(&schema));
             return Ok(());
         }
--- a/crates/pebblectl/src/rehearse.rs
+++ b/crates/pebblectl/src/rehearse.rs
@@ -3,10 +3,10 @@
 use crate::args::Rehearse;
 use crate::output::{Failure, Show, pretty};
 use indicatif::{ProgressBar, ProgressStyle};
-use pebblefold_rehearsal::loopback::{Loopback, Options};
-use pebblefold_rehearsal::report::Verdict;
-use pebblefold_rehearsal::script::Script;
-use pebblefold_rehearsal::simulated;
+use pebblefold_simulator::loopback::{Loopback, Options};
+use pebblefold_simulator::report::Verdict;
+use pebblefold_simulator::script::Script;
+use pebblefold_simulator::simulated;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
--- a/crates/pebblectl/src/state.rs
+++ b/crates/pebblectl/src/state.rs
@@ -2,9 +2,9 @@
 
 use crate::args::Serve;
 use crate::output::Failure;
+use pebblefold_kvstore::driver::Server;
+use pebblefold_kvstore::{Asker, Disk, Limits, Service, archive};
 use pebblefold_net::{Client, Sent, answer_connections};
-use pebblefold_state::driver::Server;
-use pebblefold_state::{Asker, Disk, Limits, Service, archive};
 use pebblefold_wire::http::{Request, Response};
 use pebblefold_wire::users::Refusal;
 use pebblefold_wire::{decode, encode};
--- a/crates/pebblectl/src/up.rs
+++ b/crates/pebblectl/src/up.rs
@@ -4,10 +4,10 @@
 use crate::ask;
 use crate::output::{Failure, Show};
 use crate::rehearse::{controller_program, load};
-use pebblefold::cli::ServeError;
-use pebblefold_rehearsal::checker::{Breach, Rule};
-use pebblefold_rehearsal::loopback::{Loopback, Options};
-use pebblefold_rehearsal::script::Script;
+use pebblefold_controller::cli::ServeError;
+use pebblefold_simulator::checker::{Breach, Rule};
+use pebblefold_simulator::loopback::{Loopback, Options};
+use pebblefold_simulator::script::Script;
 use pebblefold_wire::types::Span;
 use pebblefold_wire::users::{JobAnswer, Submission};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 
 /// Serves as one controller.
 pub fn controller(settings: &Path) -> Result<(), Failure> {
-    pebblefold::cli::serve(settings, None).map_err(|e| match e {
+    pebblefold_controller::cli::serve(settings, None).map_err(|e| match e {
         ServeError::Input(_) => Failure::input(e),
         ServeError::Listen(_) => Failure::failed(e),
     })
--- a/crates/pebblectl/tests/equal.rs
+++ b/crates/pebblectl/tests/equal.rs
@@ -1,10 +1,10 @@
 //! No back door: a workflow and the same jobs submitted by hand, on the same seed
 //! against the stand-ins, have one history, to the last event.
 
-use pebblefold_rehearsal::checker::{Ask, Seen};
-use pebblefold_rehearsal::script::Script;
-use pebblefold_rehearsal::simulated::Simulated;
-use pebblefold_rehearsal::users::Planned;
+use pebblefold_simulator::checker::{Ask, Seen};
+use pebblefold_simulator::script::Script;
+use pebblefold_simulator::simulated::Simulated;
+use pebblefold_simulator::users::Planned;
 use pebblefold_wire::types::{JobId, Span, Time};
 use pebblefold_wire::users::{Priority, Shape, Stage, Submission};
 use pebblefold_workflow::engine::{Action, Engine, Object, Outcome, TaskPath};
--- a/crates/rehearsal/benches/carry.rs
+++ b/crates/simulator/benches/carry.rs
@@ -2,8 +2,8 @@
 //! by machines and jobs. Run with `cargo bench -p pebblefold-rehearsal`; the
 //! figures are of the machine at hand, the machines in them are simulated.
 
-use pebblefold_rehearsal::script::Script;
-use pebblefold_rehearsal::simulated;
+use pebblefold_simulator::script::Script;
+use pebblefold_simulator::simulated;
 
 fn script(machines: u32, jobs: u32) -> Script {
     let up = machines / 3;
--- a/crates/rehearsal/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -2,16 +2,16 @@
 //! alone beside suspicion and verdict. Run with
 //! `cargo bench -p pebblefold-rehearsal --bench detection [-- SEEDS]`; simulated.
 
-use pebblefold::core::handover::heralds::{Heralds, Need};
-use pebblefold::core::handover::keepsake::Keepsake;
-use pebblefold::core::suspicion::accrual::Accrual;
-use pebblefold::core::suspicion::judge::Judge;
-use pebblefold::policy::DEFAULT_SCRIPT;
-use pebblefold::types::{Label, MachineId, Span, Time, Token};
-use pebblefold::wire::encode;
-use pebblefold::wire::peers::{Ask, Beat, Opinion};
-use pebblefold_rehearsal::script::{CutMode, Fault, Nodes, PowerLoss, Script, Side, What};
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_controller::core::handover::heralds::{Heralds, Need};
+use pebblefold_controller::core::handover::keepsake::Keepsake;
+use pebblefold_controller::core::suspicion::accrual::Accrual;
+use pebblefold_controller::core::suspicion::judge::Judge;
+use pebblefold_controller::policy::DEFAULT_SCRIPT;
+use pebblefold_controller::types::{Label, MachineId, Span, Time, Token};
+use pebblefold_controller::wire::encode;
+use pebblefold_controller::wire::peers::{Ask, Beat, Opinion};
+use pebblefold_simulator::script::{CutMode, Fault, Nodes, PowerLoss, Script, Side, What};
+use pebblefold_simulator::simulated::Simulated;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Instant;
--- a/crates/rehearsal/benches/duties.rs
+++ b/crates/simulator/benches/duties.rs
@@ -3,8 +3,8 @@
 //! work lost to a replaced holder. Run with
 //! `cargo bench -p pebblefold-rehearsal --bench duties [-- SEEDS]`; simulated.
 
-use pebblefold_rehearsal::script::{CutMode, Fault, Moment, Nodes, Script, Side, What, When};
-use pebblefold_rehearsal::simulated;
+use pebblefold_simulator::script::{CutMode, Fault, Moment, Nodes, Script, Side, What, When};
+use pebblefold_simulator::simulated;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -165,14 +165,14 @@
             all.collect()
         });
         let n = verdicts.len() as f64;
-        let mean = |of: &dyn Fn(&pebblefold_rehearsal::report::Verdict) -> f64| {
+        let mean = |of: &dyn Fn(&pebblefold_simulator::report::Verdict) -> f64| {
             verdicts.iter().map(of).sum::<f64>() / n
         };
         let longest = verdicts
             .iter()
             .map(|v| v.renting.unknown_longest_s)
             .fold(0.0, f64::max);
-        let both = |of: fn(&pebblefold_rehearsal::report::ClassReport) -> f64| {
+        let both = |of: fn(&pebblefold_simulator::report::ClassReport) -> f64| {
             mean(&|v| v.classes.values().map(of).sum::<f64>() / 2.0)
         };
         println!(
--- a/crates/rehearsal/benches/levels.rs
+++ b/crates/simulator/benches/levels.rs
@@ -2,11 +2,11 @@
 //! with each start, and how soon a roll-out is over. Run with
 //! `cargo bench -p pebblefold-rehearsal --bench levels [-- SEEDS]`; simulated.
 
-use pebblefold::core::levels::{Level, REMEMBERED};
-use pebblefold::policy::DEFAULT_SCRIPT;
-use pebblefold::types::{Span, Time};
-use pebblefold_rehearsal::script::{Build, Fault, Nodes, Script, What};
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_controller::core::levels::{Level, REMEMBERED};
+use pebblefold_controller::policy::DEFAULT_SCRIPT;
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_simulator::script::{Build, Fault, Nodes, Script, What};
+use pebblefold_simulator::simulated::Simulated;
 
 /// Arrays and gangs on so many machines, five controllers.
 fn script(machines: u32, length_s: f64) -> Script {
--- a/crates/rehearsal/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -4,8 +4,8 @@
 //! exactly one final answer.
 
 use crate::script::{Cluster, Team};
-use pebblefold::types::{Amounts, Span, Time};
-use pebblefold::wire::users::{Shape, Stage, Submission};
+use pebblefold_controller::types::{Amounts, Span, Time};
+use pebblefold_controller::wire::users::{Shape, Stage, Submission};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -2,13 +2,13 @@
 //! list that lags.
 
 use crate::script::{Cluster, Kind};
-use pebblefold::types::{Span, Time};
-use pebblefold::wire::cloud::{
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::wire::cloud::{
     ListedMachine, MachineList, MachineNames, MachineStage, MachineType, MachineTypes, Rent,
 };
-use pebblefold::wire::pace::Bucket;
-use pebblefold::wire::users::Refusal;
-use pebblefold::wire::{decode, encode};
+use pebblefold_controller::wire::pace::Bucket;
+use pebblefold_controller::wire::users::Refusal;
+use pebblefold_controller::wire::{decode, encode};
 use pebblefold_wire::http::Request;
 use rand::RngExt;
 use rand::rngs::StdRng;
--- a/crates/rehearsal/src/director.rs
+++ b/crates/simulator/src/director.rs
@@ -1,7 +1,7 @@
 //! When faults strike: at their times, and at the moments they aim at.
 
 use crate::script::{Fault, Moment, What, When};
-use pebblefold::types::{Span, Time};
+use pebblefold_controller::types::{Span, Time};
 
 /// A fault that waits for its moment.
 #[derive(Debug)]
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -4,13 +4,13 @@
 use crate::checker::Seen;
 use crate::waiting::Room;
 use crate::worker::{Heard, Jobs, Key, Task, Times, Worker, job_of};
-use pebblefold::types::{Label, Span, Time};
-use pebblefold::wire::cloud::{ListedMachine, MachineTypes};
-use pebblefold::wire::users::{Shape, Submission};
-use pebblefold::wire::workers::{
+use pebblefold_controller::types::{Label, Span, Time};
+use pebblefold_controller::wire::cloud::{ListedMachine, MachineTypes};
+use pebblefold_controller::wire::users::{Shape, Submission};
+use pebblefold_controller::wire::workers::{
     Command, DirectCommands, ReportAnswer, ReportElsewhere, TaskState, Why,
 };
-use pebblefold::wire::{decode, encode};
+use pebblefold_controller::wire::{decode, encode};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rehearsal/src/layout.rs
+++ b/crates/simulator/src/layout.rs
@@ -2,8 +2,8 @@
 
 use crate::script::Script;
 use crate::stand::TXN_OPS;
-use pebblefold::settings::{Settings, SettingsError};
-use pebblefold::types::Label;
+use pebblefold_controller::settings::{Settings, SettingsError};
+use pebblefold_controller::types::Label;
 use std::collections::BTreeMap;
 
 /// The name of controller `n`.
--- a/crates/rehearsal/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -2,7 +2,7 @@
 //! a cut heals, or a reset. Both worlds ask here, message by message.
 
 use crate::script::CutMode;
-use pebblefold::types::{Span, Time};
+use pebblefold_controller::types::{Span, Time};
 use rand::RngExt;
 use rand::rngs::StdRng;
 
--- a/crates/rehearsal/src/script.rs
+++ b/crates/simulator/src/script.rs
@@ -5,8 +5,8 @@
 mod check;
 
 use check::{line_of, name_of};
-use pebblefold::types::{Amounts, Span};
-use pebblefold::wire::users::{Priority, Shape};
+use pebblefold_controller::types::{Amounts, Span};
+use pebblefold_controller::wire::users::{Priority, Shape};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
--- a/crates/rehearsal/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -7,15 +7,17 @@
 use crate::report::Verdict;
 use crate::script::Script;
 use crate::stand::{NodeAction, Out, Returned, Stand, Store};
-use pebblefold::core::levels::{Level, Range};
-use pebblefold::core::node::Node;
-use pebblefold::core::suspicion::judge::BEAT_EVERY;
-use pebblefold::core::{CallId, Input, Keep, Now, Output, Reply, RequestId, Side, Target};
-use pebblefold::policy::{DEFAULT_SCRIPT, Policy, PolicyError};
-use pebblefold::settings::SettingsError;
-use pebblefold::types::{MachineId, Span, Time, Wall};
-use pebblefold_state::StorageError;
-use pebblefold_state::cut::CutDisk;
+use pebblefold_controller::core::levels::{Level, Range};
+use pebblefold_controller::core::node::Node;
+use pebblefold_controller::core::suspicion::judge::BEAT_EVERY;
+use pebblefold_controller::core::{
+    CallId, Input, Keep, Now, Output, Reply, RequestId, Side, Target,
+};
+use pebblefold_controller::policy::{DEFAULT_SCRIPT, Policy, PolicyError};
+use pebblefold_controller::settings::SettingsError;
+use pebblefold_controller::types::{MachineId, Span, Time, Wall};
+use pebblefold_kvstore::StorageError;
+use pebblefold_kvstore::cut::CutDisk;
 use pebblefold_wire::encode;
 use pebblefold_wire::http::Request;
 use rand::rngs::StdRng;
@@ -63,7 +65,7 @@
     /// A controller's answer to it.
     Answer {
         ticket: u64,
-        answer: pebblefold::core::Answer,
+        answer: pebblefold_controller::core::Answer,
     },
 }
 
--- a/crates/rehearsal/src/stand/faults.rs
+++ b/crates/simulator/src/stand/faults.rs
@@ -5,9 +5,9 @@
 use crate::links::{Group, Host};
 use crate::script::{LastWrite, Moment, Nodes, PowerLoss, Side, What};
 use crate::worker::PATIENCE;
-use pebblefold::types::{Span, Time};
-use pebblefold_state::cut::Left;
-use pebblefold_state::{Asker, Ticket};
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_kvstore::cut::Left;
+use pebblefold_kvstore::{Asker, Ticket};
 use rand::RngExt;
 
 /// A job with less to go than this is not called off by `cancel_now`.
--- a/crates/rehearsal/src/tally.rs
+++ b/crates/simulator/src/tally.rs
@@ -1,7 +1,7 @@
 //! What renting came to, counted from what the cloud gave and took and what
 //! ran on its machines.
 
-use pebblefold::types::{Span, Time};
+use pebblefold_controller::types::{Span, Time};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/rehearsal/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -3,9 +3,9 @@
 
 use crate::checker::{Ask, Seen};
 use crate::script::{JobShape, Jobs, Script};
-use pebblefold::types::{Span, Time};
-use pebblefold::wire::users::{JobAnswer, Stage, Submission};
-use pebblefold::wire::{decode, encode};
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::wire::users::{JobAnswer, Stage, Submission};
+use pebblefold_controller::wire::{decode, encode};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/rehearsal/src/users/odd.rs
+++ b/crates/simulator/src/users/odd.rs
@@ -2,9 +2,9 @@
 
 use super::{Job, PATIENCE, UserRequest, Users, Waiting};
 use crate::checker::Ask;
-use pebblefold::types::Time;
-use pebblefold::wire::users::Submission;
-use pebblefold::wire::{decode, encode};
+use pebblefold_controller::types::Time;
+use pebblefold_controller::wire::users::Submission;
+use pebblefold_controller::wire::{decode, encode};
 use rand::RngExt;
 use rand::rngs::StdRng;
 
--- a/crates/rehearsal/src/waiting.rs
+++ b/crates/simulator/src/waiting.rs
@@ -2,8 +2,8 @@
 //! Nobody may be left waiting beside room that fits, once all troubles are over.
 
 use crate::script::Team;
-use pebblefold::types::Amounts;
-use pebblefold::wire::users::{Shape, Submission};
+use pebblefold_controller::types::Amounts;
+use pebblefold_controller::wire::users::{Shape, Submission};
 use std::collections::BTreeMap;
 
 /// What is free on a machine that is up and well.
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -2,11 +2,11 @@
 //! rotation among controllers, commands, images. What its tasks do together,
 //! and how long they take, is the [`crate::fleet`]'s.
 
-use pebblefold::types::{Amounts, Attempt, Session, Span, Time, Token};
-use pebblefold::wire::cloud::{ListedMachine, MachineType};
-use pebblefold::wire::users::{Shape, Submission};
-use pebblefold::wire::workers::{Command, Report, ReportedTask, TaskState, Why};
 use pebblefold_agent::link::{Link, Pace};
+use pebblefold_controller::types::{Amounts, Attempt, Session, Span, Time, Token};
+use pebblefold_controller::wire::cloud::{ListedMachine, MachineType};
+use pebblefold_controller::wire::users::{Shape, Submission};
+use pebblefold_controller::wire::workers::{Command, Report, ReportedTask, TaskState, Why};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -3,11 +3,11 @@
 
 mod common;
 use common::{cluster, jobs};
-use pebblefold::types::{Span, Time};
-use pebblefold::wire::users::{Stage, Submission};
-use pebblefold_rehearsal::checker::{Ask, Checker, Rule, Seen};
-use pebblefold_rehearsal::script::JobShape;
-use pebblefold_rehearsal::users::plan;
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::wire::users::{Stage, Submission};
+use pebblefold_simulator::checker::{Ask, Checker, Rule, Seen};
+use pebblefold_simulator::script::JobShape;
+use pebblefold_simulator::users::plan;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
--- a/crates/rehearsal/tests/commands.rs
+++ b/crates/simulator/tests/commands.rs
@@ -1,7 +1,7 @@
 //! Commands as local processes: one start for what may run once, results that are
 //! kept, groups that are ended whole.
 
-use pebblefold_rehearsal::commands::{Commands, Place};
+use pebblefold_simulator::commands::{Commands, Place};
 use pebblefold_wire::steps::{Again, Description, EXIT, HERE, Mark, Put, REFUSED};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
--- a/crates/rehearsal/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! Small clusters for the tests, and days with random jobs and troubles.
 #![allow(dead_code, reason = "each test program uses a part")]
 
-use pebblefold_rehearsal::report::Verdict;
-use pebblefold_rehearsal::script::{CutMode, Nodes, Side};
-use pebblefold_rehearsal::script::{Fault, JobPriority, JobShape, Jobs, Script, Spread, What};
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_simulator::report::Verdict;
+use pebblefold_simulator::script::{CutMode, Nodes, Side};
+use pebblefold_simulator::script::{Fault, JobPriority, JobShape, Jobs, Script, Spread, What};
+use pebblefold_simulator::simulated::Simulated;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/rehearsal/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -2,11 +2,11 @@
 
 mod common;
 use common::*;
-use pebblefold::core::weak::{Decision, weaken};
-use pebblefold::types::{Span, Time};
-use pebblefold_rehearsal::report::Verdict;
-use pebblefold_rehearsal::script::{CutMode, JobPriority, JobShape, Nodes, Side, Spread, What};
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_simulator::report::Verdict;
+use pebblefold_simulator::script::{CutMode, JobPriority, JobShape, Nodes, Side, Spread, What};
+use pebblefold_simulator::simulated::Simulated;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/rehearsal/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -5,18 +5,18 @@
 
 mod common;
 use common::{cluster, jobs, rehearse, sound};
-use pebblefold::core::duty::intents::Intents;
-use pebblefold::core::duty::sweep::Sweep;
-use pebblefold::core::ledger;
-use pebblefold::core::weak::{Decision, weaken};
-use pebblefold::types::{JobId, MachineId, Span, Time, Token, Version, Wall};
-use pebblefold::wire::cloud::Rent;
-use pebblefold::wire::state::Op;
-use pebblefold_rehearsal::report::Verdict;
-use pebblefold_rehearsal::script::{
+use pebblefold_controller::core::duty::intents::Intents;
+use pebblefold_controller::core::duty::sweep::Sweep;
+use pebblefold_controller::core::ledger;
+use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::types::{JobId, MachineId, Span, Time, Token, Version, Wall};
+use pebblefold_controller::wire::cloud::Rent;
+use pebblefold_controller::wire::state::Op;
+use pebblefold_simulator::report::Verdict;
+use pebblefold_simulator::script::{
     CutMode, Fault, JobPriority, JobShape, Moment, Nodes, Side, Spread, What, When,
 };
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_simulator::simulated::Simulated;
 use serde_json::Value;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -496,7 +496,7 @@
         let keys = ["d/", "r/", "w/j/", "w/p/", "w/x/"];
         let keys: usize = keys.iter().map(|k| state.count(k)).sum();
         // What came of late is one key, written over and over.
-        let kept = state.count(pebblefold::core::teams::memory::KEY);
+        let kept = state.count(pebblefold_controller::core::teams::memory::KEY);
         assert!(kept <= 1, "night {night}: {kept}");
         out.push((keys - kept, world.stand().fleet().workers().len()));
     }
--- a/crates/rehearsal/tests/gap.rs
+++ b/crates/simulator/tests/gap.rs
@@ -4,10 +4,10 @@
 //! likes. How old a leader's knowledge is and whether it may answer is told by the
 //! real core; time goes in steps of a second.
 
-use pebblefold::core::contact::{Bounds, Contact};
-use pebblefold::core::weak::{Decision, weaken};
-use pebblefold::settings::WorkerTimes;
-use pebblefold::types::{Span, Time};
+use pebblefold_controller::core::contact::{Bounds, Contact};
+use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::settings::WorkerTimes;
+use pebblefold_controller::types::{Span, Time};
 use std::collections::HashSet;
 
 /// A worker's lease, and how long it waits for an answer.
--- a/crates/rehearsal/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -3,14 +3,16 @@
 //! any node, leaders that come and go, one task on one machine. The transactions are
 //! the real ledger's, and so is what is read back.
 
-use pebblefold::core::ledger::{self, Assembly, ChunkSize, End, Head, HeadStage, Job, TxnLimits};
-use pebblefold::core::levels::TABLE;
-use pebblefold::core::levels::progress::Progress;
-use pebblefold::core::presence::{Phase, Placement};
-use pebblefold::core::weak::{Decision, weaken};
-use pebblefold::types::{Attempt, JobId, Session, Version, Wall};
-use pebblefold::wire::state::{Condition, Op, Txn};
-use pebblefold::wire::users::{Priority, Shape, Submission};
+use pebblefold_controller::core::ledger::{
+    self, Assembly, ChunkSize, End, Head, HeadStage, Job, TxnLimits,
+};
+use pebblefold_controller::core::levels::TABLE;
+use pebblefold_controller::core::levels::progress::Progress;
+use pebblefold_controller::core::presence::{Phase, Placement};
+use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::types::{Attempt, JobId, Session, Version, Wall};
+use pebblefold_controller::wire::state::{Condition, Op, Txn};
+use pebblefold_controller::wire::users::{Priority, Shape, Submission};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashSet};
 
--- a/crates/rehearsal/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -3,12 +3,12 @@
 //! another job of the team waits for the room. Until when an older leader may answer and
 //! what a report proves is told by the real core; time goes in steps of a second.
 
-use pebblefold::core::contact::Bounds;
-use pebblefold::core::presence::{Placement, Verdict};
-use pebblefold::core::weak::{Decision, weaken};
-use pebblefold::settings::WorkerTimes;
-use pebblefold::types::{Attempt, Session, Span, Tally, Token};
-use pebblefold::wire::workers::{ReportedTask, TaskState};
+use pebblefold_controller::core::contact::Bounds;
+use pebblefold_controller::core::presence::{Placement, Verdict};
+use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::settings::WorkerTimes;
+use pebblefold_controller::types::{Attempt, Session, Span, Tally, Token};
+use pebblefold_controller::wire::workers::{ReportedTask, TaskState};
 use std::collections::HashSet;
 
 /// A worker's lease, and how long it waits for an answer.
--- a/crates/rehearsal/tests/meetings/answers.rs
+++ b/crates/simulator/tests/meetings/answers.rs
@@ -2,8 +2,8 @@
 //! transactions that it rests on.
 
 use super::*;
-use pebblefold_rehearsal::checker::Ask;
-use pebblefold_rehearsal::script::Jobs;
+use pebblefold_simulator::checker::Ask;
+use pebblefold_simulator::script::Jobs;
 
 /// Jobs of one short task, so many a second, a quarter of them called off.
 pub fn short_jobs(count: u32, over_s: f64) -> Jobs {
--- a/crates/rehearsal/tests/meetings/cancels.rs
+++ b/crates/simulator/tests/meetings/cancels.rs
@@ -24,7 +24,7 @@
 fn full_teams(world: &Simulated) -> usize {
     let teams = &world.stand().script().cluster.teams;
     let used = world.stand().checker().used();
-    let full = |t: &&pebblefold_rehearsal::script::Team| {
+    let full = |t: &&pebblefold_simulator::script::Team| {
         used.get(&t.name)
             .is_some_and(|u| u.gpus >= t.gpus_max - 4.0)
     };
@@ -180,7 +180,7 @@
         world.play(secs(260.0), false);
         let checker = world.stand().checker();
         let open = checker.records().iter().filter(|r| r.end.is_none()).count();
-        let late = |r: &pebblefold_rehearsal::checker::JobRecord| {
+        let late = |r: &pebblefold_simulator::checker::JobRecord| {
             let begun = r.started_s.or(r.ended_s).unwrap_or(f64::INFINITY);
             begun - r.submitted_s > 60.0
         };
--- a/crates/rehearsal/tests/meetings/main.rs
+++ b/crates/simulator/tests/meetings/main.rs
@@ -9,14 +9,14 @@
 mod machines;
 
 use common::*;
-use pebblefold::core::weak::{Decision, weaken};
-use pebblefold::types::{Span, Time};
-use pebblefold::wire::users::Stage;
-use pebblefold_rehearsal::checker::Seen;
-use pebblefold_rehearsal::script::{
+use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::wire::users::Stage;
+use pebblefold_simulator::checker::Seen;
+use pebblefold_simulator::script::{
     CutMode, Fault, JobPriority, JobShape, Moment, Nodes, Script, Side, Spread, What, When,
 };
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_simulator::simulated::Simulated;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/rehearsal/tests/moments.rs
+++ b/crates/simulator/tests/moments.rs
@@ -4,14 +4,14 @@
 
 mod common;
 use common::*;
-use pebblefold::types::{Span, Time};
-use pebblefold_rehearsal::checker::Seen;
-use pebblefold_rehearsal::report::Verdict;
-use pebblefold_rehearsal::script::{
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_simulator::checker::Seen;
+use pebblefold_simulator::report::Verdict;
+use pebblefold_simulator::script::{
     CutMode, Fault, JobPriority, JobShape, LastWrite, Moment, Nodes, PowerLoss, Script, Side,
     Spread, What, When,
 };
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_simulator::simulated::Simulated;
 
 fn when(moment: Moment, nth: u32, what: What) -> Fault {
     let (class, after_s) = (Some("urgent".to_string()), 0.0);
--- a/crates/rehearsal/tests/rollout.rs
+++ b/crates/simulator/tests/rollout.rs
@@ -3,14 +3,14 @@
 
 mod common;
 use common::*;
-use pebblefold::core::levels::{BEFORE, FENCED, Level, REMEMBERED};
-use pebblefold::types::{Span, Time};
-use pebblefold_rehearsal::report::Verdict;
-use pebblefold_rehearsal::script::{
+use pebblefold_controller::core::levels::{BEFORE, FENCED, Level, REMEMBERED};
+use pebblefold_controller::types::{Span, Time};
+use pebblefold_simulator::report::Verdict;
+use pebblefold_simulator::script::{
     Build, CutMode, Fault, JobPriority, JobShape, LastWrite, Nodes, PowerLoss, Script, Side,
     Spread, What,
 };
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_simulator::simulated::Simulated;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/crates/rehearsal/tests/scripts.rs
+++ b/crates/simulator/tests/scripts.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::sound;
-use pebblefold_rehearsal::script::Script;
-use pebblefold_rehearsal::simulated;
+use pebblefold_simulator::script::Script;
+use pebblefold_simulator::simulated;
 use std::path::PathBuf;
 
 const SHIPPED: [&str; 3] = ["billing-night", "meter-coop", "tenant-office"];
--- a/crates/rehearsal/tests/standins.rs
+++ b/crates/simulator/tests/standins.rs
@@ -2,19 +2,21 @@
 
 mod common;
 use common::{cluster, jobs};
-use pebblefold::types::{Attempt, Label, Session, Span, Time, Token};
-use pebblefold::wire::cloud::{MachineList, MachineNames, MachineStage, MachineTypes, Rent};
-use pebblefold::wire::users::{Shape, Submission};
-use pebblefold::wire::workers::{
+use pebblefold_controller::types::{Attempt, Label, Session, Span, Time, Token};
+use pebblefold_controller::wire::cloud::{
+    MachineList, MachineNames, MachineStage, MachineTypes, Rent,
+};
+use pebblefold_controller::wire::users::{Shape, Submission};
+use pebblefold_controller::wire::workers::{
     Command, DirectCommands, Report, ReportAnswer, ReportElsewhere, TaskState, Why,
 };
-use pebblefold::wire::{decode, encode};
-use pebblefold_rehearsal::checker::Seen;
-use pebblefold_rehearsal::cloud::{Addresses, Cloud, Happened};
-use pebblefold_rehearsal::fleet::Fleet;
-use pebblefold_rehearsal::script::{JobShape, Script};
-use pebblefold_rehearsal::users::plan;
-use pebblefold_rehearsal::worker::Times;
+use pebblefold_controller::wire::{decode, encode};
+use pebblefold_simulator::checker::Seen;
+use pebblefold_simulator::cloud::{Addresses, Cloud, Happened};
+use pebblefold_simulator::fleet::Fleet;
+use pebblefold_simulator::script::{JobShape, Script};
+use pebblefold_simulator::users::plan;
+use pebblefold_simulator::worker::Times;
 use pebblefold_wire::http::Request;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/crates/rehearsal/tests/suspicion.rs
+++ b/crates/simulator/tests/suspicion.rs
@@ -3,9 +3,9 @@
 
 mod common;
 use common::*;
-use pebblefold::types::{Span, Time, Token};
-use pebblefold_rehearsal::script::{CutMode, Fault, JobShape, Nodes, Script, Side, Spread, What};
-use pebblefold_rehearsal::simulated::Simulated;
+use pebblefold_controller::types::{Span, Time, Token};
+use pebblefold_simulator::script::{CutMode, Fault, JobShape, Nodes, Script, Side, Spread, What};
+use pebblefold_simulator::simulated::Simulated;
 
 /// When the failures begin.
 const AT: f64 = 40.0;
--- a/crates/rehearsal/tests/verdicts.rs
+++ b/crates/simulator/tests/verdicts.rs
@@ -3,8 +3,8 @@
 //! and messages that are held back. What a report proves is told by the real
 //! core; the rest is as small as the protocol allows.
 
-use pebblefold::core::presence::{Phase, Placement, Verdict};
-use pebblefold::types::{Attempt, Session, Tally, Token};
+use pebblefold_controller::core::presence::{Phase, Placement, Verdict};
+use pebblefold_controller::types::{Attempt, Session, Tally, Token};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
 const OLD: u64 = 1;
--- a/crates/rehearsal/tests/waiting.rs
+++ b/crates/simulator/tests/waiting.rs
@@ -3,14 +3,14 @@
 
 mod common;
 use common::*;
-use pebblefold::core::weak::{Decision, weaken};
-use pebblefold::types::{Amounts, Span, Time};
-use pebblefold::wire::users::{Shape, Submission};
-use pebblefold_rehearsal::script::{
+use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::types::{Amounts, Span, Time};
+use pebblefold_controller::wire::users::{Shape, Submission};
+use pebblefold_simulator::script::{
     CutMode, JobPriority, JobShape, Nodes, Script, Side, Spread, What,
 };
-use pebblefold_rehearsal::simulated::Simulated;
-use pebblefold_rehearsal::waiting::{Room, Waiting, could_start};
+use pebblefold_simulator::simulated::Simulated;
+use pebblefold_simulator::waiting::{Room, Waiting, could_start};
 
 fn secs(s: f64) -> Time {
     Time(0) + Span::secs(s)
@@ -312,7 +312,7 @@
         s
     };
     let mut rng = rand::SeedableRng::seed_from_u64(1);
-    let array = pebblefold_rehearsal::users::plan(&script, &mut rng)
+    let array = pebblefold_simulator::users::plan(&script, &mut rng)
         .remove(0)
         .spec;
     let room = |zone: &str, spot: bool, gpus: f64| Room {
