--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -13,8 +13,8 @@
 use crate::store::{NEXT, Store};
 use crate::worker::{Worker, pace};
 use pebblefold_net::{Client, Sent, answer_connections};
+use pebblefold_wire::command::Description;
 use pebblefold_wire::http::{Request, Response};
-use pebblefold_wire::steps::Description;
 use pebblefold_wire::types::{Session, Span, Time};
 use pebblefold_wire::users::{Shape, Submission};
 use pebblefold_wire::workers::{Report, TaskState};
--- a/crates/agent/tests/journal.rs
+++ b/crates/agent/tests/journal.rs
@@ -2,7 +2,7 @@
 
 use pebblefold_agent::attempts::{Key, Record};
 use pebblefold_agent::journal::{Change, Journal, JournalError, Kept};
-use pebblefold_kvstore::cut::{CutDisk, Left};
+use pebblefold_kvstore::faulty_disk::{CutDisk, Left};
 use pebblefold_wire::types::{Session, Token};
 use pebblefold_wire::workers::{TaskState, Why};
 
--- a/crates/client/src/attempts.rs
+++ b/crates/client/src/attempts.rs
@@ -1,6 +1,6 @@
 //! The tries of one call: which node, when, and when to stop.
 
-use pebblefold_wire::pace::Backoff;
+use pebblefold_wire::backoff::Backoff;
 use pebblefold_wire::types::{Span, Time};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -4,7 +4,7 @@
 use crate::seen::Seen;
 use pebblefold_net::{Client as Net, Sent};
 use pebblefold_wire::http::Response;
-use pebblefold_wire::pace::Bucket;
+use pebblefold_wire::rate_limit::Bucket;
 use pebblefold_wire::types::{JobId, Span, Time};
 use pebblefold_wire::users::{JobAnswer, Refusal, Stage, Submission, valid_id};
 use pebblefold_wire::{decode, encode};
--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -2,10 +2,10 @@
 //! `cargo bench`. Times are reported, not checked; they depend on the machine.
 
 use hdrhistogram::Histogram;
-use pebblefold_controller::core::cycle::{Cycle, Pace, TeamUse, Want};
-use pebblefold_controller::core::preempt::{Victim, Victims, evict};
-use pebblefold_controller::core::tables::{Cache, Estimates, Row};
-use pebblefold_controller::core::teams::Bounds;
+use pebblefold_controller::core::placement_tables::{Cache, Estimates, Row};
+use pebblefold_controller::core::preemption::{Victim, Victims, evict};
+use pebblefold_controller::core::quota::Bounds;
+use pebblefold_controller::core::scheduling_cycle::{Cycle, Pace, TeamUse, Want};
 use pebblefold_controller::settings::TeamShare;
 use pebblefold_controller::types::{Amounts, Image, Span, Time};
 use pebblefold_controller::wire::users::Priority;
--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -1,6 +1,6 @@
 //! The daemon's command line. What people use is `pebblectl`.
 
-use crate::core::contact::Bounds;
+use crate::core::leader_authority::Bounds;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::{driver, logging};
--- a/crates/controller/src/core/presence.rs
+++ b/crates/controller/src/core/assignment.rs
@@ -1,7 +1,7 @@
 //! Where a task may be. A placement stands from the moment it is to be
 //! recorded until there is proof that the task is not on its machine.
 
-use super::weak::{self, Decision};
+use super::failpoints::{self, Decision};
 use crate::types::{Attempt, MachineId, Session, Tally, Time, Token};
 use crate::wire::workers::{ReportedTask, TaskState};
 
@@ -110,7 +110,7 @@
         if session > self.session {
             return Verdict::Absent;
         }
-        let theirs = token != ours && weak::holds(Decision::AbsenceNeedsOurToken);
+        let theirs = token != ours && failpoints::holds(Decision::AbsenceNeedsOurToken);
         if listed.is_some() || theirs {
             return Verdict::Present;
         }
--- a/crates/controller/src/core/duty/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -6,9 +6,9 @@
 //! heard of; whoever repeats it gets the same machines. A release can't be
 //! taken back: whoever reads it starts nothing on its machines.
 
-use super::PREFIX;
-use super::book::Book;
-use crate::core::weak::{self, Decision};
+use crate::core::failpoints::{self, Decision};
+use crate::core::keys::DUTIES;
+use crate::core::pending_writes::Book;
 use crate::types::{Kind, MachineId, Span, Time, Token, Wall, Zone};
 use crate::wire::cloud::Rent;
 use serde::{Deserialize, Serialize};
@@ -93,11 +93,11 @@
 }
 
 fn hire_key(name: &str) -> String {
-    format!("{PREFIX}h/{name}")
+    format!("{DUTIES}h/{name}")
 }
 
 fn release_key(name: &str) -> String {
-    format!("{PREFIX}x/{name}")
+    format!("{DUTIES}x/{name}")
 }
 
 impl Intents {
@@ -127,9 +127,9 @@
     /// it or may yet. Returns the machines that are to go. A record that
     /// cannot be read is left where it is.
     pub fn load(&mut self, key: &str, stored: &Value, wall: Wall) -> Vec<MachineId> {
-        let rest = key.strip_prefix(PREFIX).and_then(|k| k.split_once('/'));
+        let rest = key.strip_prefix(DUTIES).and_then(|k| k.split_once('/'));
         match rest {
-            Some(("h", name)) if weak::holds(Decision::HiresAreRepeated) => {
+            Some(("h", name)) if failpoints::holds(Decision::HiresAreRepeated) => {
                 if let Ok(record) = HireRecord::deserialize(stored) {
                     let age = Span::millis(wall.0.saturating_sub(record.t.0));
                     if age > STALE.max(Span(self.list_lag.0 * 4)) {
@@ -141,7 +141,7 @@
                 }
                 Vec::new()
             }
-            Some(("x", name)) if weak::holds(Decision::ReleasesStand) => {
+            Some(("x", name)) if failpoints::holds(Decision::ReleasesStand) => {
                 let Ok(record) = ReleaseRecord::deserialize(stored) else {
                     return Vec::new();
                 };
@@ -164,7 +164,7 @@
 
     /// An intent is stored: it may be acted on.
     pub fn stored(&mut self, key: &str) {
-        let rest = key.strip_prefix(PREFIX).and_then(|k| k.split_once('/'));
+        let rest = key.strip_prefix(DUTIES).and_then(|k| k.split_once('/'));
         match rest {
             Some(("h", name)) => {
                 if let Some(h) = self.hires.get_mut(name)
@@ -233,7 +233,7 @@
     /// The next hire to ask for, those that may have been asked for first.
     pub fn next_hire(&self) -> Option<Rent> {
         let ready =
-            |h: &&Hire| h.stage != Stage::Decided || !weak::holds(Decision::IntentBeforeAct);
+            |h: &&Hire| h.stage != Stage::Decided || !failpoints::holds(Decision::IntentBeforeAct);
         let next = self.unfilled().filter(ready);
         next.min_by_key(|h| h.stage != Stage::Doubtful)
             .map(|h| h.rent.clone())
@@ -346,7 +346,7 @@
     /// Machines to ask the release of next.
     pub fn next_release(&self) -> Vec<MachineId> {
         let ready = |r: &&Release| {
-            r.answered.is_none() && (r.stored || !weak::holds(Decision::IntentBeforeAct))
+            r.answered.is_none() && (r.stored || !failpoints::holds(Decision::IntentBeforeAct))
         };
         let open = self.releases.values().filter(ready);
         let names = open.flat_map(|r| &r.machines).filter(|m| !self.is_gone(m));
--- a/crates/controller/src/core/duty/renting.rs
+++ b/crates/controller/src/core/autoscaler/state.rs
@@ -1,11 +1,11 @@
 //! The renting duty's own state: what the cloud was asked and is to be asked.
 
-use super::hands::Hands;
+use super::cloud_proxy::Hands;
 use super::intents::{Intents, Market};
 use crate::settings::Settings;
 use crate::types::{MachineId, Span, Time, Token};
 use crate::wire::cloud::{ListedMachine, Rent};
-use crate::wire::pace::{Backoff, Bucket};
+use crate::wire::{backoff::Backoff, rate_limit::Bucket};
 use std::collections::BTreeMap;
 
 /// What a peer answers where the cloud gave it no answer: certainly not
--- /dev/null
+++ b/crates/controller/src/core/cache_hints/tests.rs
@@ -0,0 +1,55 @@
+
+use super::*;
+use std::collections::BTreeSet;
+
+fn told(n: usize) -> Keepsake {
+    let mut k = Keepsake::default();
+    let machine = |i: usize| {
+        let id = format!("host-{i:04}").as_str().into();
+        (id, vec![(Image::from("img"), 5.0)])
+    };
+    k.note(
+        Time(1),
+        Token(5),
+        (0..n).map(machine).collect(),
+        vec![("img".into(), 7000)],
+    );
+    k
+}
+
+// A leader whose process was started again at once took its own key and knew of
+// no image on any machine: everything was cold, for as long as it led.
+#[test]
+fn a_leader_gets_back_what_was_told_each_part_once() {
+    let mut peers = [told(950), told(950), told(950)];
+    let mut heard = BTreeSet::new();
+    let mut rounds = 0;
+    while heard.len() < 950 {
+        for (i, p) in peers.iter_mut().enumerate() {
+            let part = p.give(Token(9), i as f64 / 3.0);
+            assert!(part.len() <= MOST_GIVEN);
+            heard.extend(part.into_iter().map(|(id, _)| id));
+        }
+        rounds += 1;
+    }
+    assert!(rounds <= 4, "{rounds}: each begins elsewhere");
+    let mut one = told(250);
+    let parts: Vec<usize> = (0..5).map(|_| one.give(Token(9), 0.5).len()).collect();
+    assert_eq!(parts, [100, 100, 50, 0, 0]);
+    // To itself, or to one that it hears it from, nothing is given back.
+    assert!(told(50).give(Token(5), 0.0).is_empty());
+    assert_eq!(
+        one.give(Token(12), 0.0).len(),
+        100,
+        "a later leader asks anew"
+    );
+}
+
+#[test]
+fn machines_are_taken_over_once_they_are_known() {
+    let mut k = told(10);
+    let known = k.take_known(|id| id.as_str() < "host-0004");
+    assert_eq!((known.len(), k.take_known(|_| true).len()), (4, 6));
+    assert_eq!(k.fetches().next().map(|(_, s)| s), Some(Span::secs(7.0)));
+    assert_eq!(told(3).take().machines.len(), 3);
+}
--- a/crates/controller/src/core/io.rs
+++ b/crates/controller/src/core/effects.rs
@@ -6,7 +6,7 @@
 use crate::types::{Session, Span, Time, Token, Version, Wall};
 use crate::wire;
 use crate::wire::cloud::MachineTypes;
-use crate::wire::pace::Bucket;
+use crate::wire::rate_limit::Bucket;
 use crate::wire::workers::{Command, DirectCommands};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
--- a/crates/controller/src/core/election.rs
+++ b/crates/controller/src/core/election.rs
@@ -1,15 +1,15 @@
 //! Who leads: the holder of a key that hangs on a lease. Its version is the
 //! token.
 
-use super::io::{Io, Waits};
-use super::ledger::{self, LeaderValue};
-use super::levels::registry::{self, Registry};
-use super::levels::{FENCED, Level};
+use super::effects::{Io, Waits};
+use super::format_version::member_versions::{self, Registry};
+use super::format_version::{FENCED, Level};
+use super::job_records::{self, LeaderValue};
 use super::{Keep, Reply, Target};
 use crate::types::{Label, Span, Time, Token, Version};
 use crate::wire;
-use crate::wire::pace::Backoff;
-use crate::wire::state::{
+use crate::wire::backoff::Backoff;
+use crate::wire::kvstore::{
     Changes, Condition, Entries, Entry, Lease, LeaseRequest, Op, Revision, Txn,
 };
 use rand::RngExt;
@@ -71,7 +71,7 @@
     /// Nobody has led yet: the store may begin at the first fenced level.
     virgin: bool,
     /// Conditions and changes of a rise that the next claim carries.
-    rise: Option<registry::Rise>,
+    rise: Option<member_versions::Rise>,
     /// Whether the claim under way is a leader's, to rise.
     rising: bool,
     /// The level that the claim under way brings.
@@ -159,7 +159,7 @@
 
     /// This node leads and rises to the first fenced level: the leader's key moves,
     /// so it is claimed anew, in the commit that raises the level.
-    pub fn rise(&mut self, io: &mut Io, token: Token, rise: registry::Rise) {
+    pub fn rise(&mut self, io: &mut Io, token: Token, rise: member_versions::Rise) {
         if self.standing == Standing::Leading && !self.calling {
             (self.rise, self.rising) = (Some(rise), true);
             self.standing = Standing::Vacant(Version(token.0));
@@ -212,7 +212,7 @@
             Standing::Unknown => call(
                 io,
                 "GET",
-                format!("/keys?starts={}&most=1000", registry::PREFIX),
+                format!("/keys?starts={}&most=1000", member_versions::PREFIX),
                 Vec::new(),
                 Span::secs(2.0),
                 Awaits::ReadLeader { sent: now },
@@ -231,7 +231,7 @@
             Standing::Following(_) => {
                 let path = format!(
                     "/changes?starts={}&since={}&hold_ms={}",
-                    registry::PREFIX,
+                    member_versions::PREFIX,
                     self.revision,
                     HOLD.as_millis()
                 );
@@ -376,7 +376,7 @@
         self.virgin = fences && self.registry.is_virgin(page.revision, page.items.len());
         let key = self.holder_key();
         let holder = page.items.into_iter().find(|e| e.key == key);
-        self.found(io, holder.map(|e| (ledger::read(&e.value), e.version)));
+        self.found(io, holder.map(|e| (job_records::read(&e.value), e.version)));
         Outcome::None
     }
 
@@ -424,7 +424,7 @@
                     .rfind(|e| e.put.as_deref() == Some(key) || e.delete.as_deref() == Some(key));
                 if let Some(e) = last {
                     let put = e.put.is_some();
-                    self.found(io, put.then(|| (ledger::read(&e.value), e.version)));
+                    self.found(io, put.then(|| (job_records::read(&e.value), e.version)));
                 }
             }
             Reply::Answer(410, _) => self.standing = Standing::Unknown,
@@ -470,25 +470,25 @@
         let mut key = self.holder_key();
         self.brings = None;
         if let Some(rise) = self.rise.take() {
-            (key, self.brings) = (registry::HOLDER, Some(rise.to));
+            (key, self.brings) = (member_versions::HOLDER, Some(rise.to));
             txn.conditions.extend(rise.conditions);
             txn.ops = rise.ops;
             txn.ops.push(Op::Put {
-                key: registry::STONE.into(),
-                value: registry::stone(),
+                key: member_versions::STONE.into(),
+                value: member_versions::stone(),
                 lease: None,
             });
         } else {
             txn.conditions
-                .extend(self.registry.fence().map(registry::fence));
+                .extend(self.registry.fence().map(member_versions::fence));
             if self.virgin {
-                (key, self.brings) = (registry::HOLDER, Some(FENCED));
+                (key, self.brings) = (member_versions::HOLDER, Some(FENCED));
                 txn.ops = self.registry.begin();
             }
         }
         txn.ops.push(Op::Put {
             key: key.into(),
-            value: ledger::leader_value(&value),
+            value: job_records::leader_value(&value),
             lease: Some(lease),
         });
         self.standing = Standing::Claiming(lease);
@@ -523,7 +523,7 @@
                 let id = io.call(
                     Target::State,
                     "GET",
-                    format!("/keys?starts={}&most=1000", registry::PREFIX),
+                    format!("/keys?starts={}&most=1000", member_versions::PREFIX),
                     Vec::new(),
                     Span::secs(2.0),
                 );
@@ -551,7 +551,7 @@
         {
             self.registry.load(&page.items);
             let ours = |e: &&Entry| {
-                let value = ledger::read::<LeaderValue>(&e.value);
+                let value = job_records::read::<LeaderValue>(&e.value);
                 value.is_some_and(|v| v.nonce == self.nonce)
             };
             if let Some(e) = page.items.iter().find(ours) {
@@ -599,137 +599,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::super::levels::{BEFORE, Range};
-    use super::super::{Call, Output};
-    use super::*;
-    use crate::testing::io_at;
-    use serde_json::Value;
-    use std::collections::BTreeMap;
-
-    fn entry(key: &str, value: Value, version: u64) -> Entry {
-        Entry {
-            key: key.into(),
-            value,
-            version: Version(version),
-        }
-    }
-
-    fn page(items: Vec<Entry>, revision: u64) -> Reply {
-        let page = Entries {
-            items,
-            more: false,
-            revision: Version(revision),
-        };
-        Reply::Answer(200, wire::encode(&page))
-    }
-
-    /// The last call made, and what its answer is for.
-    fn called(e: &mut Election, io: &mut Io) -> (Call, Awaits) {
-        let mut calls = io.take_outputs().into_iter().filter_map(|o| match o {
-            Output::Call(c) => Some(c),
-            _ => None,
-        });
-        let call = calls.next_back().expect("a call");
-        let what = e.waits.take(call.id).expect("waited for");
-        (call, what)
-    }
-
-    /// A leader before levels whose commit that raises the level is out: what it
-    /// wrote, by key.
-    fn rising(io: &mut Io) -> (Election, Awaits, BTreeMap<String, Value>) {
-        let registry = Registry::new("a".into(), Some(Range::OURS), BTreeMap::new(), 1);
-        let mut e = Election::new("a".into(), Span::secs(3.0), registry, Level(9));
-        e.tick(io);
-        let (_, what) = called(&mut e, io);
-        // Something else was stored before: this store is not a new one.
-        e.on_reply(io, what, page(Vec::new(), 9));
-        e.tick(io);
-        let (call, what) = called(&mut e, io);
-        assert_eq!(
-            call.path, "/commit",
-            "it says what it serves before all else"
-        );
-        let stored = Revision {
-            revision: Version(10),
-            failed: Vec::new(),
-        };
-        e.on_reply(io, what, Reply::Answer(200, wire::encode(&stored)));
-        for (path, answer) in [
-            ("/leases", wire::encode(&Lease { lease: 7 })),
-            ("/commit", wire::encode(&stored)),
-        ] {
-            e.tick(io);
-            let (call, what) = called(&mut e, io);
-            assert_eq!(call.path, path);
-            e.on_reply(io, what, Reply::Answer(200, answer));
-        }
-        assert_eq!(
-            (e.standing, e.holder_key()),
-            (Standing::Leading, registry::STONE)
-        );
-        let rise = e.registry.rise(io.now.time, &[], Level(9)).expect("alone");
-        e.rise(io, Token(10), rise);
-        let (_, what) = called(&mut e, io);
-        e.on_reply(
-            io,
-            what,
-            Reply::Answer(200, wire::encode(&Lease { lease: 8 })),
-        );
-        let (call, what) = called(&mut e, io);
-        let txn: Txn = wire::decode(&call.body).expect("a transaction");
-        let holds = |c: &Condition| c.key == registry::STONE && c.version == Version(10);
-        assert!(txn.conditions.iter().any(holds));
-        let written = txn.ops.into_iter().filter_map(|op| match op {
-            Op::Put { key, value, .. } => Some((key, value)),
-            Op::Delete { .. } => None,
-        });
-        (e, what, written.collect())
-    }
-
-    // The rise was committed and its answer lost: a leader that took it for failed
-    // would go on under a key that leads nowhere, one that took it for done would
-    // act on a token that nobody has.
-    #[test]
-    fn a_rise_whose_answer_is_lost_is_looked_up() {
-        for applied in [true, false] {
-            let mut io = io_at(5.0);
-            let (mut e, what, written) = rising(&mut io);
-            e.on_reply(&mut io, what, Reply::Lost);
-            let (_, what) = called(&mut e, &mut io);
-            let keys = match applied {
-                true => written.into_iter().map(|(k, v)| entry(&k, v, 11)).collect(),
-                false => vec![entry(
-                    registry::STONE,
-                    serde_json::json!({"label": "a", "nonce": 0}),
-                    10,
-                )],
-            };
-            let outcome = e.on_reply(&mut io, what, page(keys, 11));
-            assert_eq!(e.standing, Standing::Leading);
-            if applied {
-                assert_eq!(outcome, Outcome::Elected(Token(11), 8));
-                assert_eq!(
-                    (e.registry.level(), e.holder_key()),
-                    (FENCED, registry::HOLDER)
-                );
-            } else {
-                assert_eq!(outcome, Outcome::None);
-                assert_eq!(
-                    (e.registry.level(), e.holder_key()),
-                    (BEFORE, registry::STONE)
-                );
-            }
-        }
-    }
-
-    #[test]
-    fn a_rise_that_is_refused_leaves_the_leader_as_it_was() {
-        let mut io = io_at(5.0);
-        let (mut e, what, _) = rising(&mut io);
-        let refused = Revision::default();
-        let outcome = e.on_reply(&mut io, what, Reply::Answer(409, wire::encode(&refused)));
-        assert_eq!((outcome, e.standing), (Outcome::None, Standing::Leading));
-        assert_eq!(e.registry.level(), BEFORE);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/controller/src/core/election/tests.rs
@@ -0,0 +1,133 @@
+
+use super::super::format_version::{BEFORE, Range};
+use super::super::{Call, Output};
+use super::*;
+use crate::testing::io_at;
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+fn entry(key: &str, value: Value, version: u64) -> Entry {
+    Entry {
+        key: key.into(),
+        value,
+        version: Version(version),
+    }
+}
+
+fn page(items: Vec<Entry>, revision: u64) -> Reply {
+    let page = Entries {
+        items,
+        more: false,
+        revision: Version(revision),
+    };
+    Reply::Answer(200, wire::encode(&page))
+}
+
+/// The last call made, and what its answer is for.
+fn called(e: &mut Election, io: &mut Io) -> (Call, Awaits) {
+    let mut calls = io.take_outputs().into_iter().filter_map(|o| match o {
+        Output::Call(c) => Some(c),
+        _ => None,
+    });
+    let call = calls.next_back().expect("a call");
+    let what = e.waits.take(call.id).expect("waited for");
+    (call, what)
+}
+
+/// A leader before levels whose commit that raises the level is out: what it
+/// wrote, by key.
+fn rising(io: &mut Io) -> (Election, Awaits, BTreeMap<String, Value>) {
+    let registry = Registry::new("a".into(), Some(Range::OURS), BTreeMap::new(), 1);
+    let mut e = Election::new("a".into(), Span::secs(3.0), registry, Level(9));
+    e.tick(io);
+    let (_, what) = called(&mut e, io);
+    // Something else was stored before: this store is not a new one.
+    e.on_reply(io, what, page(Vec::new(), 9));
+    e.tick(io);
+    let (call, what) = called(&mut e, io);
+    assert_eq!(
+        call.path, "/commit",
+        "it says what it serves before all else"
+    );
+    let stored = Revision {
+        revision: Version(10),
+        failed: Vec::new(),
+    };
+    e.on_reply(io, what, Reply::Answer(200, wire::encode(&stored)));
+    for (path, answer) in [
+        ("/leases", wire::encode(&Lease { lease: 7 })),
+        ("/commit", wire::encode(&stored)),
+    ] {
+        e.tick(io);
+        let (call, what) = called(&mut e, io);
+        assert_eq!(call.path, path);
+        e.on_reply(io, what, Reply::Answer(200, answer));
+    }
+    assert_eq!(
+        (e.standing, e.holder_key()),
+        (Standing::Leading, member_versions::STONE)
+    );
+    let rise = e.registry.rise(io.now.time, &[], Level(9)).expect("alone");
+    e.rise(io, Token(10), rise);
+    let (_, what) = called(&mut e, io);
+    e.on_reply(
+        io,
+        what,
+        Reply::Answer(200, wire::encode(&Lease { lease: 8 })),
+    );
+    let (call, what) = called(&mut e, io);
+    let txn: Txn = wire::decode(&call.body).expect("a transaction");
+    let holds = |c: &Condition| c.key == member_versions::STONE && c.version == Version(10);
+    assert!(txn.conditions.iter().any(holds));
+    let written = txn.ops.into_iter().filter_map(|op| match op {
+        Op::Put { key, value, .. } => Some((key, value)),
+        Op::Delete { .. } => None,
+    });
+    (e, what, written.collect())
+}
+
+// The rise was committed and its answer lost: a leader that took it for failed
+// would go on under a key that leads nowhere, one that took it for done would
+// act on a token that nobody has.
+#[test]
+fn a_rise_whose_answer_is_lost_is_looked_up() {
+    for applied in [true, false] {
+        let mut io = io_at(5.0);
+        let (mut e, what, written) = rising(&mut io);
+        e.on_reply(&mut io, what, Reply::Lost);
+        let (_, what) = called(&mut e, &mut io);
+        let keys = match applied {
+            true => written.into_iter().map(|(k, v)| entry(&k, v, 11)).collect(),
+            false => vec![entry(
+                member_versions::STONE,
+                serde_json::json!({"label": "a", "nonce": 0}),
+                10,
+            )],
+        };
+        let outcome = e.on_reply(&mut io, what, page(keys, 11));
+        assert_eq!(e.standing, Standing::Leading);
+        if applied {
+            assert_eq!(outcome, Outcome::Elected(Token(11), 8));
+            assert_eq!(
+                (e.registry.level(), e.holder_key()),
+                (FENCED, member_versions::HOLDER)
+            );
+        } else {
+            assert_eq!(outcome, Outcome::None);
+            assert_eq!(
+                (e.registry.level(), e.holder_key()),
+                (BEFORE, member_versions::STONE)
+            );
+        }
+    }
+}
+
+#[test]
+fn a_rise_that_is_refused_leaves_the_leader_as_it_was() {
+    let mut io = io_at(5.0);
+    let (mut e, what, _) = rising(&mut io);
+    let refused = Revision::default();
+    let outcome = e.on_reply(&mut io, what, Reply::Answer(409, wire::encode(&refused)));
+    assert_eq!((outcome, e.standing), (Outcome::None, Standing::Leading));
+    assert_eq!(e.registry.level(), BEFORE);
+}
--- /dev/null
+++ b/crates/controller/src/core/failure_detector/accrual/tests.rs
@@ -0,0 +1,49 @@
+
+use super::*;
+
+fn after(intervals: impl IntoIterator<Item = f64>) -> (Accrual, f64) {
+    let (mut a, mut t) = (Accrual::default(), 1.0);
+    a.heard(Time(0) + Span::secs(t));
+    for i in intervals {
+        t += i;
+        a.heard(Time(0) + Span::secs(t));
+    }
+    (a, t)
+}
+
+fn phi(a: &Accrual, t: f64) -> f64 {
+    a.phi(Time(0) + Span::secs(t))
+}
+
+// One time-out for all would be too long where signs come regularly, and
+// too short where they do not.
+#[test]
+fn suspicion_grows_by_what_was_usual() {
+    let (regular, t) = after([0.25; 40]);
+    assert!(phi(&regular, t + 0.3) < 1.0);
+    assert!(phi(&regular, t + 0.7) > 8.0);
+    let (ragged, t) = after((0..40).map(|i| if i % 5 == 0 { 1.4 } else { 0.25 }));
+    assert!(phi(&ragged, t + 1.5) < 8.0);
+    assert!(phi(&ragged, t + 6.0) > 8.0);
+}
+
+#[test]
+fn nothing_is_said_of_what_was_hardly_heard_or_could_not_be() {
+    let (young, t) = after([0.25, 0.25]);
+    assert_eq!(phi(&young, t + 60.0), 0.0);
+    let (mut a, t) = after([0.25; 40]);
+    a.excuse(Time(0) + Span::secs(t + 60.0));
+    assert!(phi(&a, t + 60.3) < 1.0);
+}
+
+// However long the silence was, and however odd the intervals.
+#[test]
+fn it_is_always_a_number() {
+    let (mut a, t) = after([0.0, 0.0, 1e6, 0.0, 0.25, 3e5]);
+    for later in [0.0, 1e-6, 1.0, 1e9] {
+        let p = phi(&a, t + later);
+        assert!((0.0..=MOST).contains(&p), "{p}");
+    }
+    a.heard(Time(0));
+    assert!(phi(&a, 0.0).is_finite());
+}
--- /dev/null
+++ b/crates/controller/src/core/failure_detector/detector/tests.rs
@@ -0,0 +1,218 @@
+
+use super::*;
+
+const TOKEN: Token = Token(7);
+
+fn at(secs: f64) -> Time {
+    Time(0) + Span::secs(secs)
+}
+
+fn beat(state_ms: u64) -> Beat {
+    Beat {
+        label: "a".into(),
+        token: TOKEN,
+        state_ms,
+        late_ms: 0,
+    }
+}
+
+/// A judge among five that has heard beats for ten seconds.
+fn judge() -> Judge {
+    let mut j = Judge::new(5, 8.0);
+    j.follow(Some(&("a".into(), TOKEN)));
+    for n in 0..200 {
+        let now = at(f64::from(n) * 0.05);
+        j.tick(now);
+        if n % 5 == 0 {
+            j.heard(now, &beat(200));
+        }
+        assert_eq!(j.step(now, 0), Step::None);
+    }
+    j
+}
+
+/// Ticks on without beats until there is something to do.
+fn until_step(j: &mut Judge, from: f64, to: f64, rank: u32) -> Option<(f64, Step)> {
+    let mut t = from;
+    while t < to {
+        t += 0.05;
+        j.tick(at(t));
+        let step = j.step(at(t), rank);
+        if step != Step::None {
+            return Some((t, step));
+        }
+    }
+    None
+}
+
+#[test]
+fn a_silent_leader_is_replaced_once_it_was_asked_and_others_agree() {
+    let mut j = judge();
+    let (t, step) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
+    assert_eq!(step, Step::LookInto(Doubt::Silent));
+    assert!(t < 10.65, "{t}");
+    j.reached_state();
+    j.told("b".into(), TOKEN, true, 0);
+    j.probed(at(t), TOKEN, Probe::Silent);
+    // Two of four are no majority.
+    let (t, step) = until_step(&mut j, t, 12.0, 0).unwrap();
+    assert_eq!(step, Step::LookInto(Doubt::Silent));
+    j.told("c".into(), TOKEN, true, 0);
+    let mut other = j.clone();
+    let (t, step) = until_step(&mut j, t, 12.0, 0).unwrap();
+    assert_eq!(step, Step::Depose(TOKEN, Doubt::Silent));
+    assert!(t < 11.2, "{t}");
+    // One that comes later in rank leaves it to the first.
+    let (later, _) = until_step(&mut other, t, 12.0, 2).unwrap();
+    assert!(later > t + 0.1);
+}
+
+// Each of these once is enough against a verdict.
+#[test]
+fn a_doubt_can_be_refuted() {
+    let ripe = || {
+        let mut j = judge();
+        let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
+        j.reached_state();
+        for l in ["b", "c", "d"] {
+            j.told(l.into(), TOKEN, true, 0);
+        }
+        j.probed(at(t), TOKEN, Probe::Silent);
+        (j, t)
+    };
+    let deposes = |mut j: Judge, t: f64| {
+        matches!(
+            until_step(&mut j, t, t + 0.15, 0),
+            Some((_, Step::Depose(..)))
+        )
+    };
+    let (j, t) = ripe();
+    assert!(deposes(j, t));
+    let (mut j, t) = ripe();
+    j.heard(at(t), &beat(0));
+    assert!(!deposes(j, t), "a beat came after all");
+    for probe in [Probe::Answered, Probe::Refused] {
+        let (mut j, t) = ripe();
+        j.probed(at(t), TOKEN, probe);
+        assert!(!deposes(j, t), "{probe:?}");
+    }
+    let (mut j, t) = ripe();
+    for l in ["c", "d"] {
+        j.told(l.into(), TOKEN, false, 0);
+    }
+    assert!(!deposes(j, t), "others hear it");
+    let (mut j, t) = ripe();
+    j.follow(Some(&("b".into(), Token(9))));
+    assert!(!deposes(j, t), "another leads by now");
+}
+
+// A leader that ended for good with its port refused kept its place until its
+// lease was over, as a refusal says nothing: what its workers do says the rest.
+#[test]
+fn a_refusal_counts_once_workers_come_over() {
+    let deposed = |came: &[(usize, f64)], told: u32| {
+        let mut j = judge();
+        let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
+        j.reached_state();
+        for l in ["b", "c"] {
+            j.told(l.into(), TOKEN, true, told);
+        }
+        j.probed(at(t), TOKEN, Probe::Refused);
+        for (i, ago) in came {
+            let machine = format!("host-{i}").as_str().into();
+            j.came_over(at(t - ago), TOKEN, &machine);
+            j.came_over(at(t - ago), Token(3), &"old".into());
+        }
+        let step = until_step(&mut j, t, t + 0.4, 0);
+        matches!(step, Some((_, Step::Depose(..))))
+    };
+    assert!(!deposed(&[], 0));
+    assert!(!deposed(&[(1, 0.1), (2, 0.1), (2, 0.0)], 0), "two did");
+    assert!(deposed(&[(1, 0.1), (2, 0.1), (3, 0.0)], 0));
+    assert!(!deposed(&[(1, 2.0), (2, 2.0), (3, 0.0)], 0), "long ago");
+    assert!(
+        deposed(&[(1, 0.1)], 1),
+        "one here and one each at two others"
+    );
+}
+
+// A judge that was frozen, or is behind, misses what waits for it unread.
+#[test]
+fn who_was_not_there_doubts_nobody() {
+    let mut j = judge();
+    j.tick(at(70.0));
+    assert_eq!(j.step(at(70.0), 0), Step::None);
+    assert!(!j.agrees(at(70.0), TOKEN, Doubt::Silent, true));
+    let (t, _) = until_step(&mut j, 70.0, 75.0, 0).unwrap();
+    assert!(t > 71.0, "{t}");
+}
+
+#[test]
+fn a_leader_without_the_state_service_is_replaced_by_one_that_has_it() {
+    let mut j = judge();
+    let mut t = 10.0;
+    let mut deposed = None;
+    for n in 0..60 {
+        t += 0.05;
+        j.tick(at(t));
+        if n % 5 == 0 {
+            j.heard(at(t), &beat(50 * n));
+        }
+        match j.step(at(t), 0) {
+            Step::LookInto(doubt) => {
+                assert_eq!(doubt, Doubt::NoState);
+                j.probed(at(t), TOKEN, Probe::Answered);
+                for l in ["b", "c"] {
+                    j.told(l.into(), TOKEN, true, 0);
+                }
+                // In an outage nobody is answered, and nothing follows.
+                if n > 40 {
+                    j.reached_state();
+                }
+            }
+            Step::Depose(..) => {
+                deposed = Some(n);
+                break;
+            }
+            Step::None => {}
+        }
+    }
+    assert!(deposed.is_some_and(|n| n > 40), "{deposed:?}");
+}
+
+// Two that suspect one another in turn must not pass the key to and fro.
+#[test]
+fn verdicts_get_rarer() {
+    let mut j = judge();
+    let mut verdicts = Vec::new();
+    let mut t = 10.0;
+    while t < 200.0 {
+        t += 0.05;
+        j.tick(at(t));
+        match j.step(at(t), 0) {
+            Step::LookInto(_) => {
+                j.reached_state();
+                j.probed(at(t), TOKEN, Probe::Silent);
+                for l in ["b", "c"] {
+                    j.told(l.into(), TOKEN, true, 0);
+                }
+            }
+            Step::Depose(..) => verdicts.push(t),
+            Step::None => {}
+        }
+    }
+    let gaps: Vec<f64> = verdicts.windows(2).map(|w| w[1] - w[0]).collect();
+    assert!(gaps.windows(2).all(|g| g[1] > 1.7 * g[0]), "{gaps:?}");
+    assert!((4..8).contains(&verdicts.len()), "{verdicts:?}");
+}
+
+#[test]
+fn two_nodes_have_the_lease_alone() {
+    let mut j = judge();
+    j.quorum = Judge::new(2, 8.0).quorum;
+    let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
+    j.reached_state();
+    j.probed(at(t), TOKEN, Probe::Silent);
+    let depose = |s| matches!(s, Some((_, Step::Depose(..))));
+    assert!(!depose(until_step(&mut j, t, t + 0.15, 0)));
+}
--- a/crates/controller/src/core/suspicion/mod.rs
+++ b/crates/controller/src/core/failure_detector/mod.rs
@@ -2,4 +2,4 @@
 //! Observations and time go in, opinions come out; nothing here sends anything.
 
 pub mod accrual;
-pub mod judge;
+pub mod detector;
--- /dev/null
+++ b/crates/controller/src/core/format_version/chunk_progress/tests.rs
@@ -0,0 +1,117 @@
+
+use super::super::{BEFORE, FENCED};
+use super::*;
+use proptest::prelude::*;
+
+fn sample() -> Progress {
+    let place = |i, a, m: &str| (i, Attempt(a), m.into(), Session(1));
+    Progress {
+        attempt: Attempt(3),
+        done: vec![(0, 2), (5, 6)],
+        places: vec![
+            place(2, 3, "host-7"),
+            place(3, 3, "host-7"),
+            place(4, 2, "host-8"),
+            place(7, 3, "host-7"),
+        ],
+        stops: vec![(4, 5)],
+    }
+}
+
+/// A record of each level as it was first stored; a later change must go on
+/// reading them.
+const GOLDEN: [(Level, &str); 3] = [
+    (
+        BEFORE,
+        r#"{"n":3,"d":[[0,2],[5,6]],"p":[[2,3,"host-7",1],[3,3,"host-7",1],[4,2,"host-8",1],[7,3,"host-7",1]],"x":[[4,5]]}"#,
+    ),
+    (
+        FENCED,
+        r#"{"n":3,"d":[[0,2],[5,6]],"p":[[2,3,"host-7",1],[3,3,"host-7",1],[4,2,"host-8",1],[7,3,"host-7",1]],"x":[[4,5]]}"#,
+    ),
+    (
+        REMEMBERED,
+        r#"{"n":3,"d":[0,2,5,6],"m":[["host-7",1,0,[2,1,4]],["host-8",1,1,[4]]],"x":[4,5]}"#,
+    ),
+];
+
+#[test]
+fn every_level_reads_what_was_once_stored() {
+    assert_eq!(
+        GOLDEN.len(),
+        super::super::TABLE.len(),
+        "a sample of each level"
+    );
+    for (level, text) in GOLDEN {
+        let stored: Value = serde_json::from_str(text).unwrap();
+        assert_eq!(Progress::read(&stored).as_ref(), Ok(&sample()), "{level}");
+        assert_eq!(sample().write(level), stored, "{level}");
+        assert!(Progress::is_of(&stored, level), "{level}");
+    }
+    // What an older build wrote without stops.
+    let old = serde_json::json!({"n": 1, "d": [], "p": []});
+    assert!(Progress::read(&old).is_ok());
+}
+
+// A record that is damaged, or says more than this build knows, must not be
+// taken for an empty one: its tasks would be run a second time.
+#[test]
+fn what_is_damaged_or_from_the_future_is_refused() {
+    for text in [
+        "null",
+        "{}",
+        r#"{"n":1,"d":[]}"#,
+        r#"{"n":1,"d":[],"p":[],"q":1}"#,
+        r#"{"n":1,"m":[],"later":true}"#,
+        r#"{"n":1,"m":[],"d":[1]}"#,
+        r#"{"n":1,"m":[["h",1,2,[0]]]}"#,
+        r#"{"n":1,"m":[["h",1,0,[0,0]]]}"#,
+    ] {
+        let stored: Value = serde_json::from_str(text).unwrap();
+        let e = Progress::read(&stored).expect_err(text);
+        assert!(e.to_string().starts_with("in no form up to level"), "{e}");
+    }
+}
+
+fn spans() -> impl Strategy<Value = Spans> {
+    let steps = proptest::collection::vec((1u32..5, 1u32..5), 0..6);
+    steps.prop_map(|steps| {
+        let mut at = 0;
+        let mut next = |(gap, len)| {
+            let from = at + gap;
+            at = from + len;
+            (from, at)
+        };
+        steps.into_iter().map(&mut next).collect()
+    })
+}
+
+fn progress() -> impl Strategy<Value = Progress> {
+    let places = proptest::collection::btree_map(0u32..64, (0u64..9, 0u8..5, 1u64..3), 0..64);
+    (spans(), places, spans()).prop_map(|(done, places, stops)| {
+        let place = |(i, (a, m, s))| {
+            let machine = format!("host-{m:06}").as_str().into();
+            (i, Attempt(a), machine, Session(s))
+        };
+        Progress {
+            attempt: Attempt(9),
+            done,
+            places: places.into_iter().map(place).collect(),
+            stops,
+        }
+    })
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 400, failure_persistence: None,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(12), ..Default::default()
+    })]
+    #[test]
+    fn what_is_written_at_any_level_is_read_at_every_later_one(p in progress()) {
+        for step in super::super::TABLE {
+            let stored = p.write(step.level);
+            prop_assert_eq!(Progress::read(&stored), Ok(p.clone()));
+        }
+    }
+}
--- a/crates/controller/src/core/duty/sweep.rs
+++ b/crates/controller/src/core/garbage_collection.rs
@@ -3,10 +3,10 @@
 //! written. Each goes only if it is as it was seen and its job's submission is
 //! not there, so that nothing a live job needs is ever removed.
 
+use crate::core::failpoints::{self, Decision};
 use crate::core::keys;
-use crate::core::weak::{self, Decision};
 use crate::types::{JobId, Version};
-use crate::wire::state::{Condition, Op};
+use crate::wire::kvstore::{Condition, Op};
 use std::collections::VecDeque;
 
 /// Keys deleted in one transaction; each has two conditions.
@@ -44,7 +44,7 @@
     /// was read too, whether or not it could be understood.
     pub fn look(&mut self, key: &str, version: Version, there: impl Fn(&JobId) -> bool) {
         if let Some(job) = owner(key)
-            && (!there(&job) || !weak::holds(Decision::OrphansOnly))
+            && (!there(&job) || !failpoints::holds(Decision::OrphansOnly))
         {
             let key = key.into();
             self.found.push_back(Orphan { key, version, job });
@@ -70,7 +70,7 @@
                 version: Version(0),
             };
             let key = o.key.clone();
-            let conditions = if weak::holds(Decision::OrphansOnly) {
+            let conditions = if failpoints::holds(Decision::OrphansOnly) {
                 vec![seen, gone]
             } else {
                 Vec::new()
--- a/crates/controller/src/core/intake.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -2,17 +2,17 @@
 //! conditional writes on the job's own key, and every answer that is not
 //! final rests on a fresh read.
 
-use super::io::{Io, Waits};
-use super::ledger::{self, Head, HeadStage, TxnLimits};
-use super::levels::registry;
-use super::polls::{Comparison, Polls};
-use super::weak::{self, Decision};
+use super::effects::{Io, Waits};
+use super::failpoints::{self, Decision};
+use super::format_version::member_versions;
+use super::job_records::{self, Head, HeadStage, TxnLimits};
+use super::read_coalescing::{Comparison, Polls};
 use super::{Answer, Reply, RequestId, Target};
 use crate::settings::Settings;
 use crate::types::{Amounts, JobId, Span, Version};
 use crate::wire;
 use crate::wire::cloud::MachineTypes;
-use crate::wire::state::{Entry, Revision, Txn};
+use crate::wire::kvstore::{Entry, Revision, Txn};
 use crate::wire::users::{JobAnswer, Refusal, Shape, Stage, Submission, valid_id};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -214,7 +214,7 @@
         let id = io.call(
             Target::State,
             "GET",
-            format!("/keys/{}", ledger::head_key(id)),
+            format!("/keys/{}", job_records::head_key(id)),
             Vec::new(),
             READ_TIMEOUT,
         );
@@ -224,7 +224,7 @@
     /// Every change a user causes compares the level in force: one that this node
     /// decided before a rise, or that the network held back over it, fails.
     fn commit(&mut self, io: &mut Io, request: RequestId, mut txn: Txn, step: Step) {
-        txn.conditions.extend(io.level.map(registry::fence));
+        txn.conditions.extend(io.level.map(member_versions::fence));
         let now = io.now.time;
         if !io.user_calls.take(now, 1.0) || !io.user_writes.take(now, txn.ops.len() as f64) {
             return refuse(io, request, 503, "too many requests");
@@ -282,7 +282,7 @@
             ops: settings.state_limits.txn_ops,
             value_bytes: settings.state_limits.value_bytes,
         };
-        match ledger::accept_txn(&job, io.now.wall, limits) {
+        match job_records::accept_txn(&job, io.now.wall, limits) {
             Some(txn) => self.commit(io, request, txn, Step::Accept(job.id.clone(), job.tasks)),
             None => {
                 let why = "the submission is too large";
@@ -309,7 +309,7 @@
         if self.answer_final(io, request, &id) {
             return;
         }
-        if self.polls.is_open(&id) && !weak::holds(Decision::AnswersAreFresh) {
+        if self.polls.is_open(&id) && !failpoints::holds(Decision::AnswersAreFresh) {
             let s = HeadStage::Open;
             return job_answer(io, request, 200, &self.answer(&id, Head { s, n: 0 }));
         }
@@ -394,7 +394,7 @@
 
     fn on_accept(&mut self, io: &mut Io, request: RequestId, id: JobId, tasks: u32, reply: Reply) {
         let reply = match reply {
-            Reply::Lost if !weak::holds(Decision::LostIsUnknown) => {
+            Reply::Lost if !failpoints::holds(Decision::LostIsUnknown) => {
                 Reply::Answer(200, wire::encode(&Revision::default()))
             }
             reply => reply,
@@ -420,7 +420,7 @@
             }
             // Its own first copy, or another node's, or a later end of it: only a read
             // tells.
-            Reply::Answer(409, _) if !weak::holds(Decision::ConflictIsRead) => {
+            Reply::Answer(409, _) if !failpoints::holds(Decision::ConflictIsRead) => {
                 let s = HeadStage::Open;
                 let answer = self.answer(&id, Head { s, n: tasks });
                 job_answer(io, request, 200, &answer);
@@ -459,7 +459,7 @@
                 let entry = wire::decode::<Entry>(&body);
                 let head = entry
                     .as_ref()
-                    .and_then(|e| Some((ledger::read::<Head>(&e.value)?, e.version)));
+                    .and_then(|e| Some((job_records::read::<Head>(&e.value)?, e.version)));
                 let Some(head) = head else {
                     return refuse(io, request, 503, "the job's record cannot be read");
                 };
@@ -505,7 +505,7 @@
         version: Version,
         tries: u32,
     ) {
-        let txn = ledger::cancel_txn(id, head, version);
+        let txn = job_records::cancel_txn(id, head, version);
         self.commit(io, request, txn, Step::Cancel(id.clone(), tries));
     }
 }
--- a/crates/controller/src/core/intake/tests.rs
+++ b/crates/controller/src/core/job_api/tests.rs
@@ -12,8 +12,8 @@
     let cancel = Step::Cancel(id.clone(), 1);
     intake.on_step(&mut io, RequestId(1), cancel, ended);
     let head = Entry {
-        key: ledger::head_key(&id),
-        value: ledger::head_value(HeadStage::Open, 3),
+        key: job_records::head_key(&id),
+        value: job_records::head_value(HeadStage::Open, 3),
         version: Version(4),
     };
     let late = Reply::Answer(200, wire::encode(&head));
@@ -43,7 +43,7 @@
 fn cancelled() -> Reply {
     let head = Entry {
         key: "job/wk-1".into(),
-        value: ledger::head_value(HeadStage::Cancelled, 3),
+        value: job_records::head_value(HeadStage::Cancelled, 3),
         version: Version(9),
     };
     Reply::Answer(200, wire::encode(&head))
--- a/crates/controller/src/core/ledger.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -2,14 +2,14 @@
 //!
 //! Its keys: [`super::keys`].
 
-use super::duty::sweep::Orphan;
+use super::assignment::{Placement, Stop};
+use super::failpoints::{self, Decision};
+use super::format_version::Level;
+use super::format_version::chunk_progress::{Progress, Unreadable};
+use super::garbage_collection::Orphan;
 pub use super::keys::*;
-use super::levels::Level;
-use super::levels::progress::{Progress, Unreadable};
-use super::presence::{Placement, Stop};
-use super::weak::{self, Decision};
 use crate::types::{Attempt, JobId, Label, MachineId, Span, Time, Token, Version, Wall};
-use crate::wire::state::{Condition, Op, Txn};
+use crate::wire::kvstore::{Condition, Op, Txn};
 use crate::wire::users::{Shape, Submission};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -414,7 +414,7 @@
         let low = chunk * size.0;
         let high = low + size.0;
         let mut stops = Ranges::default();
-        if weak::holds(Decision::StopsAreStored) {
+        if failpoints::holds(Decision::StopsAreStored) {
             let stopped = self.places.range(low..high);
             let stopped = stopped.filter(|(_, p)| p.stop.is_some());
             for (&i, _) in stopped {
@@ -437,13 +437,13 @@
         let version = self.chunks.get(&chunk).map_or(Version(0), |c| c.version);
         let mut conditions = Vec::new();
         // However late this one is carried out, no newer record is written over.
-        if weak::holds(Decision::RecordsCompareVersions) {
+        if failpoints::holds(Decision::RecordsCompareVersions) {
             let key = key.clone();
             conditions.push(Condition { key, version });
         }
         // Whatever this node has not heard of yet, and however late it is: no start is
         // stored once the job's end is.
-        if self.starts_in(size, chunk) && weak::holds(Decision::StartsNeedAnOpenJob) {
+        if self.starts_in(size, chunk) && failpoints::holds(Decision::StartsNeedAnOpenJob) {
             conditions.push(self.is_still_open());
         }
         let value = self.chunk_value(size, chunk, level);
@@ -460,7 +460,7 @@
     /// A job ends once: whatever this node has not heard of, done is not written over
     /// a cancellation.
     fn ends_once(&self) -> Vec<Condition> {
-        match weak::holds(Decision::OneEndDecides) {
+        match failpoints::holds(Decision::OneEndDecides) {
             true => vec![self.is_still_open()],
             false => Vec::new(),
         }
@@ -493,7 +493,7 @@
         let last = n == keys.len();
         // A submission without its end looks open to a successor, which would start it
         // anew: they go together or not yet.
-        if n + 1 == keys.len() && weak::holds(Decision::EndOutlivesSubmission) {
+        if n + 1 == keys.len() && failpoints::holds(Decision::EndOutlivesSubmission) {
             n -= 1;
         }
         let ops = keys.into_iter().take(n);
@@ -518,7 +518,7 @@
         self.chunks.insert(chunk, there);
         let read = Progress::read(stored);
         let read = read.and_then(|v| v.check(self.spec.tasks).map(|()| v));
-        self.unreadable |= read.is_err() && weak::holds(Decision::UnreadableIsLeftAlone);
+        self.unreadable |= read.is_err() && failpoints::holds(Decision::UnreadableIsLeftAlone);
         let v = read?;
         self.attempt = self.attempt.max(v.attempt);
         for (a, b) in v.done {
@@ -744,88 +744,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::core::levels::TABLE;
-    use crate::testing;
-    use crate::types::Session;
-    use proptest::prelude::*;
-
-    proptest! {
-        #![proptest_config(ProptestConfig {
-            cases: 300, failure_persistence: None,
-            rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..Default::default()
-        })]
-        #[test]
-        fn ranges_are_a_set(steps in proptest::collection::vec((any::<bool>(), 0u32..40), 0..120),
-            low in 0u32..40, size in 0u32..20) {
-            let mut plain = BTreeSet::new();
-            let mut ranges = Ranges::default();
-            for (add, i) in steps {
-                if add {
-                    prop_assert_eq!(ranges.insert(i), plain.insert(i));
-                } else {
-                    prop_assert_eq!(ranges.remove(i), plain.remove(&i));
-                }
-            }
-            prop_assert_eq!(ranges.len() as usize, plain.len());
-            prop_assert!(ranges.iter().eq(plain.iter().copied()));
-            let within: Vec<u32> = ranges.within(low, low + size).iter().flat_map(|&(a, b)| a..b).collect();
-            prop_assert!(within.into_iter().eq(plain.range(low..low + size).copied()));
-        }
-    }
-
-    #[test]
-    fn a_long_submission_is_stored_in_pieces_and_read_back() {
-        let limits = TxnLimits {
-            ops: 48,
-            value_bytes: 2048,
-        };
-        let mut spec = testing::submission("wk-1", Shape::Array, 3);
-        spec.kinds = Some((0..300).map(|i| format!("kind-\"{i}\"").into()).collect());
-        let txn = accept_txn(&spec, Wall(5), limits).unwrap();
-        let mut assembly = Assembly::default();
-        let mut first = None;
-        for op in &txn.ops {
-            let Op::Put { key, value, .. } = op else {
-                panic!()
-            };
-            assert!(json_len(value) <= 2048, "{}", json_len(value));
-            match watched(key) {
-                Watched::Job(id) => first = Some((id, value.clone())),
-                Watched::Part(id, n) => assembly.part(id, n, value),
-                _ => assert_eq!(key, "job/wk-1"),
-            }
-        }
-        let (id, v) = first.unwrap();
-        let job = assembly.job(&id, Version(9), &v).unwrap();
-        assert_eq!((*job.spec).clone(), spec);
-        assert_eq!(job.at, Wall(5));
-    }
-
-    #[test]
-    fn a_full_chunk_fits_into_a_value() {
-        for bytes in [1024, 2048, 8192] {
-            let size = ChunkSize::for_value(bytes);
-            let spec = testing::submission("wk-1", Shape::Array, 100_000);
-            let mut job = Job::new(Rc::new(spec), Wall(0), Version(1), 1);
-            let high = 100_000 - size.0;
-            for i in (high..100_000).step_by(2) {
-                job.done.insert(i);
-            }
-            for i in high..100_000 {
-                let place = Placement::inherited(
-                    "machine-with-a-rather-long-name-000231".into(),
-                    Session(1 << 40),
-                    Attempt(1 << 40),
-                );
-                job.places.insert(i, place);
-            }
-            let chunk = size.of(high);
-            for step in TABLE {
-                let len = json_len(&job.chunk_value(size, chunk, step.level));
-                assert!(len <= bytes, "{len} of {bytes} at level {}", step.level);
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/controller/src/core/keys.rs
+++ b/crates/controller/src/core/keys.rs
@@ -13,11 +13,13 @@
 //!
 //! Everything below `w/` is watched by the leader.
 
-use super::levels::registry;
+use super::format_version::member_versions;
 use crate::types::JobId;
 
 /// What the leader watches.
 pub const WATCHED: &str = "w/";
+/// What a leader means to do, and what it remembers for a successor.
+pub const DUTIES: &str = "d/";
 /// Progress records.
 pub const RECORDS: &str = "r/";
 /// The machine types.
@@ -67,7 +69,7 @@
 
 /// Tells what a key below `w/` is about.
 pub fn watched(key: &str) -> Watched {
-    if key.starts_with(registry::PREFIX) {
+    if key.starts_with(member_versions::PREFIX) {
         Watched::Office
     } else if let Some(id) = key.strip_prefix(JOBS) {
         Watched::Job(id.into())
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -1,18 +1,27 @@
 //! The leading controller: loads what is recorded, follows changes, places
 //! work every cycle and writes its decisions ahead of sending them.
 
-use super::contact::{Bounds, Contact};
-use super::duty::renting::{CloudCall, Rental};
-use super::duty::{self, aside::Asides, sweep::Sweep};
-use super::handover::heralds::Heralds;
-use super::io::{Io, Waits};
-use super::ledger::{self, Assembly, ChunkSize, Dirty, End, HeadStage, Job, Lane, Watched};
-use super::levels::progress::Progress;
-use super::levels::{Level, REMEMBERED};
+mod autoscaling;
+mod command_dispatch;
+mod commit_pipeline;
+mod heartbeat_reconciliation;
+mod scheduler;
+mod status_broadcast;
+mod task_completion;
+
+use super::autoscaler::state::{CloudCall, Rental};
+use super::effects::{Io, Waits};
+use super::failpoints::{self, Decision};
+use super::format_version::chunk_progress::Progress;
+use super::format_version::{Level, REMEMBERED};
+use super::garbage_collection::Sweep;
+use super::job_records::{self, Assembly, ChunkSize, Dirty, End, HeadStage, Job, Lane, Watched};
+use super::leader_announcement::Heralds;
+use super::leader_authority::{Bounds, Contact};
 use super::machine::{Held, Leaving, Machine};
-use super::tables::Estimates;
-use super::teams::memory::{self, Memory};
-use super::weak::{self, Decision};
+use super::placement_tables::Estimates;
+use super::quarantine::Asides;
+use super::quota::arrival_history::{self, Memory};
 use super::{Reply, Target};
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -22,9 +31,9 @@
 };
 use crate::wire;
 use crate::wire::cloud::{MachineType, MachineTypes};
-use crate::wire::pace::{Backoff, Bucket};
-use crate::wire::state::{Change, Changes, Entries, Entry, Op};
+use crate::wire::kvstore::{Change, Changes, Entries, Entry, Op};
 use crate::wire::workers::{TaskState, Why};
+use crate::wire::{backoff::Backoff, rate_limit::Bucket};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -341,15 +350,15 @@
 
     fn read_on(&mut self, io: &mut Io) {
         let (path, timeout) = match &self.load {
-            Load::Watched(got) => (page(ledger::WATCHED, got), Span::secs(3.0)),
-            Load::Records(got) => (page(ledger::RECORDS, got), Span::secs(3.0)),
-            Load::Duties(got) => (page(duty::PREFIX, got), Span::secs(3.0)),
+            Load::Watched(got) => (page(job_records::WATCHED, got), Span::secs(3.0)),
+            Load::Records(got) => (page(job_records::RECORDS, got), Span::secs(3.0)),
+            Load::Duties(got) => (page(super::keys::DUTIES, got), Span::secs(3.0)),
             Load::Done => {
                 let hold = self.contact.watch(io.now.time);
                 (
                     format!(
                         "/changes?starts={}&since={}&hold_ms={}",
-                        ledger::WATCHED,
+                        job_records::WATCHED,
                         self.revision,
                         hold.as_millis()
                     ),
@@ -445,7 +454,7 @@
                 if !more {
                     let got = std::mem::take(got);
                     self.load_duties(now, got);
-                    if !weak::holds(Decision::FollowsFromTheFirstPage) {
+                    if !failpoints::holds(Decision::FollowsFromTheFirstPage) {
                         self.revision = page.revision;
                     }
                     self.load = Load::Done;
@@ -461,7 +470,7 @@
     fn load_watched(&mut self, entries: Vec<Entry>) -> Option<Fate> {
         let mut holds = false;
         for e in &entries {
-            match ledger::watched(&e.key) {
+            match job_records::watched(&e.key) {
                 Watched::Office => {
                     holds |= e.key == self.holder && e.version.0 == self.token.0;
                     self.news.push(Change {
@@ -480,7 +489,7 @@
         }
         let submitted = entries
             .iter()
-            .filter_map(|e| match ledger::watched(&e.key) {
+            .filter_map(|e| match job_records::watched(&e.key) {
                 Watched::Job(id) => Some(id),
                 _ => None,
             });
@@ -490,15 +499,15 @@
             self.sweep.look(&e.key, e.version, there);
         }
         for e in &entries {
-            if let Watched::Job(id) = ledger::watched(&e.key) {
+            if let Watched::Job(id) = job_records::watched(&e.key) {
                 self.add_job(&id, e.version, &e.value);
             }
         }
         for e in &entries {
-            if let Watched::End(id) = ledger::watched(&e.key)
+            if let Watched::End(id) = job_records::watched(&e.key)
                 && let Some(job) = self.jobs.get_mut(&id)
             {
-                job.end = Some(match ledger::read::<ledger::Head>(&e.value) {
+                job.end = Some(match job_records::read::<job_records::Head>(&e.value) {
                     Some(h) if h.s == HeadStage::Done => End::Done { written: true },
                     _ => End::Cancelled,
                 });
@@ -566,14 +575,20 @@
         let value = self.memory().store(at.wall, bytes);
         if value != self.memory_stored {
             self.memory_stored = value.clone();
-            self.rental.intents.book.put(memory::KEY.into(), value);
+            self.rental
+                .intents
+                .book
+                .put(arrival_history::KEY.into(), value);
         }
     }
 
     /// Takes over what an earlier leader saw come, and that is over by now.
     fn recall(&mut self, stored: &serde_json::Value) {
         let Some(missing) = self.memory().missing(stored) else {
-            tracing::error!(key = memory::KEY, "cannot be read; floors begin anew");
+            tracing::error!(
+                key = arrival_history::KEY,
+                "cannot be read; floors begin anew"
+            );
             return;
         };
         for m in missing {
@@ -595,7 +610,7 @@
     fn load_records(&mut self, now: Time, entries: Vec<Entry>) {
         let submitted = std::mem::take(&mut self.submitted);
         for e in entries {
-            let Some((id, chunk)) = ledger::record(&e.key) else {
+            let Some((id, chunk)) = job_records::record(&e.key) else {
                 continue;
             };
             // Without its submission a record is a remnant of an ended job.
@@ -644,7 +659,7 @@
     /// Takes over what earlier leaders meant to have done.
     pub(super) fn load_duties(&mut self, now: super::Now, entries: Vec<Entry>) {
         for e in entries {
-            if e.key == memory::KEY {
+            if e.key == arrival_history::KEY {
                 self.recall(&e.value);
                 self.memory_stored = e.value;
                 continue;
@@ -702,7 +717,7 @@
     fn apply(&mut self, io: &mut Io, changes: Changes) -> Fate {
         let now = io.now.time;
         for e in &changes.events {
-            if let Some(Watched::Part(id, n)) = e.put.as_deref().map(ledger::watched) {
+            if let Some(Watched::Part(id, n)) = e.put.as_deref().map(job_records::watched) {
                 self.assembly.part(id, n, &e.value);
             }
         }
@@ -713,7 +728,7 @@
                 }
                 continue;
             }
-            match e.put.as_deref().map(ledger::watched) {
+            match e.put.as_deref().map(job_records::watched) {
                 Some(Watched::Office) => {
                     self.news.push(e.clone());
                     let key = e.put.as_deref() == Some(self.holder);
@@ -726,7 +741,7 @@
                     self.cycle_soon(now);
                 }
                 Some(Watched::End(id)) => {
-                    let cancelled = ledger::read::<ledger::Head>(&e.value)
+                    let cancelled = job_records::read::<job_records::Head>(&e.value)
                         .is_some_and(|h| h.s == HeadStage::Cancelled);
                     if cancelled {
                         self.cancelled(now, &id);
--- /dev/null
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -0,0 +1,152 @@
+
+use super::*;
+use crate::testing::{io_at, leader};
+use crate::types::Wall;
+use crate::wire::cloud::ListedMachine;
+
+fn list(names: &[&str]) -> Reply {
+    let machines = names.iter().map(|n| ListedMachine {
+        id: (*n).into(),
+        addr: "10.1.0.1:9000".into(),
+        kind: "g4".into(),
+        zone: "z0".into(),
+        spot: false,
+        stage: MachineStage::Running,
+        age_s: 60.0,
+    });
+    let list = MachineList {
+        machines: machines.collect(),
+        more: false,
+    };
+    Reply::Answer(200, wire::encode(&list))
+}
+
+// Lists lag: one that still had a machine just released once brought it
+// back as a machine that never came up, and for minutes nothing was rented
+// for work that this phantom seemed to have room for.
+#[test]
+fn a_late_list_does_not_bring_back_a_released_machine() {
+    let mut leader = leader();
+    leader.on_cloud(
+        &mut io_at(1.0),
+        CloudCall::List,
+        None,
+        list(&["host-1", "host-2"]),
+    );
+    assert_eq!(leader.machines.len(), 2);
+    let release = CloudCall::Release(vec!["host-1".into()]);
+    leader.on_cloud(
+        &mut io_at(2.0),
+        release,
+        None,
+        Reply::Answer(200, Vec::new()),
+    );
+    leader.on_cloud(
+        &mut io_at(9.0),
+        CloudCall::List,
+        None,
+        list(&["host-1", "host-2"]),
+    );
+    let left: Vec<_> = leader.machines.keys().map(|m| m.to_string()).collect();
+    assert_eq!(left, ["host-2"]);
+}
+
+// While spot machines were taken back all the time every call to the cloud
+// was a release, and for minutes nothing was rented.
+#[test]
+fn releases_leave_turns_to_renting_and_listing() {
+    let mut leader = leader();
+    let market: Market = ("g4".into(), "z0".into(), true);
+    leader.rental.intents.hire(market, 3, Wall(0));
+    let mut made = Vec::new();
+    for n in 0..6 {
+        let id = MachineId::from(format!("host-{n}"));
+        leader.meet(Time(0), &id).send_back("idle");
+        leader.mean_releases(Wall(0));
+        for (key, _) in leader.rental.intents.book.take_puts(9) {
+            leader.rental.intents.stored(&key);
+        }
+        made.push(match leader.next_call(Time(1)) {
+            Some(CloudCall::Release(names)) => {
+                leader.rental.intents.release_asked(&names);
+                leader.rental.intents.released(&names, Time(1));
+                names.iter().for_each(|m| drop(leader.machines.remove(m)));
+                "release"
+            }
+            Some(CloudCall::Rent(r)) => {
+                leader.rental.intents.filled(&r.request, &[], Time(1));
+                "rent"
+            }
+            Some(CloudCall::List) => "list",
+            _ => "other",
+        });
+    }
+    assert_eq!(made[..4], ["release", "rent", "release", "list"]);
+}
+
+// What a leader had under way with the cloud once died with its process.
+#[test]
+fn a_successor_finishes_what_was_meant() {
+    let now = crate::core::Now {
+        time: Time(1),
+        wall: Wall(5000),
+    };
+    let mut first = leader();
+    first
+        .rental
+        .intents
+        .hire(("g4".into(), "z0".into(), true), 3, Wall(0));
+    first.meet(Time(0), &"host-1".into()).send_back("idle");
+    first.mean_releases(Wall(0));
+    assert!(
+        first
+            .next_call(Time(1))
+            .is_some_and(|c| matches!(c, CloudCall::List))
+    );
+    let stored = first.rental.intents.book.take_puts(9);
+    let mut next = leader();
+    let entries = stored
+        .into_iter()
+        .map(|(key, value)| crate::wire::kvstore::Entry {
+            key,
+            value,
+            version: crate::types::Version(7),
+        });
+    next.load_duties(now, entries.collect());
+    // It starts nothing there, whatever brings the machine up again.
+    assert_eq!(
+        next.meet(Time(2), &"host-1".into()).leaving,
+        Leaving::Release
+    );
+    let Some(CloudCall::Release(names)) = next.next_call(Time(2)) else {
+        panic!("the release is not asked for")
+    };
+    next.on_cloud(
+        &mut io_at(2.0),
+        CloudCall::Release(names),
+        None,
+        Reply::Answer(200, Vec::new()),
+    );
+    next.on_cloud(&mut io_at(2.0), CloudCall::List, None, list(&["host-1"]));
+    assert!(next.machines.is_empty(), "a late list brought it back");
+    let Some(CloudCall::Rent(rent)) = next.next_call(Time(3)) else {
+        panic!("the hire is not repeated")
+    };
+    assert_eq!((rent.request.as_str(), rent.count), ("5-1", 3));
+}
+
+// Only 200 proves that released machines are gone. A 400 once did too, and a
+// peer that calls for us may give one, or a 404, of its own.
+#[test]
+fn a_release_that_is_refused_proves_nothing() {
+    for (status, by) in [(400, None), (400, Some("node-1")), (404, Some("node-1"))] {
+        let mut leader = leader();
+        let id = MachineId::from("host-1");
+        leader.meet(Time(0), &id).send_back("idle");
+        let call = CloudCall::Release(vec![id.clone()]);
+        let reply = Reply::Answer(status, Vec::new());
+        leader.on_cloud(&mut io_at(2.0), call, by.map(Label::from), reply);
+        assert!(leader.machines.contains_key(&id), "{status} by {by:?}");
+        assert!(!leader.rental.intents.is_gone(&id));
+    }
+}
--- a/crates/controller/src/core/commands.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -1,12 +1,12 @@
 //! What workers are told: starts, stops, `clear`, and the answers that carry them.
 
-use super::RequestId;
-use super::handover::heralds::Need;
-use super::io::Io;
-use super::leader::Leader;
-use super::ledger::{ChunkSize, End, Job};
-use super::presence::{Phase, Placement, Stop};
-use super::weak::{self, Decision};
+use crate::core::RequestId;
+use crate::core::assignment::{Phase, Placement, Stop};
+use crate::core::effects::Io;
+use crate::core::failpoints::{self, Decision};
+use crate::core::job_records::{ChunkSize, End, Job};
+use crate::core::leader::Leader;
+use crate::core::leader_announcement::Need;
 use crate::types::{Attempt, JobId, MachineId, Span, TaskId, Time};
 use crate::wire;
 use crate::wire::users::Priority;
@@ -31,7 +31,7 @@
         let told = stop
             .change
             .is_none_or(|c| !self.is_open() || self.is_stored(size, index, c))
-            || !weak::holds(Decision::StopsAreStored);
+            || !failpoints::holds(Decision::StopsAreStored);
         told.then_some(stop)
     }
 }
@@ -88,7 +88,7 @@
                         at: now,
                         change: change.filter(|_| record == Record::First),
                     });
-                    if record == Record::First && weak::holds(Decision::StopsAreStored) {
+                    if record == Record::First && failpoints::holds(Decision::StopsAreStored) {
                         // Told once it is stored.
                         continue;
                     }
@@ -190,7 +190,7 @@
                 // done, once that is stored.
                 let kept = why == Some(Why::Done)
                     && job.is_some_and(|j| !j.is_service() && !j.done_is_stored(task.index))
-                    && weak::holds(Decision::DoneBeforeClear);
+                    && failpoints::holds(Decision::DoneBeforeClear);
                 if ours && place.is_none() && !kept {
                     forgets.push(Command::Forget {
                         task: text,
@@ -247,8 +247,8 @@
                     continue;
                 };
                 // Written ahead: only what is stored may be sent.
-                let stored =
-                    job.is_stored(size, t.index, p.change) || !weak::holds(Decision::WriteAhead);
+                let stored = job.is_stored(size, t.index, p.change)
+                    || !failpoints::holds(Decision::WriteAhead);
                 if !p.unsent() || !stored || !wanted || p.session != session || !needs.fits(&free) {
                     continue;
                 }
--- a/crates/controller/src/core/writing.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -1,15 +1,15 @@
 //! The leader's lane of writes: what changed goes out in conditional
 //! transactions, one at a time, ahead of what depends on it.
 
-use super::io::Io;
-use super::leader::{Awaits, Fate, Leader};
-use super::ledger::{self, End, Item, Job, TxnBuilder, TxnLimits};
-use super::levels::REMEMBERED;
-use super::levels::progress::Progress;
-use super::{Reply, Target};
+use crate::core::effects::Io;
+use crate::core::format_version::REMEMBERED;
+use crate::core::format_version::chunk_progress::Progress;
+use crate::core::job_records::{self, End, Item, Job, TxnBuilder, TxnLimits};
+use crate::core::leader::{Awaits, Fate, Leader};
+use crate::core::{Reply, Target};
 use crate::types::{JobId, Span, TaskId, Time, Version};
 use crate::wire;
-use crate::wire::state::{Entry, Op, Revision, Txn};
+use crate::wire::kvstore::{Entry, Op, Revision, Txn};
 
 /// Settled intents deleted in one transaction.
 const MOST_SETTLED: usize = 8;
@@ -211,10 +211,10 @@
                     return Fate::StepDown("a commit found another leader");
                 }
                 let swept = items.iter().any(|i| matches!(i, Item::Sweep(_)));
-                if !swept && failed.iter().any(|k| k.starts_with(ledger::RECORDS)) {
+                if !swept && failed.iter().any(|k| k.starts_with(job_records::RECORDS)) {
                     return Fate::StepDown("a record was changed by somebody else");
                 }
-                let over = |id: &JobId| failed.contains(&ledger::head_key(id));
+                let over = |id: &JobId| failed.contains(&job_records::head_key(id));
                 for item in items {
                     // Nothing of a job that is over is started, whether or not
                     // the watch has told of its end yet.
@@ -292,7 +292,7 @@
 
     /// Notes whether a chunk that was stored has the form of the level in force.
     fn note_form(&mut self, id: &JobId, chunk: u32, txn: &Txn) {
-        let key = ledger::chunk_key(id, chunk);
+        let key = job_records::chunk_key(id, chunk);
         let value = txn.ops.iter().find_map(|op| match op {
             Op::Put { key: k, value, .. } if *k == key => Some(value),
             _ => None,
@@ -398,7 +398,7 @@
             Item::Drop(id, false) => {
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.chunks.retain(|&c, _| {
-                        let key = ledger::chunk_key(&id, c);
+                        let key = job_records::chunk_key(&id, c);
                         !txn.ops
                             .iter()
                             .any(|op| matches!(op, Op::Delete { key: k } if *k == key))
--- a/crates/controller/src/core/writing/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
+use crate::core::assignment::Placement;
+use crate::core::failpoints::{Decision, weaken};
+use crate::core::job_records::{End, Job};
 use crate::core::leader::Leader;
-use crate::core::ledger::{End, Job};
-use crate::core::presence::Placement;
-use crate::core::weak::{Decision, weaken};
 use crate::testing::{leader, submission};
 use crate::types::{Attempt, Session, Wall};
-use crate::wire::state::Condition;
+use crate::wire::kvstore::Condition;
 use crate::wire::users::Shape;
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
     let job = leader.jobs.get_mut(&id).unwrap();
     job.end = Some(End::Cancelled);
     for chunk in 0..6 {
-        let stored = ledger::Chunk {
+        let stored = job_records::Chunk {
             version: Version(9),
             ..Default::default()
         };
@@ -41,8 +41,8 @@
         };
         for op in &txn.ops {
             let Op::Delete { key } = op else { continue };
-            end &= *key != ledger::end_key(&id);
-            submitted &= *key != ledger::job_key(&id);
+            end &= *key != job_records::end_key(&id);
+            submitted &= *key != job_records::job_key(&id);
         }
         for item in items {
             leader.committed(item, &txn, Version(10));
@@ -79,7 +79,7 @@
         let id = JobId::from("wk-1");
         let job = leader.jobs.get_mut(&id).unwrap();
         (job.end, job.waiting) = (Some(End::Done { written: false }), Default::default());
-        let stored = ledger::Chunk {
+        let stored = job_records::Chunk {
             version: Version(9),
             ..Default::default()
         };
@@ -97,7 +97,7 @@
         });
         let keys: Vec<String> = keys.collect();
         let open = Condition {
-            key: ledger::head_key(&id),
+            key: job_records::head_key(&id),
             version: Version(7),
         };
         assert!(txn.conditions.contains(&open), "a cancellation may race");
@@ -130,7 +130,7 @@
         let change = job.touch(leader.chunk_size, 0);
         let place = Placement {
             change,
-            phase: crate::core::presence::Phase::Unsent,
+            phase: crate::core::assignment::Phase::Unsent,
             ..Placement::inherited("host-1".into(), Session(1), Attempt(1))
         };
         job.places.insert(0, place);
@@ -161,7 +161,7 @@
 }
 
 /// A leader whose first start is in flight and whose answer was lost, once repeated.
-fn repeated(failed: &[&str]) -> (Leader, crate::core::io::Io, Fate) {
+fn repeated(failed: &[&str]) -> (Leader, crate::core::effects::Io, Fate) {
     let mut leader = leader();
     with_job(&mut leader, "wk-1", 2);
     let id = JobId::from("wk-1");
@@ -170,7 +170,7 @@
     let change = job.touch(leader.chunk_size, 0);
     let place = Placement {
         change,
-        phase: crate::core::presence::Phase::Unsent,
+        phase: crate::core::assignment::Phase::Unsent,
         ..Placement::inherited("host-1".into(), Session(1), Attempt(1))
     };
     job.places.insert(0, place);
--- a/crates/controller/src/core/fleet.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -1,13 +1,13 @@
 //! Workers' reports, as the leader sees them.
 
-use super::hearing::Sign;
-use super::io::Io;
-use super::leader::{Fate, Leader};
-use super::ledger::Job;
-use super::machine::Held;
-use super::presence::{Phase, Placement, Verdict};
-use super::weak::{self, Decision};
-use super::{Now, RequestId};
+use crate::core::assignment::{Phase, Placement, Verdict};
+use crate::core::delivery::Sign;
+use crate::core::effects::Io;
+use crate::core::failpoints::{self, Decision};
+use crate::core::job_records::Job;
+use crate::core::leader::{Fate, Leader};
+use crate::core::machine::Held;
+use crate::core::{Now, RequestId};
 use crate::types::{Amounts, Attempt, MachineId, Session, Span, TaskId, Time};
 use crate::wire::workers::{Report, ReportedTask, TaskState, Why};
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
         let ours = report.token == self.token;
         let machine = self.meet(now, &report.machine);
         let older = (report.session, report.tally) <= (machine.session, machine.tally);
-        if older && weak::holds(Decision::NewestReportCounts) {
+        if older && failpoints::holds(Decision::NewestReportCounts) {
             // Held back by the network; its sender no longer waits.
             io.answer_later(request, 503, 1);
             return Fate::Stay;
--- a/crates/controller/src/core/fleet/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -6,7 +6,7 @@
 use crate::types::Amounts;
 use crate::types::{Tally, Token, Version, Wall};
 use crate::wire;
-use crate::wire::state::Changes;
+use crate::wire::kvstore::Changes;
 use crate::wire::users::Shape;
 use std::rc::Rc;
 
--- a/crates/controller/src/core/placing.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -1,19 +1,19 @@
 //! The leader's cycle: from its tables and what waits to starts, stops and
 //! orders for machines.
 
-use super::commands::Record;
-use super::cycle::{Cycle, Pace, TeamUse, Want};
-use super::io::Io;
-use super::leader::Leader;
-use super::ledger::Job;
-use super::machine::Machine;
-use super::preempt::{self, Victim, Victims};
-use super::presence::Phase;
-use super::tables::Row;
-use super::teams::Bounds;
-use super::teams::account::{Account, Units};
-use super::teams::floor::{Floors, Group, Service};
-use super::weak::{self, Decision};
+use super::command_dispatch::Record;
+use crate::core::assignment::Phase;
+use crate::core::effects::Io;
+use crate::core::failpoints::{self, Decision};
+use crate::core::job_records::Job;
+use crate::core::leader::Leader;
+use crate::core::machine::Machine;
+use crate::core::placement_tables::Row;
+use crate::core::preemption::{self, Victim, Victims};
+use crate::core::quota::Bounds;
+use crate::core::quota::minimum_share::{Floors, Group, Service};
+use crate::core::quota::usage::{Account, Units};
+use crate::core::scheduling_cycle::{Cycle, Pace, TeamUse, Want};
 use crate::settings::{Objective, ObjectiveKind, Settings};
 use crate::types::{Amounts, Attempt, Class, JobId, MachineId, Span, TaskId, Team, Time, Wall};
 use crate::wire::users::{Priority, Shape};
@@ -185,7 +185,7 @@
                 )
             })
             .collect();
-        let ended = weak::holds(Decision::EndedJobsHoldPlaces);
+        let ended = failpoints::holds(Decision::EndedJobsHoldPlaces);
         for job in self.jobs.values().filter(|j| ended || j.is_open()) {
             if let Some(t) = teams.get_mut(&job.spec.team) {
                 t.used += job.spec.needs().times(job.held() as f64);
@@ -315,7 +315,7 @@
             let spec = job.spec.clone();
             let mut in_zones = BTreeMap::new();
             let mut unknown = false;
-            let binds = weak::holds(Decision::OldPlacesBindZones);
+            let binds = failpoints::holds(Decision::OldPlacesBindZones);
             let bind = job.places.values().filter(|_| binds);
             for p in bind {
                 match machines.get(&p.machine).and_then(|m| m.zone.clone()) {
@@ -365,7 +365,7 @@
                 // fetch would wait for ever on machines that have room. And where all
                 // machines are put aside, one of those is better than none.
                 overdue: job.notes.waiting_since.is_some_and(|t| {
-                    now.since(t) > patience && weak::holds(Decision::HoldsEndWithAge)
+                    now.since(t) > patience && failpoints::holds(Decision::HoldsEndWithAge)
                 }),
                 avoid: job.notes.failed_on.clone(),
             });
@@ -490,7 +490,7 @@
             let victims = stops
                 .victims
                 .get_or_insert_with(|| self.victims(cycle.pace.now, cycle.rows));
-            let Some(e) = preempt::evict(cycle, want, victims, &stops.taken, &stops.bounds, 16)
+            let Some(e) = preemption::evict(cycle, want, victims, &stops.taken, &stops.bounds, 16)
             else {
                 failed.push((i, if want.gang { want.tasks.len() } else { 1 }));
                 continue;
--- a/crates/controller/src/core/telling.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -1,11 +1,11 @@
 //! What the leader tells peers and operators.
 
-use super::Now;
-use super::leader::Leader;
-use super::machine::{Leaving, Machine};
-use super::presence::Phase;
-use super::teams::account::Units;
-use super::teams::floor::{Floors, Group};
+use crate::core::Now;
+use crate::core::assignment::Phase;
+use crate::core::leader::Leader;
+use crate::core::machine::{Leaving, Machine};
+use crate::core::quota::minimum_share::{Floors, Group};
+use crate::core::quota::usage::Units;
 use crate::types::{Image, JobId, MachineId, Time, Zone};
 use crate::wire::workers::TaskState;
 use std::collections::BTreeMap;
--- a/crates/controller/src/core/losses.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -1,11 +1,11 @@
 //! How tasks leave their machines: done, ended early, or proven gone.
 
-use super::Now;
-use super::io::Io;
-use super::leader::Leader;
-use super::ledger::End;
-use super::machine::*;
-use super::weak::{self, Decision};
+use crate::core::Now;
+use crate::core::effects::Io;
+use crate::core::failpoints::{self, Decision};
+use crate::core::job_records::End;
+use crate::core::leader::Leader;
+use crate::core::machine::*;
 use crate::types::{MachineId, Span, TaskId, Time, Zone};
 use crate::wire::cloud::MachineStage;
 use crate::wire::workers::{ReportedTask, Why};
@@ -176,7 +176,7 @@
                 continue;
             }
             let failed = matches!(m.listed, Some((MachineStage::Failed, _)));
-            if !weak::holds(Decision::LeaseBeforeWriteOff) {
+            if !failpoints::holds(Decision::LeaseBeforeWriteOff) {
                 lease = Span::secs(3.0);
             }
             let (due, proof) = if let Some(since) = m.ours_since {
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::core::levels::registry;
-use crate::core::weak::{Decision, weaken};
+use crate::core::failpoints::{Decision, weaken};
+use crate::core::format_version::member_versions;
 use crate::testing::{io_at, leader};
 
 /// How old its contact is when a leader has loaded, where the pages of the
@@ -13,7 +13,7 @@
         version: Version(5),
     };
     let mut t = 0.0;
-    for keys in [[registry::STONE].as_slice(), &[], &[]] {
+    for keys in [[member_versions::STONE].as_slice(), &[], &[]] {
         let page = Entries {
             items: keys.iter().map(|k| key(k)).collect(),
             revision: Version(9),
@@ -51,7 +51,7 @@
     leader.jobs.insert("wk-1".into(), job);
     leader.submitted.insert("wk-1".into());
     let record = Entry {
-        key: ledger::chunk_key(&"wk-1".into(), 0),
+        key: job_records::chunk_key(&"wk-1".into(), 0),
         value: stored,
         version: Version(8),
     };
@@ -133,7 +133,7 @@
     leader.writes = Bucket::new(50.0, 50.0);
     assert!(!written(&mut leader, 3.0), "it settles first");
     assert!(written(&mut leader, 4.5));
-    let answer = crate::wire::state::Revision {
+    let answer = crate::wire::kvstore::Revision {
         revision: Version(9),
         failed: Vec::new(),
     };
--- a/crates/controller/src/core/contact.rs
+++ b/crates/controller/src/core/leader_authority.rs
@@ -7,7 +7,7 @@
 //! sending of a report answered by then. So what runs of that job is gone by
 //! `shown + H + lease`, which is no later than `cancel` after its user was told.
 
-use super::weak::{self, Decision};
+use super::failpoints::{self, Decision};
 use crate::settings::WorkerTimes;
 use crate::types::{JobId, Span, Time};
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
     /// For how long after a leader took office an earlier one's answers may keep
     /// alive what runs on a machine that is silent.
     pub fn inherited(&self) -> Span {
-        match weak::holds(Decision::OldLeadersAnswersCount) {
+        match failpoints::holds(Decision::OldLeadersAnswersCount) {
             true => self.hold + self.lease,
             false => Span::ZERO,
         }
@@ -115,7 +115,7 @@
     /// first page may not have been seen, however new the last one is.
     pub fn loaded(&mut self, sent: Time) {
         self.loaded = true;
-        self.shown = match weak::holds(Decision::LoadIsAsOldAsItsFirstRead) {
+        self.shown = match failpoints::holds(Decision::LoadIsAsOldAsItsFirstRead) {
             true => self.began.unwrap_or(sent),
             false => sent,
         };
@@ -148,7 +148,7 @@
 
     /// Whether reports may be answered.
     pub fn may_answer(&self, now: Time) -> bool {
-        let held = self.age(now) < self.bounds.hold || !weak::holds(Decision::BoundedHold);
+        let held = self.age(now) < self.bounds.hold || !failpoints::holds(Decision::BoundedHold);
         self.loaded && held
     }
 
--- a/crates/controller/src/core/contact/tests.rs
+++ b/crates/controller/src/core/leader_authority/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::weak::weaken;
+use crate::core::failpoints::weaken;
 
 fn at(secs: f64) -> Time {
     Time(0) + Span::secs(secs)
--- a/crates/controller/src/core/machine.rs
+++ b/crates/controller/src/core/machine.rs
@@ -1,8 +1,8 @@
 //! A machine as the leader knows it.
 
 use super::RequestId;
-use super::hearing::Hearing;
-use super::tables::Cache;
+use super::delivery::Hearing;
+use super::placement_tables::Cache;
 use crate::types::{Amounts, JobId, Kind, Session, Span, Tally, TaskId, Time, Zone};
 use crate::wire::cloud::MachineStage;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -1,34 +1,32 @@
 //! The controller as a state machine: inputs with a time go in, what to send,
 //! write and answer comes out. Nothing here does I/O or reads a clock.
 
-mod commands;
-pub mod contact;
-pub mod cycle;
-pub mod duty;
+pub mod assignment;
+pub mod autoscaler;
+pub mod cache_hints;
+pub mod delivery;
+pub mod effects;
 pub mod election;
-pub mod fleet;
-pub mod handover;
-pub mod hearing;
-pub mod intake;
-pub mod io;
+pub mod failpoints;
+pub mod failure_detector;
+pub mod format_version;
+pub mod garbage_collection;
+pub mod job_api;
+pub mod job_records;
 pub mod keys;
 pub mod leader;
-pub mod ledger;
-pub mod levels;
-mod losses;
+pub mod leader_announcement;
+pub mod leader_authority;
 pub mod machine;
 pub mod node;
-mod placing;
-pub mod polls;
-pub mod preempt;
-pub mod presence;
-pub mod rental;
-pub mod suspicion;
-pub mod tables;
-pub mod teams;
-mod telling;
-pub mod weak;
-mod writing;
+pub mod pending_writes;
+pub mod placement_tables;
+pub mod preemption;
+pub mod quarantine;
+pub mod quota;
+pub mod read_coalescing;
+pub mod scheduling_cycle;
+pub mod self_health;
 
 use crate::types::{Label, Span, Time, Token, Wall};
 use crate::wire::peers::Beat;
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -1,24 +1,24 @@
 //! A controller node: routes inputs to its parts.
 
-mod hands;
+mod cloud_proxy;
+mod format_version;
+mod heartbeat_forwarding;
 mod inspect;
-mod kinds;
-mod levels;
-mod peers;
-mod reports;
-mod verdict;
+mod leader_replacement;
+mod machine_type_cache;
+mod peer_heartbeat;
 
-use super::duty::pulse::Pulse;
-use super::duty::renting::BAD_GATEWAY;
+use super::autoscaler::state::BAD_GATEWAY;
+use super::cache_hints::Keepsake;
+use super::effects::{Io, Timed, Waits};
 use super::election::{Election, Outcome};
-use super::handover::keepsake::Keepsake;
-use super::intake::Intake;
-use super::io::{Io, Timed, Waits};
+use super::failure_detector::detector::Judge;
+use super::format_version::member_versions::{Refused, Registry};
+use super::format_version::{Level, Range};
+use super::job_api::Intake;
+use super::job_records;
 use super::leader::{self, Fate, Leader};
-use super::ledger;
-use super::levels::registry::{Refused, Registry};
-use super::levels::{Level, Range};
-use super::suspicion::judge::Judge;
+use super::self_health::Pulse;
 use super::{CallId, Input, Now, Output, Reply, RequestId, Side, Target};
 use crate::http;
 use crate::policy::Policy;
@@ -283,7 +283,7 @@
         }
         if !self.types_calling && now >= self.types_due {
             self.types_calling = true;
-            let path = format!("/keys?starts={}/&most=100", ledger::TYPES);
+            let path = format!("/keys?starts={}/&most=100", job_records::TYPES);
             let limit = Span::secs(2.0);
             let call = self.io.call(Target::State, "GET", path, Vec::new(), limit);
             self.waits.add(call, Awaits::Types);
--- a/crates/controller/src/core/node/hands.rs
+++ b/crates/controller/src/core/node/cloud_proxy.rs
@@ -1,7 +1,7 @@
 //! Calls to the cloud that a node makes for a leader that does not reach it.
 
 use super::{Awaits, Node};
-use crate::core::duty::renting::{BAD_GATEWAY, CONFLICT, GATEWAY_TIMEOUT};
+use crate::core::autoscaler::state::{BAD_GATEWAY, CONFLICT, GATEWAY_TIMEOUT};
 use crate::core::{Reply, RequestId, Target};
 use crate::http;
 use crate::types::{Span, Token};
--- a/crates/controller/src/core/node/levels.rs
+++ b/crates/controller/src/core/node/format_version.rs
@@ -1,12 +1,12 @@
 //! The level in force: whether this node can serve it, and raising it.
 
 use super::{Awaits, Node};
-use crate::core::levels::registry::Refused;
-use crate::core::levels::{FENCED, Level};
+use crate::core::format_version::member_versions::Refused;
+use crate::core::format_version::{FENCED, Level};
 use crate::core::{Reply, Target};
 use crate::types::{Label, Span, Version};
 use crate::wire;
-use crate::wire::state::{Condition, Revision, Txn};
+use crate::wire::kvstore::{Condition, Revision, Txn};
 
 /// How long a commit that changes the level may take.
 const LIMIT: Span = Span::millis(2000);
--- a/crates/controller/src/core/node/verdict.rs
+++ b/crates/controller/src/core/node/leader_replacement.rs
@@ -1,8 +1,8 @@
 //! Doubting the leader with the others, and replacing it.
 
 use super::{Awaits, Node, PEER_FRESH};
+use crate::core::failure_detector::detector::{Doubt, LOOKED_INTO, Probe, Step};
 use crate::core::leader::Fate;
-use crate::core::suspicion::judge::{Doubt, LOOKED_INTO, Probe, Step};
 use crate::core::{Reply, RequestId, Target};
 use crate::types::{Label, Span, Time, Token, Version};
 use crate::wire;
--- a/crates/controller/src/core/node/kinds.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -2,11 +2,11 @@
 //! cloud is out.
 
 use super::Node;
-use crate::core::{Reply, Target, ledger};
+use crate::core::{Reply, Target, job_records};
 use crate::types::{Span, Version};
 use crate::wire;
 use crate::wire::cloud::{MachineType, MachineTypes};
-use crate::wire::state::{Condition, Entries, Op, Txn};
+use crate::wire::kvstore::{Condition, Entries, Op, Txn};
 
 /// Time between looks at the stored machine types.
 const TYPES_EVERY: Span = Span::millis(30_000);
@@ -23,7 +23,7 @@
             let kinds: Vec<MachineType> = page
                 .items
                 .iter()
-                .filter_map(|e| ledger::read::<Vec<MachineType>>(&e.value))
+                .filter_map(|e| job_records::read::<Vec<MachineType>>(&e.value))
                 .flatten()
                 .collect();
             let types = MachineTypes { kinds };
@@ -64,7 +64,7 @@
             .enumerate()
             .take(self.settings.state_limits.txn_ops)
             .map(|(i, p)| Op::Put {
-                key: format!("{}/{i:03}", ledger::TYPES),
+                key: format!("{}/{i:03}", job_records::TYPES),
                 value: serde_json::to_value(p).unwrap_or_default(),
                 lease: None,
             })
--- a/crates/controller/src/core/node/peers.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -4,8 +4,8 @@
     Awaits, CANCELLED_KEPT, GREET_EVERY, GREET_GAP, MOST_CANCELLED, MOST_COUNTS, Node, PEER_FRESH,
     PeerView, STATE_FRESH,
 };
+use crate::core::format_version::member_versions::Refused;
 use crate::core::leader::{Fate, Leader};
-use crate::core::levels::registry::Refused;
 use crate::core::{Reply, RequestId, Target};
 use crate::types::{JobId, Label, Span, Time};
 use crate::wire;
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -272,7 +272,7 @@
     let mut leader = testing::leader();
     let spec = testing::submission("wk-1", crate::wire::users::Shape::Array, 1);
     let wall = crate::types::Wall(0);
-    let job = ledger::Job::new(Rc::new(spec), wall, crate::types::Version(7), 1);
+    let job = job_records::Job::new(Rc::new(spec), wall, crate::types::Version(7), 1);
     leader.jobs.insert(id.clone(), job);
     leader.contact.page(Time(0));
     leader.contact.loaded(Time(0));
@@ -280,7 +280,7 @@
     assert!(leader.contact.is_told(&id));
     let job = &leader.jobs[&id];
     assert!(job.is_open() && !leader.dropping.contains(&id));
-    let none = wire::state::Changes {
+    let none = wire::kvstore::Changes {
         revision: crate::types::Version(9),
         events: Vec::new(),
     };
--- a/crates/controller/src/core/tables.rs
+++ b/crates/controller/src/core/placement_tables.rs
@@ -171,44 +171,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_least_recently_used_image_goes_first() {
-        let mut c = Cache::default();
-        let image = |n: u32| Image::from(format!("i{n}"));
-        for n in 0..3 {
-            c.fetched(&image(n), 10.0, Time(u64::from(n)), 30.0);
-        }
-        c.used(&image(0), 10.0, Time(10), Span::ZERO);
-        c.fetched(&image(3), 10.0, Time(11), 30.0);
-        let mut left: Vec<_> = c.images().map(|(i, _)| i.to_string()).collect();
-        left.sort();
-        assert_eq!(left, ["i0", "i2", "i3"]);
-    }
-
-    // A fetch that took longer than expected once counted as over: work was
-    // sent there as if the image were there, and its arrival was never noted.
-    #[test]
-    fn an_overdue_fetch_is_not_over() {
-        let mut c = Cache::default();
-        let a = Image::from("a");
-        c.used(&a, 6.0, Time(0), Span::secs(10.0));
-        assert_eq!(c.remaining(&a, Time(4_000_000)), Some(Span::secs(6.0)));
-        assert_eq!(c.remaining(&a, Time(60_000_000)), Some(Span::secs(1.0)));
-        c.fetched(&a, 6.0, Time(61_000_000), 40.0);
-        assert_eq!(c.remaining(&a, Time(62_000_000)), Some(Span::ZERO));
-    }
-
-    #[test]
-    fn an_unseen_image_costs_what_its_size_says() {
-        let mut e = Estimates::new(Span::secs(30.0));
-        let (a, b) = (Image::from("a"), Image::from("b"));
-        assert_eq!(e.of(&a, 6.0, None), Span::secs(30.0));
-        assert_eq!(e.of(&a, 6.0, Some(0.5)), Span::secs(12.0));
-        e.note(&a, Span::secs(14.0));
-        assert_eq!(e.of(&a, 6.0, Some(0.5)), Span::secs(14.0));
-        assert_eq!(e.of(&b, 6.0, None), Span::secs(14.0));
-    }
-}
+mod tests;
--- a/crates/controller/src/core/duty/aside.rs
+++ b/crates/controller/src/core/quarantine.rs
@@ -2,8 +2,8 @@
 //! gets no work for a pause that doubles, and one on which several jobs failed
 //! gets none at all. A successor remembers both.
 
-use super::PREFIX;
-use super::book::Book;
+use crate::core::keys::DUTIES;
+use crate::core::pending_writes::Book;
 use crate::types::{MachineId, Span, Wall};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -35,7 +35,7 @@
 }
 
 fn key(m: &MachineId) -> String {
-    format!("{PREFIX}m/{m}")
+    format!("{DUTIES}m/{m}")
 }
 
 fn store(book: &mut Book, m: &MachineId, mark: &Mark) {
@@ -48,7 +48,7 @@
     /// Takes over a stored mark. Returns the machine, and whether it is to get
     /// no work at all.
     pub fn load(&mut self, at: &str, stored: &Value) -> Option<(MachineId, bool)> {
-        let id = at.strip_prefix(PREFIX)?.strip_prefix("m/")?;
+        let id = at.strip_prefix(DUTIES)?.strip_prefix("m/")?;
         let mark = Mark::deserialize(stored).ok()?;
         let id = MachineId::from(id);
         let drained = mark.d;
@@ -121,25 +121,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn pauses_double_and_outlive_their_holder() {
-        let (mut a, mut book) = (Asides::default(), Book::default());
-        let m = MachineId::from("host-1");
-        let wall = |s: u64| Wall(s * 1000);
-        assert_eq!(a.strike(&mut book, &m, wall(0)), None);
-        assert!(book.is_empty() && !a.is_aside(&m, wall(1)));
-        assert_eq!(a.strike(&mut book, &m, wall(100)), Some(PAUSE));
-        let twice = a.strike(&mut book, &m, wall(300));
-        assert_eq!(twice, Some(Span(PAUSE.0 * 2)));
-        let mut next = Asides::default();
-        for (key, value) in book.take_puts(9) {
-            assert_eq!(next.load(&key, &value), Some((m.clone(), false)));
-        }
-        assert!(next.is_aside(&m, wall(419)) && !next.is_aside(&m, wall(421)));
-        next.tend(&mut book, wall(421), |_| false);
-        assert_eq!(book.take_deletes(9), ["d/m/host-1"]);
-    }
-}
+mod tests;
--- a/crates/controller/src/core/teams/mod.rs
+++ b/crates/controller/src/core/quota/mod.rs
@@ -1,15 +1,15 @@
 //! What teams and classes hold, are owed, and may lose. Plain values: the
 //! leader tells what is so, and asks what may be stopped.
 
-pub mod account;
-pub mod floor;
-pub mod memory;
+pub mod arrival_history;
+pub mod minimum_share;
+pub mod usage;
 
-use crate::core::weak::{self, Decision};
+use crate::core::failpoints::{self, Decision};
 use crate::types::{Amounts, Class, Team};
-use account::{Account, Units};
-use floor::{Floors, Group};
+use minimum_share::{Floors, Group};
 use std::collections::BTreeMap;
+use usage::{Account, Units};
 
 /// Work that may be stopped: a task, or a gang whole.
 #[derive(Clone, Copy, Debug)]
@@ -45,7 +45,7 @@
 impl Bounds {
     /// Whether this may be stopped too, after all that was taken and spent.
     pub fn allows(&self, spent: &Spent, loss: &Loss<'_>) -> bool {
-        if loss.for_guarantee && weak::holds(Decision::ClaimsAreBounded) {
+        if loss.for_guarantee && failpoints::holds(Decision::ClaimsAreBounded) {
             let before = spent.teams.get(loss.team).copied().unwrap_or_default();
             if !self
                 .account
--- a/crates/controller/src/core/polls.rs
+++ b/crates/controller/src/core/read_coalescing.rs
@@ -3,11 +3,11 @@
 //! transaction that only compares the versions of their jobs' heads. A head
 //! that is unchanged is still open.
 
-use super::ledger::{self, Head};
+use super::job_records::{self, Head};
 use super::{Reply, RequestId};
 use crate::types::{JobId, Span, Time, Version};
 use crate::wire;
-use crate::wire::state::{Condition, Revision, Txn};
+use crate::wire::kvstore::{Condition, Revision, Txn};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A poll that waits for the next comparison.
@@ -127,7 +127,7 @@
         for id in jobs {
             // One forgotten meanwhile is not compared.
             if let Some((head, version)) = self.open.get(&id).copied() {
-                let key = ledger::head_key(&id);
+                let key = job_records::head_key(&id);
                 conditions.push(Condition { key, version });
                 heads.insert(id, head);
             }
@@ -163,7 +163,7 @@
             Reply::Answer(409, body) => {
                 let failed = wire::decode::<Revision>(body).unwrap_or_default().failed;
                 for a in asked {
-                    if failed.is_empty() || failed.contains(&ledger::head_key(&a.id)) {
+                    if failed.is_empty() || failed.contains(&job_records::head_key(&a.id)) {
                         self.open.remove(&a.id);
                         out.changed.push(a);
                     } else {
--- a/crates/controller/src/core/polls/tests.rs
+++ b/crates/controller/src/core/read_coalescing/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of shared reads.
 
 use super::*;
-use crate::core::ledger::HeadStage;
+use crate::core::job_records::HeadStage;
 
 fn polls() -> Polls {
     let mut p = Polls::default();
--- /dev/null
+++ b/crates/controller/src/core/self_health/tests.rs
@@ -0,0 +1,80 @@
+
+use super::*;
+
+/// Times of handing over within `secs`, ticks coming every `gap`.
+fn handed_over(gap: f64, secs: f64) -> Vec<f64> {
+    let mut pulse = Pulse::default();
+    let (mut t, mut out) = (0.0, Vec::new());
+    while t < secs {
+        t += gap;
+        if pulse.beat(Time(0) + Span::secs(t), true) {
+            out.push(t);
+        }
+    }
+    out
+}
+
+// A holder out of processor time kept its lease and did everything late,
+// for as long as it lived. All being slow must not make them flap.
+#[test]
+fn a_slow_holder_hands_over_ever_rarer() {
+    assert_eq!(handed_over(0.05, 3000.0).len(), 0);
+    assert_eq!(handed_over(0.4, 3000.0).len(), 0);
+    let slow = handed_over(0.8, 3000.0);
+    assert!(slow[0] < 45.0, "{slow:?}");
+    assert!((4..8).contains(&slow.len()), "{slow:?}");
+}
+
+// Users stayed with a leader that was behind, and waited, while others had
+// time for them.
+#[test]
+fn strain_shows_within_seconds_and_passes_slowly() {
+    let mut pulse = Pulse::default();
+    let mut t = Time(0);
+    let mut beat = |gap: f64, times: u32| {
+        for _ in 0..times {
+            t = t + Span::secs(gap);
+            pulse.beat(t, true);
+        }
+        pulse.strained
+    };
+    assert!(!beat(0.05, 100));
+    assert!(!beat(0.9, 2), "a busy moment is none");
+    assert!(beat(0.9, 2));
+    assert!(beat(0.05, 100), "it lasts a while");
+    assert!(!beat(0.05, 200));
+    assert!(!beat(60.0, 1));
+}
+
+// A leader whose processor was six times slower kept office for 18 s, until
+// its lease ran out by itself. One with much to do must not go as soon.
+#[test]
+fn a_slow_processor_is_reason_enough_and_much_work_is_not() {
+    let over = |effort_us: u64| {
+        let mut pulse = Pulse {
+            effort_us,
+            ..Pulse::default()
+        };
+        pulse.compare([60, 0, 50, 45].into_iter());
+        let mut times = (1..2000).map(|n| f64::from(n) * 0.8);
+        times.find(|t| pulse.beat(Time(0) + Span::secs(*t), true))
+    };
+    assert!(over(300).is_some_and(|t| t < 5.0));
+    assert!(over(120).is_some_and(|t| t > 30.0));
+    assert!(over(0).is_some_and(|t| t > 30.0));
+    // Alone it knows no better.
+    let mut pulse = Pulse {
+        effort_us: 10_000,
+        ..Pulse::default()
+    };
+    pulse.compare(std::iter::empty());
+    assert!(!pulse.slow);
+}
+
+#[test]
+fn one_long_stop_is_no_sign() {
+    let mut pulse = Pulse::default();
+    for t in [0.0, 10.0, 70.0, 70.1, 95.0] {
+        assert!(!pulse.beat(Time(0) + Span::secs(t), true));
+    }
+}
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -1,7 +1,7 @@
 //! Sockets and timers around the core, on one thread.
 
+use crate::core::failure_detector::detector::BEAT_EVERY;
 use crate::core::node::Node;
-use crate::core::suspicion::judge::BEAT_EVERY;
 use crate::core::{Call, CallId, Input, Keep, Now, Output, Reply, RequestId, Side, Target};
 use crate::http::{self, Request, Response};
 use crate::policy::Policy;
--- /dev/null
+++ b/crates/controller/src/policy/tests.rs
@@ -0,0 +1,32 @@
+
+use super::*;
+use crate::testing;
+
+#[test]
+fn the_shipped_script_sets_every_field() {
+    let settings = testing::settings(0);
+    let (_lua, table) = run(DEFAULT_SCRIPT, &settings).unwrap();
+    for field in Policy::FIELDS {
+        assert!(table.contains_key(*field).unwrap(), "{field} is missing");
+    }
+    Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
+}
+
+#[test]
+fn a_script_is_checked_and_bounded() {
+    let settings = testing::settings(0);
+    let told = |script: &str| match Policy::from_script(script, &settings) {
+        Ok(p) => format!("{}", p.idle_s),
+        Err(e) => e.to_string(),
+    };
+    assert_eq!(told("return { idle_s = site.report_s * 2 }"), "2");
+    assert!(told("return { idle_s = -1 }").starts_with("policy: idle_s: must lie"));
+    assert!(told("return { idle = 1 }").starts_with("policy: idle: is not known"));
+    assert!(told("return { idle_s = 'x' }").starts_with("policy: idle_s: must be a number"));
+    assert!(told("while true do end").contains("too many steps"));
+    assert!(
+        told("local t = {} for i = 1, 1e7 do t[i] = ('x'):rep(1000) .. i end").contains("memory")
+    );
+    assert!(told("return { idle_s = os.time() }").contains("nil value"));
+    assert!(told("return { idle_s = io.open('x') }").contains("nil value"));
+}
--- a/crates/controller/src/testing.rs
+++ b/crates/controller/src/testing.rs
@@ -1,9 +1,9 @@
 //! Fixtures for tests.
 
 use crate::core::Now;
-use crate::core::io::Io;
+use crate::core::effects::Io;
+use crate::core::format_version::{BEFORE, member_versions};
 use crate::core::leader::Leader;
-use crate::core::levels::{BEFORE, registry};
 use crate::policy::{DEFAULT_SCRIPT, Policy};
 use crate::settings::Settings;
 use crate::types::{Span, Time, Token, Wall};
@@ -75,7 +75,7 @@
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).expect("the default is valid");
     let kinds = vec![machine_type()];
     let types = MachineTypes { kinds };
-    let office = (registry::STONE, Token(5), 1);
+    let office = (member_versions::STONE, Token(5), 1);
     Leader::new(settings, Rc::new(policy), office, BEFORE, Time(0), &types)
 }
 
--- a/crates/controller/tests/layout.rs
+++ b/crates/controller/tests/layout.rs
@@ -46,7 +46,7 @@
 fn the_core_has_no_circle() {
     let mut left = uses();
     assert!(
-        left.len() > 20 && left["fleet"].contains("leader"),
+        left.len() > 20 && left["node"].contains("leader"),
         "{left:?}"
     );
     loop {
--- a/crates/kvstore/benches/state.rs
+++ b/crates/kvstore/benches/state.rs
@@ -6,10 +6,10 @@
 use pebblefold_kvstore::{
     Asker, Disk, Image, Key, Limits, Memory, Service, Storage, Ticket, Value,
 };
-use pebblefold_kvstore::{Marks, archive};
+use pebblefold_kvstore::{Marks, backup};
 use pebblefold_wire::encode;
 use pebblefold_wire::http::Request;
-use pebblefold_wire::state::{Op, Txn};
+use pebblefold_wire::kvstore::{Op, Txn};
 use pebblefold_wire::types::{Time, Version};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -114,7 +114,7 @@
     let path = dir.join(format!("store-{keys}"));
     let mut disk = Disk::at(&path);
     disk.load().expect("a new store");
-    archive::write_image(&mut disk, &image(keys)).expect("there is room");
+    backup::write_image(&mut disk, &image(keys)).expect("there is room");
     drop(disk);
     let own = std::env::current_exe().expect("this program has a path");
     let status = std::process::Command::new(own)
@@ -133,7 +133,7 @@
     let file = std::fs::metadata(path).map_or(0, |m| m.len()) / keys;
     let t = Instant::now();
     let saved = path.with_extension("snapshot");
-    archive::save(&s.image(), &saved).expect("there is room");
+    backup::save(&s.image(), &saved).expect("there is room");
     let saving = t.elapsed();
     let size = std::fs::metadata(&saved).map_or(0, |m| m.len()) / keys;
     println!(
--- a/crates/kvstore/src/archive.rs
+++ b/crates/kvstore/src/backup.rs
@@ -3,7 +3,7 @@
 //! so an archive that was cut off has none, and one that was damaged does not
 //! match it. Nothing is restored from an archive that is not whole.
 
-use crate::image::{Change, Image, Key, Marks};
+use crate::persisted_state::{Change, Image, Key, Marks};
 use crate::storage::{Batch, Storage, StorageError};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/crates/kvstore/src/disk.rs
+++ b/crates/kvstore/src/disk.rs
@@ -2,7 +2,7 @@
 //! commit slot with checksums, one sync a batch. A torn or unsynced write is
 //! found by checksum when the file is opened and the commit before it stands.
 
-use crate::image::{Change, Image, Key, Marks};
+use crate::persisted_state::{Change, Image, Key, Marks};
 use crate::storage::{Batch, Storage, StorageError};
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend,
--- a/crates/kvstore/src/lib.rs
+++ b/crates/kvstore/src/lib.rs
@@ -10,18 +10,18 @@
 //! - [`Storage`] is what it stands on: [`Memory`], or [`Disk`], an embedded
 //!   store that survives power loss.
 //! - [`driver`] serves it on sockets.
-//! - [`archive`] saves everything to one file and restores it.
-//! - [`cut`] is a disk in memory that can be cut off at any numbered write.
+//! - [`backup`] saves everything to one file and restores it.
+//! - [`faulty_disk`] is a disk in memory that can be cut off at any numbered write.
 
-pub mod archive;
-pub mod cut;
+pub mod backup;
 mod disk;
 pub mod driver;
-mod image;
+pub mod faulty_disk;
+mod persisted_state;
 mod service;
 mod storage;
 
 pub use disk::Disk;
-pub use image::{Change, Image, Key, Marks, Value};
+pub use persisted_state::{Change, Image, Key, Marks, Value};
 pub use service::{Answer, Asker, Limits, Outcome, Service, Ticket};
 pub use storage::{Batch, Memory, Storage, StorageError};
--- a/crates/kvstore/src/service.rs
+++ b/crates/kvstore/src/service.rs
@@ -5,11 +5,11 @@
 //! sync and only then lets the answers out, those of reads included: nobody
 //! hears of what a power loss could take back.
 
-use crate::image::{Change, Image, Key, Value};
+use crate::persisted_state::{Change, Image, Key, Value};
 use crate::storage::{Batch, Storage, StorageError};
 use pebblefold_wire::http::Request;
-use pebblefold_wire::pace::Bucket;
-use pebblefold_wire::state as wire;
+use pebblefold_wire::kvstore as wire;
+use pebblefold_wire::rate_limit::Bucket;
 use pebblefold_wire::types::{Span, Time, Version};
 use pebblefold_wire::{decode, encode};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/kvstore/src/storage.rs
+++ b/crates/kvstore/src/storage.rs
@@ -1,6 +1,6 @@
 //! What the service stands on.
 
-use crate::image::{Change, Image, Key, Marks};
+use crate::persisted_state::{Change, Image, Key, Marks};
 
 /// Why storage failed.
 #[derive(Debug, thiserror::Error)]
--- a/crates/kvstore/tests/common/mod.rs
+++ b/crates/kvstore/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use pebblefold_kvstore::{Answer, Asker, Limits, Outcome, Service, Storage, Ticket};
 use pebblefold_wire::http::Request;
-use pebblefold_wire::state::{Changes, Condition, Entries, KeyAnswer, Lease, LeaseRequest, Op};
-use pebblefold_wire::state::{Revision, Txn};
+use pebblefold_wire::kvstore::{Changes, Condition, Entries, KeyAnswer, Lease, LeaseRequest, Op};
+use pebblefold_wire::kvstore::{Revision, Txn};
 use pebblefold_wire::types::{Time, Version};
 use pebblefold_wire::{decode, encode};
 use serde_json::Value;
--- a/crates/kvstore/tests/power.rs
+++ b/crates/kvstore/tests/power.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use pebblefold_kvstore::archive::{self, ArchiveError};
-use pebblefold_kvstore::cut::{CutDisk, Left};
+use pebblefold_kvstore::backup::{self, ArchiveError};
+use pebblefold_kvstore::faulty_disk::{CutDisk, Left};
 use pebblefold_kvstore::{Asker, Disk, Outcome, Service, Ticket};
 
 /// A disk with an empty store: its making is whole before anybody uses it.
@@ -38,9 +38,9 @@
     for group in 0..6u64 {
         if group % 2 == 0 {
             let body =
-                pebblefold_wire::encode(&pebblefold_wire::state::LeaseRequest { ttl_ms: 5000 });
+                pebblefold_wire::encode(&pebblefold_wire::kvstore::LeaseRequest { ttl_ms: 5000 });
             if let Outcome::Answer(a) = ask(&mut s, group, "POST", "/leases", body)
-                && let Some(l) = pebblefold_wire::decode::<pebblefold_wire::state::Lease>(&a.body)
+                && let Some(l) = pebblefold_wire::decode::<pebblefold_wire::kvstore::Lease>(&a.body)
                 && a.status == 200
             {
                 acked.leases.push(l.lease);
@@ -63,7 +63,8 @@
             if let Outcome::Answer(a) = outcome
                 && a.status == 200
             {
-                let r: pebblefold_wire::state::Revision = pebblefold_wire::decode(&a.body).unwrap();
+                let r: pebblefold_wire::kvstore::Revision =
+                    pebblefold_wire::decode(&a.body).unwrap();
                 acked.commits.push((ticket.0, r.revision.0));
             }
         }
@@ -225,12 +226,12 @@
     run(&disk);
     let mut s = Service::open(on(&disk), LIMITS, at_ms(0)).unwrap();
     let (revision, keys) = s.size();
-    let saved = archive::save(&s.image(), &archive_at).unwrap();
+    let saved = backup::save(&s.image(), &archive_at).unwrap();
     assert_eq!((saved.revision, saved.keys), (revision.0, keys as u64));
     // Saved while it serves: what comes later is not in it.
     commit(&mut s, 0, txn(&[], vec![put("later", 1, None)]));
     let store = dir.join("store");
-    archive::restore(&archive_at, &store).unwrap();
+    backup::restore(&archive_at, &store).unwrap();
     let mut back = Service::open(Disk::at(&store), LIMITS, at_ms(0)).unwrap();
     assert!(get(&mut back, 0, "later").is_none());
     assert_eq!(page(&mut back, 0, "starts=").items.len(), keys);
@@ -239,7 +240,7 @@
     let next = commit(&mut back, 0, txn(&[], vec![put("later", 2, None)])).1;
     assert!(next.revision > s.size().0);
     assert!(matches!(
-        archive::restore(&archive_at, &store),
+        backup::restore(&archive_at, &store),
         Err(ArchiveError::Exists(_))
     ));
 
@@ -249,7 +250,7 @@
         let step = if n % 3 == 0 { &bytes[..n] } else { continue };
         std::fs::write(&bad, step).unwrap();
         assert!(
-            matches!(archive::read(&bad), Err(ArchiveError::Damaged { .. })),
+            matches!(backup::read(&bad), Err(ArchiveError::Damaged { .. })),
             "cut at {n}"
         );
     }
@@ -258,12 +259,12 @@
         damaged[n] ^= 0x10;
         std::fs::write(&bad, &damaged).unwrap();
         // A flipped bit is noticed, unless it is in what nobody reads.
-        if let Ok(read) = archive::read(&bad) {
-            assert_eq!(read, archive::read(&archive_at).unwrap(), "byte {n}");
+        if let Ok(read) = backup::read(&bad) {
+            assert_eq!(read, backup::read(&archive_at).unwrap(), "byte {n}");
         }
     }
     std::fs::write(&bad, &bytes[..bytes.len() / 2]).unwrap();
-    let told = archive::restore(&bad, &dir.join("never"))
+    let told = backup::restore(&bad, &dir.join("never"))
         .unwrap_err()
         .to_string();
     assert!(
--- a/crates/kvstore/tests/protocol.rs
+++ b/crates/kvstore/tests/protocol.rs
@@ -4,7 +4,7 @@
 use common::*;
 use pebblefold_kvstore::{Asker, Limits, Memory, Service, Ticket};
 use pebblefold_wire::encode;
-use pebblefold_wire::state::{LeaseRequest, Op};
+use pebblefold_wire::kvstore::{LeaseRequest, Op};
 use proptest::prelude::*;
 
 fn service() -> Service<Memory> {
--- /dev/null
+++ b/crates/net/src/server/tests.rs
@@ -0,0 +1,81 @@
+
+use super::*;
+use crate::{Client, Sent};
+use std::cell::Cell;
+use tokio::task::LocalSet;
+
+// Requests whose senders had given up were handled all the same, which kept
+// a server that was behind from ever catching up.
+#[test]
+fn a_sender_that_closed_its_connection_is_gone() {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime.block_on(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let mut client = TcpStream::connect(listener.local_addr().unwrap())
+            .await
+            .unwrap();
+        let (mut server, _) = listener.accept().await.unwrap();
+        let request = http::write_request("GET", "here", "/", &[]);
+        client.write_all(&request).await.unwrap();
+        let mut data = Vec::new();
+        let next = next_request(&mut server, &mut data).await;
+        assert!(matches!(next, Next::Request(_)));
+        assert!(!sender_is_gone(&server));
+        // A further request is no end.
+        client.write_all(&request).await.unwrap();
+        server.readable().await.unwrap();
+        assert!(!sender_is_gone(&server));
+        let next = next_request(&mut server, &mut data).await;
+        assert!(matches!(next, Next::Request(_)));
+        drop(client);
+        while !sender_is_gone(&server) {
+            tokio::task::yield_now().await;
+        }
+    });
+}
+
+// A connection that the server closed between two requests must not make a
+// read fail, and must never send a change twice.
+#[test]
+fn only_reads_are_repeated_on_a_stale_connection() {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    LocalSet::new().block_on(&runtime, async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
+            unreachable!("bound to an IPv4 address")
+        };
+        let served = Rc::new(Cell::new(0));
+        let count = Rc::clone(&served);
+        spawn_local(answer_connections(listener, move |r| {
+            count.set(count.get() + 1);
+            // Every second request is dropped with its connection.
+            let answer = (count.get() % 2 == 1).then_some(Response {
+                status: 200,
+                retry_after: None,
+                body: r.body,
+                close: false,
+            });
+            async move { answer }
+        }));
+        let client = Client::default();
+        let ask = async |method, body: &[u8]| {
+            client
+                .exchange(addr, method, "/", body, &Sent::default())
+                .await
+                .map(|r| r.body)
+                .ok()
+        };
+        assert_eq!(ask("POST", b"one").await, Some(b"one".to_vec()));
+        assert_eq!(ask("POST", b"two").await, None);
+        assert_eq!(served.get(), 2, "a change is sent once");
+        assert_eq!(ask("POST", b"three").await, Some(b"three".to_vec()));
+        assert_eq!(ask("GET", b"").await, Some(Vec::new()));
+        assert_eq!(served.get(), 5, "a read is sent again");
+    });
+}
--- a/crates/pebblectl/src/state.rs
+++ b/crates/pebblectl/src/state.rs
@@ -3,7 +3,7 @@
 use crate::args::Serve;
 use crate::output::Failure;
 use pebblefold_kvstore::driver::Server;
-use pebblefold_kvstore::{Asker, Disk, Limits, Service, archive};
+use pebblefold_kvstore::{Asker, Disk, Limits, Service, backup};
 use pebblefold_net::{Client, Sent, answer_connections};
 use pebblefold_wire::http::{Request, Response};
 use pebblefold_wire::users::Refusal;
@@ -71,7 +71,7 @@
     // another thread writes it out.
     let image = server.with(|s, _| s.image());
     let (tx, rx) = tokio::sync::oneshot::channel();
-    std::thread::spawn(move || tx.send(archive::save(&image, &file)));
+    std::thread::spawn(move || tx.send(backup::save(&image, &file)));
     match rx.await {
         Ok(Ok(summary)) => answer(200, encode(&summary)),
         Ok(Err(e)) => refuse(500, e.to_string()),
@@ -97,13 +97,13 @@
 }
 
 /// Restores a snapshot into a new store.
-pub fn restore(file: &Path, dir: &Path) -> Result<archive::Summary, Failure> {
+pub fn restore(file: &Path, dir: &Path) -> Result<backup::Summary, Failure> {
     std::fs::create_dir_all(dir).map_err(|e| Failure::Input(format!("{}: {e}", dir.display())))?;
-    archive::restore(file, &dir.join(STORE)).map_err(Failure::input)
+    backup::restore(file, &dir.join(STORE)).map_err(Failure::input)
 }
 
 /// Reads a snapshot whole.
-pub fn check(file: &Path) -> Result<archive::Summary, Failure> {
-    let image = archive::read(file).map_err(Failure::input)?;
-    Ok(archive::Summary::of(&image))
+pub fn check(file: &Path) -> Result<backup::Summary, Failure> {
+    let image = backup::read(file).map_err(Failure::input)?;
+    Ok(backup::Summary::of(&image))
 }
--- a/crates/pebblectl/tests/state.rs
+++ b/crates/pebblectl/tests/state.rs
@@ -3,7 +3,7 @@
 
 use pebblefold_net::{Client, Sent};
 use pebblefold_wire::http::Response;
-use pebblefold_wire::state::{Changes, Entries, Lease, LeaseRequest, Op, Revision, Txn};
+use pebblefold_wire::kvstore::{Changes, Entries, Lease, LeaseRequest, Op, Revision, Txn};
 use pebblefold_wire::{decode, encode};
 use std::net::{SocketAddrV4, TcpListener};
 use std::path::{Path, PathBuf};
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -2,10 +2,10 @@
 //! alone beside suspicion and verdict. Run with
 //! `cargo bench -p pebblefold-rehearsal --bench detection [-- SEEDS]`; simulated.
 
-use pebblefold_controller::core::handover::heralds::{Heralds, Need};
-use pebblefold_controller::core::handover::keepsake::Keepsake;
-use pebblefold_controller::core::suspicion::accrual::Accrual;
-use pebblefold_controller::core::suspicion::judge::Judge;
+use pebblefold_controller::core::cache_hints::Keepsake;
+use pebblefold_controller::core::failure_detector::accrual::Accrual;
+use pebblefold_controller::core::failure_detector::detector::Judge;
+use pebblefold_controller::core::leader_announcement::{Heralds, Need};
 use pebblefold_controller::policy::DEFAULT_SCRIPT;
 use pebblefold_controller::types::{Label, MachineId, Span, Time, Token};
 use pebblefold_controller::wire::encode;
--- a/crates/simulator/benches/levels.rs
+++ b/crates/simulator/benches/levels.rs
@@ -2,7 +2,7 @@
 //! with each start, and how soon a roll-out is over. Run with
 //! `cargo bench -p pebblefold-rehearsal --bench levels [-- SEEDS]`; simulated.
 
-use pebblefold_controller::core::levels::{Level, REMEMBERED};
+use pebblefold_controller::core::format_version::{Level, REMEMBERED};
 use pebblefold_controller::policy::DEFAULT_SCRIPT;
 use pebblefold_controller::types::{Span, Time};
 use pebblefold_simulator::script::{Build, Fault, Nodes, Script, What};
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -6,7 +6,7 @@
 use pebblefold_controller::wire::cloud::{
     ListedMachine, MachineList, MachineNames, MachineStage, MachineType, MachineTypes, Rent,
 };
-use pebblefold_controller::wire::pace::Bucket;
+use pebblefold_controller::wire::rate_limit::Bucket;
 use pebblefold_controller::wire::users::Refusal;
 use pebblefold_controller::wire::{decode, encode};
 use pebblefold_wire::http::Request;
--- a/crates/simulator/src/commands.rs
+++ b/crates/simulator/src/commands.rs
@@ -3,7 +3,7 @@
 
 use nix::sys::signal::{Signal, killpg};
 use nix::unistd::Pid;
-use pebblefold_wire::steps::{Again, Description, EXIT, HERE, Mark, Put, REFUSED, STARTED};
+use pebblefold_wire::command::{Again, Description, EXIT, HERE, Mark, Put, REFUSED, STARTED};
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{Error, ErrorKind, Result, Write};
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -7,9 +7,9 @@
 use crate::report::Verdict;
 use crate::script::Script;
 use crate::stand::{NodeAction, Out, Returned, Stand, Store};
-use pebblefold_controller::core::levels::{Level, Range};
+use pebblefold_controller::core::failure_detector::detector::BEAT_EVERY;
+use pebblefold_controller::core::format_version::{Level, Range};
 use pebblefold_controller::core::node::Node;
-use pebblefold_controller::core::suspicion::judge::BEAT_EVERY;
 use pebblefold_controller::core::{
     CallId, Input, Keep, Now, Output, Reply, RequestId, Side, Target,
 };
@@ -17,7 +17,7 @@
 use pebblefold_controller::settings::SettingsError;
 use pebblefold_controller::types::{MachineId, Span, Time, Wall};
 use pebblefold_kvstore::StorageError;
-use pebblefold_kvstore::cut::CutDisk;
+use pebblefold_kvstore::faulty_disk::CutDisk;
 use pebblefold_wire::encode;
 use pebblefold_wire::http::Request;
 use rand::rngs::StdRng;
--- a/crates/simulator/src/stand.rs
+++ b/crates/simulator/src/stand.rs
@@ -14,15 +14,15 @@
 use crate::users::{Planned, UserRequest, Users, plan};
 use crate::waiting::{Waiting, could_start};
 use crate::worker::{PATIENCE, Times, job_of};
-use pebblefold_controller::core::ledger;
-use pebblefold_controller::core::levels::progress::Progress;
-use pebblefold_controller::core::levels::registry;
+use pebblefold_controller::core::format_version::chunk_progress::Progress;
+use pebblefold_controller::core::format_version::member_versions;
+use pebblefold_controller::core::job_records;
 use pebblefold_controller::types::{Amounts, Label, MachineId, Span, Time};
 use pebblefold_controller::wire::cloud::MachineNames;
 use pebblefold_controller::wire::decode;
-use pebblefold_controller::wire::state::{Op, Txn};
+use pebblefold_controller::wire::kvstore::{Op, Txn};
 use pebblefold_controller::wire::users::Submission;
-use pebblefold_kvstore::cut::CutDisk;
+use pebblefold_kvstore::faulty_disk::CutDisk;
 use pebblefold_kvstore::{Asker, Disk, Limits, Outcome, Service, StorageError, Ticket};
 use pebblefold_wire::http::Request;
 use rand::rngs::StdRng;
@@ -111,10 +111,10 @@
         self.changes += txn.ops.len() as u64;
         for op in &txn.ops {
             if let Op::Put { key, value, .. } = op
-                && key.starts_with(ledger::RECORDS)
+                && key.starts_with(job_records::RECORDS)
             {
                 self.records += 1;
-                self.bytes += (key.len() + ledger::json_len(value)) as u64;
+                self.bytes += (key.len() + job_records::json_len(value)) as u64;
             }
         }
     }
@@ -588,7 +588,7 @@
             }
             let (share, until) = self.lost_answers;
             unheard = now < until && self.rng.random_bool(share);
-            let holds = [registry::STONE, registry::HOLDER];
+            let holds = [member_versions::STONE, member_versions::HOLDER];
             claims = txn
                 .ops
                 .iter()
@@ -625,7 +625,7 @@
             let Op::Put { key, value, .. } = op else {
                 continue;
             };
-            if let Some(job) = key.strip_prefix(ledger::JOBS) {
+            if let Some(job) = key.strip_prefix(job_records::JOBS) {
                 out.push(Noted {
                     moment: Moment::Accepted,
                     job: job.into(),
@@ -633,7 +633,7 @@
                 });
             }
             let Some((job, _)) = key
-                .strip_prefix(ledger::RECORDS)
+                .strip_prefix(job_records::RECORDS)
                 .and_then(|k| k.split_once('/'))
             else {
                 continue;
--- a/crates/simulator/src/stand/faults.rs
+++ b/crates/simulator/src/stand/faults.rs
@@ -6,7 +6,7 @@
 use crate::script::{LastWrite, Moment, Nodes, PowerLoss, Side, What};
 use crate::worker::PATIENCE;
 use pebblefold_controller::types::{Span, Time};
-use pebblefold_kvstore::cut::Left;
+use pebblefold_kvstore::faulty_disk::Left;
 use pebblefold_kvstore::{Asker, Ticket};
 use rand::RngExt;
 
--- a/crates/simulator/tests/commands.rs
+++ b/crates/simulator/tests/commands.rs
@@ -2,7 +2,7 @@
 //! kept, groups that are ended whole.
 
 use pebblefold_simulator::commands::{Commands, Place};
-use pebblefold_wire::steps::{Again, Description, EXIT, HERE, Mark, Put, REFUSED};
+use pebblefold_wire::command::{Again, Description, EXIT, HERE, Mark, Put, REFUSED};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{Decision, weaken};
 use pebblefold_controller::types::{Span, Time};
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{CutMode, JobPriority, JobShape, Nodes, Side, Spread, What};
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -5,13 +5,13 @@
 
 mod common;
 use common::{cluster, jobs, rehearse, sound};
-use pebblefold_controller::core::duty::intents::Intents;
-use pebblefold_controller::core::duty::sweep::Sweep;
-use pebblefold_controller::core::ledger;
-use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::core::autoscaler::intents::Intents;
+use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::garbage_collection::Sweep;
+use pebblefold_controller::core::job_records;
 use pebblefold_controller::types::{JobId, MachineId, Span, Time, Token, Version, Wall};
 use pebblefold_controller::wire::cloud::Rent;
-use pebblefold_controller::wire::state::Op;
+use pebblefold_controller::wire::kvstore::Op;
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{
     CutMode, Fault, JobPriority, JobShape, Moment, Nodes, Side, Spread, What, When,
@@ -363,12 +363,15 @@
 /// whether a key of the live job was removed, in any order.
 fn sweeps_a_live_key() -> bool {
     let job = JobId::from("wk-1");
-    let accepted = [ledger::job_key(&job), format!("{}{job}/1", ledger::PARTS)];
+    let accepted = [
+        job_records::job_key(&job),
+        format!("{}{job}/1", job_records::PARTS),
+    ];
     // The acceptance lands before the first page, before the second, or
     // before the sweep.
     (0..3).any(|at| {
         let mut store: BTreeMap<String, Version> = BTreeMap::new();
-        store.insert(ledger::chunk_key(&"wk-0".into(), 0), Version(3));
+        store.insert(job_records::chunk_key(&"wk-0".into(), 0), Version(3));
         let accept = |store: &mut BTreeMap<String, Version>, now: usize| {
             if now == at {
                 store.extend(accepted.iter().map(|k| (k.clone(), Version(9))));
@@ -377,13 +380,13 @@
         accept(&mut store, 0);
         let jobs: BTreeSet<String> = store
             .keys()
-            .filter(|k| k.starts_with(ledger::JOBS))
+            .filter(|k| k.starts_with(job_records::JOBS))
             .cloned()
             .collect();
         accept(&mut store, 1);
         let mut sweep = Sweep::default();
         for (key, version) in &store {
-            sweep.look(key, *version, |id| jobs.contains(&ledger::job_key(id)));
+            sweep.look(key, *version, |id| jobs.contains(&job_records::job_key(id)));
         }
         accept(&mut store, 2);
         for (_, conditions, op) in sweep.next(9) {
@@ -394,7 +397,7 @@
                 store.remove(&key);
             }
         }
-        assert!(!store.contains_key(&ledger::chunk_key(&"wk-0".into(), 0)));
+        assert!(!store.contains_key(&job_records::chunk_key(&"wk-0".into(), 0)));
         !accepted.iter().all(|k| store.contains_key(k))
     })
 }
@@ -496,7 +499,7 @@
         let keys = ["d/", "r/", "w/j/", "w/p/", "w/x/"];
         let keys: usize = keys.iter().map(|k| state.count(k)).sum();
         // What came of late is one key, written over and over.
-        let kept = state.count(pebblefold_controller::core::teams::memory::KEY);
+        let kept = state.count(pebblefold_controller::core::quota::arrival_history::KEY);
         assert!(kept <= 1, "night {night}: {kept}");
         out.push((keys - kept, world.stand().fleet().workers().len()));
     }
--- a/crates/simulator/tests/gap.rs
+++ b/crates/simulator/tests/gap.rs
@@ -4,8 +4,8 @@
 //! likes. How old a leader's knowledge is and whether it may answer is told by the
 //! real core; time goes in steps of a second.
 
-use pebblefold_controller::core::contact::{Bounds, Contact};
-use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::leader_authority::{Bounds, Contact};
 use pebblefold_controller::settings::WorkerTimes;
 use pebblefold_controller::types::{Span, Time};
 use std::collections::HashSet;
--- a/crates/simulator/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -3,15 +3,15 @@
 //! any node, leaders that come and go, one task on one machine. The transactions are
 //! the real ledger's, and so is what is read back.
 
-use pebblefold_controller::core::ledger::{
+use pebblefold_controller::core::assignment::{Phase, Placement};
+use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::format_version::TABLE;
+use pebblefold_controller::core::format_version::chunk_progress::Progress;
+use pebblefold_controller::core::job_records::{
     self, Assembly, ChunkSize, End, Head, HeadStage, Job, TxnLimits,
 };
-use pebblefold_controller::core::levels::TABLE;
-use pebblefold_controller::core::levels::progress::Progress;
-use pebblefold_controller::core::presence::{Phase, Placement};
-use pebblefold_controller::core::weak::{Decision, weaken};
 use pebblefold_controller::types::{Attempt, JobId, Session, Version, Wall};
-use pebblefold_controller::wire::state::{Condition, Op, Txn};
+use pebblefold_controller::wire::kvstore::{Condition, Op, Txn};
 use pebblefold_controller::wire::users::{Priority, Shape, Submission};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashSet};
@@ -135,12 +135,12 @@
 
 impl World {
     fn head(&self) -> Option<HeadStage> {
-        let (value, _) = self.keys.get(&ledger::head_key(&id()))?;
-        ledger::read::<Head>(value).map(|h| h.s)
+        let (value, _) = self.keys.get(&job_records::head_key(&id()))?;
+        job_records::read::<Head>(value).map(|h| h.s)
     }
 
     fn places(&self) -> Vec<u64> {
-        let record = self.keys.get(&ledger::chunk_key(&id(), 0));
+        let record = self.keys.get(&job_records::chunk_key(&id(), 0));
         let read = record.and_then(|(value, _)| Progress::read(value).ok());
         let places = read.map_or(Vec::new(), |p| p.places);
         places.into_iter().map(|(_, a, ..)| a.0).collect()
@@ -214,7 +214,7 @@
     fn look(&mut self) {
         let has = |key: String| self.keys.contains_key(&key);
         let over = matches!(self.head(), Some(HeadStage::Done | HeadStage::Cancelled));
-        if over && has(ledger::job_key(&id())) && !has(ledger::end_key(&id())) {
+        if over && has(job_records::job_key(&id())) && !has(job_records::end_key(&id())) {
             self.broken = Some("a job that is over looks open to a successor");
         }
         if self.head() == Some(HeadStage::Done) && !self.complete {
@@ -229,9 +229,9 @@
 
     /// What a leader reads when it takes office.
     fn load(&self) -> Option<Job> {
-        let (value, version) = self.keys.get(&ledger::job_key(&id()))?;
+        let (value, version) = self.keys.get(&job_records::job_key(&id()))?;
         let mut job = Assembly::default().job(&id(), Version(*version), value)?;
-        if let Some((value, version)) = self.keys.get(&ledger::chunk_key(&id(), 0)) {
+        if let Some((value, version)) = self.keys.get(&job_records::chunk_key(&id(), 0)) {
             job.load_chunk(0, Version(*version), value).ok()?;
         }
         job.end = self.end();
@@ -242,8 +242,8 @@
     }
 
     fn end(&self) -> Option<End> {
-        let (value, _) = self.keys.get(&ledger::end_key(&id()))?;
-        Some(match ledger::read::<Head>(value)?.s {
+        let (value, _) = self.keys.get(&job_records::end_key(&id()))?;
+        Some(match job_records::read::<Head>(value)?.s {
             HeadStage::Done => End::Done { written: true },
             _ => End::Cancelled,
         })
@@ -260,8 +260,8 @@
             None => (failed, revision),
         };
         if !failed.is_empty() {
-            let head = failed.contains(&ledger::head_key(&id()));
-            let other = failed.iter().any(|k| *k != ledger::head_key(&id()));
+            let head = failed.contains(&job_records::head_key(&id()));
+            let other = failed.iter().any(|k| *k != job_records::head_key(&id()));
             if doubtful || other {
                 self.leader = None;
             } else if head && let (Kind::Chunk(_), Some(job)) = (kind, &mut l.job) {
@@ -286,7 +286,7 @@
                     txn.ops.iter().any(deletes)
                 };
                 job.chunks
-                    .retain(|&c, _| !gone(&ledger::chunk_key(&id(), c)));
+                    .retain(|&c, _| !gone(&job_records::chunk_key(&id(), c)));
             }
         }
     }
@@ -390,7 +390,7 @@
                 ops: 48,
                 value_bytes: 8192,
             };
-            let txn = ledger::accept_txn(&spec(), Wall(0), limits).unwrap();
+            let txn = job_records::accept_txn(&spec(), Wall(0), limits).unwrap();
             for outcome in outcomes() {
                 step(&|w| {
                     w.submits -= 1;
@@ -413,13 +413,13 @@
         }
         if self.cancels > 0
             && self.read.is_none()
-            && let Some((value, version)) = self.keys.get(&ledger::head_key(&id()))
-            && let Some(head) = ledger::read::<Head>(value).filter(|h| h.s == HeadStage::Open)
+            && let Some((value, version)) = self.keys.get(&job_records::head_key(&id()))
+            && let Some(head) = job_records::read::<Head>(value).filter(|h| h.s == HeadStage::Open)
         {
             step(&|w| w.read = Some((head, Version(*version))));
         }
         if let Some((head, version)) = self.read {
-            let txn = ledger::cancel_txn(&id(), head, version);
+            let txn = job_records::cancel_txn(&id(), head, version);
             for outcome in outcomes() {
                 step(&|w| {
                     w.read = None;
--- a/crates/simulator/tests/levels.rs
+++ b/crates/simulator/tests/levels.rs
@@ -2,11 +2,13 @@
 //! an older and a newer build, whose reads, registrations, writes and rises are the
 //! real registry's, over a store that applies what is sent at any later time.
 
-use pebblefold_controller::core::levels::registry::{BUILD, HOLDER, LEVEL, Registry, fence};
-use pebblefold_controller::core::levels::{Level, Range};
-use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::format_version::member_versions::{
+    BUILD, HOLDER, LEVEL, Registry, fence,
+};
+use pebblefold_controller::core::format_version::{Level, Range};
 use pebblefold_controller::types::{Label, Span, Time, Version};
-use pebblefold_controller::wire::state::{Condition, Entry, Op, Txn};
+use pebblefold_controller::wire::kvstore::{Condition, Entry, Op, Txn};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 const OLDER: Range = Range {
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -3,9 +3,9 @@
 //! another job of the team waits for the room. Until when an older leader may answer and
 //! what a report proves is told by the real core; time goes in steps of a second.
 
-use pebblefold_controller::core::contact::Bounds;
-use pebblefold_controller::core::presence::{Placement, Verdict};
-use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::core::assignment::{Placement, Verdict};
+use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::leader_authority::Bounds;
 use pebblefold_controller::settings::WorkerTimes;
 use pebblefold_controller::types::{Attempt, Session, Span, Tally, Token};
 use pebblefold_controller::wire::workers::{ReportedTask, TaskState};
--- a/crates/simulator/tests/meetings/main.rs
+++ b/crates/simulator/tests/meetings/main.rs
@@ -9,7 +9,7 @@
 mod machines;
 
 use common::*;
-use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{Decision, weaken};
 use pebblefold_controller::types::{Span, Time};
 use pebblefold_controller::wire::users::Stage;
 use pebblefold_simulator::checker::Seen;
--- a/crates/simulator/tests/rollout.rs
+++ b/crates/simulator/tests/rollout.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use pebblefold_controller::core::levels::{BEFORE, FENCED, Level, REMEMBERED};
+use pebblefold_controller::core::format_version::{BEFORE, FENCED, Level, REMEMBERED};
 use pebblefold_controller::types::{Span, Time};
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{
--- a/crates/simulator/tests/verdicts.rs
+++ b/crates/simulator/tests/verdicts.rs
@@ -3,7 +3,7 @@
 //! and messages that are held back. What a report proves is told by the real
 //! core; the rest is as small as the protocol allows.
 
-use pebblefold_controller::core::presence::{Phase, Placement, Verdict};
+use pebblefold_controller::core::assignment::{Phase, Placement, Verdict};
 use pebblefold_controller::types::{Attempt, Session, Tally, Token};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
--- a/crates/simulator/tests/waiting.rs
+++ b/crates/simulator/tests/waiting.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use pebblefold_controller::core::weak::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{Decision, weaken};
 use pebblefold_controller::types::{Amounts, Span, Time};
 use pebblefold_controller::wire::users::{Shape, Submission};
 use pebblefold_simulator::script::{
--- /dev/null
+++ b/crates/wire/src/backoff/tests.rs
@@ -0,0 +1,16 @@
+use super::*;
+
+#[test]
+fn pauses_double_up_to_the_most() {
+    let mut b = Backoff::default();
+    let pause = |b: &mut Backoff| {
+        b.failed(Span::millis(100), Span::millis(500), 1.0)
+            .as_millis()
+    };
+    assert_eq!(
+        [pause(&mut b), pause(&mut b), pause(&mut b), pause(&mut b)],
+        [100, 200, 400, 500]
+    );
+    b.succeeded();
+    assert_eq!(pause(&mut b), 100);
+}
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,12 +6,13 @@
 //! Nothing here does I/O. Field spellings of the platform appear here only, as
 //! serde renames; everything else speaks the field's own words.
 
+pub mod backoff;
 pub mod cloud;
+pub mod command;
 pub mod http;
-pub mod pace;
+pub mod kvstore;
 pub mod peers;
-pub mod state;
-pub mod steps;
+pub mod rate_limit;
 pub mod types;
 pub mod users;
 pub mod workers;
--- a/crates/workflow/src/records.rs
+++ b/crates/workflow/src/records.rs
@@ -5,7 +5,7 @@
 
 use crate::engine::TaskPath;
 use pebblefold_net::{Client, Sent};
-use pebblefold_wire::state::{Condition, Entries, Lease, LeaseRequest, Op, Revision, Txn};
+use pebblefold_wire::kvstore::{Condition, Entries, Lease, LeaseRequest, Op, Revision, Txn};
 use pebblefold_wire::types::Version;
 use pebblefold_wire::{decode, encode};
 use serde::{Deserialize, Serialize};
@@ -227,7 +227,8 @@
     pub async fn refresh(&mut self) -> Result<(), RecordError> {
         let path = format!("/keys/{}", self.head_key());
         let (status, body) = self.ask("GET", &path, &[]).await?;
-        let stands: Option<pebblefold_wire::state::Entry> = decode(&body).filter(|_| status == 200);
+        let stands: Option<pebblefold_wire::kvstore::Entry> =
+            decode(&body).filter(|_| status == 200);
         let stands = stands.ok_or_else(|| RecordError::None(self.name.clone()))?;
         if let Some(v) = stands.value["v"]
             .as_u64()
--- a/crates/workflow/src/tool.rs
+++ b/crates/workflow/src/tool.rs
@@ -6,7 +6,7 @@
 use crate::engine::{Object, Task, library};
 use crate::expression::{Limits, Scope};
 use crate::types::{Type, misfit};
-use pebblefold_wire::steps::{HERE, Put};
+use pebblefold_wire::command::{HERE, Put};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
--- a/crates/workflow/tests/tool.rs
+++ b/crates/workflow/tests/tool.rs
@@ -404,7 +404,7 @@
 // What stands in the directory has its place there for the command as well.
 #[test]
 fn a_directory_is_laid_out_before_the_command_starts() {
-    use pebblefold_wire::steps::{HERE, Put};
+    use pebblefold_wire::command::{HERE, Put};
     let req = "hints: {InitialWorkDirRequirement: {listing: [$(inputs.f), {entryname: conf/run.ini, entry: \"n=$(inputs.n)\"}, {entryname: copy, entry: $(inputs.g), writable: true}, {class: Directory, basename: d, listing: []}]}}\n";
     let fields = format!(
         "outputs: []\n{req}baseCommand: t\ninputs: {{n: int, f: {{type: File, inputBinding: {{}}}}, g: {{type: File, inputBinding: {{}}}}, h: {{type: File, inputBinding: {{}}}}}}\n"
