--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -4,9 +4,9 @@
 //! survive, and before every report that must not be told.
 
 use crate::shim::Exit;
-use pebblefold_wire::types::{Amounts, Attempt, Session, Span, Time, Token};
-use pebblefold_wire::users::{Shape, Submission};
-use pebblefold_wire::workers::{Command, ReportedTask, TaskState, Why};
+use pebblefold_wire::types::{AgentEpoch, Attempt, FencingToken, Resources, Time, TimeSpan};
+use pebblefold_wire::users::{JobShape, Submission};
+use pebblefold_wire::workers::{Command, ReportedTask, StopReason, TaskState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -33,7 +33,7 @@
     /// Its state, as reported.
     pub state: TaskState,
     /// Why it ended.
-    pub why: Option<Why>,
+    pub why: Option<StopReason>,
     /// Whether its progress was saved.
     pub saved: Option<bool>,
 }
@@ -59,9 +59,9 @@
     /// Strike it out, likewise.
     Strike(Key),
     /// Write down the highest token seen, likewise.
-    Token(Token),
+    FencingToken(FencingToken),
     /// Write down the session, likewise.
-    Session(Session),
+    AgentEpoch(AgentEpoch),
     /// Fetch a job's description.
     Describe(String),
     /// Fetch an image for an attempt.
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// How long a gang's tasks wait for one another.
-    pub gang_wait: Span,
+    pub gang_wait: TimeSpan,
 }
 
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
 /// Everything on the machine.
 #[derive(Debug)]
 pub struct Attempts {
-    has: Amounts,
+    has: Resources,
     times: Times,
     all: BTreeMap<Key, One>,
     asked: BTreeSet<String>,
@@ -118,7 +118,7 @@
 
 impl Attempts {
     /// A machine that has so much, with nothing on it.
-    pub fn new(has: Amounts, times: Times) -> Attempts {
+    pub fn new(has: Resources, times: Times) -> Attempts {
         Attempts {
             has,
             times,
@@ -184,11 +184,11 @@
                     };
                     self.set(&key, Record { state, ..record });
                 }
-                Found::Lost => self.end(&key, Why::Error, None),
+                Found::Lost => self.end(&key, StopReason::Error, None),
                 // A task of a gang may have been started by its peers' word, which
                 // is not heard again: the whole attempt begins anew elsewhere.
                 Found::Nothing if record.state == TaskState::Waiting => {
-                    self.end(&key, Why::Peers, None);
+                    self.end(&key, StopReason::Peers, None);
                 }
                 Found::Nothing => {
                     if let Some(o) = self.all.get_mut(&key) {
@@ -244,10 +244,10 @@
         };
         self.all.insert(key.clone(), one);
         if busy {
-            return self.end(&key, Why::Busy, None);
+            return self.end(&key, StopReason::Busy, None);
         }
         if self.draining {
-            return self.end(&key, Why::NoRoom, None);
+            return self.end(&key, StopReason::NoRoom, None);
         }
         self.set(&key, fetching());
         self.describe(&key);
@@ -272,12 +272,12 @@
             .collect();
         for key in waiting {
             let Some(spec) = &found else {
-                self.end(&key, Why::Unknown, None);
+                self.end(&key, StopReason::Unknown, None);
                 continue;
             };
             let index = key.task.rsplit('/').next().and_then(|i| i.parse().ok());
             if index.is_none_or(|i: u32| i >= spec.tasks) {
-                self.end(&key, Why::Unknown, None);
+                self.end(&key, StopReason::Unknown, None);
                 continue;
             }
             let mut used = spec.needs();
@@ -289,7 +289,7 @@
                 }
             }
             if !used.fits(&self.has) {
-                self.end(&key, Why::NoRoom, None);
+                self.end(&key, StopReason::NoRoom, None);
                 continue;
             }
             if let Some(o) = self.all.get_mut(&key) {
@@ -309,10 +309,10 @@
         }
         let Some(job) = o.job.clone() else { return };
         if !here {
-            return self.end(key, Why::Error, None);
+            return self.end(key, StopReason::Error, None);
         }
         o.since = now;
-        if job.shape == Shape::Gang && job.tasks > 1 {
+        if job.shape == JobShape::Gang && job.tasks > 1 {
             self.set(
                 key,
                 Record {
@@ -372,7 +372,7 @@
             TaskState::Exited => {}
             TaskState::Fetching | TaskState::Waiting => {
                 self.out.push(Effect::GiveUp(key.clone()));
-                self.end(key, Why::Stopped, Some(false));
+                self.end(key, StopReason::Stopped, Some(false));
             }
             TaskState::Running => {
                 o.stopped = true;
@@ -423,11 +423,11 @@
         match exit.code {
             // Many programs end with 0 when they are told to stop: complete is
             // only what ended before anybody told it to.
-            0 if !exit.stopped => self.end(key, Why::Done, None),
-            _ if broken => self.end(key, Why::Peers, None),
+            0 if !exit.stopped => self.end(key, StopReason::Done, None),
+            _ if broken => self.end(key, StopReason::Peers, None),
             // By the tasks' contract a stop that has saved ends with this code.
-            code if stopped => self.end(key, Why::Stopped, Some(code == SAVED)),
-            _ => self.end(key, Why::Error, None),
+            code if stopped => self.end(key, StopReason::Stopped, Some(code == SAVED)),
+            _ => self.end(key, StopReason::Error, None),
         }
     }
 
@@ -443,7 +443,7 @@
             .collect();
         for key in alone {
             self.out.push(Effect::GiveUp(key.clone()));
-            self.end(&key, Why::Alone, None);
+            self.end(&key, StopReason::Alone, None);
         }
     }
 
@@ -468,7 +468,7 @@
         }
     }
 
-    fn end(&mut self, key: &Key, why: Why, saved: Option<bool>) {
+    fn end(&mut self, key: &Key, why: StopReason, saved: Option<bool>) {
         self.set(
             key,
             Record {
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -13,11 +13,11 @@
 use crate::store::{NEXT, Store};
 use crate::worker::{Worker, pace};
 use pebblefold_net::{Client, Sent, answer_connections};
-use pebblefold_wire::command::Description;
+use pebblefold_wire::command::CommandSpec;
 use pebblefold_wire::http::{Request, Response};
-use pebblefold_wire::types::{Session, Span, Time};
-use pebblefold_wire::users::{Shape, Submission};
-use pebblefold_wire::workers::{Report, TaskState};
+use pebblefold_wire::types::{AgentEpoch, Time, TimeSpan};
+use pebblefold_wire::users::{JobShape, Submission};
+use pebblefold_wire::workers::{Heartbeat, TaskState};
 use pebblefold_wire::{decode, encode};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -123,8 +123,8 @@
                 let change = match e {
                     Effect::Record(k, r) => Some(Change::Attempt(k, r)),
                     Effect::Strike(k) => Some(Change::Strike(k)),
-                    Effect::Token(t) => Some(Change::Token(t)),
-                    Effect::Session(s) => Some(Change::Session(s)),
+                    Effect::FencingToken(t) => Some(Change::FencingToken(t)),
+                    Effect::AgentEpoch(s) => Some(Change::AgentEpoch(s)),
                     other => {
                         self.journal.write(&std::mem::take(&mut batch))?;
                         self.act(other)?;
@@ -167,7 +167,10 @@
                 }
                 self.clear(&key);
             }
-            Effect::Record(..) | Effect::Strike(_) | Effect::Token(_) | Effect::Session(_) => {}
+            Effect::Record(..)
+            | Effect::Strike(_)
+            | Effect::FencingToken(_)
+            | Effect::AgentEpoch(_) => {}
         }
         Ok(())
     }
@@ -182,7 +185,7 @@
         decode(&bytes).map(Rc::new)
     }
 
-    fn description(&self, job: &str) -> Option<Description> {
+    fn description(&self, job: &str) -> Option<CommandSpec> {
         decode(&Shared::small(
             &self.settings.jobs.join("commands").join(job),
         )?)
@@ -260,7 +263,7 @@
                 ..Limits::default()
             },
             lease: Some(self.settings.dir.join(LEASE)),
-            session: self.worker.borrow().link().session().0,
+            epoch: self.worker.borrow().link().epoch().0,
         };
         shim::write_whole(&dir.join(PLAN), &serde_json::to_vec(&plan)?)?;
         // In a group of its own: what ends ours does not end it.
@@ -365,14 +368,14 @@
             if let Err(e) = self.store.publish(key, machine, &dir.join("work/out")) {
                 tracing::error!(task = %key.task, error = %e, "its result cannot be published");
                 exit.code = -1;
-            } else if job.shape == Shape::Gang {
+            } else if job.shape == JobShape::Gang {
                 // Its peers do not miss it.
                 let _ = self.store.complete(key);
             }
         }
         if exit.code != 0 {
             self.store.tidy(key);
-            if job.shape == Shape::Gang {
+            if job.shape == JobShape::Gang {
                 self.store.away(key);
             }
         }
@@ -417,7 +420,7 @@
             .running
             .borrow()
             .iter()
-            .filter(|(_, r)| r.job.shape == Shape::Gang && r.job.tasks > 1)
+            .filter(|(_, r)| r.job.shape == JobShape::Gang && r.job.tasks > 1)
             .map(|(k, r)| (k.clone(), Rc::clone(&r.job)))
             .collect();
         for (key, job) in running {
@@ -433,7 +436,7 @@
     fn keep_lease(&self) -> Result<(), AgentError> {
         let lease = Lease {
             boot: self.boot.clone(),
-            session: self.worker.borrow().link().session().0,
+            epoch: self.worker.borrow().link().epoch().0,
             until_us: self.worker.borrow().link().until().0,
         };
         let path = self.settings.dir.join(LEASE);
@@ -444,7 +447,7 @@
             .map_err(io(path.display()))
     }
 
-    async fn report(self: Rc<Self>, ticket: u64, node: usize, report: Report) {
+    async fn report(self: Rc<Self>, ticket: u64, node: usize, report: Heartbeat) {
         let Some(c) = self.settings.controllers.get(node) else {
             return;
         };
@@ -616,27 +619,27 @@
     let kept = journal.read()?;
     let boot = boot_id().map_err(io("the machine's start"))?;
     let lease: Option<Lease> = shim::read(&dir.join(LEASE)).ok();
-    let session = kept.session.map_or(0, |s| s.0);
-    let lasts = lease.filter(|l| !l.over(&boot, session, steady_us()));
+    let epoch = kept.epoch.map_or(0, |s| s.0);
+    let lasts = lease.filter(|l| !l.over(&boot, epoch, steady_us()));
     let t = settings.times;
     let pace = pace(t.report_s, t.lease_s);
     let begun = now();
-    let (session, leased) = match (kept.session, &lasts) {
+    let (epoch, leased) = match (kept.epoch, &lasts) {
         // Its lease lasts: the same session goes on, and not for longer.
         (Some(s), Some(l)) => (s, Time(l.until_us.saturating_sub(pace.lease.0))),
-        (Some(s), None) => (Session(s.0 + 1), begun),
-        (None, _) => (Session(1), begun),
+        (Some(s), None) => (AgentEpoch(s.0 + 1), begun),
+        (None, _) => (AgentEpoch(1), begun),
     };
-    let lasts = lasts.is_some() && kept.session.is_some();
-    let mut changes = vec![Change::Session(session)];
+    let lasts = lasts.is_some() && kept.epoch.is_some();
+    let mut changes = vec![Change::AgentEpoch(epoch)];
     if !lasts {
         changes.extend(kept.attempts.iter().map(|(k, _)| Change::Strike(k.clone())));
     }
     let mut rng = StdRng::seed_from_u64(rand::random());
     let nodes = settings.controllers.len();
-    let link = Link::resumed(pace, nodes, begun, (session, kept.token, leased), &mut rng);
+    let link = Link::resumed(pace, nodes, begun, (epoch, kept.token, leased), &mut rng);
     let times = Times {
-        gang_wait: Span::secs(t.gang_wait_s),
+        gang_wait: TimeSpan::secs(t.gang_wait_s),
     };
     let worker = Worker::new(settings.machine(), settings.labels(), link, times);
     let shared = Rc::new(Shared {
@@ -655,7 +658,7 @@
     // What ran is ended before its session is left behind on disk.
     shared.restore(kept.attempts, lasts);
     shared.journal.write(&changes)?;
-    tracing::info!(machine = %shared.settings.machine.id, session = session.0, "serving");
+    tracing::info!(machine = %shared.settings.machine.id, epoch = epoch.0, "serving");
     let door = Rc::clone(&shared);
     spawn_local(answer_connections(listener, move |r| {
         Rc::clone(&door).serve(r)
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -2,7 +2,7 @@
 //! attempt's record, in an embedded store whose commits are whole or not at all.
 
 use crate::attempts::{Key, Record};
-use pebblefold_wire::types::{Session, Token};
+use pebblefold_wire::types::{AgentEpoch, FencingToken};
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use std::path::Path;
 
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A new session.
-    Session(Session),
+    AgentEpoch(AgentEpoch),
     /// A higher token was seen.
-    Token(Token),
+    FencingToken(FencingToken),
     /// What an attempt is now.
     Attempt(Key, Record),
     /// It is forgotten.
@@ -62,9 +62,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kept {
     /// The session.
-    pub session: Option<Session>,
+    pub epoch: Option<AgentEpoch>,
     /// The highest token seen.
-    pub token: Token,
+    pub token: FencingToken,
     /// The attempts.
     pub attempts: Vec<(Key, Record)>,
 }
@@ -138,10 +138,10 @@
             let mut attempts = t.open_table(ATTEMPTS)?;
             for c in changes {
                 match c {
-                    Change::Session(s) => {
+                    Change::AgentEpoch(s) => {
                         numbers.insert("session", s.0)?;
                     }
-                    Change::Token(t) => {
+                    Change::FencingToken(t) => {
                         numbers.insert("token", t.0)?;
                     }
                     Change::Attempt(k, r) => {
@@ -169,8 +169,8 @@
             Ok(numbers.get(name)?.map(|v| v.value()))
         };
         let mut kept = Kept {
-            session: number("session")?.map(Session),
-            token: Token(number("token")?.unwrap_or(0)),
+            epoch: number("session")?.map(AgentEpoch),
+            token: FencingToken(number("token")?.unwrap_or(0)),
             attempts: Vec::new(),
         };
         for entry in t.open_table(ATTEMPTS)?.iter()? {
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -3,31 +3,31 @@
 //! its pauses, tokens, sessions, and the lease by the steady clock. Agents and the
 //! stand-ins' simulated workers run this same code.
 
-use pebblefold_wire::types::{Session, Span, Tally, Time, Token};
+use pebblefold_wire::types::{AgentEpoch, FencingToken, HeartbeatSequence, Time, TimeSpan};
 use rand::{Rng, RngExt};
 
 /// Least time between two reports, whatever changes.
-const LEAST_BETWEEN: Span = Span::millis(500);
+const LEAST_BETWEEN: TimeSpan = TimeSpan::millis(500);
 /// How long a worker waits for an answer.
-pub const PATIENCE: Span = Span::millis(4000);
+pub const PATIENCE: TimeSpan = TimeSpan::millis(4000);
 /// How long it waits before it tries the next node.
-const NEXT_NODE: Span = Span::millis(1000);
+const NEXT_NODE: TimeSpan = TimeSpan::millis(1000);
 
 /// The times that a deployment gives its workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     /// Between reports.
-    pub report: Span,
+    pub report: TimeSpan,
     /// The lease.
-    pub lease: Span,
+    pub lease: TimeSpan,
 }
 
 /// The talk with the controllers.
 #[derive(Debug)]
 pub struct Link {
     pace: Pace,
-    session: u64,
-    tally: u64,
+    epoch: u64,
+    sequence: u64,
     token: u64,
     /// When the last answered report was sent, or the session began.
     leased: Time,
@@ -44,7 +44,7 @@
 impl Link {
     /// A new worker's link to so many controllers, beginning at any of them.
     pub fn new(pace: Pace, nodes: usize, now: Time, rng: &mut impl Rng) -> Link {
-        Link::resumed(pace, nodes, now, (Session(1), Token(0), now), rng)
+        Link::resumed(pace, nodes, now, (AgentEpoch(1), FencingToken(0), now), rng)
     }
 
     /// The link of a worker that knows from before it was started again its
@@ -53,13 +53,13 @@
         pace: Pace,
         nodes: usize,
         now: Time,
-        (session, token, leased): (Session, Token, Time),
+        (epoch, token, leased): (AgentEpoch, FencingToken, Time),
         rng: &mut impl Rng,
     ) -> Link {
         Link {
             pace,
-            session: session.0,
-            tally: 0,
+            epoch: epoch.0,
+            sequence: 0,
             token: token.0,
             leased,
             token_counted: None,
@@ -73,19 +73,19 @@
     }
 
     /// The session.
-    pub fn session(&self) -> Session {
-        Session(self.session)
+    pub fn epoch(&self) -> AgentEpoch {
+        AgentEpoch(self.epoch)
     }
 
     /// The highest token seen.
-    pub fn token(&self) -> Token {
-        Token(self.token)
+    pub fn token(&self) -> FencingToken {
+        FencingToken(self.token)
     }
 
     /// The number of the next message.
-    pub fn count(&mut self) -> Tally {
-        self.tally += 1;
-        Tally(self.tally)
+    pub fn count(&mut self) -> HeartbeatSequence {
+        self.sequence += 1;
+        HeartbeatSequence(self.sequence)
     }
 
     /// The controller that is reported to.
@@ -147,7 +147,7 @@
 
     /// An answer to the report in flight; true if it counts: its commands are to
     /// be executed, and the lease is renewed.
-    pub fn answered(&mut self, now: Time, token: Token) -> bool {
+    pub fn answered(&mut self, now: Time, token: FencingToken) -> bool {
         let Some((_, sent)) = self.flight.take() else {
             return false;
         };
@@ -176,15 +176,15 @@
             Some(n) if n != self.node && n < self.nodes => {
                 self.flight = None;
                 self.node = n;
-                self.next = now + Span::millis(rng.random_range(0..500));
+                self.next = now + TimeSpan::millis(rng.random_range(0..500));
             }
             _ => self.try_next(now),
         }
     }
 
     /// Whether direct commands count, by their token and session.
-    pub fn takes(&mut self, now: Time, token: Token, session: Session) -> bool {
-        let ok = token.0 >= self.token && session.0 == self.session;
+    pub fn takes(&mut self, now: Time, token: FencingToken, epoch: AgentEpoch) -> bool {
+        let ok = token.0 >= self.token && epoch.0 == self.epoch;
         if ok {
             self.see_token(now, token.0);
         }
@@ -197,7 +197,7 @@
         if !self.expired(now) {
             return false;
         }
-        self.session += 1;
+        self.epoch += 1;
         self.leased = now;
         self.flight = None;
         self.changed = true;
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -1,7 +1,7 @@
 //! What an agent is told by its operator: one TOML file, checked whole.
 
 use crate::worker::Machine;
-use pebblefold_wire::types::{Amounts, Label};
+use pebblefold_wire::types::{NodeId, Resources};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -173,7 +173,7 @@
             kind: m.kind.as_str().into(),
             zone: m.zone.as_str().into(),
             spot: m.spot,
-            has: Amounts {
+            has: Resources {
                 cpus: m.cpus,
                 gpus: m.gpus,
                 memory_gb: m.memory_gb,
@@ -182,7 +182,7 @@
     }
 
     /// Names of the controllers, in order.
-    pub fn labels(&self) -> Vec<Label> {
+    pub fn labels(&self) -> Vec<NodeId> {
         self.controllers
             .iter()
             .map(|c| c.label.as_str().into())
--- a/crates/agent/src/shim.rs
+++ b/crates/agent/src/shim.rs
@@ -86,7 +86,8 @@
     pub lease: Option<PathBuf>,
     /// The session that it belongs to.
     #[serde(default)]
-    pub session: u64,
+    #[serde(rename = "session")]
+    pub epoch: u64,
 }
 
 /// How long a machine's lease lasts.
@@ -95,7 +96,8 @@
     /// The start of the machine that the time counts from.
     pub boot: String,
     /// The session that it is the lease of.
-    pub session: u64,
+    #[serde(rename = "session")]
+    pub epoch: u64,
     /// Until when, in microseconds of the steady clock.
     pub until_us: u64,
 }
@@ -115,8 +117,8 @@
 impl Lease {
     /// Whether it is over, or of another start of the machine or session: what the
     /// next session has is no lease for the tasks of the one before.
-    pub fn over(&self, boot: &str, session: u64, now_us: u64) -> bool {
-        self.boot != boot || self.session != session || now_us + AHEAD_US >= self.until_us
+    pub fn over(&self, boot: &str, epoch: u64, now_us: u64) -> bool {
+        self.boot != boot || self.epoch != epoch || now_us + AHEAD_US >= self.until_us
     }
 }
 
@@ -334,7 +336,7 @@
     // A lease that cannot be read is no longer known to last.
     let leased = || match &plan.lease {
         None => true,
-        Some(file) => read::<Lease>(file).is_ok_and(|l| !l.over(&boot, plan.session, steady_us())),
+        Some(file) => read::<Lease>(file).is_ok_and(|l| !l.over(&boot, plan.epoch, steady_us())),
     };
     loop {
         match waitpid(Pid::from_raw(-1), Some(WaitPidFlag::WNOHANG)) {
--- a/crates/agent/src/worker.rs
+++ b/crates/agent/src/worker.rs
@@ -4,8 +4,10 @@
 use crate::attempts::{Attempts, Effect, Times};
 use crate::link::{Link, Pace};
 use pebblefold_wire::decode;
-use pebblefold_wire::types::{Amounts, Kind, Label, MachineId, Time, Zone};
-use pebblefold_wire::workers::{Command, DirectCommands, Report, ReportAnswer, ReportElsewhere};
+use pebblefold_wire::types::{MachineId, MachineTypeName, NodeId, Resources, Time, Zone};
+use pebblefold_wire::workers::{
+    Command, DirectCommands, Heartbeat, HeartbeatResponse, LeaderRedirect,
+};
 use rand::Rng;
 
 /// What a machine is.
@@ -16,20 +18,20 @@
     /// Where direct commands go.
     pub addr: String,
     /// Its type.
-    pub kind: Kind,
+    pub kind: MachineTypeName,
     /// Its zone.
     pub zone: Zone,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// What it has.
-    pub has: Amounts,
+    pub has: Resources,
 }
 
 /// A worker.
 #[derive(Debug)]
 pub struct Worker {
     machine: Machine,
-    labels: Vec<Label>,
+    labels: Vec<NodeId>,
     link: Link,
     /// What is on the machine.
     pub attempts: Attempts,
@@ -40,7 +42,7 @@
 
 impl Worker {
     /// A worker on a machine that talks to the controllers of these names.
-    pub fn new(machine: Machine, labels: Vec<Label>, link: Link, times: Times) -> Worker {
+    pub fn new(machine: Machine, labels: Vec<NodeId>, link: Link, times: Times) -> Worker {
         Worker {
             attempts: Attempts::new(machine.has, times),
             machine,
@@ -71,16 +73,16 @@
     }
 
     /// Its report now.
-    pub fn report(&mut self, now: Time) -> Report {
+    pub fn report(&mut self, now: Time) -> Heartbeat {
         let m = &self.machine;
-        Report {
+        Heartbeat {
             machine: m.id.clone(),
             addr: m.addr.clone(),
             kind: m.kind.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
-            session: self.link.session(),
-            tally: self.link.count(),
+            epoch: self.link.epoch(),
+            sequence: self.link.count(),
             token: self.link.token(),
             notice_s: self.taken.map(|t| t.since(now).as_secs()),
             tasks: self.attempts.reported(),
@@ -89,7 +91,12 @@
 
     /// Begins a report under this ticket, if one is due: to which controller, and
     /// what it says.
-    pub fn due(&mut self, now: Time, ticket: u64, rng: &mut impl Rng) -> Option<(usize, Report)> {
+    pub fn due(
+        &mut self,
+        now: Time,
+        ticket: u64,
+        rng: &mut impl Rng,
+    ) -> Option<(usize, Heartbeat)> {
         if self.attempts.changed() {
             self.link.touch();
         }
@@ -109,7 +116,7 @@
             return;
         }
         match answer {
-            Some((200, body)) => match decode::<ReportAnswer>(body) {
+            Some((200, body)) => match decode::<HeartbeatResponse>(body) {
                 Some(a) => {
                     let before = self.link.token();
                     if self.link.answered(now, a.token) {
@@ -119,7 +126,7 @@
                 None => self.link.sent_away(now, None, rng),
             },
             Some((421, body)) => {
-                let told = decode::<ReportElsewhere>(body).and_then(|e| e.report_to);
+                let told = decode::<LeaderRedirect>(body).and_then(|e| e.report_to);
                 let to = told.and_then(|l| self.labels.iter().position(|k| *k == l));
                 self.link.sent_away(now, to, rng);
             }
@@ -134,18 +141,23 @@
             return 400;
         };
         let before = self.link.token();
-        if !self.link.takes(now, d.token, d.session) {
+        if !self.link.takes(now, d.token, d.epoch) {
             return 409;
         }
         self.execute(now, before, &d.commands);
         200
     }
 
-    fn execute(&mut self, now: Time, before: pebblefold_wire::types::Token, commands: &[Command]) {
+    fn execute(
+        &mut self,
+        now: Time,
+        before: pebblefold_wire::types::FencingToken,
+        commands: &[Command],
+    ) {
         // A higher token is on disk before anything is done in its name: started
         // again, the machine must not obey whoever held the one before.
         if self.link.token() > before {
-            self.before.push(Effect::Token(self.link.token()));
+            self.before.push(Effect::FencingToken(self.link.token()));
         }
         for c in commands {
             self.attempts.command(now, c);
@@ -155,7 +167,7 @@
     /// Lets time pass.
     pub fn advance(&mut self, now: Time) {
         if self.link.renewed(now) {
-            self.before.push(Effect::Session(self.link.session()));
+            self.before.push(Effect::AgentEpoch(self.link.epoch()));
             self.attempts.lease_over();
         }
         self.attempts.advance(now);
@@ -165,7 +177,7 @@
 /// The pace that a link needs, from seconds.
 pub fn pace(report_s: f64, lease_s: f64) -> Pace {
     Pace {
-        report: pebblefold_wire::types::Span::secs(report_s),
-        lease: pebblefold_wire::types::Span::secs(lease_s),
+        report: pebblefold_wire::types::TimeSpan::secs(report_s),
+        lease: pebblefold_wire::types::TimeSpan::secs(lease_s),
     }
 }
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -6,11 +6,13 @@
 use nix::unistd::Pid;
 use pebblefold_agent::driver::DRAIN;
 use pebblefold_net::answer_connections;
-use pebblefold_wire::command::Description;
+use pebblefold_wire::command::CommandSpec;
 use pebblefold_wire::http::Response;
-use pebblefold_wire::types::{Attempt, Token};
-use pebblefold_wire::users::{Priority, Shape, Submission};
-use pebblefold_wire::workers::{Command as Order, Report, ReportAnswer, TaskState, Why};
+use pebblefold_wire::types::{Attempt, FencingToken};
+use pebblefold_wire::users::{JobShape, Priority, Submission};
+use pebblefold_wire::workers::{
+    Command as Order, Heartbeat, HeartbeatResponse, StopReason, TaskState,
+};
 use pebblefold_wire::{decode, encode};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,26 +27,26 @@
 /// A controller that wants some tasks done, on one machine.
 #[derive(Default)]
 struct Controller {
-    last: RefCell<Option<Report>>,
+    last: RefCell<Option<Heartbeat>>,
     /// Tasks that it wants done, with the attempt that it is at.
     wanted: RefCell<BTreeMap<String, u64>>,
     done: RefCell<BTreeSet<String>>,
     /// Why attempts ended that were not done.
-    ended: RefCell<Vec<(String, Why)>>,
+    ended: RefCell<Vec<(String, StopReason)>>,
     stops: RefCell<Vec<Order>>,
     silent: Cell<bool>,
-    sessions: RefCell<BTreeSet<u64>>,
+    epochs: RefCell<BTreeSet<u64>>,
 }
 
 impl Controller {
-    fn answer(&self, r: Report) -> ReportAnswer {
-        self.sessions.borrow_mut().insert(r.session.0);
+    fn answer(&self, r: Heartbeat) -> HeartbeatResponse {
+        self.epochs.borrow_mut().insert(r.epoch.0);
         let mut commands = std::mem::take(&mut *self.stops.borrow_mut());
         let mut wanted = self.wanted.borrow_mut();
         for t in r.tasks.iter().filter(|t| t.state == TaskState::Exited) {
             let current = wanted.get(&t.task) == Some(&t.attempt.0);
             match t.why {
-                Some(Why::Done) => {
+                Some(StopReason::Done) => {
                     self.done.borrow_mut().insert(t.task.clone());
                 }
                 Some(why) if current => {
@@ -68,8 +70,8 @@
             }
         }
         *self.last.borrow_mut() = Some(r);
-        ReportAnswer {
-            token: Token(5),
+        HeartbeatResponse {
+            token: FencingToken(5),
             commands,
         }
     }
@@ -120,7 +122,7 @@
                 if door.silent.get() {
                     return None;
                 }
-                let report: Report = decode(&r.body)?;
+                let report: Heartbeat = decode(&r.body)?;
                 Some(Response {
                     status: 200,
                     retry_after: None,
@@ -169,7 +171,11 @@
             id: id.into(),
             class: "c".into(),
             team: "t".into(),
-            shape: if gang { Shape::Gang } else { Shape::Array },
+            shape: if gang {
+                JobShape::Gang
+            } else {
+                JobShape::Array
+            },
             priority: Priority::Normal,
             tasks,
             cpus: 0.5,
@@ -194,10 +200,10 @@
                 self.dir.join("log").display().to_string(),
             ),
         ]);
-        let d = Description {
+        let d = CommandSpec {
             argv: ["sh", "-c", script].map(String::from).to_vec(),
             env,
-            ..Description::default()
+            ..CommandSpec::default()
         };
         std::fs::write(self.dir.join("jobs").join(id), encode(&spec)).unwrap();
         std::fs::write(self.dir.join("commands").join(id), encode(&d)).unwrap();
@@ -227,7 +233,7 @@
             "log {:?}, ended {:?}, sessions {:?}, last {:?}, agent:\n{agent}",
             self.log(),
             c.ended.borrow(),
-            c.sessions.borrow(),
+            c.epochs.borrow(),
             c.last.borrow()
         )
     }
@@ -293,7 +299,7 @@
             assert_eq!(outs.count(), 1, "task {i}");
             assert!(place.join("result.json").exists());
         }
-        assert_eq!(*s.controller.sessions.borrow(), BTreeSet::from([1]));
+        assert_eq!(*s.controller.epochs.borrow(), BTreeSet::from([1]));
         // There is one agent for a machine; the first has it once it reports.
         s.controller.last.borrow_mut().take();
         s.until("it reports", |s| s.controller.last.borrow().is_some())
@@ -358,7 +364,7 @@
         let stood = saves();
         s.signal(Signal::SIGCONT);
         s.until("it goes on", |_| saves() >= stood + 3).await;
-        assert!(s.controller.sessions.borrow().last() >= Some(&2));
+        assert!(s.controller.epochs.borrow().last() >= Some(&2));
         // Away for good, as far as the machine knows.
         s.kill();
         s.until("its lease is over again", gone).await;
@@ -367,8 +373,8 @@
         s.start();
         s.until("it is done", |s| s.controller.done.borrow().len() == 1)
             .await;
-        let sessions = s.controller.sessions.borrow().clone();
-        assert!(sessions.first() == Some(&1) && sessions.last() >= Some(&3));
+        let epochs = s.controller.epochs.borrow().clone();
+        assert!(epochs.first() == Some(&1) && epochs.last() >= Some(&3));
         // Each time from the newest whole save, never from the torn one.
         let log = std::fs::read_to_string(s.dir.join("log")).unwrap();
         let from = |line: &str| line.strip_prefix("from-")?.parse::<u64>().ok();
@@ -402,7 +408,7 @@
             .ended
             .borrow()
             .iter()
-            .all(|(_, w)| *w == Why::Alone);
+            .all(|(_, w)| *w == StopReason::Alone);
         assert!(alone, "{:?}", s.controller.ended.borrow());
         // All three, in an attempt of their own.
         {
@@ -422,7 +428,7 @@
         s.until("it is refused", |s| !s.controller.ended.borrow().is_empty())
             .await;
         let refused = s.controller.ended.borrow()[0].clone();
-        assert_eq!(refused, ("wk-n/0".into(), Why::NoRoom));
+        assert_eq!(refused, ("wk-n/0".into(), StopReason::NoRoom));
         assert!(!s.log().contains_key("new"));
     });
 }
--- a/crates/agent/tests/journal.rs
+++ b/crates/agent/tests/journal.rs
@@ -3,8 +3,8 @@
 use pebblefold_agent::attempts::{Key, Record};
 use pebblefold_agent::journal::{Change, Journal, JournalError, Kept};
 use pebblefold_kvstore::faulty_disk::{CutDisk, Left};
-use pebblefold_wire::types::{Session, Token};
-use pebblefold_wire::workers::{TaskState, Why};
+use pebblefold_wire::types::{AgentEpoch, FencingToken};
+use pebblefold_wire::workers::{StopReason, TaskState};
 
 fn key(n: u64) -> Key {
     Key {
@@ -13,7 +13,7 @@
     }
 }
 
-fn record(state: TaskState, why: Option<Why>) -> Record {
+fn record(state: TaskState, why: Option<StopReason>) -> Record {
     Record {
         state,
         why,
@@ -23,21 +23,21 @@
 
 /// A fixed run: each attempt is begun, ends, and the one before is struck out.
 fn changes() -> Vec<Vec<Change>> {
-    let mut all = vec![vec![Change::Session(Session(1))]];
+    let mut all = vec![vec![Change::AgentEpoch(AgentEpoch(1))]];
     for n in 1..=8 {
         all.push(vec![
-            Change::Token(Token(n)),
+            Change::FencingToken(FencingToken(n)),
             Change::Attempt(key(n), record(TaskState::Running, None)),
         ]);
         all.push(vec![Change::Attempt(
             key(n),
-            record(TaskState::Exited, Some(Why::Done)),
+            record(TaskState::Exited, Some(StopReason::Done)),
         )]);
         if n > 1 {
             all.push(vec![Change::Strike(key(n - 1))]);
         }
     }
-    all.push(vec![Change::Session(Session(2))]);
+    all.push(vec![Change::AgentEpoch(AgentEpoch(2))]);
     all
 }
 
@@ -46,8 +46,8 @@
     let mut kept = Kept::default();
     for c in all.iter().flatten() {
         match c {
-            Change::Session(s) => kept.session = Some(*s),
-            Change::Token(t) => kept.token = *t,
+            Change::AgentEpoch(s) => kept.epoch = Some(*s),
+            Change::FencingToken(t) => kept.token = *t,
             Change::Attempt(k, r) => {
                 kept.attempts.retain(|(o, _)| o != k);
                 kept.attempts.push((k.clone(), *r));
--- a/crates/agent/tests/shim.rs
+++ b/crates/agent/tests/shim.rs
@@ -42,7 +42,7 @@
                 write_whole(&file, &serde_json::to_vec(&l).unwrap()).unwrap();
                 file
             }),
-            session: 0,
+            epoch: 0,
         };
         write_whole(&dir.join(PLAN), &serde_json::to_vec(&plan).unwrap()).unwrap();
         Task {
@@ -206,7 +206,7 @@
     let boot = boot_id().unwrap();
     let lease = |boot: &str, ms: u64| Lease {
         boot: boot.into(),
-        session: 0,
+        epoch: 0,
         until_us: steady_us() + ms * 1000,
     };
     let script = "trap '' TERM; echo > up; while :; do sleep 0.01; done";
@@ -232,7 +232,7 @@
     );
     until("it is up", || !t.file("up").is_empty());
     let next = Lease {
-        session: 1,
+        epoch: 1,
         ..lease(&boot, 60_000)
     };
     write_whole(
--- a/crates/client/src/attempts.rs
+++ b/crates/client/src/attempts.rs
@@ -1,7 +1,7 @@
 //! The tries of one call: which node, when, and when to stop.
 
 use pebblefold_wire::backoff::Backoff;
-use pebblefold_wire::types::{Span, Time};
+use pebblefold_wire::types::{Time, TimeSpan};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -23,25 +23,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
     /// After this a call ends, answered or not.
-    pub deadline: Span,
+    pub deadline: TimeSpan,
     /// How long one try waits for its answer.
-    pub patience: Span,
+    pub patience: TimeSpan,
     /// A poll that is not answered by then is asked of another node as well.
-    pub hedge_after: Span,
+    pub hedge_after: TimeSpan,
     /// Pause after the first failure in a row; it doubles, with jitter.
-    pub first_pause: Span,
+    pub first_pause: TimeSpan,
     /// Longest pause, unless a node asks for more.
-    pub most_pause: Span,
+    pub most_pause: TimeSpan,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            deadline: Span::millis(30_000),
-            patience: Span::millis(5000),
-            hedge_after: Span::millis(500),
-            first_pause: Span::millis(100),
-            most_pause: Span::millis(2000),
+            deadline: TimeSpan::millis(30_000),
+            patience: TimeSpan::millis(5000),
+            hedge_after: TimeSpan::millis(500),
+            first_pause: TimeSpan::millis(100),
+            most_pause: TimeSpan::millis(2000),
         }
     }
 }
@@ -215,10 +215,10 @@
         let own = self.backoff.failed(first, most, jitter);
         // The node's word spreads the return of many: never earlier, and not all
         // at the same moment.
-        let asked = after.map_or(Span::ZERO, |s| {
-            Span::secs(f64::from(s.min(MOST_RETRY_AFTER)) * (1.0 + jitter / 4.0))
+        let asked = after.map_or(TimeSpan::ZERO, |s| {
+            TimeSpan::secs(f64::from(s.min(MOST_RETRY_AFTER)) * (1.0 + jitter / 4.0))
         });
-        self.pause_until = self.pause_until.max(now + Span(own.0.max(asked.0)));
+        self.pause_until = self.pause_until.max(now + TimeSpan(own.0.max(asked.0)));
     }
 
     /// When an ended call may be made again at the earliest, by what nodes said.
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -4,9 +4,9 @@
 use crate::seen::Seen;
 use pebblefold_net::{Client as Net, Sent};
 use pebblefold_wire::http::Response;
-use pebblefold_wire::rate_limit::Bucket;
-use pebblefold_wire::types::{JobId, Span, Time};
-use pebblefold_wire::users::{JobAnswer, Refusal, Stage, Submission, valid_id};
+use pebblefold_wire::rate_limit::TokenBucket;
+use pebblefold_wire::types::{JobId, Time, TimeSpan};
+use pebblefold_wire::users::{ErrorResponse, JobStage, JobStatus, Submission, valid_id};
 use pebblefold_wire::{decode, encode};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -43,7 +43,7 @@
         /// What the last try met.
         last: String,
         /// How long to wait.
-        pause: Span,
+        pause: TimeSpan,
     },
     /// The client has no nodes.
     #[error("no nodes to ask; give at least one address")]
@@ -68,7 +68,7 @@
     nodes: Vec<SocketAddrV4>,
     policy: Policy,
     started: Instant,
-    retries: RefCell<Bucket>,
+    retries: RefCell<TokenBucket>,
     seen: RefCell<Seen>,
     seed: Cell<u64>,
 }
@@ -81,7 +81,7 @@
             nodes,
             policy,
             started: Instant::now(),
-            retries: RefCell::new(Bucket::new(RETRIES.0, RETRIES.1)),
+            retries: RefCell::new(TokenBucket::new(RETRIES.0, RETRIES.1)),
             seen: RefCell::default(),
             seed: Cell::new(rand::random()),
         }))
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// See [`ClientError`].
-    pub async fn submit(&self, job: &Submission) -> Result<JobAnswer, ClientError> {
+    pub async fn submit(&self, job: &Submission) -> Result<JobStatus, ClientError> {
         let path = "/submissions".into();
         self.call(Kind::Submit, &job.id, "POST", path, encode(job))
             .await
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// See [`ClientError`].
-    pub async fn status(&self, id: &JobId) -> Result<JobAnswer, ClientError> {
+    pub async fn status(&self, id: &JobId) -> Result<JobStatus, ClientError> {
         let path = format!("/submissions/{id}");
         self.call(Kind::Poll, id, "GET", path, Vec::new()).await
     }
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// See [`ClientError`].
-    pub async fn cancel(&self, id: &JobId) -> Result<JobAnswer, ClientError> {
+    pub async fn cancel(&self, id: &JobId) -> Result<JobStatus, ClientError> {
         let path = format!("/submissions/{id}/cancel");
         self.call(Kind::Cancel, id, "POST", path, Vec::new()).await
     }
@@ -124,9 +124,9 @@
         &self,
         id: &JobId,
         every: Duration,
-        mut tell: impl FnMut(&JobAnswer),
-    ) -> Result<JobAnswer, ClientError> {
-        let mut last: Option<Stage> = None;
+        mut tell: impl FnMut(&JobStatus),
+    ) -> Result<JobStatus, ClientError> {
+        let mut last: Option<JobStage> = None;
         loop {
             let mut pause = every;
             match self.status(id).await {
@@ -135,7 +135,7 @@
                         tell(&a);
                     }
                     last = Some(a.stage);
-                    if matches!(a.stage, Stage::Done | Stage::Cancelled) {
+                    if matches!(a.stage, JobStage::Done | JobStage::Cancelled) {
                         return Ok(a);
                     }
                 }
@@ -155,7 +155,7 @@
         method: &'static str,
         path: String,
         body: Vec<u8>,
-    ) -> Result<JobAnswer, ClientError> {
+    ) -> Result<JobStatus, ClientError> {
         let shared = &self.0;
         if shared.nodes.is_empty() {
             return Err(ClientError::NoNodes);
@@ -189,14 +189,14 @@
                     Step::Wait(_) => {}
                     Step::GiveUp => {
                         let pause = attempts.earliest().since(now);
-                        let pause = Span(pause.0.max(Span::millis(1000).0));
+                        let pause = TimeSpan(pause.0.max(TimeSpan::millis(1000).0));
                         return Err(ClientError::Busy { last, pause });
                     }
                 }
             }
             let wakes = match attempts.next(now, &mut |_| false).as_slice() {
                 [Step::Wait(t)] => t.since(now),
-                _ => Span::millis(1),
+                _ => TimeSpan::millis(1),
             };
             let wakes = Duration::from_micros(wakes.0.max(1000));
             let Ok(Some((attempt, node, got))) = timeout(wakes, rx.recv()).await else {
@@ -228,7 +228,7 @@
 }
 
 fn reason(r: &Response) -> String {
-    match decode::<Refusal>(&r.body) {
+    match decode::<ErrorResponse>(&r.body) {
         Some(x) => format!("{} {}", r.status, x.error),
         None => format!("{} refused", r.status),
     }
@@ -259,17 +259,17 @@
     }
 
     /// The answer as it may be given; `None`: it is older than one that was.
-    fn read(&self, id: &JobId, r: &Response) -> Option<Result<JobAnswer, ClientError>> {
+    fn read(&self, id: &JobId, r: &Response) -> Option<Result<JobStatus, ClientError>> {
         let mut seen = self.seen.borrow_mut();
         match r.status {
             404 if seen.allows(id, None) => Some(Err(ClientError::NoSuchJob(id.clone()))),
             404 => None,
             400 | 422 => Some(Err(ClientError::Refused {
                 status: r.status,
-                reason: decode::<Refusal>(&r.body).map_or("refused".into(), |x| x.error),
+                reason: decode::<ErrorResponse>(&r.body).map_or("refused".into(), |x| x.error),
             })),
             _ => {
-                let answer: JobAnswer = decode(&r.body)?;
+                let answer: JobStatus = decode(&r.body)?;
                 if answer.id != *id || !seen.allows(id, Some(answer.stage)) {
                     return None;
                 }
--- a/crates/client/src/seen.rs
+++ b/crates/client/src/seen.rs
@@ -1,7 +1,7 @@
 //! What was answered before.
 
 use pebblefold_wire::types::JobId;
-use pebblefold_wire::users::Stage;
+use pebblefold_wire::users::JobStage;
 use std::collections::{HashMap, VecDeque};
 
 /// Jobs that are remembered.
@@ -12,13 +12,13 @@
 #[derive(Debug, Default)]
 pub struct Seen {
     /// Accepted jobs and, once it is known, how they ended.
-    jobs: HashMap<JobId, Option<Stage>>,
+    jobs: HashMap<JobId, Option<JobStage>>,
     order: VecDeque<JobId>,
 }
 
 impl Seen {
     /// Whether an answer may be given after all that was; `None`: no such job.
-    pub fn allows(&self, job: &JobId, stage: Option<Stage>) -> bool {
+    pub fn allows(&self, job: &JobId, stage: Option<JobStage>) -> bool {
         match (self.jobs.get(job), stage) {
             (None, _) => true,
             (Some(_), None) => false,
@@ -28,8 +28,8 @@
     }
 
     /// Notes an answer that was given.
-    pub fn note(&mut self, job: &JobId, stage: Stage) {
-        let end = matches!(stage, Stage::Done | Stage::Cancelled).then_some(stage);
+    pub fn note(&mut self, job: &JobId, stage: JobStage) {
+        let end = matches!(stage, JobStage::Done | JobStage::Cancelled).then_some(stage);
         match self.jobs.get_mut(job) {
             Some(known) => *known = known.or(end),
             None => {
--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -4,8 +4,8 @@
 use pebblefold_net::answer_connections;
 use pebblefold_wire::encode;
 use pebblefold_wire::http::{Request, Response};
-use pebblefold_wire::types::{Span, Time};
-use pebblefold_wire::users::{JobAnswer, Priority, Shape, Stage, Submission};
+use pebblefold_wire::types::{Time, TimeSpan};
+use pebblefold_wire::users::{JobShape, JobStage, JobStatus, Priority, Submission};
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -41,8 +41,8 @@
 #[test]
 fn tries_go_round_wait_longer_and_end_by_the_deadline() {
     let policy = Policy {
-        deadline: Span::millis(20_000),
-        patience: Span::millis(1000),
+        deadline: TimeSpan::millis(20_000),
+        patience: TimeSpan::millis(1000),
         ..Policy::default()
     };
     let (sent, end) = silent(Kind::Submit, 3, policy, 100);
@@ -65,8 +65,8 @@
 #[test]
 fn polls_are_hedged_and_changes_are_not() {
     let policy = Policy {
-        deadline: Span::millis(1500),
-        patience: Span::millis(2000),
+        deadline: TimeSpan::millis(1500),
+        patience: TimeSpan::millis(2000),
         ..Policy::default()
     };
     let (polls, _) = silent(Kind::Poll, 3, policy, 100);
@@ -102,14 +102,17 @@
     let mut seen = Seen::default();
     let job = "wk-1".into();
     assert!(seen.allows(&job, None));
-    seen.note(&job, Stage::Queued);
-    assert!(!seen.allows(&job, None) && seen.allows(&job, Some(Stage::Running)));
-    seen.note(&job, Stage::Done);
-    seen.note(&job, Stage::Running);
-    assert!(seen.allows(&job, Some(Stage::Done)));
-    assert!(!seen.allows(&job, Some(Stage::Running)) && !seen.allows(&job, Some(Stage::Cancelled)));
+    seen.note(&job, JobStage::Queued);
+    assert!(!seen.allows(&job, None) && seen.allows(&job, Some(JobStage::Running)));
+    seen.note(&job, JobStage::Done);
+    seen.note(&job, JobStage::Running);
+    assert!(seen.allows(&job, Some(JobStage::Done)));
+    assert!(
+        !seen.allows(&job, Some(JobStage::Running))
+            && !seen.allows(&job, Some(JobStage::Cancelled))
+    );
     for i in 0..30_000 {
-        seen.note(&format!("wk-{i}").as_str().into(), Stage::Queued);
+        seen.note(&format!("wk-{i}").as_str().into(), JobStage::Queued);
     }
     assert!(seen.allows(&"wk-5".into(), None), "only so many are kept");
 }
@@ -119,7 +122,7 @@
         id: "wk-1".into(),
         class: "tiles".into(),
         team: "maps".into(),
-        shape: Shape::Array,
+        shape: JobShape::Array,
         priority: Priority::Low,
         tasks: 1,
         cpus: 1.0,
@@ -139,10 +142,10 @@
     }
 }
 
-type Script = Rc<RefCell<Vec<Option<(u16, Option<u32>, Stage)>>>>;
+type Script = Rc<RefCell<Vec<Option<(u16, Option<u32>, JobStage)>>>>;
 
 /// A node that answers by a script, from its end; `None` drops the connection.
-async fn node(script: Vec<Option<(u16, Option<u32>, Stage)>>) -> (SocketAddrV4, Script) {
+async fn node(script: Vec<Option<(u16, Option<u32>, JobStage)>>) -> (SocketAddrV4, Script) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
         unreachable!("bound to an IPv4 address")
@@ -154,7 +157,7 @@
         async move {
             let (status, retry_after, stage) = next?;
             let id = "wk-1".into();
-            let body = encode(&JobAnswer {
+            let body = encode(&JobStatus {
                 id,
                 stage,
                 done: None,
@@ -181,9 +184,9 @@
 
 fn quick() -> Policy {
     Policy {
-        first_pause: Span::millis(5),
-        most_pause: Span::millis(20),
-        deadline: Span::millis(8000),
+        first_pause: TimeSpan::millis(5),
+        most_pause: TimeSpan::millis(20),
+        deadline: TimeSpan::millis(8000),
         ..Policy::default()
     }
 }
@@ -191,12 +194,12 @@
 #[test]
 fn a_call_is_answered_through_refusals_dropped_connections_and_old_answers() {
     on_sockets(async || {
-        let q = Stage::Queued;
+        let q = JobStage::Queued;
         let script = vec![
-            Some((200, None, Stage::Done)),
-            Some((200, None, Stage::Running)),
+            Some((200, None, JobStage::Done)),
+            Some((200, None, JobStage::Running)),
             Some((404, None, q)),
-            Some((200, None, Stage::Done)),
+            Some((200, None, JobStage::Done)),
             None,
             Some((503, None, q)),
             Some((201, None, q)),
@@ -207,8 +210,8 @@
         let job = "wk-1".into();
         assert_eq!(client.submit(&submission()).await.unwrap().stage, q);
         // Refused, dropped, then done; and never running or unknown again.
-        assert_eq!(client.status(&job).await.unwrap().stage, Stage::Done);
-        assert_eq!(client.status(&job).await.unwrap().stage, Stage::Done);
+        assert_eq!(client.status(&job).await.unwrap().stage, JobStage::Done);
+        assert_eq!(client.status(&job).await.unwrap().stage, JobStage::Done);
         assert!(
             left.borrow().is_empty(),
             "the older answers were passed over"
@@ -220,12 +223,12 @@
 fn errors_say_whether_to_repeat() {
     on_sockets(async || {
         let policy = Policy {
-            deadline: Span::millis(300),
+            deadline: TimeSpan::millis(300),
             ..quick()
         };
         let (addr, _) = node(vec![
-            Some((422, None, Stage::Queued)),
-            Some((404, None, Stage::Queued)),
+            Some((422, None, JobStage::Queued)),
+            Some((404, None, JobStage::Queued)),
         ])
         .await;
         let client = Client::new(vec![addr], policy);
@@ -239,14 +242,14 @@
             matches!(refused, ClientError::Refused { status: 422, .. }) && !refused.may_repeat()
         );
         // The node's word on when to come back is passed on.
-        let (addr, _) = node(vec![Some((503, Some(9), Stage::Queued))]).await;
+        let (addr, _) = node(vec![Some((503, Some(9), JobStage::Queued))]).await;
         let busy = Client::new(vec![addr], policy)
             .status(&job)
             .await
             .unwrap_err();
         assert!(busy.may_repeat());
         assert!(
-            matches!(busy, ClientError::Busy { pause, .. } if pause > Span::millis(8000)),
+            matches!(busy, ClientError::Busy { pause, .. } if pause > TimeSpan::millis(8000)),
             "{busy}"
         );
         let bad = Client::new(vec![addr], policy).status(&"a/b".into()).await;
@@ -262,10 +265,10 @@
 fn waiting_tells_each_change_and_ends_with_the_end() {
     on_sockets(async || {
         let stages = [
-            Stage::Cancelled,
-            Stage::Running,
-            Stage::Running,
-            Stage::Queued,
+            JobStage::Cancelled,
+            JobStage::Running,
+            JobStage::Running,
+            JobStage::Queued,
         ];
         let (addr, _) = node(stages.map(|s| Some((200, None, s))).into()).await;
         let client = Client::new(vec![addr], quick());
@@ -275,7 +278,10 @@
                 told.push(a.stage)
             })
             .await;
-        assert_eq!(end.unwrap().stage, Stage::Cancelled);
-        assert_eq!(told, [Stage::Queued, Stage::Running, Stage::Cancelled]);
+        assert_eq!(end.unwrap().stage, JobStage::Cancelled);
+        assert_eq!(
+            told,
+            [JobStage::Queued, JobStage::Running, JobStage::Cancelled]
+        );
     });
 }
--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -7,7 +7,7 @@
 use pebblefold_controller::core::quota::Bounds;
 use pebblefold_controller::core::scheduling_cycle::{Cycle, Pace, TeamUse, Want};
 use pebblefold_controller::settings::TeamShare;
-use pebblefold_controller::types::{Amounts, Image, Span, Time};
+use pebblefold_controller::types::{Image, Resources, Time, TimeSpan};
 use pebblefold_controller::wire::users::Priority;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -19,8 +19,8 @@
 const JOBS: usize = 300;
 const ROUNDS: usize = 40;
 
-fn amounts(cpus: f64, gpus: f64, memory_gb: f64) -> Amounts {
-    Amounts {
+fn amounts(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
+    Resources {
         cpus,
         gpus,
         memory_gb,
@@ -90,7 +90,7 @@
                 most_in_zone: None,
                 in_zones: BTreeMap::new(),
                 spot: true,
-                run: Span::secs(60.0),
+                run: TimeSpan::secs(60.0),
                 start_by: None,
                 aged: false,
                 overdue: false,
@@ -134,12 +134,12 @@
 fn main() {
     let pace = Pace {
         now: NOW,
-        most_skew: Span::secs(30.0),
+        most_skew: TimeSpan::secs(30.0),
     };
-    let estimates = Estimates::new(Span::secs(30.0));
+    let estimates = Estimates::new(TimeSpan::secs(30.0));
     let teams = || {
         let share = TeamShare::default();
-        let used = Amounts::default();
+        let used = Resources::default();
         BTreeMap::from([("team".into(), TeamUse { used, share })])
     };
     println!("{MACHINES} machines, {JOBS} waiting jobs");
--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -70,7 +70,7 @@
     let (settings, policy) = load(config, policy).map_err(ServeError::Input)?;
     let json = logging::start(tracing::Level::INFO);
     // Many nodes' logs may be gathered in one place: each line says whose it is.
-    let _span = json.then(|| tracing::info_span!("controller", node = %settings.label).entered());
+    let _span = json.then(|| tracing::info_span!("controller", node = %settings.node_id).entered());
     Ok(driver::serve(settings, policy)?)
 }
 
@@ -95,7 +95,7 @@
                 println!(
                     "{}",
                     serde_json::json!({
-                        "node": settings.label,
+                        "node": settings.node_id,
                         "answers_without_contact_s": bounds.hold().as_secs(),
                         "cancelled_may_run_over_s": bounds.over().as_secs(),
                         "policy": policy,
--- a/crates/controller/src/core/assignment.rs
+++ b/crates/controller/src/core/assignment.rs
@@ -2,8 +2,9 @@
 //! recorded until there is proof that the task is not on its machine.
 
 use super::failpoints::{self, Decision};
-use crate::types::{Attempt, MachineId, Session, Tally, Time, Token};
+use crate::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence, MachineId, Time};
 use crate::wire::workers::{ReportedTask, TaskState};
+use std::fmt;
 
 /// A stop that was ordered.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,7 +25,7 @@
     Unsent,
     /// Sent in the answer to this report. Whether it arrived shows in the
     /// next report: a worker has one report in flight and drops late answers.
-    Sent(Tally),
+    Sent(HeartbeatSequence),
     /// Recorded by an earlier leader, which may or may not have sent it.
     Inherited,
     /// Recorded by an earlier leader and proved not to be there: its room is
@@ -34,13 +35,26 @@
     Seen(TaskState),
 }
 
+impl fmt::Display for Phase {
+    /// The spelling that `/inspect` has always shown, whatever the types are called.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Phase::Unsent => f.write_str("Unsent"),
+            Phase::Sent(sequence) => write!(f, "Sent(Tally({sequence}))"),
+            Phase::Inherited => f.write_str("Inherited"),
+            Phase::Kept => f.write_str("Kept"),
+            Phase::Seen(state) => write!(f, "Seen({state:?})"),
+        }
+    }
+}
+
 /// A task's place.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// The machine.
     pub machine: MachineId,
     /// The session of its worker that is meant.
-    pub session: Session,
+    pub epoch: AgentEpoch,
     /// The attempt.
     pub attempt: Attempt,
     /// The change of its chunk that records it.
@@ -70,10 +84,10 @@
 
 impl Placement {
     /// One found in the records of an earlier leader.
-    pub fn inherited(machine: MachineId, session: Session, attempt: Attempt) -> Placement {
+    pub fn inherited(machine: MachineId, epoch: AgentEpoch, attempt: Attempt) -> Placement {
         Placement {
             machine,
-            session,
+            epoch,
             attempt,
             change: 0,
             phase: Phase::Inherited,
@@ -101,13 +115,13 @@
     ///   leader's start may still be on its way.
     pub fn judge(
         &self,
-        session: Session,
-        tally: Tally,
-        token: Token,
-        ours: Token,
+        epoch: AgentEpoch,
+        sequence: HeartbeatSequence,
+        token: FencingToken,
+        ours: FencingToken,
         listed: Option<&ReportedTask>,
     ) -> Verdict {
-        if session > self.session {
+        if epoch > self.epoch {
             return Verdict::Absent;
         }
         let theirs = token != ours && failpoints::holds(Decision::AbsenceNeedsOurToken);
@@ -116,7 +130,7 @@
         }
         match self.phase {
             Phase::Unsent => Verdict::Present,
-            Phase::Sent(at) if tally > at => Verdict::Undelivered,
+            Phase::Sent(at) if sequence > at => Verdict::Undelivered,
             Phase::Sent(_) => Verdict::Present,
             Phase::Inherited | Phase::Kept | Phase::Seen(_) => Verdict::Absent,
         }
--- a/crates/controller/src/core/assignment/tests.rs
+++ b/crates/controller/src/core/assignment/tests.rs
@@ -3,12 +3,18 @@
 fn place(phase: Phase) -> Placement {
     Placement {
         phase,
-        ..Placement::inherited("m".into(), Session(2), Attempt(1))
+        ..Placement::inherited("m".into(), AgentEpoch(2), Attempt(1))
     }
 }
 
-fn verdict(phase: Phase, session: u64, tally: u64, token: u64) -> Verdict {
-    place(phase).judge(Session(session), Tally(tally), Token(token), Token(7), None)
+fn verdict(phase: Phase, epoch: u64, sequence: u64, token: u64) -> Verdict {
+    place(phase).judge(
+        AgentEpoch(epoch),
+        HeartbeatSequence(sequence),
+        FencingToken(token),
+        FencingToken(7),
+        None,
+    )
 }
 
 // A report proves absence only under the conditions named at `judge`;
@@ -30,11 +36,11 @@
     );
     assert_eq!(verdict(Unsent, 2, 9, 7), Present);
     assert_eq!(
-        verdict(Sent(Tally(9)), 2, 9, 7),
+        verdict(Sent(HeartbeatSequence(9)), 2, 9, 7),
         Present,
         "this report was made before the answer"
     );
-    assert_eq!(verdict(Sent(Tally(9)), 2, 10, 7), Undelivered);
+    assert_eq!(verdict(Sent(HeartbeatSequence(9)), 2, 10, 7), Undelivered);
     assert_eq!(verdict(Seen(TaskState::Running), 2, 10, 7), Absent);
     assert_eq!(verdict(Seen(TaskState::Running), 2, 10, 6), Present);
 }
--- a/crates/controller/src/core/autoscaler/cloud_proxy/tests.rs
+++ b/crates/controller/src/core/autoscaler/cloud_proxy/tests.rs
@@ -1,8 +1,7 @@
-
 use super::*;
 
 fn secs(s: f64) -> Time {
-    Time(0) + Span::secs(s)
+    Time(0) + TimeSpan::secs(s)
 }
 
 // A holder cut from the cloud alone once did nothing for as long as the
@@ -15,7 +14,7 @@
     let mut t = 0.0;
     while t < 300.0 {
         let by = h.peer(secs(t)).cloned();
-        match by.as_ref().map(Label::as_str) {
+        match by.as_ref().map(NodeId::as_str) {
             Some("c") => {
                 asked += 1;
                 h.answered(secs(t), by.as_ref());
--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -9,23 +9,23 @@
 use crate::core::failpoints::{self, Decision};
 use crate::core::keys::DUTIES;
 use crate::core::pending_writes::Book;
-use crate::types::{Kind, MachineId, Span, Time, Token, Wall, Zone};
-use crate::wire::cloud::Rent;
+use crate::types::{FencingToken, MachineId, MachineTypeName, Time, TimeSpan, WallTime, Zone};
+use crate::wire::cloud::ProvisionRequest;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines of one type, zone and kind (spot or not).
-pub type Market = (Kind, Zone, bool);
+pub type Market = (MachineTypeName, Zone, bool);
 
 /// Most machines of one hire.
 pub const MOST_RENTED: u32 = 50;
 /// Most machines named in one call to release.
 pub const MOST_RELEASED: usize = 100;
 /// How long settled intents are kept, beyond what lists lag.
-const KEPT: Span = Span::millis(60_000);
+const KEPT: TimeSpan = TimeSpan::millis(60_000);
 /// Hires older than this are not repeated: what they brought is listed.
-const STALE: Span = Span::millis(120_000);
+const STALE: TimeSpan = TimeSpan::millis(120_000);
 /// Releases decided and not yet asked for that may stand beside one another
 /// where work waits for the proof that it is gone.
 const MOST_UNASKED: usize = 4;
@@ -47,7 +47,7 @@
 
 #[derive(Clone, Debug)]
 struct Hire {
-    rent: Rent,
+    rent: ProvisionRequest,
     stage: Stage,
 }
 
@@ -61,13 +61,13 @@
 
 #[derive(Serialize, Deserialize)]
 struct HireRecord {
-    r: Rent,
-    t: Wall,
+    r: ProvisionRequest,
+    t: WallTime,
 }
 
 #[derive(Serialize, Deserialize)]
 struct ReleaseRecord {
-    t: Wall,
+    t: WallTime,
     /// The machines, by why they go.
     w: BTreeMap<String, Vec<MachineId>>,
 }
@@ -75,10 +75,10 @@
 /// All intents of the renting duty.
 #[derive(Clone, Debug)]
 pub struct Intents {
-    token: Token,
+    token: FencingToken,
     next: u64,
     /// How long lists lag, and what one record may hold.
-    list_lag: Span,
+    list_lag: TimeSpan,
     value_bytes: usize,
     hires: BTreeMap<String, Hire>,
     releases: BTreeMap<String, Release>,
@@ -102,7 +102,7 @@
 
 impl Intents {
     /// Nothing meant yet, by the holder of this token.
-    pub fn new(token: Token, list_lag: Span, value_bytes: usize) -> Intents {
+    pub fn new(token: FencingToken, list_lag: TimeSpan, value_bytes: usize) -> Intents {
         Intents {
             token,
             next: 1,
@@ -126,13 +126,13 @@
     /// Takes over a stored intent of an earlier holder, who may have asked for
     /// it or may yet. Returns the machines that are to go. A record that
     /// cannot be read is left where it is.
-    pub fn load(&mut self, key: &str, stored: &Value, wall: Wall) -> Vec<MachineId> {
+    pub fn load(&mut self, key: &str, stored: &Value, wall: WallTime) -> Vec<MachineId> {
         let rest = key.strip_prefix(DUTIES).and_then(|k| k.split_once('/'));
         match rest {
             Some(("h", name)) if failpoints::holds(Decision::HiresAreRepeated) => {
                 if let Ok(record) = HireRecord::deserialize(stored) {
-                    let age = Span::millis(wall.0.saturating_sub(record.t.0));
-                    if age > STALE.max(Span(self.list_lag.0 * 4)) {
+                    let age = TimeSpan::millis(wall.0.saturating_sub(record.t.0));
+                    if age > STALE.max(TimeSpan(self.list_lag.0 * 4)) {
                         self.book.delete(key.into());
                     } else {
                         let (rent, stage) = (record.r, Stage::Doubtful);
@@ -183,9 +183,9 @@
     }
 
     /// Decides to hire machines, at most [`MOST_RENTED`].
-    pub fn hire(&mut self, (kind, zone, spot): Market, count: u32, wall: Wall) {
+    pub fn hire(&mut self, (kind, zone, spot): Market, count: u32, wall: WallTime) {
         let name = self.name();
-        let rent = Rent {
+        let rent = ProvisionRequest {
             request: name.clone(),
             kind,
             zone,
@@ -226,12 +226,12 @@
     }
 
     /// The hires whose answer is still to come.
-    pub fn coming(&self) -> impl Iterator<Item = &Rent> {
+    pub fn coming(&self) -> impl Iterator<Item = &ProvisionRequest> {
         self.unfilled().map(|h| &h.rent)
     }
 
     /// The next hire to ask for, those that may have been asked for first.
-    pub fn next_hire(&self) -> Option<Rent> {
+    pub fn next_hire(&self) -> Option<ProvisionRequest> {
         let ready =
             |h: &&Hire| h.stage != Stage::Decided || !failpoints::holds(Decision::IntentBeforeAct);
         let next = self.unfilled().filter(ready);
@@ -267,7 +267,7 @@
     /// There is no room for a hire, nor for others of its market that nobody
     /// has asked for.
     pub fn no_room(&mut self, name: &str) {
-        let Some(Rent {
+        let Some(ProvisionRequest {
             kind, zone, spot, ..
         }) = self.hires.get(name).map(|h| h.rent.clone())
         else {
@@ -312,7 +312,7 @@
     pub fn release(
         &mut self,
         machines: impl Iterator<Item = (MachineId, &'static str)>,
-        wall: Wall,
+        wall: WallTime,
     ) {
         let mut w: BTreeMap<String, Vec<MachineId>> = BTreeMap::new();
         let (mut names, mut bytes) = (Vec::new(), 64);
@@ -381,7 +381,7 @@
     /// Settles what nobody needs any more: hires whose machines were all heard
     /// of, by list or report, and releases that no list can contradict.
     pub fn tend(&mut self, now: Time, heard: impl Fn(&MachineId) -> bool) {
-        let listed = Span(self.list_lag.0 * 3);
+        let listed = TimeSpan(self.list_lag.0 * 3);
         let going = &self.going;
         let mut over = Vec::new();
         for (name, h) in &mut self.hires {
--- a/crates/controller/src/core/autoscaler/state.rs
+++ b/crates/controller/src/core/autoscaler/state.rs
@@ -3,9 +3,9 @@
 use super::cloud_proxy::Hands;
 use super::intents::{Intents, Market};
 use crate::settings::Settings;
-use crate::types::{MachineId, Span, Time, Token};
-use crate::wire::cloud::{ListedMachine, Rent};
-use crate::wire::{backoff::Backoff, rate_limit::Bucket};
+use crate::types::{FencingToken, MachineId, Time, TimeSpan};
+use crate::wire::cloud::{ListedMachine, ProvisionRequest};
+use crate::wire::{backoff::Backoff, rate_limit::TokenBucket};
 use std::collections::BTreeMap;
 
 /// What a peer answers where the cloud gave it no answer: certainly not
@@ -22,7 +22,7 @@
     /// A page of the machine list.
     List,
     /// A request for machines.
-    Rent(Rent),
+    ProvisionRequest(ProvisionRequest),
     /// Machines to release.
     Release(Vec<MachineId>),
 }
@@ -30,7 +30,7 @@
 /// Renting's own state.
 #[derive(Debug)]
 pub struct Rental {
-    pub(in crate::core) calls: Bucket,
+    pub(in crate::core) calls: TokenBucket,
     pub(in crate::core) calling: bool,
     pub(in crate::core) not_before: Time,
     pub(in crate::core) backoff: Backoff,
@@ -40,7 +40,7 @@
     pub hands: Hands,
     pub(in crate::core) paused: BTreeMap<Market, Time>,
     pub(in crate::core) list_due: Time,
-    pub(in crate::core) list_every: Span,
+    pub(in crate::core) list_every: TimeSpan,
     pub(in crate::core) listing: Vec<ListedMachine>,
     /// When the last whole list was taken in.
     pub listed: Option<Time>,
@@ -52,11 +52,11 @@
 
 impl Rental {
     /// Nothing under way.
-    pub fn new(settings: &Settings, token: Token, now: Time) -> Rental {
-        let peers = settings.peers.iter().map(|p| p.label.clone()).collect();
+    pub fn new(settings: &Settings, token: FencingToken, now: Time) -> Rental {
+        let peers = settings.peers.iter().map(|p| p.node_id.clone()).collect();
         let rate = settings.cloud_rps * 0.9;
         Rental {
-            calls: Bucket::new(rate, rate.max(1.0)),
+            calls: TokenBucket::new(rate, rate.max(1.0)),
             calling: false,
             not_before: now,
             backoff: Backoff::default(),
@@ -64,7 +64,7 @@
             hands: Hands::new(peers),
             paused: BTreeMap::new(),
             list_due: now,
-            list_every: Span(settings.list_lag.0 / 2).max(Span::secs(2.0)),
+            list_every: TimeSpan(settings.list_lag.0 / 2).max(TimeSpan::secs(2.0)),
             listing: Vec::new(),
             listed: None,
             types_due: now,
--- a/crates/controller/src/core/cache_hints.rs
+++ b/crates/controller/src/core/cache_hints.rs
@@ -3,7 +3,7 @@
 //! does not have it, as its process was started again, is given it back by its peers,
 //! in parts, each of them beginning at another place.
 
-use crate::types::{Image, MachineId, Span, Time, Token};
+use crate::types::{FencingToken, Image, MachineId, Time, TimeSpan};
 use std::collections::BTreeMap;
 
 /// Machines remembered.
@@ -19,14 +19,14 @@
 #[derive(Clone, Debug)]
 struct Kept {
     told: Time,
-    by: Token,
+    by: FencingToken,
     images: Images,
 }
 
 /// How far giving back has come.
 #[derive(Clone, Debug)]
 struct Giving {
-    to: Token,
+    to: FencingToken,
     after: Option<MachineId>,
     left: usize,
 }
@@ -37,14 +37,14 @@
     /// Images on machines.
     pub machines: Vec<(MachineId, Images)>,
     /// What fetching images takes.
-    pub fetches: Vec<(Image, Span)>,
+    pub fetches: Vec<(Image, TimeSpan)>,
 }
 
 /// What is remembered.
 #[derive(Clone, Debug, Default)]
 pub struct Keepsake {
     machines: BTreeMap<MachineId, Kept>,
-    fetches: BTreeMap<Image, Span>,
+    fetches: BTreeMap<Image, TimeSpan>,
     giving: Option<Giving>,
 }
 
@@ -53,7 +53,7 @@
     pub fn note(
         &mut self,
         now: Time,
-        by: Token,
+        by: FencingToken,
         machines: Vec<(MachineId, Images)>,
         fetches: Vec<(Image, u64)>,
     ) {
@@ -69,7 +69,7 @@
         }
         for (image, ms) in fetches {
             if self.fetches.len() < MOST_IMAGES || self.fetches.contains_key(&image) {
-                self.fetches.insert(image, Span::millis(ms));
+                self.fetches.insert(image, TimeSpan::millis(ms));
             }
         }
     }
@@ -100,13 +100,13 @@
     }
 
     /// What fetching images takes.
-    pub fn fetches(&self) -> impl Iterator<Item = (&Image, Span)> {
+    pub fn fetches(&self) -> impl Iterator<Item = (&Image, TimeSpan)> {
         self.fetches.iter().map(|(i, s)| (i, *s))
     }
 
     /// The next part of what earlier leaders told, for the leader of this token; each
     /// part once. `from`: at which share of it this node begins, 0 to 1.
-    pub fn give(&mut self, to: Token, from: f64) -> Vec<(MachineId, Images)> {
+    pub fn give(&mut self, to: FencingToken, from: f64) -> Vec<(MachineId, Images)> {
         let earlier = |k: &Kept| k.by < to;
         if self.giving.as_ref().is_none_or(|g| g.to != to) {
             let ids: Vec<&MachineId> = self
--- a/crates/controller/src/core/cache_hints/tests.rs
+++ b/crates/controller/src/core/cache_hints/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 use std::collections::BTreeSet;
 
@@ -10,7 +9,7 @@
     };
     k.note(
         Time(1),
-        Token(5),
+        FencingToken(5),
         (0..n).map(machine).collect(),
         vec![("img".into(), 7000)],
     );
@@ -26,7 +25,7 @@
     let mut rounds = 0;
     while heard.len() < 950 {
         for (i, p) in peers.iter_mut().enumerate() {
-            let part = p.give(Token(9), i as f64 / 3.0);
+            let part = p.give(FencingToken(9), i as f64 / 3.0);
             assert!(part.len() <= MOST_GIVEN);
             heard.extend(part.into_iter().map(|(id, _)| id));
         }
@@ -34,12 +33,14 @@
     }
     assert!(rounds <= 4, "{rounds}: each begins elsewhere");
     let mut one = told(250);
-    let parts: Vec<usize> = (0..5).map(|_| one.give(Token(9), 0.5).len()).collect();
+    let parts: Vec<usize> = (0..5)
+        .map(|_| one.give(FencingToken(9), 0.5).len())
+        .collect();
     assert_eq!(parts, [100, 100, 50, 0, 0]);
     // To itself, or to one that it hears it from, nothing is given back.
-    assert!(told(50).give(Token(5), 0.0).is_empty());
+    assert!(told(50).give(FencingToken(5), 0.0).is_empty());
     assert_eq!(
-        one.give(Token(12), 0.0).len(),
+        one.give(FencingToken(12), 0.0).len(),
         100,
         "a later leader asks anew"
     );
@@ -50,6 +51,9 @@
     let mut k = told(10);
     let known = k.take_known(|id| id.as_str() < "host-0004");
     assert_eq!((known.len(), k.take_known(|_| true).len()), (4, 6));
-    assert_eq!(k.fetches().next().map(|(_, s)| s), Some(Span::secs(7.0)));
+    assert_eq!(
+        k.fetches().next().map(|(_, s)| s),
+        Some(TimeSpan::secs(7.0))
+    );
     assert_eq!(told(3).take().machines.len(), 3);
 }
--- a/crates/controller/src/core/delivery.rs
+++ b/crates/controller/src/core/delivery.rs
@@ -6,7 +6,7 @@
 //! So a session that ends although reports of it were answered within a lease did not
 //! hear those answers, and one that outlives a lease has heard one.
 
-use crate::types::{Span, Time};
+use crate::types::{Time, TimeSpan};
 use std::collections::VecDeque;
 
 /// Answers missed in a row after which a machine counts as deaf. One or two are lost on
@@ -14,13 +14,13 @@
 const MISSED: u32 = 3;
 /// Reports that a cut held back come all at once, each made long before the answer to
 /// the one before it: only what lies apart by this counts as missed again.
-const APART: Span = Span::millis(2000);
+const APART: TimeSpan = TimeSpan::millis(2000);
 /// And only answers this old count against a session that ends.
-const PATIENCE: Span = Span::millis(4000);
+const PATIENCE: TimeSpan = TimeSpan::millis(4000);
 /// Answers remembered.
 const MOST_ANSWERS: usize = 8;
 /// For a worker's clock, and for a report on its way.
-const SLACK: Span = Span::millis(1000);
+const SLACK: TimeSpan = TimeSpan::millis(1000);
 
 /// What a report shows of the answers before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 
     /// A report came that is newer than all before it. True if the machine counts as
     /// deaf from now on.
-    pub fn reported(&mut self, now: Time, lease: Span, sign: Sign) -> bool {
+    pub fn reported(&mut self, now: Time, lease: TimeSpan, sign: Sign) -> bool {
         let was = self.deaf.is_some();
         match sign {
             Sign::None => {}
@@ -89,7 +89,7 @@
                 self.answers.clear();
             }
         }
-        let lasts = |(_, session): (Time, Time)| now.since(session) > lease.scaled(1.001) + SLACK;
+        let lasts = |(_, epoch): (Time, Time)| now.since(epoch) > lease.scaled(1.001) + SLACK;
         if self.deaf.is_some_and(lasts) {
             (self.missed, self.deaf) = (0, None);
         }
@@ -102,7 +102,7 @@
     }
 
     /// For how long it has counted as deaf.
-    pub fn deaf_for(&self, now: Time) -> Option<Span> {
+    pub fn deaf_for(&self, now: Time) -> Option<TimeSpan> {
         self.deaf.map(|(since, _)| now.since(since))
     }
 }
--- a/crates/controller/src/core/delivery/tests.rs
+++ b/crates/controller/src/core/delivery/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-const LEASE: Span = Span::millis(22_000);
+const LEASE: TimeSpan = TimeSpan::millis(22_000);
 
 fn at(secs: f64) -> Time {
-    Time(0) + Span::secs(secs)
+    Time(0) + TimeSpan::secs(secs)
 }
 
 /// Reports every four seconds, each answered; true if it counts as deaf by then.
@@ -26,7 +26,7 @@
     assert!(!report(&mut h, 8.0, Sign::Missed));
     assert!(report(&mut h, 12.0, Sign::Missed));
     assert!(report(&mut h, 16.0, Sign::None));
-    assert_eq!(h.deaf_for(at(20.0)), Some(Span::secs(8.0)));
+    assert_eq!(h.deaf_for(at(20.0)), Some(TimeSpan::secs(8.0)));
     assert!(!report(&mut h, 20.0, Sign::Took));
     assert!(!report(&mut h, 24.0, Sign::Missed), "it begins anew");
 }
@@ -63,7 +63,7 @@
     // Deaf for another whole session.
     assert!(report(&mut h, 29.0, Sign::None));
     assert!(report(&mut h, 30.5, Sign::NewSession));
-    assert_eq!(h.deaf_for(at(30.5)), Some(Span::secs(22.0)));
+    assert_eq!(h.deaf_for(at(30.5)), Some(TimeSpan::secs(22.0)));
     assert!(report(&mut h, 53.0, Sign::None));
     assert!(
         !report(&mut h, 54.0, Sign::None),
--- a/crates/controller/src/core/effects.rs
+++ b/crates/controller/src/core/effects.rs
@@ -3,10 +3,10 @@
 
 use super::{Answer, Call, CallId, Now, Output, RequestId, Target};
 use crate::settings::Settings;
-use crate::types::{Session, Span, Time, Token, Version, Wall};
+use crate::types::{AgentEpoch, FencingToken, Time, TimeSpan, Version, WallTime};
 use crate::wire;
 use crate::wire::cloud::MachineTypes;
-use crate::wire::rate_limit::Bucket;
+use crate::wire::rate_limit::TokenBucket;
 use crate::wire::workers::{Command, DirectCommands};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
@@ -58,13 +58,13 @@
     /// Random numbers.
     pub rng: StdRng,
     /// Calls to the state service that users may cause.
-    pub user_calls: Bucket,
+    pub user_calls: TokenBucket,
     /// Conditions that one transaction may have.
     pub most_conditions: usize,
     /// Writes to the state service that users may cause.
-    pub user_writes: Bucket,
+    pub user_writes: TokenBucket,
     /// Calls of the leader's writing lane.
-    pub state_calls: Bucket,
+    pub state_calls: TokenBucket,
     /// The version of the level's key, for writes whose form depends on the level.
     pub level: Option<Version>,
     /// Machine types the cloud has just told.
@@ -78,7 +78,7 @@
 /// Most requests waiting at once; more are told to come back.
 const MOST_WAITING: usize = 600;
 /// How long a request is remembered whose connection may have been given up.
-const TIMED_KEPT: Span = Span::millis(30_000);
+const TIMED_KEPT: TimeSpan = TimeSpan::millis(30_000);
 
 impl Io {
     /// Hands that have done nothing yet.
@@ -86,11 +86,11 @@
         let limits = settings.state_limits;
         let nodes = f64::from(settings.size);
         let per_node = |all: f64, share: f64| (all * share / nodes).max(1.0);
-        let bucket = |rate: f64| Bucket::new(rate, rate);
+        let bucket = |rate: f64| TokenBucket::new(rate, rate);
         Io {
             now: Now {
                 time: Time(0),
-                wall: Wall(0),
+                wall: WallTime(0),
             },
             rng: StdRng::seed_from_u64(seed),
             user_calls: bucket(per_node(limits.rps, 0.75)),
@@ -123,7 +123,7 @@
         method: &'static str,
         path: String,
         body: Vec<u8>,
-        timeout: Span,
+        timeout: TimeSpan,
     ) -> CallId {
         let id = CallId(self.next_call);
         self.next_call += 1;
@@ -225,13 +225,13 @@
     pub fn direct(
         &mut self,
         addr: SocketAddrV4,
-        token: Token,
-        session: Session,
+        token: FencingToken,
+        epoch: AgentEpoch,
         commands: Vec<Command>,
     ) {
         let body = wire::encode(&DirectCommands {
             token,
-            session,
+            epoch,
             commands,
         });
         self.call(
@@ -239,7 +239,7 @@
             "POST",
             "/commands".into(),
             body,
-            Span::secs(4.0),
+            TimeSpan::secs(4.0),
         );
     }
 }
--- a/crates/controller/src/core/election.rs
+++ b/crates/controller/src/core/election.rs
@@ -6,25 +6,26 @@
 use super::format_version::{FENCED, Level};
 use super::job_records::{self, LeaderValue};
 use super::{Keep, Reply, Target};
-use crate::types::{Label, Span, Time, Token, Version};
+use crate::types::{FencingToken, NodeId, Time, TimeSpan, Version};
 use crate::wire;
 use crate::wire::backoff::Backoff;
 use crate::wire::kvstore::{
-    Changes, Condition, Entries, Entry, Lease, LeaseRequest, Op, Revision, Txn,
+    Entry, EntryPage, LeaseGrant, LeaseGrantRequest, Operation, Precondition, Transaction,
+    TransactionResponse, WatchResponse,
 };
 use rand::RngExt;
 
 /// Hold of a follower's watch.
-const HOLD: Span = Span::millis(2000);
+const HOLD: TimeSpan = TimeSpan::millis(2000);
 
 /// How long the lease is kept for a leader that says nothing meanwhile.
-const KEPT_FOR: Span = Span::millis(10_000);
+const KEPT_FOR: TimeSpan = TimeSpan::millis(10_000);
 
 /// Renewals are at most so far apart: they show whether the state service answers.
-const RENEWED: Span = Span::millis(250);
+const RENEWED: TimeSpan = TimeSpan::millis(250);
 
 /// How long a node that handed its duties over waits for others to take them.
-const OTHERS_FIRST: Span = Span::millis(3000);
+const OTHERS_FIRST: TimeSpan = TimeSpan::millis(3000);
 
 /// Where this node stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,8 +51,8 @@
 pub struct Election {
     /// Where this node stands.
     pub standing: Standing,
-    label: Label,
-    ttl: Span,
+    node_id: NodeId,
+    ttl: TimeSpan,
     nonce: u64,
     revision: Version,
     calling: bool,
@@ -59,7 +60,7 @@
     backoff: Backoff,
     keep_due: Time,
     /// Who leads, as the state service last said.
-    pub leader: Option<(Label, Token)>,
+    pub leader: Option<(NodeId, FencingToken)>,
     /// When the last answered read was sent.
     pub contact: Option<Time>,
     /// Calls under way.
@@ -113,12 +114,12 @@
     /// Nothing new.
     None,
     /// This node leads now, with this token and lease.
-    Elected(Token, u64),
+    Elected(FencingToken, u64),
 }
 
 impl Election {
     /// At the start of a process.
-    pub fn new(label: Label, ttl: Span, registry: Registry, highest: Level) -> Election {
+    pub fn new(node_id: NodeId, ttl: TimeSpan, registry: Registry, highest: Level) -> Election {
         Election {
             registry,
             highest,
@@ -127,7 +128,7 @@
             rising: false,
             brings: None,
             standing: Standing::Unknown,
-            label,
+            node_id,
             ttl,
             nonce: 0,
             revision: Version(0),
@@ -149,7 +150,7 @@
         (self.rise, self.rising) = (None, false);
         // Whatever was under way is void: what it led to is read.
         self.waits = Waits::default();
-        self.not_before = now + Span::millis(50);
+        self.not_before = now + TimeSpan::millis(50);
     }
 
     /// Where the leader's key is.
@@ -159,7 +160,7 @@
 
     /// This node leads and rises to the first fenced level: the leader's key moves,
     /// so it is claimed anew, in the commit that raises the level.
-    pub fn rise(&mut self, io: &mut Io, token: Token, rise: member_versions::Rise) {
+    pub fn rise(&mut self, io: &mut Io, token: FencingToken, rise: member_versions::Rise) {
         if self.standing == Standing::Leading && !self.calling {
             (self.rise, self.rising) = (Some(rise), true);
             self.standing = Standing::Vacant(Version(token.0));
@@ -214,7 +215,7 @@
                 "GET",
                 format!("/keys?starts={}&most=1000", member_versions::PREFIX),
                 Vec::new(),
-                Span::secs(2.0),
+                TimeSpan::secs(2.0),
                 Awaits::ReadLeader { sent: now },
             ),
             Standing::Following(_) | Standing::Vacant(_) if registration.is_some() => {
@@ -224,7 +225,7 @@
                     "POST",
                     "/commit".into(),
                     body.unwrap_or_default(),
-                    Span::secs(2.0),
+                    TimeSpan::secs(2.0),
                     Awaits::Register,
                 );
             }
@@ -235,7 +236,7 @@
                     self.revision,
                     HOLD.as_millis()
                 );
-                let timeout = HOLD + Span::secs(2.0);
+                let timeout = HOLD + TimeSpan::secs(2.0);
                 call(
                     io,
                     "GET",
@@ -246,7 +247,7 @@
                 );
             }
             Standing::Vacant(version) => {
-                let request = LeaseRequest {
+                let request = LeaseGrantRequest {
                     ttl_ms: self.ttl.as_millis(),
                 };
                 call(
@@ -254,7 +255,7 @@
                     "POST",
                     "/leases".into(),
                     wire::encode(&request),
-                    Span::secs(2.0),
+                    TimeSpan::secs(2.0),
                     Awaits::NewLease,
                 );
                 self.standing = Standing::Leasing(version);
@@ -288,7 +289,7 @@
     /// Has the leader's lease kept alive for as long as this is called at least
     /// every few seconds: a leader that is behind must not lose office for it,
     /// as the next one would have as much to do; one that does nothing must.
-    pub fn keep(&mut self, io: &mut Io, lease: u64, token: Token) {
+    pub fn keep(&mut self, io: &mut Io, lease: u64, token: FencingToken) {
         let now = io.now.time;
         if now < self.keep_due {
             return;
@@ -309,7 +310,7 @@
 
     /// Ends the lease of a leader that is none any more, and its renewals: were
     /// the word of its end lost, they would keep the key from everybody.
-    pub fn give_up(&mut self, io: &mut Io, lease: u64, token: Token) {
+    pub fn give_up(&mut self, io: &mut Io, lease: u64, token: FencingToken) {
         io.keep(Keep {
             lease,
             every: RENEWED,
@@ -324,7 +325,7 @@
         self.not_before = io.now.time
             + self
                 .backoff
-                .failed(Span::millis(150), Span::secs(1.0), jitter);
+                .failed(TimeSpan::millis(150), TimeSpan::secs(1.0), jitter);
     }
 
     fn contact(&mut self, sent: Time) {
@@ -344,8 +345,8 @@
                 // The key names this very node while it does not lead: it is
                 // left from an earlier life, or from a claim whose answer was
                 // lost. Nobody else can act on it, so it is taken over.
-                let own = value.as_ref().is_some_and(|v| v.label == self.label);
-                self.leader = value.map(|v| (v.label, Token(version.0)));
+                let own = value.as_ref().is_some_and(|v| v.node_id == self.node_id);
+                self.leader = value.map(|v| (v.node_id, FencingToken(version.0)));
                 self.standing = if own {
                     Standing::Vacant(version)
                 } else {
@@ -362,7 +363,7 @@
     pub fn on_read(&mut self, io: &mut Io, sent: Time, reply: Reply) -> Outcome {
         self.calling = false;
         let page = match &reply {
-            Reply::Answer(200, body) => wire::decode::<Entries>(body),
+            Reply::Answer(200, body) => wire::decode::<EntryPage>(body),
             _ => None,
         };
         let Some(page) = page else {
@@ -385,7 +386,7 @@
         self.calling = false;
         match reply {
             Reply::Answer(200, body) => {
-                if let Some(r) = wire::decode::<Revision>(&body) {
+                if let Some(r) = wire::decode::<TransactionResponse>(&body) {
                     self.registry.registered(r.revision);
                 }
                 // A new store has one change more now. Otherwise the watch goes on
@@ -407,7 +408,7 @@
         self.calling = false;
         match reply {
             Reply::Answer(200, body) => {
-                let Some(changes) = wire::decode::<Changes>(&body) else {
+                let Some(changes) = wire::decode::<WatchResponse>(&body) else {
                     self.standing = Standing::Unknown;
                     return self.failed(io);
                 };
@@ -445,10 +446,10 @@
             _ => return,
         };
         let lease = match reply {
-            Reply::Answer(200, body) => wire::decode::<Lease>(&body),
+            Reply::Answer(200, body) => wire::decode::<LeaseGrant>(&body),
             _ => None,
         };
-        let Some(Lease { lease }) = lease else {
+        let Some(LeaseGrant { lease }) = lease else {
             if rises {
                 return self.goes_on();
             }
@@ -457,11 +458,11 @@
         };
         self.nonce = io.rng.random();
         let value = LeaderValue {
-            label: self.label.clone(),
+            node_id: self.node_id.clone(),
             nonce: self.nonce,
         };
-        let mut txn = Txn {
-            conditions: vec![Condition {
+        let mut txn = Transaction {
+            conditions: vec![Precondition {
                 key: self.holder_key().into(),
                 version,
             }],
@@ -473,7 +474,7 @@
             (key, self.brings) = (member_versions::HOLDER, Some(rise.to));
             txn.conditions.extend(rise.conditions);
             txn.ops = rise.ops;
-            txn.ops.push(Op::Put {
+            txn.ops.push(Operation::Put {
                 key: member_versions::STONE.into(),
                 value: member_versions::stone(),
                 lease: None,
@@ -486,7 +487,7 @@
                 txn.ops = self.registry.begin();
             }
         }
-        txn.ops.push(Op::Put {
+        txn.ops.push(Operation::Put {
             key: key.into(),
             value: job_records::leader_value(&value),
             lease: Some(lease),
@@ -498,7 +499,7 @@
             "POST",
             "/commit".into(),
             wire::encode(&txn),
-            Span::secs(2.0),
+            TimeSpan::secs(2.0),
         );
         self.waits.add(id, Awaits::Claim { lease });
     }
@@ -510,8 +511,8 @@
             return Outcome::None;
         }
         match reply {
-            Reply::Answer(200, body) => match wire::decode::<Revision>(&body) {
-                Some(r) => self.elected(io, Token(r.revision.0), lease),
+            Reply::Answer(200, body) => match wire::decode::<TransactionResponse>(&body) {
+                Some(r) => self.elected(io, FencingToken(r.revision.0), lease),
                 None => {
                     self.standing = Standing::Unknown;
                     Outcome::None
@@ -525,7 +526,7 @@
                     "GET",
                     format!("/keys?starts={}&most=1000", member_versions::PREFIX),
                     Vec::new(),
-                    Span::secs(2.0),
+                    TimeSpan::secs(2.0),
                 );
                 self.waits.add(id, Awaits::ClaimRead { lease });
                 Outcome::None
@@ -537,7 +538,7 @@
                     return Outcome::None;
                 }
                 self.standing = Standing::Unknown;
-                self.not_before = io.now.time + Span::millis(50);
+                self.not_before = io.now.time + TimeSpan::millis(50);
                 Outcome::None
             }
         }
@@ -547,7 +548,7 @@
     pub fn on_claim_read(&mut self, io: &mut Io, lease: u64, reply: Reply) -> Outcome {
         self.calling = false;
         if let Reply::Answer(200, body) = reply
-            && let Some(page) = wire::decode::<Entries>(&body)
+            && let Some(page) = wire::decode::<EntryPage>(&body)
         {
             self.registry.load(&page.items);
             let ours = |e: &&Entry| {
@@ -555,7 +556,7 @@
                 value.is_some_and(|v| v.nonce == self.nonce)
             };
             if let Some(e) = page.items.iter().find(ours) {
-                return self.elected(io, Token(e.version.0), lease);
+                return self.elected(io, FencingToken(e.version.0), lease);
             }
         }
         // If the claim still goes through later, the key will name this node
@@ -575,13 +576,13 @@
         (self.standing, self.rise, self.rising) = (Standing::Leading, None, false);
     }
 
-    fn elected(&mut self, io: &Io, token: Token, lease: u64) -> Outcome {
+    fn elected(&mut self, io: &Io, token: FencingToken, lease: u64) -> Outcome {
         self.goes_on();
         self.virgin = false;
         if let Some(level) = self.brings.take() {
             self.registry.risen(level, Version(token.0));
         }
-        self.leader = Some((self.label.clone(), token));
+        self.leader = Some((self.node_id.clone(), token));
         self.keep_due = io.now.time;
         Outcome::Elected(token, lease)
     }
@@ -593,7 +594,7 @@
             "DELETE",
             format!("/leases/{lease}"),
             Vec::new(),
-            Span::secs(2.0),
+            TimeSpan::secs(2.0),
         );
     }
 }
--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -1,4 +1,3 @@
-
 use super::super::format_version::{BEFORE, Range};
 use super::super::{Call, Output};
 use super::*;
@@ -15,7 +14,7 @@
 }
 
 fn page(items: Vec<Entry>, revision: u64) -> Reply {
-    let page = Entries {
+    let page = EntryPage {
         items,
         more: false,
         revision: Version(revision),
@@ -38,7 +37,7 @@
 /// wrote, by key.
 fn rising(io: &mut Io) -> (Election, Awaits, BTreeMap<String, Value>) {
     let registry = Registry::new("a".into(), Some(Range::OURS), BTreeMap::new(), 1);
-    let mut e = Election::new("a".into(), Span::secs(3.0), registry, Level(9));
+    let mut e = Election::new("a".into(), TimeSpan::secs(3.0), registry, Level(9));
     e.tick(io);
     let (_, what) = called(&mut e, io);
     // Something else was stored before: this store is not a new one.
@@ -49,13 +48,13 @@
         call.path, "/commit",
         "it says what it serves before all else"
     );
-    let stored = Revision {
+    let stored = TransactionResponse {
         revision: Version(10),
         failed: Vec::new(),
     };
     e.on_reply(io, what, Reply::Answer(200, wire::encode(&stored)));
     for (path, answer) in [
-        ("/leases", wire::encode(&Lease { lease: 7 })),
+        ("/leases", wire::encode(&LeaseGrant { lease: 7 })),
         ("/commit", wire::encode(&stored)),
     ] {
         e.tick(io);
@@ -68,20 +67,20 @@
         (Standing::Leading, member_versions::STONE)
     );
     let rise = e.registry.rise(io.now.time, &[], Level(9)).expect("alone");
-    e.rise(io, Token(10), rise);
+    e.rise(io, FencingToken(10), rise);
     let (_, what) = called(&mut e, io);
     e.on_reply(
         io,
         what,
-        Reply::Answer(200, wire::encode(&Lease { lease: 8 })),
+        Reply::Answer(200, wire::encode(&LeaseGrant { lease: 8 })),
     );
     let (call, what) = called(&mut e, io);
-    let txn: Txn = wire::decode(&call.body).expect("a transaction");
-    let holds = |c: &Condition| c.key == member_versions::STONE && c.version == Version(10);
+    let txn: Transaction = wire::decode(&call.body).expect("a transaction");
+    let holds = |c: &Precondition| c.key == member_versions::STONE && c.version == Version(10);
     assert!(txn.conditions.iter().any(holds));
     let written = txn.ops.into_iter().filter_map(|op| match op {
-        Op::Put { key, value, .. } => Some((key, value)),
-        Op::Delete { .. } => None,
+        Operation::Put { key, value, .. } => Some((key, value)),
+        Operation::Delete { .. } => None,
     });
     (e, what, written.collect())
 }
@@ -107,7 +106,7 @@
         let outcome = e.on_reply(&mut io, what, page(keys, 11));
         assert_eq!(e.standing, Standing::Leading);
         if applied {
-            assert_eq!(outcome, Outcome::Elected(Token(11), 8));
+            assert_eq!(outcome, Outcome::Elected(FencingToken(11), 8));
             assert_eq!(
                 (e.registry.level(), e.holder_key()),
                 (FENCED, member_versions::HOLDER)
@@ -126,7 +125,7 @@
 fn a_rise_that_is_refused_leaves_the_leader_as_it_was() {
     let mut io = io_at(5.0);
     let (mut e, what, _) = rising(&mut io);
-    let refused = Revision::default();
+    let refused = TransactionResponse::default();
     let outcome = e.on_reply(&mut io, what, Reply::Answer(409, wire::encode(&refused)));
     assert_eq!((outcome, e.standing), (Outcome::None, Standing::Leading));
     assert_eq!(e.registry.level(), BEFORE);
--- a/crates/controller/src/core/failure_detector/accrual.rs
+++ b/crates/controller/src/core/failure_detector/accrual.rs
@@ -1,6 +1,6 @@
 //! How unlikely a silence is, by the spread of the intervals before it.
 
-use crate::types::{Span, Time};
+use crate::types::{Time, TimeSpan};
 
 /// An old interval counts this much less with each one after it.
 const FORGETS: f64 = 0.1;
@@ -44,7 +44,7 @@
     }
 
     /// How long nothing was heard.
-    pub fn silence(&self, now: Time) -> Option<Span> {
+    pub fn silence(&self, now: Time) -> Option<TimeSpan> {
         self.last.map(|t| now.since(t))
     }
 
--- a/crates/controller/src/core/failure_detector/accrual/tests.rs
+++ b/crates/controller/src/core/failure_detector/accrual/tests.rs
@@ -1,18 +1,17 @@
-
 use super::*;
 
 fn after(intervals: impl IntoIterator<Item = f64>) -> (Accrual, f64) {
     let (mut a, mut t) = (Accrual::default(), 1.0);
-    a.heard(Time(0) + Span::secs(t));
+    a.heard(Time(0) + TimeSpan::secs(t));
     for i in intervals {
         t += i;
-        a.heard(Time(0) + Span::secs(t));
+        a.heard(Time(0) + TimeSpan::secs(t));
     }
     (a, t)
 }
 
 fn phi(a: &Accrual, t: f64) -> f64 {
-    a.phi(Time(0) + Span::secs(t))
+    a.phi(Time(0) + TimeSpan::secs(t))
 }
 
 // One time-out for all would be too long where signs come regularly, and
@@ -32,7 +31,7 @@
     let (young, t) = after([0.25, 0.25]);
     assert_eq!(phi(&young, t + 60.0), 0.0);
     let (mut a, t) = after([0.25; 40]);
-    a.excuse(Time(0) + Span::secs(t + 60.0));
+    a.excuse(Time(0) + TimeSpan::secs(t + 60.0));
     assert!(phi(&a, t + 60.3) < 1.0);
 }
 
--- a/crates/controller/src/core/failure_detector/detector.rs
+++ b/crates/controller/src/core/failure_detector/detector.rs
@@ -8,46 +8,46 @@
 //! be replaced in vain.
 
 use super::accrual::Accrual;
-use crate::types::{Label, MachineId, Span, Time, Token};
-use crate::wire::peers::Beat;
+use crate::types::{FencingToken, MachineId, NodeId, Time, TimeSpan};
+use crate::wire::peers::LeaderHeartbeat;
 use std::collections::BTreeMap;
 
 /// Beats come this often.
-pub const BEAT_EVERY: Span = Span::millis(250);
+pub const BEAT_EVERY: TimeSpan = TimeSpan::millis(250);
 /// How long what is looked into may take.
-pub const LOOKED_INTO: Span = Span::millis(400);
+pub const LOOKED_INTO: TimeSpan = TimeSpan::millis(400);
 
 /// What an asked node agrees to, of what it takes to doubt: it may have heard a
 /// beat a moment later.
 const AGREES: f64 = 0.6;
 /// However regular the beats are, less than this is none.
-const LEAST_SILENCE: Span = Span::millis(500);
+const LEAST_SILENCE: TimeSpan = TimeSpan::millis(500);
 /// A leader that the state service has not answered for so long may have lost it:
 /// of its renewals, four a second, one or two are lost now and then.
-const STATE_SILENCE: Span = Span::millis(1600);
+const STATE_SILENCE: TimeSpan = TimeSpan::millis(1600);
 /// A judge whose own ticks came later than this was itself not there.
-const LATE: Span = Span::millis(300);
+const LATE: TimeSpan = TimeSpan::millis(300);
 /// And for so long after that it says nothing.
-const SETTLES: Span = Span::millis(1000);
+const SETTLES: TimeSpan = TimeSpan::millis(1000);
 /// Time between two looks into the same doubt.
-const LOOK_AGAIN: Span = Span::millis(200);
+const LOOK_AGAIN: TimeSpan = TimeSpan::millis(200);
 /// A later successor leaves so much time to each earlier one.
-const RANK: Span = Span::millis(150);
+const RANK: TimeSpan = TimeSpan::millis(150);
 /// Pause after a verdict; it doubles with each one.
-const PAUSE: Span = Span::millis(5_000);
-const LONGEST_PAUSE: Span = Span::millis(160_000);
+const PAUSE: TimeSpan = TimeSpan::millis(5_000);
+const LONGEST_PAUSE: TimeSpan = TimeSpan::millis(160_000);
 /// After so long without a verdict the pauses begin anew.
-const FORGIVES: Span = Span::millis(600_000);
+const FORGIVES: TimeSpan = TimeSpan::millis(600_000);
 /// After a direct answer nothing is held for so long.
-const EXCUSED: Span = Span::millis(1000);
+const EXCUSED: TimeSpan = TimeSpan::millis(1000);
 /// A refused connection says nothing: a node without free sockets refuses, and so
 /// does a packet filter. But workers that leave a leader did not reach it either.
 /// So many of them, of all nodes that agree, tell the two apart ...
 const CAME_OVER: usize = 3;
 /// ... if they came within this time.
-const LATELY: Span = Span::millis(1500);
+const LATELY: TimeSpan = TimeSpan::millis(1500);
 /// Time between two looks while connections are refused.
-const REFUSED_AGAIN: Span = Span::millis(600);
+const REFUSED_AGAIN: TimeSpan = TimeSpan::millis(600);
 
 /// What is doubted of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
     /// Ask the leader, the others and the state service.
     LookInto(Doubt),
     /// Replace the holder of this token.
-    Depose(Token, Doubt),
+    Depose(FencingToken, Doubt),
 }
 
 /// A doubt that is being looked into.
@@ -92,7 +92,7 @@
     /// Whether the state service answered this node since.
     state: bool,
     /// Who agrees, and how many workers came over there.
-    agree: BTreeMap<Label, u32>,
+    agree: BTreeMap<NodeId, u32>,
     /// Since when all is there that a verdict takes.
     ripe: Option<Time>,
 }
@@ -104,19 +104,19 @@
     quorum: usize,
     /// How unlikely, in powers of ten, a silence is that is doubted; 0: none is.
     phi: f64,
-    subject: Option<(Label, Token)>,
+    subject: Option<(NodeId, FencingToken)>,
     alive: Accrual,
     /// As the last beat said: how long the state service had not answered, and
     /// how late the leader's own work was.
-    state_age: Span,
-    late: Span,
+    state_age: TimeSpan,
+    late: TimeSpan,
     beat: Time,
     ticked: Option<Time>,
     steady_since: Time,
     case: Option<Case>,
     /// Workers that came over from the leader since its last beat.
     came: BTreeMap<MachineId, Time>,
-    pause: Span,
+    pause: TimeSpan,
     not_before: Time,
     judged: Option<Time>,
     /// Verdicts come to, and doubts that were refuted.
@@ -136,8 +136,8 @@
             quorum: (others / 2 + 1).max(2),
             subject: None,
             alive: Accrual::default(),
-            state_age: Span::ZERO,
-            late: Span::ZERO,
+            state_age: TimeSpan::ZERO,
+            late: TimeSpan::ZERO,
             beat: Time(0),
             ticked: None,
             steady_since: Time(0),
@@ -152,18 +152,18 @@
     }
 
     /// Who leads, as far as known; nobody while this node does.
-    pub fn follow(&mut self, leader: Option<&(Label, Token)>) {
+    pub fn follow(&mut self, leader: Option<&(NodeId, FencingToken)>) {
         if self.subject.as_ref() != leader {
             self.subject = leader.cloned();
             self.alive = Accrual::default();
-            (self.state_age, self.late) = (Span::ZERO, Span::ZERO);
+            (self.state_age, self.late) = (TimeSpan::ZERO, TimeSpan::ZERO);
             self.case = None;
             self.came.clear();
         }
     }
 
     /// A worker that carries the leader's token reports here instead.
-    pub fn came_over(&mut self, now: Time, token: Token, machine: &MachineId) {
+    pub fn came_over(&mut self, now: Time, token: FencingToken, machine: &MachineId) {
         let of_leader = self.subject.as_ref().is_some_and(|(_, t)| *t == token);
         if of_leader && (self.came.len() < CAME_OVER || self.came.contains_key(machine)) {
             self.came.insert(machine.clone(), now);
@@ -183,7 +183,7 @@
     /// what waits for it unread may be what it misses: it doubts nobody until it
     /// has caught up.
     pub fn tick(&mut self, now: Time) {
-        let gap = self.ticked.map_or(Span::ZERO, |t| now.since(t));
+        let gap = self.ticked.map_or(TimeSpan::ZERO, |t| now.since(t));
         self.ticked = Some(now);
         if gap > LATE {
             self.steady_since = now;
@@ -196,8 +196,10 @@
     }
 
     /// A beat of the leader.
-    pub fn heard(&mut self, now: Time, beat: &Beat) {
-        let of = |(label, token): &(Label, Token)| *label == beat.label && *token == beat.token;
+    pub fn heard(&mut self, now: Time, beat: &LeaderHeartbeat) {
+        let of = |(node_id, token): &(NodeId, FencingToken)| {
+            *node_id == beat.node_id && *token == beat.token
+        };
         if !self.subject.as_ref().is_some_and(of) {
             return;
         }
@@ -208,8 +210,8 @@
         self.alive.heard(now);
         self.came.clear();
         self.beat = now;
-        self.state_age = Span::millis(beat.state_ms);
-        self.late = Span::millis(beat.late_ms);
+        self.state_age = TimeSpan::millis(beat.state_ms);
+        self.late = TimeSpan::millis(beat.late_ms);
         if self.case.as_ref().is_some_and(|c| c.doubt == Doubt::Silent) {
             self.refute();
         }
@@ -240,7 +242,7 @@
 
     /// This node's word for another that doubts the holder of a token. `state`:
     /// the state service has lately answered it.
-    pub fn agrees(&self, now: Time, token: Token, doubt: Doubt, state: bool) -> bool {
+    pub fn agrees(&self, now: Time, token: FencingToken, doubt: Doubt, state: bool) -> bool {
         let same = self.subject.as_ref().is_some_and(|(_, t)| *t == token);
         let own = self.doubt(now, self.phi * AGREES);
         let holds = match doubt {
@@ -272,7 +274,7 @@
             let seen = doubt == Doubt::NoState || c.silent || (c.refused && came >= CAME_OVER);
             if seen && c.state && c.agree.len() + 1 >= self.quorum {
                 let ripe = *c.ripe.get_or_insert(now);
-                if now.since(ripe) >= Span(RANK.0 * u64::from(rank)) {
+                if now.since(ripe) >= TimeSpan(RANK.0 * u64::from(rank)) {
                     self.convict(now);
                     return Step::Depose(token, doubt);
                 }
@@ -301,11 +303,11 @@
         self.verdicts += 1;
         self.judged = Some(now);
         self.not_before = now + self.pause;
-        self.pause = Span(self.pause.0 * 2).min(LONGEST_PAUSE);
+        self.pause = TimeSpan(self.pause.0 * 2).min(LONGEST_PAUSE);
     }
 
     /// The leader was asked directly.
-    pub fn probed(&mut self, now: Time, token: Token, probe: Probe) {
+    pub fn probed(&mut self, now: Time, token: FencingToken, probe: Probe) {
         if self.subject.as_ref().is_none_or(|(_, t)| *t != token) {
             return;
         }
@@ -324,13 +326,13 @@
     }
 
     /// Another node said what it holds, and how many workers came over to it.
-    pub fn told(&mut self, label: Label, token: Token, agrees: bool, came: u32) {
+    pub fn told(&mut self, node_id: NodeId, token: FencingToken, agrees: bool, came: u32) {
         let same = self.subject.as_ref().is_some_and(|(_, t)| *t == token);
         if let Some(case) = self.case.as_mut().filter(|_| same) {
             if agrees {
-                case.agree.insert(label, came.min(CAME_OVER as u32));
+                case.agree.insert(node_id, came.min(CAME_OVER as u32));
             } else {
-                case.agree.remove(&label);
+                case.agree.remove(&node_id);
                 case.ripe = None;
             }
         }
@@ -346,8 +348,8 @@
     /// What it holds, for operators.
     pub fn inspect(&self, now: Time) -> serde_json::Value {
         serde_json::json!({
-            "of": self.subject.as_ref().map(|(label, _)| label),
-            "silent_s": self.alive.silence(now).map(Span::as_secs),
+            "of": self.subject.as_ref().map(|(node_id, _)| node_id),
+            "silent_s": self.alive.silence(now).map(TimeSpan::as_secs),
             "suspicion": self.alive.phi(now),
             "its_state_s_ago": self.state_age.as_secs(), "its_work_late_s": self.late.as_secs(),
             "doubt": self.case.as_ref().map(|c| format!("{:?}", c.doubt)),
--- a/crates/controller/src/core/failure_detector/detector/tests.rs
+++ b/crates/controller/src/core/failure_detector/detector/tests.rs
@@ -1,15 +1,14 @@
-
 use super::*;
 
-const TOKEN: Token = Token(7);
+const TOKEN: FencingToken = FencingToken(7);
 
 fn at(secs: f64) -> Time {
-    Time(0) + Span::secs(secs)
+    Time(0) + TimeSpan::secs(secs)
 }
 
-fn beat(state_ms: u64) -> Beat {
-    Beat {
-        label: "a".into(),
+fn beat(state_ms: u64) -> LeaderHeartbeat {
+    LeaderHeartbeat {
+        node_id: "a".into(),
         token: TOKEN,
         state_ms,
         late_ms: 0,
@@ -102,7 +101,7 @@
     }
     assert!(!deposes(j, t), "others hear it");
     let (mut j, t) = ripe();
-    j.follow(Some(&("b".into(), Token(9))));
+    j.follow(Some(&("b".into(), FencingToken(9))));
     assert!(!deposes(j, t), "another leads by now");
 }
 
@@ -121,7 +120,7 @@
         for (i, ago) in came {
             let machine = format!("host-{i}").as_str().into();
             j.came_over(at(t - ago), TOKEN, &machine);
-            j.came_over(at(t - ago), Token(3), &"old".into());
+            j.came_over(at(t - ago), FencingToken(3), &"old".into());
         }
         let step = until_step(&mut j, t, t + 0.4, 0);
         matches!(step, Some((_, Step::Depose(..))))
--- a/crates/controller/src/core/format_version/chunk_progress.rs
+++ b/crates/controller/src/core/format_version/chunk_progress.rs
@@ -2,14 +2,14 @@
 //!
 //! | form | value |
 //! | --- | --- |
-//! | before | `{"n": highest attempt, "d": [[from, to], ..] done, "p": [[task, attempt, machine, session], ..], "x": [[from, to], ..] being stopped}` |
-//! | by machine, since level 2 | `{"n": .., "d": [from, to, from, to, ..], "m": [[machine, session, n - attempt, [task, task - the one before, ..]], ..], "x": [from, to, ..]}` |
+//! | before | `{"n": highest attempt, "d": [[from, to], ..] done, "p": [[task, attempt, machine, epoch], ..], "x": [[from, to], ..] being stopped}` |
+//! | by machine, since level 2 | `{"n": .., "d": [from, to, from, to, ..], "m": [[machine, epoch, n - attempt, [task, task - the one before, ..]], ..], "x": [from, to, ..]}` |
 //!
 //! Neither reads as the other. A record with more in it is of a later level, and is
 //! refused: what it says would be lost when it is written again.
 
 use super::{Level, REMEMBERED};
-use crate::types::{Attempt, MachineId, Session};
+use crate::types::{AgentEpoch, Attempt, MachineId};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 pub type Spans = Vec<(u32, u32)>;
 
 /// Where a task is: its number, attempt, machine and session.
-pub type Place = (u32, Attempt, MachineId, Session);
+pub type Place = (u32, Attempt, MachineId, AgentEpoch);
 
 /// What a record says.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -88,7 +88,7 @@
         let why = match () {
             () if beyond || self.places.iter().any(task) => "a task that the job does not have",
             () if self.places.iter().any(attempt) => "an attempt that was never given",
-            () if self.places.iter().any(|p| p.3 == Session(0)) => "a session of 0",
+            () if self.places.iter().any(|p| p.3 == AgentEpoch(0)) => "a session of 0",
             () => return Ok(()),
         };
         let why = why.to_string();
@@ -112,20 +112,19 @@
     }
 
     fn by_machine(&self) -> ByMachine {
-        let mut machines: BTreeMap<(&MachineId, Session, Attempt), Vec<u32>> = BTreeMap::new();
-        for (task, attempt, machine, session) in &self.places {
-            let tasks = machines.entry((machine, *session, *attempt)).or_default();
+        let mut machines: BTreeMap<(&MachineId, AgentEpoch, Attempt), Vec<u32>> = BTreeMap::new();
+        for (task, attempt, machine, epoch) in &self.places {
+            let tasks = machines.entry((machine, *epoch, *attempt)).or_default();
             tasks.push(*task);
         }
-        let one =
-            |((machine, session, attempt), mut tasks): ((&MachineId, _, Attempt), Vec<u32>)| {
-                for i in (1..tasks.len()).rev() {
-                    tasks[i] -= tasks[i - 1];
-                }
-                let session: Session = session;
-                let back = self.attempt.0.saturating_sub(attempt.0);
-                (machine.clone(), session.0, back, tasks)
-            };
+        let one = |((machine, epoch, attempt), mut tasks): ((&MachineId, _, Attempt), Vec<u32>)| {
+            for i in (1..tasks.len()).rev() {
+                tasks[i] -= tasks[i - 1];
+            }
+            let epoch: AgentEpoch = epoch;
+            let back = self.attempt.0.saturating_sub(attempt.0);
+            (machine.clone(), epoch.0, back, tasks)
+        };
         ByMachine {
             n: self.attempt.0,
             d: flat(&self.done),
@@ -141,7 +140,7 @@
     pub fn read(stored: &Value) -> Result<Progress, Unreadable> {
         if stored.get("p").is_some() {
             let v = Before::deserialize(stored).map_err(unreadable)?;
-            let place = |(i, a, m, s)| (i, Attempt(a), m, Session(s));
+            let place = |(i, a, m, s)| (i, Attempt(a), m, AgentEpoch(s));
             return Ok(Progress {
                 attempt: Attempt(v.n),
                 done: v.d,
@@ -151,7 +150,7 @@
         }
         let v = ByMachine::deserialize(stored).map_err(unreadable)?;
         let mut places = Vec::new();
-        for (machine, session, back, tasks) in v.m {
+        for (machine, epoch, back, tasks) in v.m {
             let attempt = v.n.checked_sub(back).map(Attempt);
             let attempt = attempt.ok_or_else(|| Unreadable {
                 why: "field m: an attempt below 0".into(),
@@ -162,7 +161,7 @@
                 task = next.ok_or_else(|| Unreadable {
                     why: "field m: tasks out of order".into(),
                 })?;
-                places.push((task, attempt, machine.clone(), Session(session)));
+                places.push((task, attempt, machine.clone(), AgentEpoch(epoch)));
             }
         }
         places.sort_by_key(|p| p.0);
--- a/crates/controller/src/core/format_version/chunk_progress/tests.rs
+++ b/crates/controller/src/core/format_version/chunk_progress/tests.rs
@@ -1,10 +1,9 @@
-
 use super::super::{BEFORE, FENCED};
 use super::*;
 use proptest::prelude::*;
 
 fn sample() -> Progress {
-    let place = |i, a, m: &str| (i, Attempt(a), m.into(), Session(1));
+    let place = |i, a, m: &str| (i, Attempt(a), m.into(), AgentEpoch(1));
     Progress {
         attempt: Attempt(3),
         done: vec![(0, 2), (5, 6)],
@@ -91,7 +90,7 @@
     (spans(), places, spans()).prop_map(|(done, places, stops)| {
         let place = |(i, (a, m, s))| {
             let machine = format!("host-{m:06}").as_str().into();
-            (i, Attempt(a), machine, Session(s))
+            (i, Attempt(a), machine, AgentEpoch(s))
         };
         Progress {
             attempt: Attempt(9),
--- a/crates/controller/src/core/format_version/member_versions.rs
+++ b/crates/controller/src/core/format_version/member_versions.rs
@@ -12,9 +12,9 @@
 
 use super::{BEFORE, FENCED, Level, Range};
 use crate::core::failpoints::{self, Decision};
-use crate::types::{Label, Span, Time, Version};
-use crate::wire::kvstore::{Change, Condition, Entry, Op, Txn};
-use crate::wire::peers::Told;
+use crate::types::{NodeId, Time, TimeSpan, Version};
+use crate::wire::kvstore::{Entry, Operation, Precondition, Transaction, WatchEvent};
+use crate::wire::peers::BuildInfo;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -32,9 +32,9 @@
 const MEMBERS: &str = "w/leader/at/";
 
 /// How long every controller must have been there with the next level.
-pub const STEADY: Span = Span::millis(10_000);
+pub const STEADY: TimeSpan = TimeSpan::millis(10_000);
 /// What a controller has not said again for so long does not count.
-const LATELY: Span = Span::millis(3500);
+const LATELY: TimeSpan = TimeSpan::millis(3500);
 
 /// The build of this program.
 pub const BUILD: &str = match option_env!("PEBBLEFOLD_BUILD") {
@@ -84,7 +84,7 @@
 /// What a node knows.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    own: Label,
+    own: NodeId,
     /// None: as a build that knows no levels.
     range: Option<Range>,
     record: Option<Member>,
@@ -95,9 +95,9 @@
     force: Level,
     force_version: Version,
     done: Level,
-    members: BTreeMap<Label, (Option<Member>, Version)>,
+    members: BTreeMap<NodeId, (Option<Member>, Version)>,
     /// What nodes said last and in which life, and since when.
-    told: BTreeMap<Label, (Told, Time, Time)>,
+    told: BTreeMap<NodeId, (BuildInfo, Time, Time)>,
 }
 
 fn value<T: Serialize>(v: &T) -> Value {
@@ -108,20 +108,20 @@
     Force::deserialize(v).ok().map(|f| f.level)
 }
 
-fn member_key(label: &Label) -> String {
-    format!("{MEMBERS}{label}")
+fn member_key(node_id: &NodeId) -> String {
+    format!("{MEMBERS}{node_id}")
 }
 
-fn put(key: String, v: Value) -> Op {
+fn put(key: String, v: Value) -> Operation {
     let (value, lease) = (v, None);
-    Op::Put { key, value, lease }
+    Operation::Put { key, value, lease }
 }
 
 impl Registry {
     /// Nothing known yet. `range`: `None` for a node that behaves as builds did that
     /// knew no levels.
     pub fn new(
-        own: Label,
+        own: NodeId,
         range: Option<Range>,
         policy: BTreeMap<String, f64>,
         life: u64,
@@ -160,7 +160,7 @@
     }
 
     /// A change that a watch told.
-    pub fn apply(&mut self, change: &Change) {
+    pub fn apply(&mut self, change: &WatchEvent) {
         if let Some(key) = &change.put {
             self.note(key, Some(&change.value), change.version);
         } else if let Some(key) = &change.delete {
@@ -191,17 +191,17 @@
             }
         } else if key == DONE {
             self.done = stored.and_then(level_of).unwrap_or(BEFORE).max(self.done);
-        } else if let Some(label) = key.strip_prefix(MEMBERS) {
+        } else if let Some(node_id) = key.strip_prefix(MEMBERS) {
             match stored {
                 Some(v) => {
                     let member = Member::deserialize(v).ok();
                     if member.is_none() {
                         tracing::error!(key, "cannot be read; no level rises until it can");
                     }
-                    self.members.insert(label.into(), (member, version));
+                    self.members.insert(node_id.into(), (member, version));
                 }
                 None => {
-                    self.members.remove(&Label::from(label));
+                    self.members.remove(&NodeId::from(node_id));
                 }
             }
         }
@@ -231,7 +231,7 @@
         compares.then_some(self.force_version)
     }
 
-    fn fenced(&self) -> Vec<Condition> {
+    fn fenced(&self) -> Vec<Precondition> {
         self.fence().map(fence).into_iter().collect()
     }
 
@@ -263,7 +263,7 @@
     }
 
     /// What this node is to write about itself before it does anything.
-    pub fn registration(&self) -> Option<Txn> {
+    pub fn registration(&self) -> Option<Transaction> {
         let record = self.record.as_ref().filter(|_| self.read)?;
         let (stored, version) = match self.members.get(&self.own) {
             Some((m, v)) => (m.as_ref(), *v),
@@ -274,11 +274,11 @@
             return None;
         }
         let key = member_key(&self.own);
-        let own = Condition {
+        let own = Precondition {
             key: key.clone(),
             version,
         };
-        Some(Txn {
+        Some(Transaction {
             conditions: self.fenced().into_iter().chain([own]).collect(),
             ops: vec![put(key, value(record))],
         })
@@ -291,9 +291,9 @@
     }
 
     /// What this node says in greetings.
-    pub fn tell(&self) -> Option<Told> {
+    pub fn tell(&self) -> Option<BuildInfo> {
         let record = self.record.as_ref()?;
-        Some(Told {
+        Some(BuildInfo {
             low: record.levels.low.0,
             high: record.levels.high.0,
             build: record.build.clone(),
@@ -302,15 +302,15 @@
     }
 
     /// What a peer said of itself; `None`: it knows no levels.
-    pub fn heard(&mut self, now: Time, label: &Label, told: Option<Told>) {
+    pub fn heard(&mut self, now: Time, node_id: &NodeId, told: Option<BuildInfo>) {
         let Some(told) = told else {
-            self.told.remove(label);
+            self.told.remove(node_id);
             return;
         };
-        match self.told.get_mut(label) {
+        match self.told.get_mut(node_id) {
             Some((same, _, last)) if *same == told && now.since(*last) < LATELY => *last = now,
             _ => {
-                self.told.insert(label.clone(), (told, now, now));
+                self.told.insert(node_id.clone(), (told, now, now));
             }
         }
     }
@@ -325,7 +325,7 @@
     }
 
     /// What the commit takes along that begins a store at [`FENCED`].
-    pub fn begin(&self) -> Vec<Op> {
+    pub fn begin(&self) -> Vec<Operation> {
         let level = FENCED;
         vec![
             put(STONE.into(), stone()),
@@ -336,7 +336,7 @@
 
     /// The next level, if all have it: the conditions and changes of its commit, to
     /// which the holder adds that it is one. Otherwise what is waited for.
-    pub fn rise(&self, now: Time, peers: &[Label], highest: Level) -> Result<Rise, String> {
+    pub fn rise(&self, now: Time, peers: &[NodeId], highest: Level) -> Result<Rise, String> {
         let range = self.range.ok_or("this node knows no levels")?;
         let next = self.force.next();
         if !range.has(next) {
@@ -352,30 +352,30 @@
             ));
         }
         let mut conditions = self.fenced();
-        for label in peers.iter().chain([&self.own]) {
-            let Some((Some(member), version)) = self.members.get(label) else {
-                return Err(format!("{label} has not said which levels it serves"));
+        for node_id in peers.iter().chain([&self.own]) {
+            let Some((Some(member), version)) = self.members.get(node_id) else {
+                return Err(format!("{node_id} has not said which levels it serves"));
             };
             if !member.levels.has(next) {
                 let high = member.levels.high;
-                return Err(format!("{label} runs {} (up to {high})", member.build));
+                return Err(format!("{node_id} runs {} (up to {high})", member.build));
             }
-            if *label != self.own {
-                let there = self.told.get(label).filter(|(told, _, last)| {
+            if *node_id != self.own {
+                let there = self.told.get(node_id).filter(|(told, _, last)| {
                     told.high >= next.0 && told.low <= next.0 && now.since(*last) < LATELY
                 });
                 let Some((_, since, _)) = there else {
-                    return Err(format!("{label} is not heard of, or runs an older build"));
+                    return Err(format!("{node_id} is not heard of, or runs an older build"));
                 };
                 let been = now.since(*since);
                 if been < STEADY {
                     let left = (STEADY.as_secs() - been.as_secs()).ceil();
-                    return Err(format!("{label} must be there for {left} s more"));
+                    return Err(format!("{node_id} must be there for {left} s more"));
                 }
             }
             if failpoints::holds(Decision::RiseComparesMembers) {
-                conditions.push(Condition {
-                    key: member_key(label),
+                conditions.push(Precondition {
+                    key: member_key(node_id),
                     version: *version,
                 });
             }
@@ -402,9 +402,9 @@
 
     /// What says that everything stored has the form of the level in force, if that
     /// was not said yet.
-    pub fn rewritten(&self) -> Option<Txn> {
+    pub fn rewritten(&self) -> Option<Transaction> {
         let due = self.range.is_some() && self.done < self.force;
-        due.then(|| Txn {
+        due.then(|| Transaction {
             conditions: self.fenced(),
             ops: vec![put(DONE.into(), value(&Force { level: self.force }))],
         })
@@ -417,23 +417,23 @@
 
     /// A node that runs under another policy than this one, and where that differs
     /// from the default.
-    pub fn other_policy(&self) -> Option<(&Label, &BTreeMap<String, f64>)> {
+    pub fn other_policy(&self) -> Option<(&NodeId, &BTreeMap<String, f64>)> {
         let own = &self.record.as_ref()?.policy;
         let said = self.members.iter();
-        let said = said.filter_map(|(label, (m, _))| Some((label, &m.as_ref()?.policy)));
+        let said = said.filter_map(|(node_id, (m, _))| Some((node_id, &m.as_ref()?.policy)));
         said.into_iter().find(|(_, policy)| *policy != own)
     }
 
     /// What the nodes run and what is waited for, for operators.
-    pub fn inspect(&self, now: Time, peers: &[Label], highest: Level) -> Value {
+    pub fn inspect(&self, now: Time, peers: &[NodeId], highest: Level) -> Value {
         let nodes: Vec<Value> = peers
             .iter()
             .chain([&self.own])
-            .map(|label| {
-                let member = self.members.get(label).and_then(|(m, _)| m.as_ref());
-                let told = self.told.get(label);
+            .map(|node_id| {
+                let member = self.members.get(node_id).and_then(|(m, _)| m.as_ref());
+                let told = self.told.get(node_id);
                 serde_json::json!({
-                    "node": label, "build": member.map(|m| &m.build),
+                    "node": node_id, "build": member.map(|m| &m.build),
                     "levels": member.map(|m| [m.levels.low, m.levels.high]),
                     "policy": member.map(|m| &m.policy),
                     "there_s": told.map(|(_, since, _)| now.since(*since).as_secs()),
@@ -451,8 +451,8 @@
 }
 
 /// Compares the level in force.
-pub fn fence(version: Version) -> Condition {
-    Condition {
+pub fn fence(version: Version) -> Precondition {
+    Precondition {
         key: LEVEL.into(),
         version,
     }
@@ -464,9 +464,9 @@
     /// The level.
     pub to: Level,
     /// What it compares.
-    pub conditions: Vec<Condition>,
+    pub conditions: Vec<Precondition>,
     /// What it changes.
-    pub ops: Vec<Op>,
+    pub ops: Vec<Operation>,
 }
 
 /// What stands in the place of the leader's key from [`FENCED`] on. Builds without
--- a/crates/controller/src/core/format_version/member_versions/tests.rs
+++ b/crates/controller/src/core/format_version/member_versions/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 const TWO: Range = Range {
@@ -14,9 +13,9 @@
     }
 }
 
-fn member(label: &str, high: u32, version: u64) -> Entry {
+fn member(node_id: &str, high: u32, version: u64) -> Entry {
     let said = serde_json::json!({"levels": {"low": 0, "high": high}, "build": "b", "life": 1});
-    entry(&format!("{MEMBERS}{label}"), said, version)
+    entry(&format!("{MEMBERS}{node_id}"), said, version)
 }
 
 /// Node a among three, all of which serve two levels, at level 1.
@@ -36,12 +35,12 @@
 }
 
 fn at(s: f64) -> Time {
-    Time(0) + Span::secs(s)
+    Time(0) + TimeSpan::secs(s)
 }
 
-fn told(high: u32, life: u64) -> Option<Told> {
+fn told(high: u32, life: u64) -> Option<BuildInfo> {
     let build = "b".into();
-    Some(Told {
+    Some(BuildInfo {
         low: 0,
         high,
         build,
@@ -51,7 +50,7 @@
 
 /// What is waited for after all have said so for some seconds, but that one says
 /// this at the tenth.
-fn waits(mut r: Registry, secs: u32, tenth: Option<Told>) -> Option<String> {
+fn waits(mut r: Registry, secs: u32, tenth: Option<BuildInfo>) -> Option<String> {
     for s in 0..secs {
         let say = |l| {
             if l == "c" && s == 10 {
@@ -112,7 +111,7 @@
     assert_eq!((running.serves(), running.level()), (Ok(()), Level(1)));
     // It falls neither by a late word nor by a key that is gone.
     let mut r = registry(Vec::new());
-    let change = |put: Option<&str>, level: u32| Change {
+    let change = |put: Option<&str>, level: u32| WatchEvent {
         put: put.map(String::from),
         delete: put.is_none().then(|| LEVEL.into()),
         value: serde_json::json!({ "level": level }),
@@ -137,8 +136,8 @@
     let mut said = member("c", 2, 4);
     said.value["policy"] = serde_json::json!({"doubt": 0.0});
     let r = registry(vec![said]);
-    let (label, policy) = r.other_policy().unwrap();
-    assert_eq!((label.as_str(), policy["doubt"]), ("c", 0.0));
+    let (node_id, policy) = r.other_policy().unwrap();
+    assert_eq!((node_id.as_str(), policy["doubt"]), ("c", 0.0));
     assert_eq!(
         r.inspect(at(1.0), &["c".into()], Level(9))["one_policy"],
         false
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 // Every record but a chunk's (`progress`) has one form in all levels so far, as it
@@ -8,7 +7,7 @@
     use crate::core::job_records::{self, Assembly, Head, HeadStage, LeaderValue};
     use crate::core::quota::arrival_history::Memory;
     use crate::core::{autoscaler::intents::Intents, quarantine::Asides};
-    use crate::types::{Span, Token, Version, Wall};
+    use crate::types::{FencingToken, TimeSpan, Version, WallTime};
     use serde_json::json;
 
     let head = json!({"s": "p", "n": 3});
@@ -27,18 +26,21 @@
     parts.part("wk-1".into(), 1, &json!(two));
     let stored = json!({"at": 5, "n": 2, "s": one});
     let job = parts.job(&"wk-1".into(), Version(9), &stored).unwrap();
-    assert_eq!((job.at, job.spec.tasks, job.is_gang()), (Wall(5), 2, true));
-    let mut intents = Intents::new(Token(9), Span::secs(4.0), 8192);
+    assert_eq!(
+        (job.at, job.spec.tasks, job.is_gang()),
+        (WallTime(5), 2, true)
+    );
+    let mut intents = Intents::new(FencingToken(9), TimeSpan::secs(4.0), 8192);
     let hire = json!({"t": 5, "r": {"hire": "3-1", "box_kind": "g8", "yard": "a", "borrowed": true, "count": 2}});
     let release = json!({"t": 5, "w": {"idle": ["host-1", "host-2"]}});
-    intents.load("d/h/3-1", &hire, Wall(6));
-    assert_eq!(intents.load("d/x/3-2", &release, Wall(6)).len(), 2);
+    intents.load("d/h/3-1", &hire, WallTime(6));
+    assert_eq!(intents.load("d/x/3-2", &release, WallTime(6)).len(), 2);
     assert_eq!(intents.open(), [1, 1, 2]);
     let mark = Asides::default().load("d/m/host-1", &json!({"n": 2, "t": 5, "d": true}));
     assert_eq!(mark, Some(("host-1".into(), true)));
     let came = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
     assert_eq!(
-        Memory::new(Span::secs(600.0))
+        Memory::new(TimeSpan::secs(600.0))
             .missing(&came)
             .map(|m| m.len()),
         Some(1)
--- a/crates/controller/src/core/garbage_collection.rs
+++ b/crates/controller/src/core/garbage_collection.rs
@@ -6,7 +6,7 @@
 use crate::core::failpoints::{self, Decision};
 use crate::core::keys;
 use crate::types::{JobId, Version};
-use crate::wire::kvstore::{Condition, Op};
+use crate::wire::kvstore::{Operation, Precondition};
 use std::collections::VecDeque;
 
 /// Keys deleted in one transaction; each has two conditions.
@@ -57,15 +57,15 @@
     }
 
     /// The next ones to delete, with what has to hold.
-    pub fn next(&mut self, room: usize) -> Vec<(Orphan, Vec<Condition>, Op)> {
+    pub fn next(&mut self, room: usize) -> Vec<(Orphan, Vec<Precondition>, Operation)> {
         let n = room.min(MOST).min(self.found.len());
         let next = self.found.drain(..n);
         next.map(|o| {
-            let seen = Condition {
+            let seen = Precondition {
                 key: o.key.clone(),
                 version: o.version,
             };
-            let gone = Condition {
+            let gone = Precondition {
                 key: keys::job_key(&o.job),
                 version: Version(0),
             };
@@ -75,7 +75,7 @@
             } else {
                 Vec::new()
             };
-            (o, conditions, Op::Delete { key })
+            (o, conditions, Operation::Delete { key })
         })
         .collect()
     }
--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -5,15 +5,15 @@
 use super::effects::{Io, Waits};
 use super::failpoints::{self, Decision};
 use super::format_version::member_versions;
-use super::job_records::{self, Head, HeadStage, TxnLimits};
+use super::job_records::{self, Head, HeadStage, TransactionLimits};
 use super::read_coalescing::{Comparison, Polls};
 use super::{Answer, Reply, RequestId, Target};
 use crate::settings::Settings;
-use crate::types::{Amounts, JobId, Span, Version};
+use crate::types::{JobId, Resources, TimeSpan, Version};
 use crate::wire;
 use crate::wire::cloud::MachineTypes;
-use crate::wire::kvstore::{Entry, Revision, Txn};
-use crate::wire::users::{JobAnswer, Refusal, Shape, Stage, Submission, valid_id};
+use crate::wire::kvstore::{Entry, Transaction, TransactionResponse};
+use crate::wire::users::{ErrorResponse, JobShape, JobStage, JobStatus, Submission, valid_id};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a request waits for.
@@ -62,12 +62,12 @@
 /// The part of the users' calls that shared reads for polls may take.
 const SHARED_READS: f64 = 0.4;
 /// A user waits 2 s for a poll.
-const READ_TIMEOUT: Span = Span::millis(1500);
+const READ_TIMEOUT: TimeSpan = TimeSpan::millis(1500);
 /// So long for a shared read, so that one that is lost can be made again.
-const COMPARE_TIMEOUT: Span = Span::millis(700);
+const COMPARE_TIMEOUT: TimeSpan = TimeSpan::millis(700);
 /// A user waits 5 s for a submission, and hopes for less than one: a commit whose answer is
 /// lost is looked up by then.
-const COMMIT_TIMEOUT: Span = Span::millis(800);
+const COMMIT_TIMEOUT: TimeSpan = TimeSpan::millis(800);
 
 /// The users' side of a node.
 #[derive(Debug, Default)]
@@ -138,15 +138,15 @@
         }
     }
 
-    fn answer(&self, id: &JobId, head: Head) -> JobAnswer {
+    fn answer(&self, id: &JobId, head: Head) -> JobStatus {
         let (done, running) = self.counts.get(id).copied().unwrap_or((0, 0));
         let (stage, done, running) = match head.s {
-            HeadStage::Done => (Stage::Done, head.n, 0),
-            HeadStage::Cancelled => (Stage::Cancelled, done, 0),
-            HeadStage::Open if running > 0 => (Stage::Running, done, running),
-            HeadStage::Open => (Stage::Queued, done, 0),
+            HeadStage::Done => (JobStage::Done, head.n, 0),
+            HeadStage::Cancelled => (JobStage::Cancelled, done, 0),
+            HeadStage::Open if running > 0 => (JobStage::Running, done, running),
+            HeadStage::Open => (JobStage::Queued, done, 0),
         };
-        JobAnswer {
+        JobStatus {
             id: id.clone(),
             stage,
             done: Some(done),
@@ -155,7 +155,7 @@
     }
 }
 
-fn job_answer(io: &mut Io, request: RequestId, status: u16, answer: &JobAnswer) {
+fn job_answer(io: &mut Io, request: RequestId, status: u16, answer: &JobStatus) {
     io.answer(
         request,
         Answer {
@@ -174,7 +174,7 @@
         Answer {
             status,
             retry_after: (status == 503).then_some(1),
-            body: wire::encode(&Refusal { error }),
+            body: wire::encode(&ErrorResponse { error }),
         },
     );
 }
@@ -193,9 +193,9 @@
     if !fits {
         return Some("a task fits no allowed machine type");
     }
-    let at_once: Amounts = match job.shape {
-        Shape::Array => need,
-        Shape::Gang | Shape::Service => need.times(f64::from(job.tasks)),
+    let at_once: Resources = match job.shape {
+        JobShape::Array => need,
+        JobShape::Gang | JobShape::Service => need.times(f64::from(job.tasks)),
     };
     (!team.allows(&at_once)).then_some("the job needs more than its team's limit")
 }
@@ -223,7 +223,7 @@
 
     /// Every change a user causes compares the level in force: one that this node
     /// decided before a rise, or that the network held back over it, fails.
-    fn commit(&mut self, io: &mut Io, request: RequestId, mut txn: Txn, step: Step) {
+    fn commit(&mut self, io: &mut Io, request: RequestId, mut txn: Transaction, step: Step) {
         txn.conditions.extend(io.level.map(member_versions::fence));
         let now = io.now.time;
         if !io.user_calls.take(now, 1.0) || !io.user_writes.take(now, txn.ops.len() as f64) {
@@ -278,7 +278,7 @@
         if let Some(unable) = unable {
             return self.look_up(io, request, &job.id, unable);
         }
-        let limits = TxnLimits {
+        let limits = TransactionLimits {
             ops: settings.state_limits.txn_ops,
             value_bytes: settings.state_limits.value_bytes,
         };
@@ -344,7 +344,7 @@
 
     /// A shared read for polls was answered, or not.
     pub fn on_compare(&mut self, io: &mut Io, comparison: Comparison, reply: &Reply) {
-        let pause = Span::secs(1.0 / (io.user_calls.burst() * SHARED_READS).max(1.0));
+        let pause = TimeSpan::secs(1.0 / (io.user_calls.burst() * SHARED_READS).max(1.0));
         let out = self.polls.answered(io.now.time, pause, comparison, reply);
         for (request, id, head) in out.open {
             // It may have ended, by this node's own hand, while the answer was on its way.
@@ -395,7 +395,7 @@
     fn on_accept(&mut self, io: &mut Io, request: RequestId, id: JobId, tasks: u32, reply: Reply) {
         let reply = match reply {
             Reply::Lost if !failpoints::holds(Decision::LostIsUnknown) => {
-                Reply::Answer(200, wire::encode(&Revision::default()))
+                Reply::Answer(200, wire::encode(&TransactionResponse::default()))
             }
             reply => reply,
         };
@@ -406,13 +406,13 @@
                 if self.answer_final(io, request, &id) {
                     return;
                 }
-                if let Some(r) = wire::decode::<Revision>(&body) {
+                if let Some(r) = wire::decode::<TransactionResponse>(&body) {
                     let s = HeadStage::Open;
                     self.polls.remember(&id, Head { s, n: tasks }, r.revision);
                 }
-                let answer = JobAnswer {
+                let answer = JobStatus {
                     id,
-                    stage: Stage::Queued,
+                    stage: JobStage::Queued,
                     done: None,
                     running: None,
                 };
--- a/crates/controller/src/core/job_api/tests.rs
+++ b/crates/controller/src/core/job_api/tests.rs
@@ -8,7 +8,7 @@
 fn a_read_answered_late_does_not_bring_back_an_older_state() {
     let (mut io, mut intake) = (io_at(1.0), Intake::default());
     let id = JobId::from("wk-1");
-    let ended = Reply::Answer(200, wire::encode(&Revision::default()));
+    let ended = Reply::Answer(200, wire::encode(&TransactionResponse::default()));
     let cancel = Step::Cancel(id.clone(), 1);
     intake.on_step(&mut io, RequestId(1), cancel, ended);
     let head = Entry {
@@ -18,23 +18,23 @@
     };
     let late = Reply::Answer(200, wire::encode(&head));
     intake.on_step(&mut io, RequestId(2), Step::Poll(id), late);
-    let told: Vec<Stage> = io
+    let told: Vec<JobStage> = io
         .take_outputs()
         .into_iter()
         .filter_map(|o| match o {
-            Output::Answer(_, a) => wire::decode::<JobAnswer>(&a.body).map(|a| a.stage),
+            Output::Answer(_, a) => wire::decode::<JobStatus>(&a.body).map(|a| a.stage),
             _ => None,
         })
         .collect();
-    assert_eq!(told, [Stage::Cancelled, Stage::Cancelled]);
+    assert_eq!(told, [JobStage::Cancelled, JobStage::Cancelled]);
 }
 
-fn told(io: &mut Io) -> Vec<(u64, u16, Option<Stage>)> {
+fn told(io: &mut Io) -> Vec<(u64, u16, Option<JobStage>)> {
     let answers = io.take_outputs().into_iter().filter_map(|o| match o {
         Output::Answer(r, a) => Some((r.0, a)),
         _ => None,
     });
-    let stage = |body: &[u8]| wire::decode::<JobAnswer>(body).map(|a| a.stage);
+    let stage = |body: &[u8]| wire::decode::<JobStatus>(body).map(|a| a.stage);
     answers
         .map(|(r, a)| (r, a.status, stage(&a.body)))
         .collect()
@@ -50,7 +50,7 @@
 }
 
 fn accepted() -> Reply {
-    Reply::Answer(200, wire::encode(&Revision::default()))
+    Reply::Answer(200, wire::encode(&TransactionResponse::default()))
 }
 
 // The answer to an acceptance may take seconds. Its user, who was told by another node
@@ -69,8 +69,8 @@
     assert_eq!(
         told(&mut io),
         [
-            (1, 200, Some(Stage::Cancelled)),
-            (2, 200, Some(Stage::Cancelled))
+            (1, 200, Some(JobStage::Cancelled)),
+            (2, 200, Some(JobStage::Cancelled))
         ]
     );
     // Nor does it bring the job back among the open ones.
--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -8,9 +8,11 @@
 use super::format_version::chunk_progress::{Progress, Unreadable};
 use super::garbage_collection::Orphan;
 pub use super::keys::*;
-use crate::types::{Attempt, JobId, Label, MachineId, Span, Time, Token, Version, Wall};
-use crate::wire::kvstore::{Condition, Op, Txn};
-use crate::wire::users::{Shape, Submission};
+use crate::types::{
+    Attempt, FencingToken, JobId, MachineId, NodeId, Time, TimeSpan, Version, WallTime,
+};
+use crate::wire::kvstore::{Operation, Precondition, Transaction};
+use crate::wire::users::{JobShape, Submission};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +22,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderValue {
     /// The node.
-    pub label: Label,
+    #[serde(rename = "label")]
+    pub node_id: NodeId,
     /// Tells this claim from every other one.
     pub nonce: u64,
 }
@@ -50,7 +53,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct JobValue {
-    at: Wall,
+    at: WallTime,
     n: u32,
     s: String,
 }
@@ -81,7 +84,7 @@
 
 /// Limits of one transaction.
 #[derive(Clone, Copy, Debug)]
-pub struct TxnLimits {
+pub struct TransactionLimits {
     /// Puts and deletes.
     pub ops: usize,
     /// Bytes of one value.
@@ -92,7 +95,11 @@
 const TXN_BYTES: usize = 56 * 1024;
 
 /// The transaction that accepts a job. `None`: it is too large to be stored.
-pub fn accept_txn(job: &Submission, at: Wall, limits: TxnLimits) -> Option<Txn> {
+pub fn accept_txn(
+    job: &Submission,
+    at: WallTime,
+    limits: TransactionLimits,
+) -> Option<Transaction> {
     let text = serde_json::to_string(job).ok()?;
     // Quotes grow when JSON text becomes a JSON string; a third is ample for
     // our field names, and the sum is checked below.
@@ -115,7 +122,7 @@
     if !piece.is_empty() || pieces.is_empty() {
         pieces.push(piece);
     }
-    let mut ops = vec![Op::Put {
+    let mut ops = vec![Operation::Put {
         key: head_key(&job.id),
         value: head_value(HeadStage::Open, job.tasks),
         lease: None,
@@ -127,7 +134,7 @@
         } else {
             (part_key(&job.id, i as u32), Value::String(s))
         };
-        ops.push(Op::Put {
+        ops.push(Operation::Put {
             key,
             value: v,
             lease: None,
@@ -136,15 +143,15 @@
     let bytes: usize = ops
         .iter()
         .map(|op| match op {
-            Op::Put { key, value, .. } => key.len() + json_len(value) + 40,
-            Op::Delete { key } => key.len() + 20,
+            Operation::Put { key, value, .. } => key.len() + json_len(value) + 40,
+            Operation::Delete { key } => key.len() + 20,
         })
         .sum();
     if ops.len() > limits.ops || bytes > TXN_BYTES {
         return None;
     }
-    Some(Txn {
-        conditions: vec![Condition {
+    Some(Transaction {
+        conditions: vec![Precondition {
             key: head_key(&job.id),
             version: Version(0),
         }],
@@ -153,20 +160,20 @@
 }
 
 /// What a write compares, and what it changes.
-pub type Write = (Vec<Condition>, Vec<Op>);
+pub type Write = (Vec<Precondition>, Vec<Operation>);
 
-fn put(key: String, value: Value) -> Op {
+fn put(key: String, value: Value) -> Operation {
     let lease = None;
-    Op::Put { key, value, lease }
+    Operation::Put { key, value, lease }
 }
 
 /// The transaction that cancels a job whose head was read open at this version: of it
 /// and the one that calls the job done, one comes through.
-pub fn cancel_txn(id: &JobId, head: Head, version: Version) -> Txn {
+pub fn cancel_txn(id: &JobId, head: Head, version: Version) -> Transaction {
     let value = head_value(HeadStage::Cancelled, head.n);
     let key = head_key(id);
-    Txn {
-        conditions: vec![Condition { key, version }],
+    Transaction {
+        conditions: vec![Precondition { key, version }],
         ops: vec![put(head_key(id), value.clone()), put(end_key(id), value)],
     }
 }
@@ -310,7 +317,7 @@
     /// As submitted.
     pub spec: Rc<Submission>,
     /// When it was accepted.
-    pub at: Wall,
+    pub at: WallTime,
     /// Version of its head while open.
     pub version: Version,
     /// Further keys of its submission.
@@ -353,7 +360,7 @@
 
 impl Job {
     /// A job just accepted.
-    pub fn new(spec: Rc<Submission>, at: Wall, version: Version, parts: u32) -> Job {
+    pub fn new(spec: Rc<Submission>, at: WallTime, version: Version, parts: u32) -> Job {
         let tasks = spec.tasks;
         Job {
             spec,
@@ -374,11 +381,11 @@
 
     /// Whether it is a service, which is never done.
     pub fn is_service(&self) -> bool {
-        self.spec.shape == Shape::Service
+        self.spec.shape == JobShape::Service
     }
     /// Whether it is a gang.
     pub fn is_gang(&self) -> bool {
-        self.spec.shape == Shape::Gang
+        self.spec.shape == JobShape::Gang
     }
     /// Whether its tasks may still be started.
     pub fn is_open(&self) -> bool {
@@ -421,7 +428,7 @@
                 stops.insert(i);
             }
         }
-        let place = |(&i, p): (&u32, &Placement)| (i, p.attempt, p.machine.clone(), p.session);
+        let place = |(&i, p): (&u32, &Placement)| (i, p.attempt, p.machine.clone(), p.epoch);
         let progress = Progress {
             attempt: self.attempt,
             done: self.done.within(low, high),
@@ -439,7 +446,7 @@
         // However late this one is carried out, no newer record is written over.
         if failpoints::holds(Decision::RecordsCompareVersions) {
             let key = key.clone();
-            conditions.push(Condition { key, version });
+            conditions.push(Precondition { key, version });
         }
         // Whatever this node has not heard of yet, and however late it is: no start is
         // stored once the job's end is.
@@ -450,8 +457,8 @@
         (conditions, vec![put(key, value)])
     }
 
-    fn is_still_open(&self) -> Condition {
-        Condition {
+    fn is_still_open(&self) -> Precondition {
+        Precondition {
             key: head_key(&self.spec.id),
             version: self.version,
         }
@@ -459,7 +466,7 @@
 
     /// A job ends once: whatever this node has not heard of, done is not written over
     /// a cancellation.
-    fn ends_once(&self) -> Vec<Condition> {
+    fn ends_once(&self) -> Vec<Precondition> {
         match failpoints::holds(Decision::OneEndDecides) {
             true => vec![self.is_still_open()],
             false => Vec::new(),
@@ -481,13 +488,13 @@
         let head = head_value(HeadStage::Done, self.spec.tasks);
         let gone = self.keys().into_iter().filter(|k| *k != end_key(id));
         let mut ops = vec![put(head_key(id), head)];
-        ops.extend(gone.map(|key| Op::Delete { key }));
+        ops.extend(gone.map(|key| Operation::Delete { key }));
         (self.ends_once(), ops)
     }
 
     /// Deletes what is stored of a job that is over, as far as there is room for so many
     /// changes; whether that is all.
-    pub fn drop_write(&self, room: usize) -> (Vec<Op>, bool) {
+    pub fn drop_write(&self, room: usize) -> (Vec<Operation>, bool) {
         let keys = self.keys();
         let mut n = keys.len().min(room);
         let last = n == keys.len();
@@ -497,7 +504,7 @@
             n -= 1;
         }
         let ops = keys.into_iter().take(n);
-        (ops.map(|key| Op::Delete { key }).collect(), last)
+        (ops.map(|key| Operation::Delete { key }).collect(), last)
     }
 
     /// Takes over a stored record. One that cannot be read keeps the whole job from
@@ -527,11 +534,11 @@
                 self.waiting.remove(i);
             }
         }
-        for (i, attempt, machine, session) in v.places {
+        for (i, attempt, machine, epoch) in v.places {
             self.waiting.remove(i);
             self.attempt = self.attempt.max(attempt);
             self.places
-                .insert(i, Placement::inherited(machine, session, attempt));
+                .insert(i, Placement::inherited(machine, epoch, attempt));
         }
         let grace_s = self.spec.save_s;
         for (a, b) in v.stops {
@@ -614,7 +621,7 @@
 }
 
 /// How long a chunk without starts waits for further changes.
-const SETTLES: Span = Span::millis(1000);
+const SETTLES: TimeSpan = TimeSpan::millis(1000);
 
 impl Dirty {
     /// Notes a change; `start`: of a task that is to be started.
@@ -669,7 +676,7 @@
 #[derive(Debug, Default)]
 pub struct Lane {
     /// The transaction in flight with what it carries.
-    pub flight: Option<(Txn, Vec<Item>)>,
+    pub flight: Option<(Transaction, Vec<Item>)>,
     /// Whether an answer to it was lost, so that it may be applied already.
     pub doubtful: bool,
     /// Whether a call for it is out.
@@ -682,20 +689,20 @@
 
 /// Collects changes up to the limits of one transaction.
 #[derive(Debug)]
-pub struct TxnBuilder {
-    txn: Txn,
+pub struct TransactionBuilder {
+    txn: Transaction,
     items: Vec<Item>,
     bytes: usize,
-    limits: TxnLimits,
+    limits: TransactionLimits,
 }
 
-impl TxnBuilder {
+impl TransactionBuilder {
     /// A transaction that only the holder of `token`, the version of this key, can
     /// commit.
-    pub fn new(holder: &str, token: Token, limits: TxnLimits) -> TxnBuilder {
-        TxnBuilder {
-            txn: Txn {
-                conditions: vec![Condition {
+    pub fn new(holder: &str, token: FencingToken, limits: TransactionLimits) -> TransactionBuilder {
+        TransactionBuilder {
+            txn: Transaction {
+                conditions: vec![Precondition {
                     key: holder.into(),
                     version: Version(token.0),
                 }],
@@ -718,12 +725,12 @@
     }
 
     /// Adds an item with its changes and conditions; false if it does not fit.
-    pub fn add(&mut self, item: Item, conditions: Vec<Condition>, ops: Vec<Op>) -> bool {
+    pub fn add(&mut self, item: Item, conditions: Vec<Precondition>, ops: Vec<Operation>) -> bool {
         let bytes: usize = ops
             .iter()
             .map(|op| match op {
-                Op::Put { key, value, .. } => key.len() + json_len(value) + 40,
-                Op::Delete { key } => key.len() + 20,
+                Operation::Put { key, value, .. } => key.len() + json_len(value) + 40,
+                Operation::Delete { key } => key.len() + 20,
             })
             .sum::<usize>()
             + conditions.iter().map(|c| c.key.len() + 40).sum::<usize>();
@@ -738,7 +745,7 @@
     }
 
     /// The transaction, if it has anything to do.
-    pub fn finish(self) -> Option<(Txn, Vec<Item>)> {
+    pub fn finish(self) -> Option<(Transaction, Vec<Item>)> {
         (!self.txn.ops.is_empty()).then_some((self.txn, self.items))
     }
 }
--- a/crates/controller/src/core/job_records/tests.rs
+++ b/crates/controller/src/core/job_records/tests.rs
@@ -1,8 +1,7 @@
-
 use super::*;
 use crate::core::format_version::TABLE;
 use crate::testing;
-use crate::types::Session;
+use crate::types::AgentEpoch;
 use proptest::prelude::*;
 
 proptest! {
@@ -31,17 +30,17 @@
 
 #[test]
 fn a_long_submission_is_stored_in_pieces_and_read_back() {
-    let limits = TxnLimits {
+    let limits = TransactionLimits {
         ops: 48,
         value_bytes: 2048,
     };
-    let mut spec = testing::submission("wk-1", Shape::Array, 3);
+    let mut spec = testing::submission("wk-1", JobShape::Array, 3);
     spec.kinds = Some((0..300).map(|i| format!("kind-\"{i}\"").into()).collect());
-    let txn = accept_txn(&spec, Wall(5), limits).unwrap();
+    let txn = accept_txn(&spec, WallTime(5), limits).unwrap();
     let mut assembly = Assembly::default();
     let mut first = None;
     for op in &txn.ops {
-        let Op::Put { key, value, .. } = op else {
+        let Operation::Put { key, value, .. } = op else {
             panic!()
         };
         assert!(json_len(value) <= 2048, "{}", json_len(value));
@@ -54,15 +53,15 @@
     let (id, v) = first.unwrap();
     let job = assembly.job(&id, Version(9), &v).unwrap();
     assert_eq!((*job.spec).clone(), spec);
-    assert_eq!(job.at, Wall(5));
+    assert_eq!(job.at, WallTime(5));
 }
 
 #[test]
 fn a_full_chunk_fits_into_a_value() {
     for bytes in [1024, 2048, 8192] {
         let size = ChunkSize::for_value(bytes);
-        let spec = testing::submission("wk-1", Shape::Array, 100_000);
-        let mut job = Job::new(Rc::new(spec), Wall(0), Version(1), 1);
+        let spec = testing::submission("wk-1", JobShape::Array, 100_000);
+        let mut job = Job::new(Rc::new(spec), WallTime(0), Version(1), 1);
         let high = 100_000 - size.0;
         for i in (high..100_000).step_by(2) {
             job.done.insert(i);
@@ -70,7 +69,7 @@
         for i in high..100_000 {
             let place = Placement::inherited(
                 "machine-with-a-rather-long-name-000231".into(),
-                Session(1 << 40),
+                AgentEpoch(1 << 40),
                 Attempt(1 << 40),
             );
             job.places.insert(i, place);
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -26,14 +26,14 @@
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::types::{
-    Attempt, Class, Image, JobId, Kind, Label, MachineId, Span, TaskId, Team, Time, Token, Version,
-    Wall,
+    Attempt, Class, FencingToken, Image, JobId, MachineId, MachineTypeName, NodeId, TaskId, Team,
+    Time, TimeSpan, Version, WallTime,
 };
 use crate::wire;
 use crate::wire::cloud::{MachineType, MachineTypes};
-use crate::wire::kvstore::{Change, Changes, Entries, Entry, Op};
-use crate::wire::workers::{TaskState, Why};
-use crate::wire::{backoff::Backoff, rate_limit::Bucket};
+use crate::wire::kvstore::{Entry, EntryPage, Operation, WatchEvent, WatchResponse};
+use crate::wire::workers::{StopReason, TaskState};
+use crate::wire::{backoff::Backoff, rate_limit::TokenBucket};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -43,41 +43,41 @@
     /// It goes on.
     Stay,
     /// Somebody holds a higher token.
-    Deposed(Token),
+    Deposed(FencingToken),
     /// It gives itself up, to start over from what is recorded.
     StepDown(&'static str),
 }
 
 /// Time between looks for machines that fell silent or are gone.
-const LOOK_EVERY: Span = Span::millis(200);
+const LOOK_EVERY: TimeSpan = TimeSpan::millis(200);
 /// Least time between two cycles.
-const CYCLE_GAP: Span = Span::millis(80);
+const CYCLE_GAP: TimeSpan = TimeSpan::millis(80);
 /// By how much each machine lengthens it.
-const GAP_PER_MACHINE: Span = Span(150);
+const GAP_PER_MACHINE: TimeSpan = TimeSpan(150);
 /// A cycle that seems to have taken less may have been followed by nothing to do.
-const LONG_CYCLE: Span = Span::millis(80);
+const LONG_CYCLE: TimeSpan = TimeSpan::millis(80);
 /// From the beginning of a cycle to the next, in times of what it took.
 const CYCLES_LEAVE: f64 = 3.0;
 /// And at most this.
-const LONGEST_REST: Span = Span::millis(4000);
+const LONGEST_REST: TimeSpan = TimeSpan::millis(4000);
 /// Changes of the state service that no rate bounds, as when leases end.
 const MOST_AT_ONCE: u64 = 10_000;
 /// Time between two times at which what came of late is stored.
-const MEMORY_EVERY: Span = Span::millis(30_000);
+const MEMORY_EVERY: TimeSpan = TimeSpan::millis(30_000);
 /// Arrivals kept per class.
 const MOST_ARRIVALS: usize = 2048;
 
 /// A job's arrival, for what is to be expected.
 #[derive(Clone, Debug)]
 pub(super) struct Arrival {
-    pub at: Wall,
+    pub at: WallTime,
     pub team: Team,
     /// Machines that its tasks fill, and for how long.
     pub machines: f64,
     pub run_s: f64,
 }
 
-type Listed = Vec<(String, Attempt, TaskState, Option<Why>)>;
+type Listed = Vec<(String, Attempt, TaskState, Option<StopReason>)>;
 
 #[derive(Debug)]
 enum Load {
@@ -99,9 +99,9 @@
     /// The transaction of its one lane of writes.
     Commit,
     /// A record that the transaction in flight writes, to learn whether it was carried out.
-    Written(Op),
+    Written(Operation),
     /// A call to the cloud, and the peer that makes it.
-    Cloud(CloudCall, Option<Label>),
+    Cloud(CloudCall, Option<NodeId>),
 }
 
 /// The leader.
@@ -110,13 +110,13 @@
     pub(super) settings: Rc<Settings>,
     pub(super) policy: Rc<Policy>,
     /// The token.
-    pub token: Token,
+    pub token: FencingToken,
     /// The key whose version it is.
     pub holder: &'static str,
     /// The level in force.
     pub level: Level,
     /// Changes of the levels' keys that its watch told.
-    pub news: Vec<Change>,
+    pub news: Vec<WatchEvent>,
     /// The lease that the token hangs on.
     pub lease: u64,
     /// Calls under way.
@@ -135,12 +135,12 @@
     watch_backoff: Backoff,
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
-    pub(super) types: BTreeMap<Kind, MachineType>,
+    pub(super) types: BTreeMap<MachineTypeName, MachineType>,
     pub(super) estimates: Estimates,
     pub(super) chunk_size: ChunkSize,
     pub(super) lane: Lane,
     pub(super) lane_backoff: Backoff,
-    pub(super) writes: Bucket,
+    pub(super) writes: TokenBucket,
     pub(super) dirty: Dirty,
     pub(super) finishing: BTreeSet<JobId>,
     pub(super) dropping: BTreeSet<JobId>,
@@ -150,7 +150,7 @@
     /// Whether the last input ran a cycle.
     cycled: bool,
     /// Least time from one cycle to the next, by what the last one took.
-    rest: Span,
+    rest: TimeSpan,
     /// Cycles run.
     pub cycles: u64,
     pub(super) held: BTreeMap<MachineId, Held>,
@@ -187,7 +187,7 @@
     pub fn new(
         settings: Rc<Settings>,
         policy: Rc<Policy>,
-        (holder, token, lease): (&'static str, Token, u64),
+        (holder, token, lease): (&'static str, FencingToken, u64),
         level: Level,
         now: Time,
         types: &MachineTypes,
@@ -213,11 +213,11 @@
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             types: BTreeMap::new(),
-            estimates: Estimates::new(Span::secs(policy.first_fetch_s)),
+            estimates: Estimates::new(TimeSpan::secs(policy.first_fetch_s)),
             chunk_size: ChunkSize::for_value(limits.value_bytes),
             lane: Lane::default(),
             lane_backoff: Backoff::default(),
-            writes: Bucket::new(limits.write_rps * 0.7, limits.write_rps * 0.7),
+            writes: TokenBucket::new(limits.write_rps * 0.7, limits.write_rps * 0.7),
             dirty: Dirty::default(),
             finishing: BTreeSet::new(),
             dropping: BTreeSet::new(),
@@ -225,7 +225,7 @@
             next_cycle: now,
             last_cycle: now,
             cycled: false,
-            rest: Span::ZERO,
+            rest: TimeSpan::ZERO,
             cycles: 0,
             held: BTreeMap::new(),
             held_due: now,
@@ -290,7 +290,7 @@
     /// Has the next cycle run soon.
     pub fn cycle_soon(&mut self, now: Time) {
         // The more machines a cycle looks at, the rarer cycles have to be.
-        let gap = CYCLE_GAP + Span(GAP_PER_MACHINE.0 * self.machines.len() as u64);
+        let gap = CYCLE_GAP + TimeSpan(GAP_PER_MACHINE.0 * self.machines.len() as u64);
         let gap = gap.max(self.rest);
         self.next_cycle = self.next_cycle.min(now.max(self.last_cycle + gap));
     }
@@ -308,7 +308,7 @@
         self.rest = if long {
             took.scaled(CYCLES_LEAVE).min(LONGEST_REST)
         } else {
-            Span::ZERO
+            TimeSpan::ZERO
         };
         self.next_cycle = self.next_cycle.max(self.last_cycle + self.rest);
     }
@@ -339,7 +339,7 @@
         if now >= self.next_cycle && self.may_start(now) {
             self.last_cycle = now;
             self.cycled = true;
-            self.next_cycle = now + Span::secs(self.policy.cycle_s);
+            self.next_cycle = now + TimeSpan::secs(self.policy.cycle_s);
             self.cycle(io);
             self.cycles += 1;
         }
@@ -350,9 +350,9 @@
 
     fn read_on(&mut self, io: &mut Io) {
         let (path, timeout) = match &self.load {
-            Load::Watched(got) => (page(job_records::WATCHED, got), Span::secs(3.0)),
-            Load::Records(got) => (page(job_records::RECORDS, got), Span::secs(3.0)),
-            Load::Duties(got) => (page(super::keys::DUTIES, got), Span::secs(3.0)),
+            Load::Watched(got) => (page(job_records::WATCHED, got), TimeSpan::secs(3.0)),
+            Load::Records(got) => (page(job_records::RECORDS, got), TimeSpan::secs(3.0)),
+            Load::Duties(got) => (page(super::keys::DUTIES, got), TimeSpan::secs(3.0)),
             Load::Done => {
                 let hold = self.contact.watch(io.now.time);
                 (
@@ -362,7 +362,7 @@
                         self.revision,
                         hold.as_millis()
                     ),
-                    hold + Span::secs(3.0),
+                    hold + TimeSpan::secs(3.0),
                 )
             }
         };
@@ -399,7 +399,7 @@
             self.watch_again = now
                 + self
                     .watch_backoff
-                    .failed(Span::millis(150), Span::secs(1.0), jitter);
+                    .failed(TimeSpan::millis(150), TimeSpan::secs(1.0), jitter);
             return Fate::Stay;
         }
         self.watch_backoff.succeeded();
@@ -407,7 +407,7 @@
         if !self.is_loaded() {
             return self.on_page(io.now, sent, &body);
         }
-        let Some(changes) = wire::decode::<Changes>(&body) else {
+        let Some(changes) = wire::decode::<WatchResponse>(&body) else {
             return Fate::StepDown("changes could not be read");
         };
         let fate = self.apply(io, changes);
@@ -421,7 +421,7 @@
     }
 
     fn on_page(&mut self, now: super::Now, sent: Time, body: &[u8]) -> Fate {
-        let Some(page) = wire::decode::<Entries>(body) else {
+        let Some(page) = wire::decode::<EntryPage>(body) else {
             return Fate::StepDown("records could not be read");
         };
         let more = page.more;
@@ -473,7 +473,7 @@
             match job_records::watched(&e.key) {
                 Watched::Office => {
                     holds |= e.key == self.holder && e.version.0 == self.token.0;
-                    self.news.push(Change {
+                    self.news.push(WatchEvent {
                         put: Some(e.key.clone()),
                         delete: None,
                         value: e.value.clone(),
@@ -556,7 +556,7 @@
     }
 
     fn memory(&self) -> Memory {
-        let mut memory = Memory::new(Span::secs(self.policy.floor_window_s));
+        let mut memory = Memory::new(TimeSpan::secs(self.policy.floor_window_s));
         for (class, arrivals) in &self.arrivals {
             for a in arrivals {
                 memory.note(a.at, class, &a.team, a.machines, a.run_s);
@@ -714,7 +714,7 @@
         }
     }
 
-    fn apply(&mut self, io: &mut Io, changes: Changes) -> Fate {
+    fn apply(&mut self, io: &mut Io, changes: WatchResponse) -> Fate {
         let now = io.now.time;
         for e in &changes.events {
             if let Some(Watched::Part(id, n)) = e.put.as_deref().map(job_records::watched) {
@@ -733,7 +733,7 @@
                     self.news.push(e.clone());
                     let key = e.put.as_deref() == Some(self.holder);
                     if key && e.version.0 != self.token.0 {
-                        return Fate::Deposed(Token(e.version.0));
+                        return Fate::Deposed(FencingToken(e.version.0));
                     }
                 }
                 Some(Watched::Job(id)) => {
@@ -776,7 +776,7 @@
 
     /// Whether somebody may hold this token: one that was given before what is known
     /// by now would be known too, and so many changes there cannot be since.
-    pub fn may_be(&self, now: Time, token: Token) -> bool {
+    pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
         let rate = self.settings.state_limits.write_rps * 2.0;
         let since = (self.contact.age(now).as_secs() * rate) as u64;
         let most = self.revision.0.saturating_add(since + MOST_AT_ONCE);
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -9,9 +9,9 @@
 use crate::core::scheduling_cycle::{Cycle, Pace, Want};
 use crate::core::{Reply, Target};
 use crate::settings::ObjectiveKind;
-use crate::types::{Label, MachineId, Span, Time, Zone};
+use crate::types::{MachineId, NodeId, Time, TimeSpan, Zone};
 use crate::wire;
-use crate::wire::cloud::{MachineList, MachineNames, MachineStage, MachineTypes, Rent};
+use crate::wire::cloud::{MachineList, MachineNames, MachineStage, MachineTypes, ProvisionRequest};
 use std::collections::{BTreeMap, HashMap};
 
 /// Machines in each zone.
@@ -23,12 +23,12 @@
 }
 
 /// Time between looks for intents that are settled.
-const TEND_EVERY: Span = Span::millis(1000);
+const TEND_EVERY: TimeSpan = TimeSpan::millis(1000);
 /// How long a call to the cloud may take, and longer by a peer.
-const CALL: Span = Span::millis(5000);
-const CALL_BY_PEER: Span = Span::millis(6000);
+const CALL: TimeSpan = TimeSpan::millis(5000);
+const CALL_BY_PEER: TimeSpan = TimeSpan::millis(6000);
 /// Time between looks at the machine types.
-const TYPES_EVERY: Span = Span::millis(60_000);
+const TYPES_EVERY: TimeSpan = TimeSpan::millis(60_000);
 
 impl Leader {
     /// Makes the next call to the cloud, if one is due.
@@ -64,7 +64,7 @@
                 let since = since.map_or(String::new(), |s| format!("since={s}&"));
                 ("GET", format!("/machines?{since}most=500"), Vec::new())
             }
-            CloudCall::Rent(r) => {
+            CloudCall::ProvisionRequest(r) => {
                 tracing::info!(kind = %r.kind, zone = %r.zone, spot = r.spot, count = r.count, "renting");
                 self.rental.intents.hire_asked(&r.request);
                 ("POST", "/machines".to_string(), wire::encode(r))
@@ -79,7 +79,7 @@
         let by = self.rental.hands.peer(now).cloned();
         let peer = by
             .as_ref()
-            .and_then(|label| self.settings.peers.iter().find(|p| p.label == *label));
+            .and_then(|node_id| self.settings.peers.iter().find(|p| p.node_id == *node_id));
         let id = match peer {
             Some(p) => {
                 let path = format!("/cloud/{}{path}", self.token);
@@ -91,7 +91,7 @@
     }
 
     /// Writes down which machines are to go.
-    pub(super) fn mean_releases(&mut self, wall: crate::types::Wall) {
+    pub(super) fn mean_releases(&mut self, wall: crate::types::WallTime) {
         let intents = &self.rental.intents;
         let (any, pressing) = (intents.may_release(false), intents.may_release(true));
         if !pressing {
@@ -134,7 +134,7 @@
             return Some(CloudCall::List);
         }
         if let Some(rent) = self.rental.intents.next_hire() {
-            return Some(CloudCall::Rent(rent));
+            return Some(CloudCall::ProvisionRequest(rent));
         }
         if now >= self.rental.list_due {
             return Some(CloudCall::List);
@@ -150,7 +150,7 @@
         &mut self,
         io: &mut Io,
         call: CloudCall,
-        by: Option<Label>,
+        by: Option<NodeId>,
         reply: Reply,
     ) -> Fate {
         let now = io.now.time;
@@ -172,7 +172,7 @@
             self.rental.hands.answered(now, by.as_ref());
         }
         let no_capacity = status == 503
-            && wire::decode::<crate::wire::users::Refusal>(&body)
+            && wire::decode::<crate::wire::users::ErrorResponse>(&body)
                 .is_some_and(|r| r.error == "no capacity");
         // Only 200 proves that released machines are gone.
         let malformed = status == 400 && !matches!(call, CloudCall::Release(_));
@@ -182,8 +182,8 @@
                 + self
                     .rental
                     .backoff
-                    .failed(Span::millis(700), Span::secs(5.0), jitter);
-            if let CloudCall::Rent(r) = call {
+                    .failed(TimeSpan::millis(700), TimeSpan::secs(5.0), jitter);
+            if let CloudCall::ProvisionRequest(r) = call {
                 // Answered by a refusal, it was not carried out; otherwise it
                 // may have been, or may yet be: only its own name may ask again.
                 if status == 0 {
@@ -214,9 +214,9 @@
                 }
                 None => self.rental.list_due = now + self.rental.list_every,
             },
-            CloudCall::Rent(r) => {
+            CloudCall::ProvisionRequest(r) => {
                 if no_capacity || status == 400 {
-                    let pause = Span::secs(self.policy.no_capacity_pause_s);
+                    let pause = TimeSpan::secs(self.policy.no_capacity_pause_s);
                     self.rental.intents.no_room(&r.request);
                     tracing::info!(kind = %r.kind, zone = %r.zone, spot = r.spot, "no capacity");
                     self.rental
@@ -224,7 +224,7 @@
                         .insert((r.kind, r.zone, r.spot), now + pause);
                 } else if let Some(names) = wire::decode::<MachineNames>(&body) {
                     if (names.machines.len() as u32) < r.count {
-                        let pause = Span::secs(self.policy.no_capacity_pause_s);
+                        let pause = TimeSpan::secs(self.policy.no_capacity_pause_s);
                         self.rental
                             .paused
                             .insert((r.kind.clone(), r.zone.clone(), r.spot), now + pause);
@@ -272,7 +272,7 @@
                 m.addr = l.addr.parse().ok();
                 stopping.extend(m.tasks.iter().cloned());
             }
-            m.listed = Some((l.stage, Span::secs(l.age_s)));
+            m.listed = Some((l.stage, TimeSpan::secs(l.age_s)));
             m.listed_at = Some(now);
             if l.stage == MachineStage::Failed && m.tasks.is_empty() {
                 m.send_back("failed");
@@ -300,10 +300,10 @@
                 .as_ref()
                 .and_then(|k| self.types.get(k))
                 .map_or(60.0, |t| t.boot_s);
-            let patience = Span::secs(boot * self.policy.boot_patience);
+            let patience = TimeSpan::secs(boot * self.policy.boot_patience);
             // Lists are up to twice the lag old; one that was taken in well
             // after the machine fell silent and still lacks it says it is gone.
-            let fresh = Span(lag.0 * 2) + Span::secs(1.0);
+            let fresh = TimeSpan(lag.0 * 2) + TimeSpan::secs(1.0);
             let unlisted = listed.is_some_and(|at| {
                 at > heard + fresh && m.listed_at.is_none_or(|l| at > l) && m.known + fresh < at
             });
@@ -313,7 +313,7 @@
                 // It is paid for nothing, as an idle machine is.
                 _ if m.tasks.is_empty()
                     && m.aside
-                        .is_some_and(|t| t.since(now) > Span::secs(self.policy.idle_s)) =>
+                        .is_some_and(|t| t.since(now) > TimeSpan::secs(self.policy.idle_s)) =>
                 {
                     m.send_back("put aside");
                 }
@@ -321,7 +321,7 @@
                 _ if m.tasks.is_empty()
                     && m.hearing
                         .deaf_for(now)
-                        .is_some_and(|t| t > Span::secs(self.policy.silent_release_s)) =>
+                        .is_some_and(|t| t > TimeSpan::secs(self.policy.silent_release_s)) =>
                 {
                     tracing::info!(machine = %id, "reports and does not hear, released");
                     m.send_back("does not hear");
@@ -346,7 +346,7 @@
                     }
                     m.send_back("silent and not listed");
                 }
-                _ if quiet > Span::secs(self.policy.silent_release_s) => {
+                _ if quiet > TimeSpan::secs(self.policy.silent_release_s) => {
                     tracing::info!(machine = %id, "silent for long, released");
                     m.send_back("silent for long");
                 }
@@ -360,7 +360,7 @@
 
     /// The machines that a hire will bring, as rows: what they will take needs
     /// no further ones.
-    fn expected(&self, now: Time, r: &Rent) -> Vec<Row> {
+    fn expected(&self, now: Time, r: &ProvisionRequest) -> Vec<Row> {
         let Some(t) = self.types.get(&r.kind) else {
             return Vec::new();
         };
@@ -383,13 +383,13 @@
     /// Whether a new leader can tell what is missing from what it has not heard
     /// of yet: once it has a whole list, or every worker has had time to report.
     fn knows_its_fleet(&self, now: Time) -> bool {
-        let reports = self.settings.workers.report.scaled(1.5) + Span::secs(1.0);
+        let reports = self.settings.workers.report.scaled(1.5) + TimeSpan::secs(1.0);
         self.rental.listed.is_some() || now.since(self.office) > reports
     }
 
     /// How many idle machines to keep for classes whose starts are wanted
     /// sooner than a machine boots.
-    fn reserve(&self, now_wall: crate::types::Wall) -> u32 {
+    fn reserve(&self, now_wall: crate::types::WallTime) -> u32 {
         let boot = self.types.values().map(|t| t.boot_s).fold(0.0, f64::max);
         let mut machines = 0.0;
         let mut largest: f64 = 0.0;
@@ -440,7 +440,7 @@
         );
         let on_the_way = booting.len() as u32;
         let mut room = (self.policy.most_booting as u32).saturating_sub(on_the_way);
-        let rent_after = Span::secs(self.policy.rent_after_s);
+        let rent_after = TimeSpan::secs(self.policy.rent_after_s);
         let mut left: Vec<Want> = wants
             .iter()
             .filter(|w| {
@@ -456,7 +456,7 @@
         let estimates = self.estimates.clone();
         let pace = Pace {
             now,
-            most_skew: Span::secs(1e6),
+            most_skew: TimeSpan::secs(1e6),
         };
         Cycle::new(pace, &mut booting, &mut teams, &estimates).run(&mut left);
         left.retain(|w| !w.tasks.is_empty());
@@ -577,7 +577,7 @@
         let now = io.now.time;
         // With no job left at all there is little to be ready for.
         let quiet = self.jobs.values().all(|j| !j.is_open());
-        let idle_for = Span::secs(self.policy.idle_s).scaled(if quiet { 0.25 } else { 1.0 });
+        let idle_for = TimeSpan::secs(self.policy.idle_s).scaled(if quiet { 0.25 } else { 1.0 });
         let mut idle: Vec<(f64, MachineId, bool)> = Vec::new();
         // What is put aside goes by its own rule.
         for row in rows.iter().filter(|r| !r.aside) {
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -1,7 +1,6 @@
-
 use super::*;
 use crate::testing::{io_at, leader};
-use crate::types::Wall;
+use crate::types::WallTime;
 use crate::wire::cloud::ListedMachine;
 
 fn list(names: &[&str]) -> Reply {
@@ -57,12 +56,12 @@
 fn releases_leave_turns_to_renting_and_listing() {
     let mut leader = leader();
     let market: Market = ("g4".into(), "z0".into(), true);
-    leader.rental.intents.hire(market, 3, Wall(0));
+    leader.rental.intents.hire(market, 3, WallTime(0));
     let mut made = Vec::new();
     for n in 0..6 {
         let id = MachineId::from(format!("host-{n}"));
         leader.meet(Time(0), &id).send_back("idle");
-        leader.mean_releases(Wall(0));
+        leader.mean_releases(WallTime(0));
         for (key, _) in leader.rental.intents.book.take_puts(9) {
             leader.rental.intents.stored(&key);
         }
@@ -73,7 +72,7 @@
                 names.iter().for_each(|m| drop(leader.machines.remove(m)));
                 "release"
             }
-            Some(CloudCall::Rent(r)) => {
+            Some(CloudCall::ProvisionRequest(r)) => {
                 leader.rental.intents.filled(&r.request, &[], Time(1));
                 "rent"
             }
@@ -89,15 +88,15 @@
 fn a_successor_finishes_what_was_meant() {
     let now = crate::core::Now {
         time: Time(1),
-        wall: Wall(5000),
+        wall: WallTime(5000),
     };
     let mut first = leader();
     first
         .rental
         .intents
-        .hire(("g4".into(), "z0".into(), true), 3, Wall(0));
+        .hire(("g4".into(), "z0".into(), true), 3, WallTime(0));
     first.meet(Time(0), &"host-1".into()).send_back("idle");
-    first.mean_releases(Wall(0));
+    first.mean_releases(WallTime(0));
     assert!(
         first
             .next_call(Time(1))
@@ -129,7 +128,7 @@
     );
     next.on_cloud(&mut io_at(2.0), CloudCall::List, None, list(&["host-1"]));
     assert!(next.machines.is_empty(), "a late list brought it back");
-    let Some(CloudCall::Rent(rent)) = next.next_call(Time(3)) else {
+    let Some(CloudCall::ProvisionRequest(rent)) = next.next_call(Time(3)) else {
         panic!("the hire is not repeated")
     };
     assert_eq!((rent.request.as_str(), rent.count), ("5-1", 3));
@@ -145,7 +144,7 @@
         leader.meet(Time(0), &id).send_back("idle");
         let call = CloudCall::Release(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
-        leader.on_cloud(&mut io_at(2.0), call, by.map(Label::from), reply);
+        leader.on_cloud(&mut io_at(2.0), call, by.map(NodeId::from), reply);
         assert!(leader.machines.contains_key(&id), "{status} by {by:?}");
         assert!(!leader.rental.intents.is_gone(&id));
     }
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -7,10 +7,10 @@
 use crate::core::job_records::{ChunkSize, End, Job};
 use crate::core::leader::Leader;
 use crate::core::leader_announcement::Need;
-use crate::types::{Attempt, JobId, MachineId, Span, TaskId, Time};
+use crate::types::{Attempt, JobId, MachineId, TaskId, Time, TimeSpan};
 use crate::wire;
 use crate::wire::users::Priority;
-use crate::wire::workers::{Command, ReportAnswer, TaskState, Why};
+use crate::wire::workers::{Command, HeartbeatResponse, StopReason, TaskState};
 
 /// Whether a stop is recorded, for a successor to go on with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -118,7 +118,7 @@
         let Some(m) = self.machines.get(id) else {
             return;
         };
-        let left = m.taken_at.map_or(Span::ZERO, |t| t.since(now));
+        let left = m.taken_at.map_or(TimeSpan::ZERO, |t| t.since(now));
         let here: Vec<TaskId> = m.tasks.iter().cloned().collect();
         for task in here {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -131,7 +131,7 @@
                 continue;
             }
             let rest = self.remaining(now, job, p);
-            let spare = Span::secs(1.0);
+            let spare = TimeSpan::secs(1.0);
             if rest + spare < left {
                 continue;
             }
@@ -158,7 +158,7 @@
             m.answered = Some(now);
             m.hearing.answered(now);
         }
-        let body = wire::encode(&ReportAnswer {
+        let body = wire::encode(&HeartbeatResponse {
             token: self.token,
             commands,
         });
@@ -174,8 +174,8 @@
             return Vec::new();
         };
         let ours = m.ours;
-        let session = m.session;
-        let tally = m.tally;
+        let epoch = m.epoch;
+        let sequence = m.sequence;
         let mut busy = m.strays;
         for (text, attempt, state, why) in listed {
             let Some(task) = TaskId::parse(&text) else {
@@ -184,11 +184,11 @@
             let job = self.jobs.get(&task.job);
             let place = job
                 .and_then(|j| j.places.get(&task.index))
-                .filter(|p| &p.machine == id && p.attempt == attempt && p.session == session);
+                .filter(|p| &p.machine == id && p.attempt == attempt && p.epoch == epoch);
             if state == TaskState::Exited {
                 // Cleared only once nothing can start it again and, if it is
                 // done, once that is stored.
-                let kept = why == Some(Why::Done)
+                let kept = why == Some(StopReason::Done)
                     && job.is_some_and(|j| !j.is_service() && !j.done_is_stored(task.index))
                     && failpoints::holds(Decision::DoneBeforeClear);
                 if ours && place.is_none() && !kept {
@@ -249,12 +249,12 @@
                 // Written ahead: only what is stored may be sent.
                 let stored = job.is_stored(size, t.index, p.change)
                     || !failpoints::holds(Decision::WriteAhead);
-                if !p.unsent() || !stored || !wanted || p.session != session || !needs.fits(&free) {
+                if !p.unsent() || !stored || !wanted || p.epoch != epoch || !needs.fits(&free) {
                     continue;
                 }
                 free -= needs;
                 if let Some(p) = job.places.get_mut(&t.index) {
-                    p.phase = Phase::Sent(tally);
+                    p.phase = Phase::Sent(sequence);
                     if p.cold.is_some() {
                         p.cold = Some(now);
                     }
@@ -280,14 +280,14 @@
             let Some(addr) = m.addr else { continue };
             // A machine that only a list has shown so far has its session in
             // the records.
-            let mut session = m.session;
+            let mut epoch = m.epoch;
             let commands: Vec<Command> = tasks
                 .iter()
                 .filter_map(|t| {
                     let job = self.jobs.get(&t.job)?;
                     let p = job.places.get(&t.index)?;
                     let grace_s = job.stop_to_tell(self.chunk_size, t.index)?.grace_s;
-                    session = session.max(p.session);
+                    epoch = epoch.max(p.epoch);
                     Some(Command::Stop {
                         task: t.to_string(),
                         attempt: p.attempt,
@@ -296,7 +296,7 @@
                 })
                 .collect();
             if !commands.is_empty() {
-                io.direct(addr, self.token, session, commands);
+                io.direct(addr, self.token, epoch, commands);
             }
         }
     }
@@ -330,10 +330,10 @@
             let Some(m) = self.machines.get(&id).filter(|m| m.reported.is_none()) else {
                 continue;
             };
-            let placed = |t: &TaskId| Some(self.jobs.get(&t.job)?.places.get(&t.index)?.session);
-            let session = m.tasks.iter().filter_map(placed).max();
-            if let (Some(addr), Some(session)) = (m.addr, session) {
-                io.direct(addr, self.token, session, Vec::new());
+            let placed = |t: &TaskId| Some(self.jobs.get(&t.job)?.places.get(&t.index)?.epoch);
+            let epoch = m.tasks.iter().filter_map(placed).max();
+            if let (Some(addr), Some(epoch)) = (m.addr, epoch) {
+                io.direct(addr, self.token, epoch, Vec::new());
             }
         }
     }
@@ -368,7 +368,7 @@
             task.index,
             Placement {
                 machine: id.clone(),
-                session: m.session,
+                epoch: m.epoch,
                 attempt,
                 change,
                 phase: Phase::Unsent,
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -4,20 +4,20 @@
 use crate::core::effects::Io;
 use crate::core::format_version::REMEMBERED;
 use crate::core::format_version::chunk_progress::Progress;
-use crate::core::job_records::{self, End, Item, Job, TxnBuilder, TxnLimits};
+use crate::core::job_records::{self, End, Item, Job, TransactionBuilder, TransactionLimits};
 use crate::core::leader::{Awaits, Fate, Leader};
 use crate::core::{Reply, Target};
-use crate::types::{JobId, Span, TaskId, Time, Version};
+use crate::types::{JobId, TaskId, Time, TimeSpan, Version};
 use crate::wire;
-use crate::wire::kvstore::{Entry, Op, Revision, Txn};
+use crate::wire::kvstore::{Entry, Operation, Transaction, TransactionResponse};
 
 /// Settled intents deleted in one transaction.
 const MOST_SETTLED: usize = 8;
 /// Records that get another form at once, and time between two such steps.
 const MOST_REWRITTEN: usize = 4;
-const REWRITE_EVERY: Span = Span::millis(250);
+const REWRITE_EVERY: TimeSpan = TimeSpan::millis(250);
 /// Least time between two commits.
-const COMMIT_GAP: Span = Span::millis(40);
+const COMMIT_GAP: TimeSpan = TimeSpan::millis(40);
 
 impl Leader {
     /// Sends the next transaction, if there is anything to write.
@@ -34,7 +34,7 @@
             return;
         };
         if !io.state_calls.take(now, 1.0) {
-            self.lane.not_before = now + Span::millis(50);
+            self.lane.not_before = now + TimeSpan::millis(50);
             return;
         }
         self.lane.calling = true;
@@ -44,29 +44,29 @@
             "POST",
             "/commit".into(),
             body,
-            Span::secs(1.0),
+            TimeSpan::secs(1.0),
         );
         self.waits.add(id, Awaits::Commit);
     }
 
-    fn gather(&mut self, now: Time) -> Option<(Txn, Vec<Item>)> {
+    fn gather(&mut self, now: Time) -> Option<(Transaction, Vec<Item>)> {
         let limits = self.settings.state_limits;
         let level = self.writes.level(now) as usize;
         let ops = limits.txn_ops.min(level);
         if ops < 4 {
             return None;
         }
-        let mut b = TxnBuilder::new(
+        let mut b = TransactionBuilder::new(
             self.holder,
             self.token,
-            TxnLimits {
+            TransactionLimits {
                 ops,
                 value_bytes: limits.value_bytes,
             },
         );
         // Acts wait for these; they are few.
         for (key, value) in self.rental.intents.book.take_puts(b.room() / 2) {
-            let op = Op::Put {
+            let op = Operation::Put {
                 key: key.clone(),
                 value: value.clone(),
                 lease: None,
@@ -146,7 +146,7 @@
             .book
             .take_deletes(b.room().min(MOST_SETTLED))
         {
-            let op = Op::Delete { key: key.clone() };
+            let op = Operation::Delete { key: key.clone() };
             b.add(Item::Note(key, None), Vec::new(), vec![op]);
         }
         if b.is_empty() {
@@ -167,15 +167,15 @@
         let Some((txn, items)) = self.lane.flight.take() else {
             return Fate::Stay;
         };
-        let pause = self
-            .lane_backoff
-            .failed(Span::millis(100), Span::secs(1.0), io.jitter());
+        let pause =
+            self.lane_backoff
+                .failed(TimeSpan::millis(100), TimeSpan::secs(1.0), io.jitter());
         match reply {
             Reply::Answer(200, body) => {
                 self.lane_backoff.succeeded();
                 self.lane.not_before = now + COMMIT_GAP;
                 self.lane.committed = Some(now);
-                let Some(answer) = wire::decode::<Revision>(&body) else {
+                let Some(answer) = wire::decode::<TransactionResponse>(&body) else {
                     return Fate::StepDown("a commit's answer could not be read");
                 };
                 for item in items {
@@ -186,10 +186,12 @@
             Reply::Answer(409, body) if self.lane.doubtful => {
                 // Either the lost first try went through or something else changed.
                 // What is recorded decides.
-                let failed = wire::decode::<Revision>(&body).unwrap_or_default().failed;
+                let failed = wire::decode::<TransactionResponse>(&body)
+                    .unwrap_or_default()
+                    .failed;
                 let compared = |k: &str| txn.conditions.iter().any(|c| c.key == k);
                 let own = txn.ops.iter().find(
-                    |op| matches!(op, Op::Put { key, .. } if compared(key) && failed.contains(key)),
+                    |op| matches!(op, Operation::Put { key, .. } if compared(key) && failed.contains(key)),
                 );
                 match own.cloned() {
                     Some(op) if failed.iter().all(|k| k != self.holder) => {
@@ -197,7 +199,8 @@
                         self.lane.flight = Some((txn, items));
                         self.lane.calling = true;
                         let path = format!("/keys/{key}");
-                        let id = io.call(Target::State, "GET", path, Vec::new(), Span::secs(2.0));
+                        let id =
+                            io.call(Target::State, "GET", path, Vec::new(), TimeSpan::secs(2.0));
                         self.waits.add(id, Awaits::Written(op));
                         Fate::Stay
                     }
@@ -206,7 +209,9 @@
             }
             Reply::Answer(409, body) => {
                 self.lane.not_before = now + COMMIT_GAP;
-                let failed = wire::decode::<Revision>(&body).unwrap_or_default().failed;
+                let failed = wire::decode::<TransactionResponse>(&body)
+                    .unwrap_or_default()
+                    .failed;
                 if failed.iter().any(|k| k == self.holder) {
                     return Fate::StepDown("a commit found another leader");
                 }
@@ -256,7 +261,7 @@
     /// all before this one are settled: if it is newer than what was compared, and as this
     /// one would write it, the first try went through, whole, at its version. Else
     /// everything is started over from what is recorded.
-    pub(super) fn on_written(&mut self, op: &Op, reply: Reply) -> Fate {
+    pub(super) fn on_written(&mut self, op: &Operation, reply: Reply) -> Fate {
         self.lane.calling = false;
         let unknown = Fate::StepDown("a write's fate is unknown");
         let Some((txn, items)) = self.lane.flight.take() else {
@@ -267,7 +272,7 @@
         };
         let before = txn.conditions.iter().find(|c| c.key == op.key());
         let found = wire::decode::<Entry>(&body);
-        let (Some(before), Some(found), Op::Put { value, .. }) = (before, found, op) else {
+        let (Some(before), Some(found), Operation::Put { value, .. }) = (before, found, op) else {
             return unknown;
         };
         if found.version <= before.version || found.value != *value {
@@ -291,10 +296,10 @@
     }
 
     /// Notes whether a chunk that was stored has the form of the level in force.
-    fn note_form(&mut self, id: &JobId, chunk: u32, txn: &Txn) {
+    fn note_form(&mut self, id: &JobId, chunk: u32, txn: &Transaction) {
         let key = job_records::chunk_key(id, chunk);
         let value = txn.ops.iter().find_map(|op| match op {
-            Op::Put { key: k, value, .. } if *k == key => Some(value),
+            Operation::Put { key: k, value, .. } if *k == key => Some(value),
             _ => None,
         });
         let of = (id.clone(), chunk);
@@ -347,7 +352,7 @@
         }
     }
 
-    fn committed(&mut self, item: Item, txn: &Txn, revision: Version) {
+    fn committed(&mut self, item: Item, txn: &Transaction, revision: Version) {
         match item {
             Item::Chunk(id, chunk, change) => {
                 self.note_form(&id, chunk, txn);
@@ -401,7 +406,7 @@
                         let key = job_records::chunk_key(&id, c);
                         !txn.ops
                             .iter()
-                            .any(|op| matches!(op, Op::Delete { key: k } if *k == key))
+                            .any(|op| matches!(op, Operation::Delete { key: k } if *k == key))
                     });
                 }
                 self.dropping.insert(id);
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -4,14 +4,14 @@
 use crate::core::job_records::{End, Job};
 use crate::core::leader::Leader;
 use crate::testing::{leader, submission};
-use crate::types::{Attempt, Session, Wall};
-use crate::wire::kvstore::Condition;
-use crate::wire::users::Shape;
+use crate::types::{AgentEpoch, Attempt, WallTime};
+use crate::wire::kvstore::Precondition;
+use crate::wire::users::JobShape;
 use std::rc::Rc;
 
 fn with_job(leader: &mut Leader, id: &str, tasks: u32) {
-    let spec = Rc::new(submission(id, Shape::Array, tasks));
-    let job = Job::new(spec, Wall(0), Version(7), 1);
+    let spec = Rc::new(submission(id, JobShape::Array, tasks));
+    let job = Job::new(spec, WallTime(0), Version(7), 1);
     leader.jobs.insert(id.into(), job);
 }
 
@@ -32,7 +32,7 @@
     }
     leader.dropping.insert(id.clone());
     let (mut end, mut submitted, mut left) = (true, true, Vec::new());
-    let mut now = Time(0) + Span::secs(1.0);
+    let mut now = Time(0) + TimeSpan::secs(1.0);
     while leader.jobs.contains_key(&id) {
         let level = leader.writes.level(now);
         leader.writes.take(now, level - room as f64);
@@ -40,7 +40,9 @@
             break;
         };
         for op in &txn.ops {
-            let Op::Delete { key } = op else { continue };
+            let Operation::Delete { key } = op else {
+                continue;
+            };
             end &= *key != job_records::end_key(&id);
             submitted &= *key != job_records::job_key(&id);
         }
@@ -48,7 +50,7 @@
             leader.committed(item, &txn, Version(10));
         }
         left.push((submitted, end));
-        now = now + Span::millis(1);
+        now = now + TimeSpan::millis(1);
     }
     left
 }
@@ -85,18 +87,18 @@
         };
         job.chunks.insert(0, stored);
         if place {
-            let here = Placement::inherited("host-1".into(), Session(1), Attempt(1));
+            let here = Placement::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
             job.places.insert(0, here);
         }
         leader.older.insert((id.clone(), 0));
         leader.finishing.insert(id.clone());
         let (txn, items) = leader.gather(Time(1_000_000)).unwrap();
         let keys = txn.ops.iter().map(|op| match op {
-            Op::Put { key, .. } => format!("+{key}"),
-            Op::Delete { key } => format!("-{key}"),
+            Operation::Put { key, .. } => format!("+{key}"),
+            Operation::Delete { key } => format!("-{key}"),
         });
         let keys: Vec<String> = keys.collect();
-        let open = Condition {
+        let open = Precondition {
             key: job_records::head_key(&id),
             version: Version(7),
         };
@@ -131,7 +133,7 @@
         let place = Placement {
             change,
             phase: crate::core::assignment::Phase::Unsent,
-            ..Placement::inherited("host-1".into(), Session(1), Attempt(1))
+            ..Placement::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
         };
         job.places.insert(0, place);
         leader.dirty.note((id.into(), 0), Time(0), true);
@@ -140,10 +142,10 @@
     leader.pump(&mut io);
     let (txn, _) = leader.lane.flight.as_ref().unwrap();
     for id in ["job/wk-1", "job/wk-2"] {
-        let fenced = |c: &Condition| c.key == id && c.version == Version(7);
+        let fenced = |c: &Precondition| c.key == id && c.version == Version(7);
         assert!(txn.conditions.iter().any(fenced), "{id} is not compared");
     }
-    let refused = Revision {
+    let refused = TransactionResponse {
         revision: Version(9),
         failed: vec!["job/wk-1".into()],
     };
@@ -171,19 +173,19 @@
     let place = Placement {
         change,
         phase: crate::core::assignment::Phase::Unsent,
-        ..Placement::inherited("host-1".into(), Session(1), Attempt(1))
+        ..Placement::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
     };
     job.places.insert(0, place);
     leader.dirty.note((id, 0), Time(0), true);
     let mut io = crate::testing::io_at(1.0);
     leader.pump(&mut io);
     leader.on_commit(&mut io, Reply::Lost);
-    io.now.time = io.now.time + Span::secs(5.0);
+    io.now.time = io.now.time + TimeSpan::secs(5.0);
     leader.pump(&mut io);
     io.take_outputs();
     let failed = failed.iter().map(|k| (*k).to_string()).collect();
     let revision = Version(30);
-    let body = wire::encode(&Revision { revision, failed });
+    let body = wire::encode(&TransactionResponse { revision, failed });
     let fate = leader.on_commit(&mut io, Reply::Answer(409, body));
     (leader, io, fate)
 }
@@ -213,7 +215,7 @@
         .ops
         .iter()
         .find_map(|op| match op {
-            Op::Put { key, value, .. } if key == own => Some((op.clone(), value.clone())),
+            Operation::Put { key, value, .. } if key == own => Some((op.clone(), value.clone())),
             _ => None,
         })
         .unwrap();
@@ -252,8 +254,8 @@
         let (txn, _) = leader.lane.flight.clone().unwrap();
         let put = txn.ops.into_iter();
         put.filter_map(|op| match op {
-            Op::Put { value, .. } => Some(value),
-            Op::Delete { .. } => None,
+            Operation::Put { value, .. } => Some(value),
+            Operation::Delete { .. } => None,
         })
         .next()
         .unwrap()
