--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -2,7 +2,7 @@
 //! a cut heals, or a reset. Both worlds ask here, message by message.
 
 use crate::script::CutMode;
-use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::types::{Time, TimeSpan};
 use rand::RngExt;
 use rand::rngs::StdRng;
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     /// It arrives after this time.
-    After(Span),
+    After(TimeSpan),
     /// It is lost; nobody hears of it.
     Lost,
     /// Its connection is reset.
@@ -57,8 +57,8 @@
 pub struct Links {
     cuts: Vec<Cut>,
     /// Delays of the state service and of the cloud, and until when.
-    slow_state: Option<(Span, Time)>,
-    slow_cloud: Option<(Span, Time)>,
+    slow_state: Option<(TimeSpan, Time)>,
+    slow_cloud: Option<(TimeSpan, Time)>,
     /// Whether messages take time of their own: on loopback they really do.
     delays: bool,
     held: u64,
@@ -88,12 +88,12 @@
     }
 
     /// Lets the state service answer late.
-    pub fn slow_state(&mut self, by: Span, until: Time) {
+    pub fn slow_state(&mut self, by: TimeSpan, until: Time) {
         self.slow_state = Some((by, until));
     }
 
     /// Lets the cloud answer late.
-    pub fn slow_cloud(&mut self, by: Span, until: Time) {
+    pub fn slow_cloud(&mut self, by: TimeSpan, until: Time) {
         self.slow_cloud = Some((by, until));
     }
 
@@ -106,11 +106,11 @@
         zone: impl Fn(&Host) -> Option<String>,
         rng: &mut StdRng,
     ) -> Fate {
-        let mut after = Span::ZERO;
+        let mut after = TimeSpan::ZERO;
         if self.delays {
-            after = Span(rng.random_range(300..4000));
+            after = TimeSpan(rng.random_range(300..4000));
             if rng.random_bool(0.01) {
-                after = after + Span(rng.random_range(50_000..500_000));
+                after = after + TimeSpan(rng.random_range(50_000..500_000));
             }
         }
         let slow = match from {
@@ -145,8 +145,8 @@
                 CutMode::Hold => {
                     // In order: a step apart for each that is held.
                     self.held += 1;
-                    let left = c.until.since(now) + Span(self.held % 5000);
-                    after = Span(after.0.max(left.0));
+                    let left = c.until.since(now) + TimeSpan(self.held % 5000);
+                    after = TimeSpan(after.0.max(left.0));
                 }
             }
         }
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -14,9 +14,9 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use pebblefold_controller::settings::SettingsError;
-use pebblefold_controller::types::{Span, Time};
-use pebblefold_controller::wire::command::Description;
-use pebblefold_controller::wire::users::{JobAnswer, Submission, valid_id};
+use pebblefold_controller::types::{Time, TimeSpan};
+use pebblefold_controller::wire::command::CommandSpec;
+use pebblefold_controller::wire::users::{JobStatus, Submission, valid_id};
 use pebblefold_controller::wire::{decode, encode};
 use pebblefold_kvstore::StorageError;
 use pebblefold_net::{Client, Sent, answer_connections};
@@ -184,7 +184,7 @@
     async fn travel(&self, from: &Host, to: &Host) -> Result<(), Fate> {
         let fate = self.stand.borrow_mut().fate(self.now(), from, to);
         match fate {
-            Fate::After(Span(0)) => Ok(()),
+            Fate::After(TimeSpan(0)) => Ok(()),
             Fate::After(d) => {
                 sleep(Duration::from_micros(d.0)).await;
                 Ok(())
@@ -517,7 +517,7 @@
             close: false,
         });
         if let Some(job) = job {
-            let stage = decode::<JobAnswer>(&response.body).map(|a| a.stage);
+            let stage = decode::<JobStatus>(&response.body).map(|a| a.stage);
             let told = Seen::Told {
                 job,
                 what,
@@ -538,7 +538,7 @@
             body: Vec::new(),
             close: false,
         };
-        let Some(d) = decode::<Description>(&r.body).filter(|_| r.method == "POST") else {
+        let Some(d) = decode::<CommandSpec>(&r.body).filter(|_| r.method == "POST") else {
             return answer(400);
         };
         if !valid_id(job) || d.argv.is_empty() || !Path::new(&d.dir).is_absolute() {
@@ -719,7 +719,7 @@
             commands: RefCell::default(),
         });
         for (job, bytes) in kept(&inner.options.dir.join("commands"))? {
-            if let Some(d) = decode::<Description>(&bytes) {
+            if let Some(d) = decode::<CommandSpec>(&bytes) {
                 inner.commands.borrow_mut().describe(job, d);
             }
         }
--- a/crates/simulator/src/loopback/tests.rs
+++ b/crates/simulator/src/loopback/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 // A controller's port was found by opening it and closing it again: another
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -5,7 +5,7 @@
 use crate::tally::Tally;
 use hdrhistogram::Histogram;
 use pebblefold_controller::types::Time;
-use pebblefold_controller::wire::users::Stage;
+use pebblefold_controller::wire::users::JobStage;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,7 +44,7 @@
             let all = jobs.iter().filter_map(|j| Some(t(j)? - j.submitted_s));
             quantiles(all.collect())
         };
-        let over = |j: &&&JobRecord| matches!(j.end, Some(Stage::Done | Stage::Cancelled));
+        let over = |j: &&&JobRecord| matches!(j.end, Some(JobStage::Done | JobStage::Cancelled));
         ClassReport {
             jobs: jobs.len(),
             started: jobs.iter().filter(|j| j.started_s.is_some()).count(),
--- a/crates/simulator/src/script.rs
+++ b/crates/simulator/src/script.rs
@@ -5,8 +5,8 @@
 mod check;
 
 use check::{line_of, name_of};
-use pebblefold_controller::types::{Amounts, Span};
-use pebblefold_controller::wire::users::{Priority, Shape};
+use pebblefold_controller::types::{Resources, TimeSpan};
+use pebblefold_controller::wire::users::{self, Priority};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -305,12 +305,12 @@
     Service,
 }
 
-impl From<JobShape> for Shape {
-    fn from(s: JobShape) -> Shape {
+impl From<JobShape> for users::JobShape {
+    fn from(s: JobShape) -> users::JobShape {
         match s {
-            JobShape::Array => Shape::Array,
-            JobShape::Gang => Shape::Gang,
-            JobShape::Service => Shape::Service,
+            JobShape::Array => users::JobShape::Array,
+            JobShape::Gang => users::JobShape::Gang,
+            JobShape::Service => users::JobShape::Service,
         }
     }
 }
@@ -777,8 +777,8 @@
 
 impl Kind {
     /// What a machine of this type has.
-    pub fn has(&self) -> Amounts {
-        Amounts {
+    pub fn has(&self) -> Resources {
+        Resources {
             cpus: self.cpus,
             gpus: self.gpus,
             memory_gb: self.memory_gb,
@@ -788,8 +788,8 @@
 
 impl Jobs {
     /// What a task takes.
-    pub fn needs(&self) -> Amounts {
-        Amounts {
+    pub fn needs(&self) -> Resources {
+        Resources {
             cpus: self.cpus,
             gpus: self.gpus,
             memory_gb: self.memory_gb,
@@ -851,7 +851,7 @@
     }
 
     /// When it ends.
-    pub fn length(&self) -> Span {
-        Span::secs(self.length_s)
+    pub fn length(&self) -> TimeSpan {
+        TimeSpan::secs(self.length_s)
     }
 }
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -15,7 +15,7 @@
 };
 use pebblefold_controller::policy::{DEFAULT_SCRIPT, Policy, PolicyError};
 use pebblefold_controller::settings::SettingsError;
-use pebblefold_controller::types::{MachineId, Span, Time, Wall};
+use pebblefold_controller::types::{MachineId, Time, TimeSpan, WallTime};
 use pebblefold_kvstore::StorageError;
 use pebblefold_kvstore::faulty_disk::CutDisk;
 use pebblefold_wire::encode;
@@ -25,9 +25,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Time between a controller's ticks, and between steps of the stand-ins.
-const TICK: Span = Span::millis(50);
+const TICK: TimeSpan = TimeSpan::millis(50);
 /// What a controller's fixed piece of work takes where nothing is slow.
-const USUAL_EFFORT: Span = Span(50);
+const USUAL_EFFORT: TimeSpan = TimeSpan(50);
 /// Wall clock at the beginning.
 const EPOCH_MS: u64 = 1_700_000_000_000;
 
@@ -76,7 +76,7 @@
     Timeout(usize, u32, CallId),
     Reset(u64),
     Keep(usize, u32),
-    Beat(usize, u32),
+    LeaderHeartbeat(usize, u32),
     Served(usize, u32),
 }
 
@@ -110,7 +110,7 @@
     /// When the core last had time.
     ticked: Time,
     /// What the core takes over each input; it is busy until then.
-    each: Span,
+    each: TimeSpan,
     busy: Time,
 }
 
@@ -215,7 +215,7 @@
                 renewing: (0, Time(0)),
                 beating: false,
                 ticked: Time(0),
-                each: Span::ZERO,
+                each: TimeSpan::ZERO,
                 busy: Time(0),
             });
             world.act(NodeAction::Start(n));
@@ -262,7 +262,7 @@
         let run = self.now.since(self.slots[n].born).0;
         Now {
             time: Time(1_000_000 + run + run * (n as u64 % 3) / 4000),
-            wall: Wall(EPOCH_MS + self.now.0 / 1000 + n as u64 * 300),
+            wall: WallTime(EPOCH_MS + self.now.0 / 1000 + n as u64 * 300),
         }
     }
 
@@ -310,7 +310,7 @@
             slot.ticked = now.time;
         }
         let life = slot.life;
-        if slot.each > Span::ZERO {
+        if slot.each > TimeSpan::ZERO {
             slot.busy = self.now + slot.each;
             let busy = slot.busy;
             self.numbers += 1;
@@ -344,7 +344,7 @@
                         slot.renewed = now.time;
                         self.at(self.now, Event::Keep(n, life));
                         if !std::mem::replace(&mut self.slots[n].beating, true) {
-                            self.at(self.now + BEAT_EVERY, Event::Beat(n, life));
+                            self.at(self.now + BEAT_EVERY, Event::LeaderHeartbeat(n, life));
                         }
                     }
                 }
@@ -411,7 +411,7 @@
         if !slot.keeping {
             return;
         }
-        self.at(self.now + BEAT_EVERY, Event::Beat(n, life));
+        self.at(self.now + BEAT_EVERY, Event::LeaderHeartbeat(n, life));
         let slot = &self.slots[n];
         let Some(keep) = slot.keep.filter(|k| now < k.until && !slot.paused) else {
             return;
@@ -652,7 +652,7 @@
                 self.slots[n].each = each;
                 self.serve(n);
                 // Its processor is slow, and it finds that out.
-                let took = USUAL_EFFORT + Span(each.0 / 10);
+                let took = USUAL_EFFORT + TimeSpan(each.0 / 10);
                 self.feed(n, Input::Effort(took));
             }
         }
@@ -702,8 +702,8 @@
                 }
                 Event::Keep(n, life) if self.slots[n].life == life => self.renew(n),
                 Event::Served(n, life) if self.slots[n].life == life => self.serve(n),
-                Event::Beat(n, life) if self.slots[n].life == life => self.beat(n),
-                Event::Keep(..) | Event::Served(..) | Event::Beat(..) => {}
+                Event::LeaderHeartbeat(n, life) if self.slots[n].life == life => self.beat(n),
+                Event::Keep(..) | Event::Served(..) | Event::LeaderHeartbeat(..) => {}
                 Event::Reset(ticket) => {
                     self.stand.refused(t, ticket);
                     self.drain();
@@ -718,7 +718,7 @@
         let until = Time(0) + self.stand.script().length();
         self.play(until, true);
         // A little longer, for what must not come after the end.
-        let more = self.now + Span::secs(self.stand.script().cluster.workers.cancel_s + 2.0);
+        let more = self.now + TimeSpan::secs(self.stand.script().cluster.workers.cancel_s + 2.0);
         self.play(more.min(until), false);
         self.stand.finish(self.now);
         Verdict::of(&self.stand, self.now, begin.elapsed())
--- a/crates/simulator/src/stand.rs
+++ b/crates/simulator/src/stand.rs
@@ -17,10 +17,10 @@
 use pebblefold_controller::core::format_version::chunk_progress::Progress;
 use pebblefold_controller::core::format_version::member_versions;
 use pebblefold_controller::core::job_records;
-use pebblefold_controller::types::{Amounts, Label, MachineId, Span, Time};
+use pebblefold_controller::types::{MachineId, NodeId, Resources, Time, TimeSpan};
 use pebblefold_controller::wire::cloud::MachineNames;
 use pebblefold_controller::wire::decode;
-use pebblefold_controller::wire::kvstore::{Op, Txn};
+use pebblefold_controller::wire::kvstore::{Operation, Transaction};
 use pebblefold_controller::wire::users::Submission;
 use pebblefold_kvstore::faulty_disk::CutDisk;
 use pebblefold_kvstore::{Asker, Disk, Limits, Outcome, Service, StorageError, Ticket};
@@ -36,13 +36,13 @@
 /// Changes in one transaction.
 pub(crate) const TXN_OPS: usize = 48;
 /// How long a request is remembered that nobody answers.
-const SENT_KEPT: Span = Span::millis(30_000);
+const SENT_KEPT: TimeSpan = TimeSpan::millis(30_000);
 /// Copies of reports kept for the next leader.
 const MOST_KEPT: usize = 400;
 /// How long nobody may wait beside room that fits, once all troubles are over.
-const LEFT_WAITING: Span = Span::millis(90_000);
+const LEFT_WAITING: TimeSpan = TimeSpan::millis(90_000);
 /// Time between samples for the report.
-const SAMPLE_EVERY: Span = Span::millis(1000);
+const SAMPLE_EVERY: TimeSpan = TimeSpan::millis(1000);
 
 /// Where the state service keeps its store.
 #[derive(Clone, Debug)]
@@ -92,7 +92,7 @@
     /// The build that it is started from next; none: this one.
     Install(usize, Option<usize>),
     /// Have it take so long over each input; zero: no time at all.
-    Busy(usize, Span),
+    Busy(usize, TimeSpan),
 }
 
 /// What the controllers asked the state service to change.
@@ -107,10 +107,10 @@
 }
 
 impl AskedState {
-    fn note(&mut self, txn: &Txn) {
+    fn note(&mut self, txn: &Transaction) {
         self.changes += txn.ops.len() as u64;
         for op in &txn.ops {
-            if let Op::Put { key, value, .. } = op
+            if let Operation::Put { key, value, .. } = op
                 && key.starts_with(job_records::RECORDS)
             {
                 self.records += 1;
@@ -138,7 +138,7 @@
         /// The body.
         body: Vec<u8>,
         /// When to give it up.
-        patience: Span,
+        patience: TimeSpan,
     },
     /// Answer a controller's call.
     Return {
@@ -171,7 +171,7 @@
     /// A call that was carried out ends without an answer.
     Silence(u64, usize),
     /// A copy of a machine's report to a controller arrives.
-    Report(String, usize, Vec<u8>),
+    Heartbeat(String, usize, Vec<u8>),
 }
 
 /// What a moment is about.
@@ -214,11 +214,11 @@
 /// All stand-ins.
 pub struct Stand {
     script: Script,
-    labels: Vec<Label>,
+    labels: Vec<NodeId>,
     store: Store,
     state: Option<Service<Disk>>,
     /// The state service was told to end with its next write.
-    dying: Option<Span>,
+    dying: Option<TimeSpan>,
     state_calls: BTreeMap<u64, StateCall>,
     cloud: Cloud,
     fleet: Fleet,
@@ -241,7 +241,7 @@
     /// Since when jobs that wait could start, with how many of their tasks wait.
     startable: BTreeMap<String, (Time, u32)>,
     /// The longest such wait of each class.
-    waited: BTreeMap<String, Span>,
+    waited: BTreeMap<String, TimeSpan>,
     /// Which share of the jobs that end is called off then, and until when.
     cancel_at_end: (f64, Time),
     rng: StdRng,
@@ -277,10 +277,10 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let c = &script.cluster;
         let times = Times {
-            report: Span::secs(c.workers.report_s),
-            lease: Span::secs(c.workers.lease_s),
-            gang_wait: Span::secs(c.workers.gang_wait_s),
-            gang_peer: Span::secs(c.workers.gang_peer_s),
+            report: TimeSpan::secs(c.workers.report_s),
+            lease: TimeSpan::secs(c.workers.lease_s),
+            gang_wait: TimeSpan::secs(c.workers.gang_wait_s),
+            gang_peer: TimeSpan::secs(c.workers.gang_peer_s),
         };
         let nodes = c.controllers.len();
         let cloud = Cloud::new(c, addresses);
@@ -346,7 +346,7 @@
     }
 
     /// A controller's name.
-    pub fn label(&self, n: usize) -> Label {
+    pub fn label(&self, n: usize) -> NodeId {
         self.labels[n].clone()
     }
 
@@ -578,21 +578,20 @@
         let mut noted = Vec::new();
         let (mut leads, mut claims, mut unheard) = (false, false, false);
         if r.path == "/commit"
-            && let Some(txn) = decode::<Txn>(&r.body)
+            && let Some(txn) = decode::<Transaction>(&r.body)
         {
             let (share, until) = self.late_writes;
             if now < until && !txn.ops.is_empty() && self.rng.random_bool(share) {
-                let after = Span::secs(self.rng.random_range(2.0..12.0));
+                let after = TimeSpan::secs(self.rng.random_range(2.0..12.0));
                 self.heal_at(now + after, Heal::Write(node, r.clone()));
                 return self.give(call, Host::State, node, Returned::Silence);
             }
             let (share, until) = self.lost_answers;
             unheard = now < until && self.rng.random_bool(share);
             let holds = [member_versions::STONE, member_versions::HOLDER];
-            claims = txn
-                .ops
-                .iter()
-                .any(|op| matches!(op, Op::Put { key, .. } if holds.contains(&key.as_str())));
+            claims = txn.ops.iter().any(
+                |op| matches!(op, Operation::Put { key, .. } if holds.contains(&key.as_str())),
+            );
             self.asked.note(&txn);
             leads = txn
                 .conditions
@@ -619,10 +618,10 @@
     }
 
     /// What a transaction accepts and starts, as its records say.
-    fn note(&mut self, txn: &Txn) -> Vec<Noted> {
+    fn note(&mut self, txn: &Transaction) -> Vec<Noted> {
         let mut out = Vec::new();
         for op in &txn.ops {
-            let Op::Put { key, value, .. } = op else {
+            let Operation::Put { key, value, .. } = op else {
                 continue;
             };
             if let Some(job) = key.strip_prefix(job_records::JOBS) {
@@ -693,7 +692,7 @@
                 // Carried out, and nothing is heard of it; some callers notice that the
                 // connection has ended, others wait for as long as they do.
                 self.answers_lost += 1;
-                let after = Span::secs(self.rng.random_range(0.0..3.0));
+                let after = TimeSpan::secs(self.rng.random_range(0.0..3.0));
                 self.heal_at(now + after, Heal::Silence(ticket.0, open.node));
             } else if self.state.is_none() {
                 // A fault at this very moment: written, and never acknowledged.
@@ -704,7 +703,7 @@
         }
     }
 
-    fn end_state(&mut self, now: Time, down: Span) {
+    fn end_state(&mut self, now: Time, down: TimeSpan) {
         self.state = None;
         self.dying = None;
         for (call, open) in std::mem::take(&mut self.state_calls) {
@@ -887,8 +886,8 @@
             let (share, until) = self.late_reports;
             if now < until && self.rng.random_bool(share) {
                 let most = self.script.cluster.workers.lease_s * 2.0;
-                let after = Span::secs(self.rng.random_range(2.0..most.max(3.0)));
-                let copy = Heal::Report(s.machine.clone(), s.node, s.body.clone());
+                let after = TimeSpan::secs(self.rng.random_range(2.0..most.max(3.0)));
+                let copy = Heal::Heartbeat(s.machine.clone(), s.node, s.body.clone());
                 self.heal_at(now + after, copy);
             }
             let from = Host::Machine(s.machine);
@@ -964,7 +963,7 @@
 
     /// The longest that a job of each class waited beside room that fits, with its team
     /// under its limit, after the last trouble.
-    pub fn waited(&self) -> &BTreeMap<String, Span> {
+    pub fn waited(&self) -> &BTreeMap<String, TimeSpan> {
         &self.waited
     }
 
@@ -975,7 +974,7 @@
             return;
         }
         let (rooms, live) = (self.fleet.rooms(now), self.fleet.live());
-        let mut used: BTreeMap<String, Amounts> = BTreeMap::new();
+        let mut used: BTreeMap<String, Resources> = BTreeMap::new();
         for (job, zones) in &live {
             if let Some(spec) = self.fleet.spec(job) {
                 let n = f64::from(zones.values().sum::<u32>());
--- a/crates/simulator/src/stand/faults.rs
+++ b/crates/simulator/src/stand/faults.rs
@@ -5,7 +5,7 @@
 use crate::links::{Group, Host};
 use crate::script::{LastWrite, Moment, Nodes, PowerLoss, Side, What};
 use crate::worker::PATIENCE;
-use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_kvstore::faulty_disk::Left;
 use pebblefold_kvstore::{Asker, Ticket};
 use rand::RngExt;
@@ -78,13 +78,13 @@
             }
             let n = self.rng.random_range(0..running.len());
             let (job, machines) = running.swap_remove(n);
-            let after = Span::secs(self.rng.random_range(0.0..0.2));
+            let after = TimeSpan::secs(self.rng.random_range(0.0..0.2));
             self.users.call_off(now + after, &job);
             hang.extend(machines);
         }
         for m in hang.into_iter().take(MOST_HUNG) {
             if let Some(w) = self.fleet.worker(&m).filter(|_| hang_s > 0.0) {
-                w.hung = Some(now + Span::secs(hang_s));
+                w.hung = Some(now + TimeSpan::secs(hang_s));
             }
         }
     }
@@ -94,8 +94,8 @@
         for (machine, body) in std::mem::take(&mut self.kept) {
             for node in 0..self.labels.len() {
                 self.brought += 1;
-                let after = Span::secs(self.rng.random_range(0.0..2.0));
-                let copy = Heal::Report(machine.clone(), node, body.clone());
+                let after = TimeSpan::secs(self.rng.random_range(0.0..2.0));
+                let copy = Heal::Heartbeat(machine.clone(), node, body.clone());
                 self.heal_at(now + after, copy);
             }
         }
@@ -130,19 +130,19 @@
                 (NodeAction::Kill(n), NodeAction::Start(n))
             };
             self.out.push(Out::Node(stop));
-            self.heal_at(now + Span::secs(for_s), Heal::Node(go));
+            self.heal_at(now + TimeSpan::secs(for_s), Heal::Node(go));
         }
     }
 
     pub(super) fn strike(&mut self, now: Time, what: &What, about: &About) {
         let value = serde_json::to_value(what).unwrap_or_default();
         let lasts = ["for_s", "hang_s"].map(|f| value[f].as_f64().unwrap_or(0.0));
-        self.quiet = self.quiet.max(now + Span::secs(lasts[0].max(lasts[1])));
+        self.quiet = self.quiet.max(now + TimeSpan::secs(lasts[0].max(lasts[1])));
         let text = value.to_string();
         tracing::info!(at_s = now.0 as f64 / 1e6, fault = %text, "fault");
         self.marks.push((now.0 as f64 / 1e6, what.name()));
         self.checker.hear(now, Seen::Fault { what: text });
-        let until = |s: f64| now + Span::secs(s);
+        let until = |s: f64| now + TimeSpan::secs(s);
         match what {
             What::SitePower {
                 zone,
@@ -200,9 +200,9 @@
                 for_s,
             } => {
                 for n in self.pick_nodes(nodes, about) {
-                    let slow = NodeAction::Busy(n, Span::secs(each_ms / 1000.0));
+                    let slow = NodeAction::Busy(n, TimeSpan::secs(each_ms / 1000.0));
                     self.out.push(Out::Node(slow));
-                    let heal = Heal::Node(NodeAction::Busy(n, Span::ZERO));
+                    let heal = Heal::Node(NodeAction::Busy(n, TimeSpan::ZERO));
                     self.heal_at(until(*for_s), heal);
                 }
             }
@@ -251,7 +251,7 @@
                 for m in self.pick_machines(count, |w| w.machine.spot && w.taken.is_none()) {
                     let notice = notice_s * self.rng.random_range(0.5..1.5);
                     if let Some(w) = self.fleet.worker(&m) {
-                        w.taken = Some(now + Span::secs(notice));
+                        w.taken = Some(now + TimeSpan::secs(notice));
                         w.touch();
                     }
                 }
@@ -267,7 +267,7 @@
                 Store::File(_) => self.state_out(now, *for_s, Heal::StateOut),
             },
             What::StateKilled { for_s, last_write } => {
-                let down = Span::secs(*for_s);
+                let down = TimeSpan::secs(*for_s);
                 match (&self.store, last_write) {
                     (Store::Memory(disk), LastWrite::Everything | LastWrite::Torn) => {
                         let left = match last_write {
@@ -290,7 +290,8 @@
                 self.heal_at(until(*for_s), Heal::StateRefuses(nodes));
             }
             What::StateSlow { delay_s, for_s } => {
-                self.links.slow_state(Span::secs(*delay_s), until(*for_s));
+                self.links
+                    .slow_state(TimeSpan::secs(*delay_s), until(*for_s));
             }
             What::CloudOut { for_s } => {
                 self.cloud.out = true;
@@ -301,7 +302,8 @@
                 self.heal_at(until(*for_s), Heal::CloudShort);
             }
             What::CloudSlow { delay_s, for_s } => {
-                self.links.slow_cloud(Span::secs(*delay_s), until(*for_s));
+                self.links
+                    .slow_cloud(TimeSpan::secs(*delay_s), until(*for_s));
             }
             What::Cut {
                 a,
@@ -355,7 +357,7 @@
         if let Some(s) = &mut self.state {
             s.set_out(now, true);
         }
-        self.heal_at(now + Span::secs(for_s), heal);
+        self.heal_at(now + TimeSpan::secs(for_s), heal);
     }
 
     pub(super) fn heal(&mut self, now: Time, heal: Heal) {
@@ -378,7 +380,7 @@
                     Ok(s) => self.state = Some(s),
                     Err(e) => {
                         tracing::error!(error = %e, "the state service cannot start");
-                        self.heal_at(now + Span::secs(1.0), Heal::StateBack);
+                        self.heal_at(now + TimeSpan::secs(1.0), Heal::StateBack);
                     }
                 }
             }
@@ -403,7 +405,7 @@
                 }
                 self.flush(now);
             }
-            Heal::Report(machine, node, body) => {
+            Heal::Heartbeat(machine, node, body) => {
                 self.next_ticket += 1;
                 let (ticket, from) = (self.next_ticket, Host::Machine(machine));
                 self.sent.insert(ticket, (from.clone(), now));
--- a/crates/simulator/src/tally.rs
+++ b/crates/simulator/src/tally.rs
@@ -1,12 +1,12 @@
 //! What renting came to, counted from what the cloud gave and took and what
 //! ran on its machines.
 
-use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::types::{Time, TimeSpan};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time between looks for machines that nobody who leads knows.
-const LOOK: Span = Span::millis(1000);
+const LOOK: TimeSpan = TimeSpan::millis(1000);
 
 /// Counts on renting.
 #[derive(Clone, Debug, Default, Serialize)]
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -3,31 +3,31 @@
 
 use crate::checker::{Ask, Seen};
 use crate::script::{JobShape, Jobs, Script};
-use pebblefold_controller::types::{Span, Time};
-use pebblefold_controller::wire::users::{JobAnswer, Stage, Submission};
+use pebblefold_controller::types::{Time, TimeSpan};
+use pebblefold_controller::wire::users::{JobStage, JobStatus, Submission};
 use pebblefold_controller::wire::{decode, encode};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long a user waits for an answer to a submission or a cancellation.
-const PATIENCE: Span = Span::millis(5000);
+const PATIENCE: TimeSpan = TimeSpan::millis(5000);
 /// How long for an answer to a poll.
-const POLL_PATIENCE: Span = Span::millis(2000);
+const POLL_PATIENCE: TimeSpan = TimeSpan::millis(2000);
 /// Time between polls.
-const POLL_EVERY: Span = Span::millis(5000);
+const POLL_EVERY: TimeSpan = TimeSpan::millis(5000);
 /// Time between polls of a job that is over, as some users go on asking.
-const POLL_OVER: Span = Span::millis(60_000);
+const POLL_OVER: TimeSpan = TimeSpan::millis(60_000);
 /// For how long a submission is retried.
-const RETRIES: Span = Span::millis(60_000);
+const RETRIES: TimeSpan = TimeSpan::millis(60_000);
 /// Longest pause that a user takes on a node's word.
 const MOST_RETRY_AFTER: u32 = 30;
 /// Time between polls for jobs that nobody submitted.
-const GHOST_EVERY: Span = Span::millis(20_000);
+const GHOST_EVERY: TimeSpan = TimeSpan::millis(20_000);
 /// Time between odd requests.
-const ODD_EVERY: Span = Span::millis(400);
+const ODD_EVERY: TimeSpan = TimeSpan::millis(400);
 /// Time between the load balancer's probes, and how long one waits.
-const PROBE_EVERY: Span = Span::millis(1000);
+const PROBE_EVERY: TimeSpan = TimeSpan::millis(1000);
 /// Nodes tried for one connection.
 const TRIES: u32 = 3;
 
@@ -59,7 +59,7 @@
 
 fn planned(script: &Script, j: &Jobs, i: u32, n: u32, rng: &mut StdRng) -> Planned {
     let share = f64::from(i) / f64::from(j.count.max(1));
-    let at = Time(0) + Span::secs(j.from_s + j.over_s * share);
+    let at = Time(0) + TimeSpan::secs(j.from_s + j.over_s * share);
     let tasks = j.tasks.pick(rng.random()).round().max(1.0) as u32;
     let run_s = j.run_s.pick(rng.random());
     let estimate_s = if j.shape == JobShape::Service {
@@ -91,9 +91,9 @@
     };
     // Services end only by their users; before the rehearsal does.
     let cancel_at = if j.shape == JobShape::Service {
-        Some((at + Span::secs(run_s)).min(Time(0) + script.length().scaled(0.8)))
+        Some((at + TimeSpan::secs(run_s)).min(Time(0) + script.length().scaled(0.8)))
     } else if rng.random_bool(j.cancelled.clamp(0.0, 1.0)) {
-        Some(at + Span::secs(run_s * rng.random_range(0.0..1.5)))
+        Some(at + TimeSpan::secs(run_s * rng.random_range(0.0..1.5)))
     } else {
         None
     };
@@ -119,7 +119,7 @@
     /// The body.
     pub body: Vec<u8>,
     /// How long the user waits.
-    pub patience: Span,
+    pub patience: TimeSpan,
 }
 
 #[derive(Debug)]
@@ -308,7 +308,7 @@
             if what == Ask::Cancel {
                 // A user who is not sure that the job was taken asks until it is.
                 if !j.accepted {
-                    return self.ask_at(now + Span::millis(1000), id, what);
+                    return self.ask_at(now + TimeSpan::millis(1000), id, what);
                 }
             }
             if what == Ask::Submit {
@@ -325,7 +325,7 @@
             .collect();
         if healthy.is_empty() {
             if self.jobs.contains_key(id) {
-                self.ask_at(now + Span::millis(1000), id, what);
+                self.ask_at(now + TimeSpan::millis(1000), id, what);
             }
             return;
         }
@@ -366,7 +366,7 @@
             what,
         });
         // A look comes after what was told this very moment.
-        let asked = if look { now + Span(1) } else { now };
+        let asked = if look { now + TimeSpan(1) } else { now };
         let t = ticket();
         let waiting = Waiting::Job {
             job: id.into(),
@@ -437,7 +437,7 @@
             } => {
                 let body = answer.map(|(_, _, b)| b).unwrap_or_default();
                 let stage = matches!(status, Some(200 | 201))
-                    .then(|| decode::<JobAnswer>(body))
+                    .then(|| decode::<JobStatus>(body))
                     .flatten()
                     .map(|a| a.stage);
                 let after = answer.and_then(|(_, after, _)| after);
@@ -450,7 +450,9 @@
                 });
                 if !look {
                     let news = self.jobs.get(&job).is_some_and(|j| match stage {
-                        Some(Stage::Done | Stage::Cancelled) => !j.over || what == Ask::Cancel,
+                        Some(JobStage::Done | JobStage::Cancelled) => {
+                            !j.over || what == Ask::Cancel
+                        }
                         Some(_) => !j.accepted,
                         None => false,
                     });
@@ -472,7 +474,7 @@
         now: Time,
         id: &str,
         what: Ask,
-        stage: Option<Stage>,
+        stage: Option<JobStage>,
         status: Option<u16>,
         after: Option<u32>,
         rng: &mut StdRng,
@@ -480,7 +482,7 @@
         let Some(j) = self.jobs.get_mut(id) else {
             return;
         };
-        let pause = Span::secs(
+        let pause = TimeSpan::secs(
             f64::from(after.unwrap_or(1).clamp(1, MOST_RETRY_AFTER)) + rng.random_range(0.0..0.3),
         );
         match (what, stage) {
@@ -497,7 +499,7 @@
                 // Some users submit again, long after.
                 if rng.random_bool(0.1) {
                     self.ask_at(
-                        now + Span::secs(rng.random_range(20.0..120.0)),
+                        now + TimeSpan::secs(rng.random_range(20.0..120.0)),
                         id,
                         Ask::Submit,
                     );
@@ -508,7 +510,7 @@
             (Ask::Submit | Ask::Cancel, None) => self.ask_at(now + pause, id, what),
             (Ask::Cancel, Some(_)) => {}
             (Ask::Poll, _) => {
-                j.over |= matches!(stage, Some(Stage::Done | Stage::Cancelled));
+                j.over |= matches!(stage, Some(JobStage::Done | JobStage::Cancelled));
                 let every = if stage.is_some() && j.over {
                     POLL_OVER
                 } else {
@@ -534,7 +536,7 @@
             (h.good, h.bad) = (0, h.bad + 1);
             if h.healthy && h.bad >= 2 {
                 h.healthy = false;
-                h.not_before = now + Span::millis(3000);
+                h.not_before = now + TimeSpan::millis(3000);
             }
         }
     }
--- a/crates/simulator/src/waiting.rs
+++ b/crates/simulator/src/waiting.rs
@@ -2,8 +2,8 @@
 //! Nobody may be left waiting beside room that fits, once all troubles are over.
 
 use crate::script::Team;
-use pebblefold_controller::types::Amounts;
-use pebblefold_controller::wire::users::{Shape, Submission};
+use pebblefold_controller::types::Resources;
+use pebblefold_controller::wire::users::{JobShape, Submission};
 use std::collections::BTreeMap;
 
 /// What is free on a machine that is up and well.
@@ -16,7 +16,7 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// What is free.
-    pub free: Amounts,
+    pub free: Resources,
 }
 
 /// A job of which tasks wait.
@@ -30,7 +30,7 @@
     pub in_zones: BTreeMap<String, u32>,
 }
 
-fn under(team: &Team, used: &Amounts) -> bool {
+fn under(team: &Team, used: &Resources) -> bool {
     let over = |limit: f64, used: f64| limit > 0.0 && used > limit + 1e-6;
     !over(team.gpus_max, used.gpus) && !over(team.cpus_max, used.cpus)
 }
@@ -38,9 +38,9 @@
 /// Whether the next task of an array or a service, or all tasks of a gang, could be placed
 /// now: each on a machine of an allowed type, zone and market with room, as `same_place`
 /// and `scatter` allow, with the team, which uses so much, within its limit.
-pub fn could_start(w: &Waiting<'_>, rooms: &[Room], team: &Team, used: &Amounts) -> bool {
+pub fn could_start(w: &Waiting<'_>, rooms: &[Room], team: &Team, used: &Resources) -> bool {
     let spec = w.spec;
-    let gang = spec.shape == Shape::Gang;
+    let gang = spec.shape == JobShape::Gang;
     // What is left of an earlier attempt has to go first.
     if w.tasks == 0 || gang && !w.in_zones.is_empty() {
         return false;
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -3,10 +3,12 @@
 //! and how long they take, is the [`crate::fleet`]'s.
 
 use pebblefold_agent::link::{Link, Pace};
-use pebblefold_controller::types::{Amounts, Attempt, Session, Span, Time, Token};
+use pebblefold_controller::types::{AgentEpoch, Attempt, FencingToken, Resources, Time, TimeSpan};
 use pebblefold_controller::wire::cloud::{ListedMachine, MachineType};
-use pebblefold_controller::wire::users::{Shape, Submission};
-use pebblefold_controller::wire::workers::{Command, Report, ReportedTask, TaskState, Why};
+use pebblefold_controller::wire::users::{JobShape, Submission};
+use pebblefold_controller::wire::workers::{
+    Command, Heartbeat, ReportedTask, StopReason, TaskState,
+};
 use rand::RngExt;
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,13 +19,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// Between reports.
-    pub report: Span,
+    pub report: TimeSpan,
     /// Their lease.
-    pub lease: Span,
+    pub lease: TimeSpan,
     /// How long a gang's tasks wait for one another.
-    pub gang_wait: Span,
+    pub gang_wait: TimeSpan,
     /// How soon they notice a missing one.
-    pub gang_peer: Span,
+    pub gang_peer: TimeSpan,
 }
 
 /// A task on a machine.
@@ -34,7 +36,7 @@
     /// Since when.
     pub since: Time,
     /// Why it ended.
-    pub why: Option<Why>,
+    pub why: Option<StopReason>,
     /// Whether its progress was saved.
     pub saved: Option<bool>,
     /// Seconds of progress, with what earlier attempts saved.
@@ -55,7 +57,7 @@
     }
 
     /// Ends it.
-    pub fn end(&mut self, now: Time, why: Why, saved: Option<bool>) {
+    pub fn end(&mut self, now: Time, why: StopReason, saved: Option<bool>) {
         self.state = TaskState::Exited;
         self.since = now;
         self.why = Some(why);
@@ -79,7 +81,7 @@
 pub struct Worker {
     /// What the cloud says of it.
     pub machine: ListedMachine,
-    has: Amounts,
+    has: Resources,
     cache_gb: f64,
     fetch_gb_per_s: f64,
     link: Link,
@@ -157,8 +159,8 @@
     }
 
     /// Its report now.
-    pub fn report(&mut self, now: Time) -> Report {
-        let tally = self.link.count();
+    pub fn report(&mut self, now: Time) -> Heartbeat {
+        let sequence = self.link.count();
         let one = |((task, attempt), t): (&Key, &Task)| ReportedTask {
             task: task.clone(),
             attempt: Attempt(*attempt),
@@ -166,14 +168,14 @@
             why: t.why,
             saved: t.saved,
         };
-        Report {
+        Heartbeat {
             machine: self.machine.id.clone(),
             addr: self.machine.addr.clone(),
             kind: self.machine.kind.clone(),
             zone: self.machine.zone.clone(),
             spot: self.machine.spot,
-            session: self.link.session(),
-            tally,
+            epoch: self.link.epoch(),
+            sequence,
             token: self.link.token(),
             notice_s: self.taken.map(|t| t.since(now).as_secs()),
             tasks: self.tasks.iter().map(one).collect(),
@@ -197,7 +199,7 @@
     }
 
     /// Begins a report under this ticket, if one is due.
-    pub fn due(&mut self, now: Time, ticket: u64, rng: &mut StdRng) -> Option<Report> {
+    pub fn due(&mut self, now: Time, ticket: u64, rng: &mut StdRng) -> Option<Heartbeat> {
         let due = self.link.due(now, ticket, rng);
         due.then(|| self.report(now))
     }
@@ -208,7 +210,7 @@
     }
 
     /// An answer that carries a token; `sent`: when its report was sent.
-    pub fn answered(&mut self, now: Time, token: Token, commands: Vec<Command>) -> Heard {
+    pub fn answered(&mut self, now: Time, token: FencingToken, commands: Vec<Command>) -> Heard {
         if self.link.answered(now, token) {
             Heard::Commands(commands)
         } else {
@@ -222,8 +224,8 @@
     }
 
     /// Whether direct commands count, by their token and session.
-    pub fn takes(&mut self, now: Time, token: Token, session: Session) -> bool {
-        self.link.takes(now, token, session)
+    pub fn takes(&mut self, now: Time, token: FencingToken, epoch: AgentEpoch) -> bool {
+        self.link.takes(now, token, epoch)
     }
 
     /// Ends the session if the lease is over; returns what was on the machine.
@@ -243,7 +245,7 @@
         self.link.touch();
         let live = |t: &Task| t.state != TaskState::Exited;
         let job = jobs.get(job_of(task));
-        let mut used = Amounts::default();
+        let mut used = Resources::default();
         for ((other, _), _) in self.tasks.iter().filter(|(_, t)| live(t)) {
             if let Some(j) = jobs.get(job_of(other)) {
                 used += j.needs();
@@ -251,9 +253,9 @@
         }
         let busy = |t: &str| self.tasks.iter().any(|((o, _), s)| o == t && live(s));
         let refused = match job {
-            None => Some(Why::Unknown),
-            Some(_) if busy(task) => Some(Why::Busy),
-            Some(j) if !(used + j.needs()).fits(&self.has) => Some(Why::NoRoom),
+            None => Some(StopReason::Unknown),
+            Some(_) if busy(task) => Some(StopReason::Busy),
+            Some(j) if !(used + j.needs()).fits(&self.has) => Some(StopReason::NoRoom),
             Some(j) => {
                 let image = j.image.to_string();
                 match self.cache.get_mut(&image) {
@@ -300,7 +302,7 @@
     }
 
     /// Lets images come in; returns tasks whose image is there now.
-    pub fn fetch(&mut self, now: Time, step: Span, jobs: &Jobs) -> Vec<Key> {
+    pub fn fetch(&mut self, now: Time, step: TimeSpan, jobs: &Jobs) -> Vec<Key> {
         if !self.fetching.is_empty() {
             let wanted: BTreeSet<&str> = self
                 .tasks
@@ -340,7 +342,7 @@
             };
             if let Some((_, used)) = self.cache.get_mut(j.image.as_str()) {
                 *used = now;
-                t.state = if j.shape == Shape::Gang {
+                t.state = if j.shape == JobShape::Gang {
                     TaskState::Waiting
                 } else {
                     TaskState::Running
--- a/crates/simulator/tests/checker.rs
+++ b/crates/simulator/tests/checker.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::{cluster, jobs};
-use pebblefold_controller::types::{Span, Time};
-use pebblefold_controller::wire::users::{Stage, Submission};
+use pebblefold_controller::types::{Time, TimeSpan};
+use pebblefold_controller::wire::users::{JobStage, Submission};
 use pebblefold_simulator::checker::{Ask, Checker, Rule, Seen};
 use pebblefold_simulator::script::JobShape;
 use pebblefold_simulator::users::plan;
@@ -12,7 +12,7 @@
 use rand::rngs::StdRng;
 
 fn t(s: f64) -> Time {
-    Time(0) + Span::secs(s)
+    Time(0) + TimeSpan::secs(s)
 }
 
 /// A history under way: one job of two tasks, two machines in zones of their own.
@@ -41,7 +41,7 @@
         Story(c)
     }
 
-    fn told(&mut self, s: f64, what: Ask, status: u16, stage: Option<Stage>) -> &mut Self {
+    fn told(&mut self, s: f64, what: Ask, status: u16, stage: Option<JobStage>) -> &mut Self {
         self.told_of("wk-000001", s, what, status, stage)
     }
 
@@ -51,7 +51,7 @@
         s: f64,
         what: Ask,
         status: u16,
-        stage: Option<Stage>,
+        stage: Option<JobStage>,
     ) -> &mut Self {
         let job = job.to_string();
         self.0.hear(
@@ -105,13 +105,13 @@
     }
 
     fn accepted(&mut self) -> &mut Self {
-        self.told(1.0, Ask::Submit, 201, Some(Stage::Queued))
+        self.told(1.0, Ask::Submit, 201, Some(JobStage::Queued))
     }
 
     fn served(&mut self) -> &mut Self {
         self.accepted().on(3.0, 0, "host-1").on(3.0, 1, "host-2");
         self.done(9.0, 0, "host-1").done(9.0, 1, "host-2");
-        self.told(12.0, Ask::Poll, 200, Some(Stage::Done))
+        self.told(12.0, Ask::Poll, 200, Some(JobStage::Done))
     }
 
     fn rules(&mut self, end: f64) -> Vec<Rule> {
@@ -129,7 +129,7 @@
     assert_eq!(story().served().rules(100.0), []);
     let mut cancelled = story();
     cancelled.accepted().on(3.0, 0, "host-1");
-    cancelled.told(5.0, Ask::Cancel, 200, Some(Stage::Cancelled));
+    cancelled.told(5.0, Ask::Cancel, 200, Some(JobStage::Cancelled));
     let (machine, task, why) = ("host-1".into(), "wk-000001/0".into(), "stopped");
     cancelled.0.hear(
         t(44.0),
@@ -204,14 +204,14 @@
             story()
                 .accepted()
                 .on(2.0, 0, "host-1")
-                .told(3.0, Ask::Cancel, 200, Some(Stage::Cancelled))
+                .told(3.0, Ask::Cancel, 200, Some(JobStage::Cancelled))
                 .rules(44.0),
         ),
         (
             Rule::RanCancelled,
             story()
                 .accepted()
-                .told(3.0, Ask::Cancel, 200, Some(Stage::Cancelled))
+                .told(3.0, Ask::Cancel, 200, Some(JobStage::Cancelled))
                 .on(44.0, 0, "host-1")
                 .rules(44.0),
         ),
@@ -233,7 +233,7 @@
             Rule::Invented,
             story()
                 .served()
-                .told_of("wk-900000", 20.0, Ask::Poll, 200, Some(Stage::Queued))
+                .told_of("wk-900000", 20.0, Ask::Poll, 200, Some(JobStage::Queued))
                 .rules(30.0),
         ),
         (
@@ -242,35 +242,35 @@
                 .accepted()
                 .on(3.0, 0, "host-1")
                 .done(9.0, 0, "host-1")
-                .told(12.0, Ask::Poll, 200, Some(Stage::Done))
+                .told(12.0, Ask::Poll, 200, Some(JobStage::Done))
                 .rules(30.0),
         ),
         (
             Rule::WentBack,
             story()
                 .served()
-                .told(20.0, Ask::Poll, 200, Some(Stage::Running))
+                .told(20.0, Ask::Poll, 200, Some(JobStage::Running))
                 .rules(30.0),
         ),
         (
             Rule::WentBack,
             story()
                 .served()
-                .told(20.0, Ask::Cancel, 200, Some(Stage::Cancelled))
+                .told(20.0, Ask::Cancel, 200, Some(JobStage::Cancelled))
                 .rules(30.0),
         ),
         (
             Rule::WentBack,
             story()
                 .accepted()
-                .told(5.0, Ask::Poll, 200, Some(Stage::Cancelled))
+                .told(5.0, Ask::Poll, 200, Some(JobStage::Cancelled))
                 .rules(30.0),
         ),
         (
             Rule::NothingRan,
             story()
                 .accepted()
-                .told(3.0, Ask::Cancel, 200, Some(Stage::Cancelled))
+                .told(3.0, Ask::Cancel, 200, Some(JobStage::Cancelled))
                 .rules(30.0),
         ),
         (
@@ -370,7 +370,7 @@
 fn answers_are_judged_by_the_time_of_their_question() {
     let poll = |s: &mut Story, asked: f64, told: f64, status: u16| {
         let (job, what) = ("wk-000001".to_string(), Ask::Poll);
-        let (status, stage) = (Some(status), (status == 200).then_some(Stage::Queued));
+        let (status, stage) = (Some(status), (status == 200).then_some(JobStage::Queued));
         let asked = t(asked);
         s.0.hear(
             t(told),
@@ -384,14 +384,14 @@
         );
     };
     let mut early = story();
-    early.told(1.0, Ask::Submit, 201, Some(Stage::Queued));
+    early.told(1.0, Ask::Submit, 201, Some(JobStage::Queued));
     poll(&mut early, 0.9, 1.2, 404);
     assert_eq!(early.0.breaches().len(), 0);
     poll(&mut early, 1.2, 1.3, 404);
     assert_eq!(early.0.breaches()[0].rule, Rule::Forgotten);
     for answered in [true, false] {
         let mut s = story();
-        s.told(1.0, Ask::Submit, 201, Some(Stage::Queued));
+        s.told(1.0, Ask::Submit, 201, Some(JobStage::Queued));
         if answered {
             poll(&mut s, 2.0, 2.01, 200);
         }
--- a/crates/simulator/tests/commands.rs
+++ b/crates/simulator/tests/commands.rs
@@ -2,7 +2,10 @@
 //! kept, groups that are ended whole.
 
 use pebblefold_simulator::commands::{Commands, Place};
-use pebblefold_wire::command::{Again, Description, EXIT, HERE, Mark, Put, REFUSED};
+use pebblefold_wire::command::{
+    CommandSpec, EXIT_FILE, ExitRecord, REFUSED_FILE, RestartPolicy, StagedFile,
+    WORKING_DIR_PLACEHOLDER,
+};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -15,7 +18,7 @@
     }
 }
 
-fn described(name: &str, script: &str, again: Again) -> (Commands, PathBuf) {
+fn described(name: &str, script: &str, again: RestartPolicy) -> (Commands, PathBuf) {
     let dir =
         std::env::temp_dir().join(format!("pebblefold-commands-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
@@ -23,13 +26,13 @@
     let mut c = Commands::default();
     let argv = ["sh", "-c", script].map(String::from).to_vec();
     let env = [("PATH".to_string(), "/usr/bin:/bin".to_string())].into();
-    let d = Description {
+    let d = CommandSpec {
         argv,
         dir: dir.display().to_string(),
         stdout: Some("out".into()),
         again,
         env,
-        ..Description::default()
+        ..CommandSpec::default()
     };
     c.describe("wk-1".into(), d);
     (c, dir)
@@ -42,13 +45,17 @@
     })
 }
 
-fn mark(dir: &Path) -> Mark {
-    serde_json::from_slice(&std::fs::read(dir.join(EXIT)).unwrap()).unwrap()
+fn mark(dir: &Path) -> ExitRecord {
+    serde_json::from_slice(&std::fs::read(dir.join(EXIT_FILE)).unwrap()).unwrap()
 }
 
 #[test]
 fn a_command_runs_once_and_its_result_is_kept() {
-    let (mut c, dir) = described("once", "echo $$ >> ../log; echo said; exit 5", Again::Yes);
+    let (mut c, dir) = described(
+        "once",
+        "echo $$ >> ../log; echo said; exit 5",
+        RestartPolicy::Allowed,
+    );
     assert!(until_ended(&mut c, &[place("host-1", 1)]));
     // Another machine, told to start it later, finds the result.
     assert!(until_ended(&mut c, &[place("host-2", 2)]));
@@ -71,7 +78,7 @@
 // The machine is lost while the command runs; another is handed the job.
 #[test]
 fn what_may_never_run_again_is_refused_the_second_time() {
-    for (again, runs) in [(Again::Never, 1), (Again::Yes, 2)] {
+    for (again, runs) in [(RestartPolicy::Never, 1), (RestartPolicy::Allowed, 2)] {
         let (mut c, dir) = described(
             &format!("lost-{runs}"),
             "echo run >> ../log; sleep 0.3",
@@ -89,8 +96,14 @@
         }
         c.step(&[]);
         let ended = until_ended(&mut c, &[place("host-2", 2)]);
-        assert_eq!((ended, runs_now(&dir)), (again == Again::Yes, runs));
-        assert_eq!(dir.join(REFUSED).exists(), again == Again::Never);
+        assert_eq!(
+            (ended, runs_now(&dir)),
+            (again == RestartPolicy::Allowed, runs)
+        );
+        assert_eq!(
+            dir.join(REFUSED_FILE).exists(),
+            again == RestartPolicy::Never
+        );
         std::fs::remove_dir_all(&dir).unwrap();
         c.stop();
     }
@@ -98,11 +111,11 @@
 
 #[test]
 fn a_command_that_is_not_there_ends_as_in_a_shell_and_groups_end_whole() {
-    let (mut c, dir) = described("none", "", Again::Yes);
-    let d = Description {
+    let (mut c, dir) = described("none", "", RestartPolicy::Allowed);
+    let d = CommandSpec {
         argv: vec!["no-such-program-here".into()],
         dir: dir.display().to_string(),
-        ..Description::default()
+        ..CommandSpec::default()
     };
     c.describe("wk-1".into(), d);
     assert!(until_ended(&mut c, &[place("host-1", 1)]));
@@ -117,7 +130,7 @@
     let (mut c, dir) = described(
         "group",
         "(sleep 1; echo late > ../late) & exit 0",
-        Again::Yes,
+        RestartPolicy::Allowed,
     );
     assert!(until_ended(&mut c, &[place("host-1", 1)]));
     std::thread::sleep(Duration::from_millis(1300));
@@ -127,12 +140,12 @@
 
 #[test]
 fn a_directory_is_laid_out_and_known_by_its_name() {
-    let (mut c, dir) = described("laid", "", Again::Yes);
+    let (mut c, dir) = described("laid", "", RestartPolicy::Allowed);
     let given = dir.join("given");
     std::fs::create_dir_all(given.join("deep")).unwrap();
     std::fs::write(given.join("deep/f"), "theirs").unwrap();
     let from = given.display().to_string();
-    let d = Description {
+    let d = CommandSpec {
         argv: [
             "sh",
             "-c",
@@ -144,21 +157,21 @@
         stdout: Some("sub/out".into()),
         env: [("PATH".to_string(), "/usr/bin:/bin".to_string())].into(),
         put: vec![
-            Put::Link {
+            StagedFile::Link {
                 from: from.clone(),
                 to: "link".into(),
             },
-            Put::Copy {
+            StagedFile::Copy {
                 from,
                 to: "copy".into(),
             },
-            Put::Text {
+            StagedFile::Text {
                 to: "conf/run.ini".into(),
-                text: format!("{HERE}/x\n"),
+                text: format!("{WORKING_DIR_PLACEHOLDER}/x\n"),
             },
-            Put::Directory { to: "empty".into() },
+            StagedFile::Directory { to: "empty".into() },
         ],
-        ..Description::default()
+        ..CommandSpec::default()
     };
     c.describe("wk-1".into(), d.clone());
     assert!(until_ended(&mut c, &[place("host-1", 1)]));
@@ -171,15 +184,15 @@
     assert_eq!(read(&Path::new(&m.dir).join("link/deep/f")), "theirs");
     std::fs::remove_dir_all(&dir).unwrap();
     // What leads out is not laid out, and nothing runs.
-    let (mut c, dir) = described("out", "", Again::Yes);
-    let put = vec![Put::Text {
+    let (mut c, dir) = described("out", "", RestartPolicy::Allowed);
+    let put = vec![StagedFile::Text {
         to: "../x".into(),
         text: String::new(),
     }];
     let place_of = dir.display().to_string();
     c.describe(
         "wk-1".into(),
-        Description {
+        CommandSpec {
             put,
             dir: place_of,
             ..d
@@ -196,18 +209,18 @@
 // what the first one left: a link that stands already was told as "not started".
 #[test]
 fn an_attempt_that_is_begun_again_has_a_directory_of_its_own() {
-    let (mut c, dir) = described("anew", "", Again::Yes);
-    let d = Description {
+    let (mut c, dir) = described("anew", "", RestartPolicy::Allowed);
+    let d = CommandSpec {
         argv: ["sh", "-c", "echo run >> ../log; sleep 0.2"]
             .map(String::from)
             .to_vec(),
         dir: dir.display().to_string(),
         env: [("PATH".to_string(), "/usr/bin:/bin".to_string())].into(),
-        put: vec![Put::Link {
+        put: vec![StagedFile::Link {
             from: "/".into(),
             to: "root".into(),
         }],
-        ..Description::default()
+        ..CommandSpec::default()
     };
     c.describe("wk-1".into(), d.clone());
     c.step(&[place("host-1", 1)]);
@@ -222,13 +235,13 @@
 
 #[test]
 fn what_takes_too_long_is_ended_and_says_so() {
-    let (mut c, dir) = described("long", "", Again::Yes);
-    let d = Description {
+    let (mut c, dir) = described("long", "", RestartPolicy::Allowed);
+    let d = CommandSpec {
         argv: ["sleep", "60"].map(String::from).to_vec(),
         dir: dir.display().to_string(),
         env: [("PATH".to_string(), "/usr/bin:/bin".to_string())].into(),
         limit_s: Some(0.05),
-        ..Description::default()
+        ..CommandSpec::default()
     };
     c.describe("wk-1".into(), d);
     assert!(until_ended(&mut c, &[place("host-1", 1)]));
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use pebblefold_controller::core::failpoints::{Decision, weaken};
-use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{CutMode, JobPriority, JobShape, Nodes, Side, Spread, What};
 use pebblefold_simulator::simulated::Simulated;
@@ -15,8 +15,8 @@
     let mut s = cluster(3, 3, 6, 14, 300.0);
     mix(&mut s, &mut StdRng::seed_from_u64(1), 100.0, 30);
     let mut world = Simulated::new(s, 1).unwrap();
-    world.play(Time(0) + Span::secs(300.0), false);
-    world.stand_mut().finish(Time(0) + Span::secs(300.0));
+    world.play(Time(0) + TimeSpan::secs(300.0), false);
+    world.stand_mut().finish(Time(0) + TimeSpan::secs(300.0));
     assert!(
         world.stand().checker().breaches().is_empty(),
         "{:?}",
@@ -150,7 +150,7 @@
             s.faults.push(at(5.0 + 4.0 * f64::from(i), cut));
         }
         let mut world = Simulated::new(s, seed).unwrap();
-        world.play(Time(0) + Span::secs(220.0), false);
+        world.play(Time(0) + TimeSpan::secs(220.0), false);
         assert!(world.stand().checker().breaches().is_empty());
         assert_eq!(
             world.stand().state().unwrap().count("w/j/"),
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -9,9 +9,11 @@
 use pebblefold_controller::core::failpoints::{Decision, weaken};
 use pebblefold_controller::core::garbage_collection::Sweep;
 use pebblefold_controller::core::job_records;
-use pebblefold_controller::types::{JobId, MachineId, Span, Time, Token, Version, Wall};
-use pebblefold_controller::wire::cloud::Rent;
-use pebblefold_controller::wire::kvstore::Op;
+use pebblefold_controller::types::{
+    FencingToken, JobId, MachineId, Time, TimeSpan, Version, WallTime,
+};
+use pebblefold_controller::wire::cloud::ProvisionRequest;
+use pebblefold_controller::wire::kvstore::Operation;
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{
     CutMode, Fault, JobPriority, JobShape, Moment, Nodes, Side, Spread, What, When,
@@ -73,9 +75,9 @@
 
 impl Holder {
     fn new(token: u64, store: &BTreeMap<String, Value>, listed: BTreeSet<MachineId>) -> Holder {
-        let mut intents = Intents::new(Token(token), Span::secs(4.0), 8192);
+        let mut intents = Intents::new(FencingToken(token), TimeSpan::secs(4.0), 8192);
         for (key, value) in store {
-            intents.load(key, value, Wall(0));
+            intents.load(key, value, WallTime(0));
         }
         Holder {
             token,
@@ -128,7 +130,7 @@
             if !has && !h.intents.is_hiring() && h.intents.unheard().is_empty() {
                 step(&|w| {
                     let market = ("g4".into(), "z".into(), true);
-                    w.holders[i].intents.hire(market, 1, Wall(0));
+                    w.holders[i].intents.hire(market, 1, WallTime(0));
                 });
             }
             let first = MachineId::from(FIRST);
@@ -137,7 +139,7 @@
                     let h = &mut w.holders[i];
                     h.returns = true;
                     h.intents
-                        .release([(FIRST.into(), "idle")].into_iter(), Wall(0));
+                        .release([(FIRST.into(), "idle")].into_iter(), WallTime(0));
                 });
             }
             // Work needs a commit, which only the holder gets through.
@@ -160,7 +162,7 @@
                 });
             }
             if !h.calls {
-                if let Some(Rent { request, .. }) = h.intents.next_hire() {
+                if let Some(ProvisionRequest { request, .. }) = h.intents.next_hire() {
                     step(&|w| w.call(i, Sent::Hire(request.clone())));
                 }
                 let names = h.intents.next_release();
@@ -392,7 +394,7 @@
         for (_, conditions, op) in sweep.next(9) {
             let version = |key: &String| store.get(key).copied().unwrap_or_default();
             if conditions.iter().all(|c| version(&c.key) == c.version)
-                && let Op::Delete { key } = op
+                && let Operation::Delete { key } = op
             {
                 store.remove(&key);
             }
@@ -491,7 +493,7 @@
     let mut world = Simulated::new(s, seed).unwrap();
     let mut out = Vec::new();
     for night in 1..=count {
-        let end = Time(0) + Span::secs(NIGHT * f64::from(night) - 1.0);
+        let end = Time(0) + TimeSpan::secs(NIGHT * f64::from(night) - 1.0);
         world.play(end, false);
         let breaches = world.stand().checker().breaches();
         assert!(breaches.is_empty(), "night {night}: {breaches:?}");
--- a/crates/simulator/tests/gap.rs
+++ b/crates/simulator/tests/gap.rs
@@ -7,7 +7,7 @@
 use pebblefold_controller::core::failpoints::{Decision, weaken};
 use pebblefold_controller::core::leader_authority::{Bounds, Contact};
 use pebblefold_controller::settings::WorkerTimes;
-use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::types::{Time, TimeSpan};
 use std::collections::HashSet;
 
 /// A worker's lease, and how long it waits for an answer.
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Flight {
     None,
-    Report(u8, usize),
+    Heartbeat(u8, usize),
     /// Since the report was sent, by whose token, and whether it stops the task.
     Answer(u8, usize, bool),
 }
@@ -91,11 +91,11 @@
 }
 
 fn now() -> Time {
-    Time(0) + Span::secs(100.0)
+    Time(0) + TimeSpan::secs(100.0)
 }
 
 fn ago(age: u8) -> Time {
-    now() - Span::secs(f64::from(age))
+    now() - TimeSpan::secs(f64::from(age))
 }
 
 fn age_of(t: Time) -> u8 {
@@ -103,13 +103,13 @@
 }
 
 fn bounds() -> Bounds {
-    let any = Span::secs(1.0);
+    let any = TimeSpan::secs(1.0);
     Bounds::new(&WorkerTimes {
         report: any,
-        lease: Span::secs(f64::from(LEASE)),
+        lease: TimeSpan::secs(f64::from(LEASE)),
         gang_wait: any,
         gang_peer: any,
-        cancel: Span::secs(CANCEL_S),
+        cancel: TimeSpan::secs(CANCEL_S),
     })
 }
 
@@ -160,8 +160,8 @@
             };
         }
         self.flight = match self.flight {
-            Flight::Report(age, _) | Flight::Answer(age, ..) if age >= PATIENCE => Flight::None,
-            Flight::Report(age, to) => Flight::Report(age + 1, to),
+            Flight::Heartbeat(age, _) | Flight::Answer(age, ..) if age >= PATIENCE => Flight::None,
+            Flight::Heartbeat(age, to) => Flight::Heartbeat(age + 1, to),
             Flight::Answer(age, by, stops) => Flight::Answer(age + 1, by, stops),
             Flight::None => Flight::None,
         };
@@ -267,11 +267,11 @@
         match self.flight {
             Flight::None => {
                 for to in 0..=self.newest() {
-                    let flight = Flight::Report(0, to);
+                    let flight = Flight::Heartbeat(0, to);
                     step(World { flight, ..*self });
                 }
             }
-            Flight::Report(age, to) => {
+            Flight::Heartbeat(age, to) => {
                 if let Side::Leads(shown, knows, _) = self.sides[to]
                     && to >= self.token
                     && contact(shown).may_answer(now())
--- a/crates/simulator/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -8,11 +8,11 @@
 use pebblefold_controller::core::format_version::TABLE;
 use pebblefold_controller::core::format_version::chunk_progress::Progress;
 use pebblefold_controller::core::job_records::{
-    self, Assembly, ChunkSize, End, Head, HeadStage, Job, TxnLimits,
+    self, Assembly, ChunkSize, End, Head, HeadStage, Job, TransactionLimits,
 };
-use pebblefold_controller::types::{Attempt, JobId, Session, Version, Wall};
-use pebblefold_controller::wire::kvstore::{Condition, Op, Txn};
-use pebblefold_controller::wire::users::{Priority, Shape, Submission};
+use pebblefold_controller::types::{AgentEpoch, Attempt, JobId, Version, WallTime};
+use pebblefold_controller::wire::kvstore::{Operation, Precondition, Transaction};
+use pebblefold_controller::wire::users::{JobShape, Priority, Submission};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashSet};
 
@@ -30,7 +30,7 @@
         id: id(),
         class: "urgent".into(),
         team: "red".into(),
-        shape: Shape::Array,
+        shape: JobShape::Array,
         priority: Priority::Normal,
         tasks: 1,
         cpus: 4.0,
@@ -63,7 +63,7 @@
     token: u64,
     job: Option<Job>,
     /// Its one transaction, and whether an answer to it was lost.
-    flight: Option<(Txn, Kind)>,
+    flight: Option<(Transaction, Kind)>,
     doubtful: bool,
 }
 
@@ -109,7 +109,7 @@
     keys: BTreeMap<String, (Value, u64)>,
     revision: u64,
     /// Transactions that may be carried out at any time.
-    late: Vec<Txn>,
+    late: Vec<Transaction>,
     losses: u8,
     submits: u8,
     cancels: u8,
@@ -147,9 +147,9 @@
     }
 
     /// Carries a transaction out; the keys whose conditions failed.
-    fn apply(&mut self, txn: &Txn) -> Vec<String> {
+    fn apply(&mut self, txn: &Transaction) -> Vec<String> {
         let version = |key: &str| self.keys.get(key).map_or(0, |(_, v)| *v);
-        let fails = |c: &&Condition| version(&c.key) != c.version.0;
+        let fails = |c: &&Precondition| version(&c.key) != c.version.0;
         let failed: Vec<String> = txn
             .conditions
             .iter()
@@ -163,11 +163,11 @@
         self.revision += 1;
         for op in &txn.ops {
             match op {
-                Op::Put { key, value, .. } => {
+                Operation::Put { key, value, .. } => {
                     let value = (value.clone(), self.revision);
                     self.keys.insert(key.clone(), value);
                 }
-                Op::Delete { key } => {
+                Operation::Delete { key } => {
                     self.keys.remove(key);
                 }
             }
@@ -250,7 +250,14 @@
     }
 
     /// The leader's transaction was answered with this.
-    fn answered(&mut self, wrong: Wrong, txn: &Txn, kind: Kind, failed: &[String], revision: u64) {
+    fn answered(
+        &mut self,
+        wrong: Wrong,
+        txn: &Transaction,
+        kind: Kind,
+        failed: &[String],
+        revision: u64,
+    ) {
         let own = self.own(wrong, txn, failed);
         let Some(l) = &mut self.leader else { return };
         let doubtful = std::mem::take(&mut l.doubtful);
@@ -282,7 +289,8 @@
             Kind::Close | Kind::Drop(true) => l.job = None,
             Kind::Drop(false) => {
                 let gone = |key: &str| {
-                    let deletes = |op: &Op| matches!(op, Op::Delete { key: k } if k == key);
+                    let deletes =
+                        |op: &Operation| matches!(op, Operation::Delete { key: k } if k == key);
                     txn.ops.iter().any(deletes)
                 };
                 job.chunks
@@ -292,7 +300,7 @@
     }
 
     /// The version at which a refused repeat finds that its first try went through.
-    fn own(&self, wrong: Wrong, txn: &Txn, failed: &[String]) -> Option<u64> {
+    fn own(&self, wrong: Wrong, txn: &Transaction, failed: &[String]) -> Option<u64> {
         if failed.iter().any(|k| k == HOLDER) {
             return None;
         }
@@ -301,7 +309,7 @@
         }
         let any = wrong == Wrong::AnyRecordIsOwn;
         let put = txn.ops.iter().find_map(|op| match op {
-            Op::Put { key, value, .. } if failed.contains(key) || any => Some((key, value)),
+            Operation::Put { key, value, .. } if failed.contains(key) || any => Some((key, value)),
             _ => None,
         });
         let (key, value) = put?;
@@ -312,7 +320,7 @@
     }
 
     /// What the leader writes next, if anything.
-    fn gather(&self) -> Option<(Txn, Kind)> {
+    fn gather(&self) -> Option<(Transaction, Kind)> {
         let l = self.leader.as_ref()?;
         let job = l.job.as_ref()?;
         let level = TABLE.last().unwrap().level;
@@ -338,17 +346,17 @@
             }
             _ => return None,
         };
-        let holds = Condition {
+        let holds = Precondition {
             key: HOLDER.into(),
             version: Version(l.token),
         };
         conditions.insert(0, holds);
-        let txn = Txn { conditions, ops };
+        let txn = Transaction { conditions, ops };
         (!txn.ops.is_empty()).then_some((txn, kind))
     }
 
     /// Sends a transaction; whether it was carried out, if the sender hears of it.
-    fn send(&mut self, txn: &Txn, outcome: Outcome) -> Option<Vec<String>> {
+    fn send(&mut self, txn: &Transaction, outcome: Outcome) -> Option<Vec<String>> {
         if outcome != Outcome::Answered {
             self.losses -= 1;
         }
@@ -386,11 +394,11 @@
         }
         // A user, through any node.
         if self.submits > 0 && self.question.is_none() {
-            let limits = TxnLimits {
+            let limits = TransactionLimits {
                 ops: 48,
                 value_bytes: 8192,
             };
-            let txn = job_records::accept_txn(&spec(), Wall(0), limits).unwrap();
+            let txn = job_records::accept_txn(&spec(), WallTime(0), limits).unwrap();
             for outcome in outcomes() {
                 step(&|w| {
                     w.submits -= 1;
@@ -531,7 +539,7 @@
                     let here = Placement {
                         change,
                         phase: Phase::Unsent,
-                        ..Placement::inherited("host-1".into(), Session(1), job.attempt)
+                        ..Placement::inherited("host-1".into(), AgentEpoch(1), job.attempt)
                     };
                     job.places.insert(0, here);
                 });
--- a/crates/simulator/tests/levels.rs
+++ b/crates/simulator/tests/levels.rs
@@ -7,8 +7,8 @@
     BUILD, HOLDER, LEVEL, Registry, fence,
 };
 use pebblefold_controller::core::format_version::{Level, Range};
-use pebblefold_controller::types::{Label, Span, Time, Version};
-use pebblefold_controller::wire::kvstore::{Condition, Entry, Op, Txn};
+use pebblefold_controller::types::{NodeId, Time, TimeSpan, Version};
+use pebblefold_controller::wire::kvstore::{Entry, Operation, Precondition, Transaction};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 const OLDER: Range = Range {
@@ -22,7 +22,7 @@
 /// What users write, in the form of the level that its writer goes by.
 const DATA: &str = "job/wk-1";
 
-fn label(n: usize) -> Label {
+fn label(n: usize) -> NodeId {
     format!("node-{n}").as_str().into()
 }
 
@@ -66,7 +66,7 @@
         self.keys.get(LEVEL).map_or(0, |(v, _)| number(v))
     }
 
-    fn apply(&mut self, txn: &Txn) -> bool {
+    fn apply(&mut self, txn: &Transaction) -> bool {
         let version = |key: &str| self.keys.get(key).map_or(0, |(_, v)| *v);
         if txn
             .conditions
@@ -78,7 +78,7 @@
         let before = self.level();
         self.revision += 1;
         for op in &txn.ops {
-            if let Op::Put { key, value, .. } = op {
+            if let Operation::Put { key, value, .. } = op {
                 let stored = (value.clone(), self.revision);
                 self.keys.insert(key.clone(), stored);
                 if key == DATA && number(value) != before {
@@ -92,7 +92,7 @@
         true
     }
 
-    fn send(&mut self, n: usize, txn: &Txn) {
+    fn send(&mut self, n: usize, txn: &Transaction) {
         let text = serde_json::to_string(txn).unwrap();
         self.sent.insert((n, text));
     }
@@ -138,7 +138,7 @@
             w.look();
             out.push(w);
         };
-        let now = Time(0) + Span::secs(100.0);
+        let now = Time(0) + TimeSpan::secs(100.0);
         for (n, node) in self.nodes.iter().enumerate() {
             // Put on the other build, at any time; its process knows nothing then.
             if self.rolls > 0 && n == 2 {
@@ -160,9 +160,9 @@
                 step(&|w| {
                     w.writes -= 1;
                     let compared = node.registry.fence();
-                    let txn = Txn {
+                    let txn = Transaction {
                         conditions: compared.map(fence).into_iter().collect(),
-                        ops: vec![Op::Put {
+                        ops: vec![Operation::Put {
                             key: DATA.into(),
                             value: serde_json::json!({ "level": node.registry.level() }),
                             lease: None,
@@ -186,20 +186,20 @@
             // build that ever ran there said.
             if let Some(version) = node.holds {
                 let mut registry = node.registry.clone();
-                let peers: Vec<Label> = (0..3).filter(|m| *m != n).map(label).collect();
+                let peers: Vec<NodeId> = (0..3).filter(|m| *m != n).map(label).collect();
                 for peer in &peers {
                     let said = Registry::new(peer.clone(), Some(NEWER), BTreeMap::new(), 1).tell();
                     for ms in (0..=100).map(|s| s * 1000) {
-                        registry.heard(Time(0) + Span::millis(ms), peer, said.clone());
+                        registry.heard(Time(0) + TimeSpan::millis(ms), peer, said.clone());
                     }
                 }
                 if let Ok(rise) = registry.rise(now, &peers, Level(9)) {
                     let mut conditions = rise.conditions;
-                    conditions.push(Condition {
+                    conditions.push(Precondition {
                         key: HOLDER.into(),
                         version: Version(version),
                     });
-                    let txn = Txn {
+                    let txn = Transaction {
                         conditions,
                         ops: rise.ops,
                     };
@@ -210,7 +210,7 @@
         for sent in &self.sent {
             step(&|w| {
                 w.sent.remove(sent);
-                let txn: Txn = serde_json::from_str(&sent.1).unwrap();
+                let txn: Transaction = serde_json::from_str(&sent.1).unwrap();
                 w.apply(&txn);
             });
         }
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -7,7 +7,9 @@
 use pebblefold_controller::core::failpoints::{Decision, weaken};
 use pebblefold_controller::core::leader_authority::Bounds;
 use pebblefold_controller::settings::WorkerTimes;
-use pebblefold_controller::types::{Attempt, Session, Span, Tally, Token};
+use pebblefold_controller::types::{
+    AgentEpoch, Attempt, FencingToken, HeartbeatSequence, TimeSpan,
+};
 use pebblefold_controller::wire::workers::{ReportedTask, TaskState};
 use std::collections::HashSet;
 
@@ -51,16 +53,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Report {
+struct Heartbeat {
     lists: bool,
     token: usize,
-    session: u8,
+    epoch: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Flight {
     None,
-    Report(u8, usize, Report),
+    Heartbeat(u8, usize, Heartbeat),
     /// Since its report was sent, by whose token, and what it says of the task.
     Answer(u8, usize, Word),
 }
@@ -81,10 +83,10 @@
     cut: bool,
     cuts: u8,
     token: usize,
-    session: u8,
+    epoch: u8,
     flight: Flight,
     /// A copy of a report that arrives some time, once.
-    copy: Option<Report>,
+    copy: Option<Heartbeat>,
     cancelled: bool,
     recorded: bool,
     leaders: [Option<Leads>; 3],
@@ -93,23 +95,23 @@
 }
 
 fn bounds() -> Bounds {
-    let any = Span::secs(1.0);
+    let any = TimeSpan::secs(1.0);
     Bounds::new(&WorkerTimes {
         report: any,
-        lease: Span::secs(f64::from(LEASE)),
+        lease: TimeSpan::secs(f64::from(LEASE)),
         gang_wait: any,
         gang_peer: any,
-        cancel: Span::secs(6.1),
+        cancel: TimeSpan::secs(6.1),
     })
 }
 
-fn secs(age: u8) -> Span {
-    Span::secs(f64::from(age))
+fn secs(age: u8) -> TimeSpan {
+    TimeSpan::secs(f64::from(age))
 }
 
 /// Whether a report proves that the task is not on its machine.
-fn proves_absence(r: Report, ours: usize) -> bool {
-    let place = Placement::inherited("host-1".into(), Session(1), Attempt(1));
+fn proves_absence(r: Heartbeat, ours: usize) -> bool {
+    let place = Placement::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
     let listed = ReportedTask {
         task: "wk-1/0".into(),
         attempt: Attempt(1),
@@ -117,10 +119,13 @@
         why: None,
         saved: None,
     };
-    let session = Session(u64::from(r.session) + 1);
-    let (token, ours) = (Token(r.token as u64 + 1), Token(ours as u64 + 1));
+    let epoch = AgentEpoch(u64::from(r.epoch) + 1);
+    let (token, ours) = (
+        FencingToken(r.token as u64 + 1),
+        FencingToken(ours as u64 + 1),
+    );
     let listed = r.lists.then_some(&listed);
-    place.judge(session, Tally(9), token, ours, listed) == Verdict::Absent
+    place.judge(epoch, HeartbeatSequence(9), token, ours, listed) == Verdict::Absent
 }
 
 impl World {
@@ -133,7 +138,7 @@
         self.leased = older(self.leased);
         if self.leased > LEASE {
             (self.on, self.leased) = (false, 0);
-            self.session = (self.session + 1).min(2);
+            self.epoch = (self.epoch + 1).min(2);
             self.flight = Flight::None;
         }
         let newest = self.newest();
@@ -147,15 +152,15 @@
             }
         }
         self.flight = match self.flight {
-            Flight::Report(age, ..) | Flight::Answer(age, ..) if age >= PATIENCE => Flight::None,
-            Flight::Report(age, to, r) => Flight::Report(age + 1, to, r),
+            Flight::Heartbeat(age, ..) | Flight::Answer(age, ..) if age >= PATIENCE => Flight::None,
+            Flight::Heartbeat(age, to, r) => Flight::Heartbeat(age + 1, to, r),
             Flight::Answer(age, by, word) => Flight::Answer(age + 1, by, word),
             Flight::None => Flight::None,
         };
         self
     }
 
-    fn hear(&mut self, wrong: Wrong, n: usize, r: Report) {
+    fn hear(&mut self, wrong: Wrong, n: usize, r: Heartbeat) {
         let Some(l) = &mut self.leaders[n] else {
             return;
         };
@@ -198,17 +203,17 @@
         }
         match self.flight {
             Flight::None if !self.cut => {
-                let r = Report {
+                let r = Heartbeat {
                     lists: self.on,
                     token: self.token,
-                    session: self.session,
+                    epoch: self.epoch,
                 };
                 for to in 0..=newest {
-                    step(&|w| w.flight = Flight::Report(0, to, r));
+                    step(&|w| w.flight = Flight::Heartbeat(0, to, r));
                 }
             }
             Flight::None => {}
-            Flight::Report(age, to, r) => {
+            Flight::Heartbeat(age, to, r) => {
                 if let Some(l) = self.leaders[to]
                     && to >= r.token
                     && secs(l.contact) < bounds().hold()
@@ -260,7 +265,7 @@
             }
         });
         // Silence, as `expire` reckons with it.
-        let lease = secs(LEASE).scaled(1.0005) + Span::secs(1.0);
+        let lease = secs(LEASE).scaled(1.0005) + TimeSpan::secs(1.0);
         let inherited = match wrong {
             Wrong::SilentForALease => lease,
             _ => bounds().inherited(),
@@ -331,13 +336,13 @@
         cut: false,
         cuts: 3,
         token: 0,
-        session: 0,
+        epoch: 0,
         flight: Flight::Answer(0, 0, Word::Start),
         // Made before the start arrived.
-        copy: Some(Report {
+        copy: Some(Heartbeat {
             lists: false,
             token: 0,
-            session: 0,
+            epoch: 0,
         }),
         cancelled: false,
         recorded: true,
--- a/crates/simulator/tests/meetings/answers.rs
+++ b/crates/simulator/tests/meetings/answers.rs
@@ -29,9 +29,9 @@
         else {
             continue;
         };
-        let close = |t: &Time| asked >= t && asked.since(*t) <= Span::millis(within_ms);
+        let close = |t: &Time| asked >= t && asked.since(*t) <= TimeSpan::millis(within_ms);
         answers += usize::from(news.get(job.as_str()).is_some_and(close));
-        let ends = matches!(stage, Stage::Done | Stage::Cancelled);
+        let ends = matches!(stage, JobStage::Done | JobStage::Cancelled);
         if ends || *what == Ask::Submit {
             news.insert(job, *at);
         }
--- a/crates/simulator/tests/meetings/main.rs
+++ b/crates/simulator/tests/meetings/main.rs
@@ -10,8 +10,8 @@
 
 use common::*;
 use pebblefold_controller::core::failpoints::{Decision, weaken};
-use pebblefold_controller::types::{Span, Time};
-use pebblefold_controller::wire::users::Stage;
+use pebblefold_controller::types::{Time, TimeSpan};
+use pebblefold_controller::wire::users::JobStage;
 use pebblefold_simulator::checker::Seen;
 use pebblefold_simulator::script::{
     CutMode, Fault, JobPriority, JobShape, Moment, Nodes, Script, Side, Spread, What, When,
@@ -25,7 +25,7 @@
 const MOST_SOUND: usize = 6;
 
 fn secs(s: f64) -> Time {
-    Time(0) + Span::secs(s)
+    Time(0) + TimeSpan::secs(s)
 }
 
 fn cut(a: Side, b: Side, mode: CutMode, for_s: f64) -> What {
@@ -50,7 +50,7 @@
     for (at, seen) in world.stand().checker().history() {
         if let Seen::Told {
             job,
-            stage: Some(Stage::Cancelled),
+            stage: Some(JobStage::Cancelled),
             ..
         } = seen
         {
--- a/crates/simulator/tests/moments.rs
+++ b/crates/simulator/tests/moments.rs
@@ -4,7 +4,7 @@
 
 mod common;
 use common::*;
-use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_simulator::checker::Seen;
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{
@@ -170,7 +170,7 @@
             },
         ),
     ];
-    let end = Time(0) + Span::secs(7000.0);
+    let end = Time(0) + TimeSpan::secs(7000.0);
     let mut world = Simulated::new(s, 5).unwrap();
     world.play(end, false);
     world.stand_mut().finish(end);
@@ -182,7 +182,7 @@
     );
     assert_eq!(stand.left(), Vec::<String>::new());
     let up_late = |(t, seen): &&(Time, Seen)| {
-        *t > Time(0) + Span::secs(1800.0) && matches!(seen, Seen::Machine { .. })
+        *t > Time(0) + TimeSpan::secs(1800.0) && matches!(seen, Seen::Machine { .. })
     };
     let late = stand.checker().history().iter().filter(up_late).count();
     assert!(late > 0, "none of the machines came up");
--- a/crates/simulator/tests/rollout.rs
+++ b/crates/simulator/tests/rollout.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::*;
 use pebblefold_controller::core::format_version::{BEFORE, FENCED, Level, REMEMBERED};
-use pebblefold_controller::types::{Span, Time};
+use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{
     Build, CutMode, Fault, JobPriority, JobShape, LastWrite, Nodes, PowerLoss, Script, Side,
@@ -61,7 +61,7 @@
 
 /// What the nodes that serve say of the level, at a second.
 fn level(world: &mut Simulated, t: f64) -> Level {
-    world.play(Time(0) + Span::secs(t), false);
+    world.play(Time(0) + TimeSpan::secs(t), false);
     let serving = world.nodes().filter(|(_, n)| n.level().1);
     serving.map(|(_, n)| n.level().0).max().unwrap_or(BEFORE)
 }
@@ -151,7 +151,7 @@
         let mut t = 75.0;
         while t < 140.0 {
             t += 0.5;
-            world.play(Time(0) + Span::secs(t), false);
+            world.play(Time(0) + TimeSpan::secs(t), false);
             for (n, node) in world.nodes() {
                 if n != 2 {
                     assert!(node.token().is_none(), "{build}: node {n} leads");
@@ -170,7 +170,7 @@
     let mut faults: Vec<Fault> = (0..3).map(|n| roll(50.0, n, Some("fenced"), 0.2)).collect();
     faults.extend((0..3).map(|n| roll(80.0, n, None, 0.2)));
     let mut world = start(day(3, None, faults), 3);
-    world.play(Time(0) + Span::secs(70.0), false);
+    world.play(Time(0) + TimeSpan::secs(70.0), false);
     assert!(
         world
             .nodes()
@@ -282,7 +282,7 @@
         let done = |world: &Simulated| world.nodes().map(|(_, n)| n.rewritten()).max();
         while done(&world) < Some(REMEMBERED) && t < 300.0 {
             t += 1.0;
-            world.play(Time(0) + Span::secs(t), false);
+            world.play(Time(0) + TimeSpan::secs(t), false);
         }
         assert!(t < 200.0, "seed {seed}: not rewritten after {t} s");
         ends_well(world, seed);
--- a/crates/simulator/tests/standins.rs
+++ b/crates/simulator/tests/standins.rs
@@ -2,13 +2,13 @@
 
 mod common;
 use common::{cluster, jobs};
-use pebblefold_controller::types::{Attempt, Label, Session, Span, Time, Token};
+use pebblefold_controller::types::{AgentEpoch, Attempt, FencingToken, NodeId, Time, TimeSpan};
 use pebblefold_controller::wire::cloud::{
-    MachineList, MachineNames, MachineStage, MachineTypes, Rent,
+    MachineList, MachineNames, MachineStage, MachineTypes, ProvisionRequest,
 };
-use pebblefold_controller::wire::users::{Shape, Submission};
+use pebblefold_controller::wire::users::{self, Submission};
 use pebblefold_controller::wire::workers::{
-    Command, DirectCommands, Report, ReportAnswer, ReportElsewhere, TaskState, Why,
+    Command, DirectCommands, Heartbeat, HeartbeatResponse, LeaderRedirect, StopReason, TaskState,
 };
 use pebblefold_controller::wire::{decode, encode};
 use pebblefold_simulator::checker::Seen;
@@ -22,7 +22,7 @@
 use rand::rngs::StdRng;
 
 fn t(s: f64) -> Time {
-    Time(0) + Span::secs(s)
+    Time(0) + TimeSpan::secs(s)
 }
 
 fn rng() -> StdRng {
@@ -61,7 +61,7 @@
 
 fn rent(name: &str, count: u32) -> Vec<u8> {
     let (kind, zone) = ("g4".into(), "z0".into());
-    encode(&Rent {
+    encode(&ProvisionRequest {
         request: name.into(),
         kind,
         zone,
@@ -114,7 +114,7 @@
         1
     );
     assert!(c.misused.is_empty());
-    let reused = Rent {
+    let reused = ProvisionRequest {
         count: 2,
         ..decode(&rent("r-1", 10)).unwrap()
     };
@@ -213,7 +213,7 @@
                 first: 1,
             },
         );
-        let span = Span::secs;
+        let span = TimeSpan::secs;
         let times = Times {
             report: span(1.0),
             lease: span(10.0),
@@ -246,13 +246,13 @@
         &mut self,
         i: usize,
         token: u64,
-        session: u64,
+        epoch: u64,
         commands: Vec<Command>,
-    ) -> (u16, Report) {
-        let (token, session) = (Token(token), Session(session));
+    ) -> (u16, Heartbeat) {
+        let (token, epoch) = (FencingToken(token), AgentEpoch(epoch));
         let body = encode(&DirectCommands {
             token,
-            session,
+            epoch,
             commands,
         });
         let name = self.name(i);
@@ -260,7 +260,7 @@
         (status, decode(&body).unwrap())
     }
 
-    fn start(&mut self, i: usize, task: u32, attempt: u64) -> (u16, Report) {
+    fn start(&mut self, i: usize, task: u32, attempt: u64) -> (u16, Heartbeat) {
         let (task, attempt) = (format!("wk-000001/{task}"), Attempt(attempt));
         self.tell(i, 5, 1, vec![Command::Start { task, attempt }])
     }
@@ -282,7 +282,7 @@
     /// Lets time pass; reports are answered with 200 and nothing to do, or not.
     fn pass(&mut self, seconds: f64, answer: bool) -> usize {
         let (end, mut sent) = (self.now + seconds, 0);
-        let labels: Vec<Label> = (0..3).map(|n| format!("node-{n}").into()).collect();
+        let labels: Vec<NodeId> = (0..3).map(|n| format!("node-{n}").into()).collect();
         let mut ticket = (self.now * 1000.0) as u64;
         while self.now < end {
             self.now += 0.05;
@@ -294,8 +294,8 @@
             };
             for r in self.fleet.reports(now, &mut self.rng, &mut next) {
                 sent += 1;
-                let (token, commands) = (Token(5), Vec::new());
-                let body = encode(&ReportAnswer { token, commands });
+                let (token, commands) = (FencingToken(5), Vec::new());
+                let body = encode(&HeartbeatResponse { token, commands });
                 if answer {
                     self.fleet.answered(
                         now,
@@ -310,13 +310,13 @@
         sent
     }
 
-    fn report(&mut self, i: usize) -> Report {
+    fn report(&mut self, i: usize) -> Heartbeat {
         let name = self.name(i);
         let (_, body) = self.fleet.inspected(t(self.now), &name).unwrap();
         decode(&body).unwrap()
     }
 
-    fn states(&mut self, i: usize) -> Vec<(TaskState, Option<Why>, Option<bool>)> {
+    fn states(&mut self, i: usize) -> Vec<(TaskState, Option<StopReason>, Option<bool>)> {
         self.report(i)
             .tasks
             .into_iter()
@@ -341,7 +341,7 @@
     let twice = m.start(0, 0, 2).1.tasks;
     assert_eq!(
         twice[1].why,
-        Some(Why::Busy),
+        Some(StopReason::Busy),
         "another attempt beside it is refused"
     );
     let clear = |m: &mut Machines, attempt| {
@@ -354,13 +354,19 @@
     assert_eq!(clear(&mut m, 2), 1);
     assert_eq!(clear(&mut m, 1), 1, "a running task is not cleared");
     m.pass(25.0, true);
-    assert_eq!(m.states(0), [(TaskState::Exited, Some(Why::Done), None)]);
+    assert_eq!(
+        m.states(0),
+        [(TaskState::Exited, Some(StopReason::Done), None)]
+    );
     assert_eq!(clear(&mut m, 1), 0);
     // Not known any more: the late repeat starts it once more, and the kept
     // result ends it.
     m.start(0, 0, 1);
     m.pass(1.0, true);
-    assert_eq!(m.states(0), [(TaskState::Exited, Some(Why::Done), None)]);
+    assert_eq!(
+        m.states(0),
+        [(TaskState::Exited, Some(StopReason::Done), None)]
+    );
     let on = m
         .fleet
         .take_seen()
@@ -382,12 +388,12 @@
     assert_eq!(m.states(0).len(), 1, "within its lease");
     m.pass(3.0, false);
     let r = m.report(0);
-    assert_eq!((r.session, r.tasks.len()), (Session(2), 0));
+    assert_eq!((r.epoch, r.tasks.len()), (AgentEpoch(2), 0));
     assert_eq!(m.fleet.lease_kills, 1);
     // Sent to a node by name, and to none.
-    let labels: Vec<Label> = (0..3).map(|n| format!("node-{n}").into()).collect();
+    let labels: Vec<NodeId> = (0..3).map(|n| format!("node-{n}").into()).collect();
     let to = (m.fleet.workers()[&name].node() + 1) % 3;
-    let told = encode(&ReportElsewhere {
+    let told = encode(&LeaderRedirect {
         report_to: Some(labels[to].clone()),
     });
     m.fleet
@@ -399,17 +405,17 @@
 fn refusals_name_their_reason() {
     let mut m = Machines::new(1, JobShape::Array, 3.0, |_| {});
     m.start(0, 0, 1);
-    assert_eq!(m.start(0, 1, 1).1.tasks[1].why, Some(Why::NoRoom));
+    assert_eq!(m.start(0, 1, 1).1.tasks[1].why, Some(StopReason::NoRoom));
     let (task, attempt) = ("wk-777777/0".to_string(), Attempt(1));
     let r = m.tell(0, 5, 1, vec![Command::Start { task, attempt }]).1;
-    assert_eq!(r.tasks[2].why, Some(Why::Unknown));
+    assert_eq!(r.tasks[2].why, Some(StopReason::Unknown));
 }
 
 /// A gang of two that runs, saves every 5 s and needs 2 s to save.
 fn gang() -> Machines {
     let mut m = Machines::new(2, JobShape::Gang, 2.0, |j| {
         (j.checkpoint_s, j.save_s) = (5.0, 2.0);
-        assert_eq!(j.shape, Shape::Gang);
+        assert_eq!(j.shape, users::JobShape::Gang);
     });
     m.start(0, 0, 1);
     m.pass(4.0, true);
@@ -427,24 +433,30 @@
     assert_eq!(
         (m.states(0), m.states(1)),
         (
-            vec![(TaskState::Exited, Some(Why::Done), None)],
-            vec![(TaskState::Exited, Some(Why::Done), None)]
+            vec![(TaskState::Exited, Some(StopReason::Done), None)],
+            vec![(TaskState::Exited, Some(StopReason::Done), None)]
         )
     );
     let mut m = gang();
     let lost = m.name(1);
     m.fleet.gone(t(m.now), &lost);
     m.pass(9.0, true);
-    assert_eq!(m.states(0), [(TaskState::Exited, Some(Why::Peers), None)]);
+    assert_eq!(
+        m.states(0),
+        [(TaskState::Exited, Some(StopReason::Peers), None)]
+    );
     let mut m = Machines::new(1, JobShape::Gang, 2.0, |_| {});
     m.start(0, 0, 1);
     m.pass(32.0, true);
-    assert_eq!(m.states(0), [(TaskState::Exited, Some(Why::Alone), None)]);
+    assert_eq!(
+        m.states(0),
+        [(TaskState::Exited, Some(StopReason::Alone), None)]
+    );
 }
 
 #[test]
 fn a_gang_saves_only_if_all_are_told_in_time_and_with_time() {
-    let saved = [(TaskState::Exited, Some(Why::Stopped), Some(true))];
+    let saved = [(TaskState::Exited, Some(StopReason::Stopped), Some(true))];
     let mut m = gang();
     m.stop(0, 0, 10.0);
     m.pass(3.0, true);
@@ -457,19 +469,22 @@
     m.pass(10.0, true);
     assert_eq!(
         m.states(0),
-        [(TaskState::Exited, Some(Why::Stopped), Some(false))]
+        [(TaskState::Exited, Some(StopReason::Stopped), Some(false))]
     );
     assert_eq!(
         m.states(1),
-        [(TaskState::Exited, Some(Why::Peers), Some(false))]
+        [(TaskState::Exited, Some(StopReason::Peers), Some(false))]
     );
     // Too little grace: it exits at once, and the others lose their peer.
     let mut m = gang();
     m.stop(0, 0, 1.0);
     assert_eq!(
         m.states(0),
-        [(TaskState::Exited, Some(Why::Stopped), Some(false))]
+        [(TaskState::Exited, Some(StopReason::Stopped), Some(false))]
     );
     m.pass(9.0, true);
-    assert_eq!(m.states(1), [(TaskState::Exited, Some(Why::Peers), None)]);
+    assert_eq!(
+        m.states(1),
+        [(TaskState::Exited, Some(StopReason::Peers), None)]
+    );
 }
--- a/crates/simulator/tests/suspicion.rs
+++ b/crates/simulator/tests/suspicion.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use pebblefold_controller::types::{Span, Time, Token};
+use pebblefold_controller::types::{FencingToken, Time, TimeSpan};
 use pebblefold_simulator::script::{CutMode, Fault, JobShape, Nodes, Script, Side, Spread, What};
 use pebblefold_simulator::simulated::Simulated;
 
@@ -20,7 +20,7 @@
     s
 }
 
-fn leader(world: &Simulated) -> Option<(usize, Token)> {
+fn leader(world: &Simulated) -> Option<(usize, FencingToken)> {
     let all = world.nodes().filter(|(_, n)| n.leads());
     let all = all.filter_map(|(n, node)| Some((n, node.token()?)));
     all.max_by_key(|(_, t)| *t)
@@ -30,11 +30,11 @@
 /// the day's rules hold.
 fn leaders(script: Script, seed: u64, until: f64) -> Vec<(f64, usize)> {
     let mut world = Simulated::new(script, seed).unwrap();
-    let mut seen: Vec<(f64, usize, Token)> = Vec::new();
+    let mut seen: Vec<(f64, usize, FencingToken)> = Vec::new();
     let mut t = 0.0;
     while t < until {
         t += 0.05;
-        world.play(Time(0) + Span::secs(t), false);
+        world.play(Time(0) + TimeSpan::secs(t), false);
         if let Some((n, token)) = leader(&world)
             && seen.last().is_none_or(|(_, _, last)| token > *last)
         {
--- a/crates/simulator/tests/verdicts.rs
+++ b/crates/simulator/tests/verdicts.rs
@@ -4,7 +4,7 @@
 //! core; the rest is as small as the protocol allows.
 
 use pebblefold_controller::core::assignment::{Phase, Placement, Verdict};
-use pebblefold_controller::types::{Attempt, Session, Tally, Token};
+use pebblefold_controller::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
 const OLD: u64 = 1;
@@ -42,7 +42,7 @@
     /// The commit's answer.
     Done(u64),
     /// Machine, to the old or new leader, token seen, attempt that it has, number.
-    Report(usize, u64, u64, u64, u64),
+    Heartbeat(usize, u64, u64, u64, u64),
     /// To a machine, for this report: token, attempt to start (0: none).
     Answer(usize, u64, u64, u64),
 }
@@ -70,7 +70,7 @@
     fn hears(&mut self, off: Off, m: usize, seen: u64, runs: u64, n: u64) {
         let (at, attempt, phase) = match self.new {
             Knows::Inherited(at, a) => (at, a, Phase::Inherited),
-            Knows::Sent(at, a, n) => (at, a, Phase::Sent(Tally(n))),
+            Knows::Sent(at, a, n) => (at, a, Phase::Sent(HeartbeatSequence(n))),
             _ => return,
         };
         if at != m {
@@ -78,7 +78,7 @@
         }
         let place = Placement {
             phase,
-            ..Placement::inherited("m".into(), Session(1), Attempt(attempt))
+            ..Placement::inherited("m".into(), AgentEpoch(1), Attempt(attempt))
         };
         // A report that lists the task proves that it is there; what lists it is
         // not looked at here.
@@ -90,7 +90,13 @@
         } else {
             seen
         };
-        let verdict = place.judge(Session(1), Tally(n), Token(token), Token(NEW), None);
+        let verdict = place.judge(
+            AgentEpoch(1),
+            HeartbeatSequence(n),
+            FencingToken(token),
+            FencingToken(NEW),
+            None,
+        );
         match verdict {
             Verdict::Absent => self.place(1 - m, attempt + 1),
             Verdict::Undelivered => self.new = Knows::Stored(at, attempt),
@@ -140,7 +146,8 @@
                     step(&|w| {
                         w.machines[m].2 += 1;
                         w.machines[m].3 = made + 1;
-                        w.sent.insert(Message::Report(m, to, seen, runs, made + 1));
+                        w.sent
+                            .insert(Message::Heartbeat(m, to, seen, runs, made + 1));
                     });
                 }
             }
@@ -176,7 +183,7 @@
                     *of = Knows::Stored(m, a);
                 }
             }
-            Message::Report(m, to, seen, runs, n) => {
+            Message::Heartbeat(m, to, seen, runs, n) => {
                 // A leader that hears of a higher token is none.
                 if to == OLD && seen > OLD || to == NEW && !self.loaded {
                     return;
--- a/crates/simulator/tests/waiting.rs
+++ b/crates/simulator/tests/waiting.rs
@@ -4,8 +4,8 @@
 mod common;
 use common::*;
 use pebblefold_controller::core::failpoints::{Decision, weaken};
-use pebblefold_controller::types::{Amounts, Span, Time};
-use pebblefold_controller::wire::users::{Shape, Submission};
+use pebblefold_controller::types::{Resources, Time, TimeSpan};
+use pebblefold_controller::wire::users::{self, Submission};
 use pebblefold_simulator::script::{
     CutMode, JobPriority, JobShape, Nodes, Script, Side, Spread, What,
 };
@@ -13,7 +13,7 @@
 use pebblefold_simulator::waiting::{Room, Waiting, could_start};
 
 fn secs(s: f64) -> Time {
-    Time(0) + Span::secs(s)
+    Time(0) + TimeSpan::secs(s)
 }
 
 /// The longest wait beside room that fits, in seconds, after the script's last trouble, and
@@ -319,7 +319,7 @@
         zone: zone.into(),
         kind: "g4".into(),
         spot,
-        free: Amounts {
+        free: Resources {
             cpus: 16.0,
             gpus,
             memory_gb: 128.0,
@@ -328,9 +328,9 @@
     let team = &script.cluster.teams[0];
     let could = |spec: &Submission, tasks, zones: &[(&str, u32)], rooms: &[Room], used: f64| {
         let in_zones = zones.iter().map(|(z, n)| ((*z).to_string(), *n)).collect();
-        let used = Amounts {
+        let used = Resources {
             gpus: used,
-            ..Amounts::default()
+            ..Resources::default()
         };
         let waiting = Waiting {
             spec,
@@ -370,7 +370,7 @@
         "half are there"
     );
     assert!(could(&spread, 1, &[("z0", 1)], &one, 0.0));
-    let gang = changed(&|j| j.shape = Shape::Gang);
+    let gang = changed(&|j| j.shape = users::JobShape::Gang);
     let four = [room("z0", true, 3.0), room("z1", true, 1.0)];
     assert!(could(&gang, 4, &[], &four, 36.0));
     assert!(!could(&gang, 4, &[], &four[..1], 0.0), "not all fit");
@@ -379,7 +379,7 @@
         !could(&gang, 3, &[("z0", 1)], &four, 0.0),
         "its last attempt"
     );
-    let together = changed(&|j| (j.shape, j.one_zone) = (Shape::Gang, true));
+    let together = changed(&|j| (j.shape, j.one_zone) = (users::JobShape::Gang, true));
     assert!(!could(&together, 4, &[], &four, 0.0));
     assert!(could(&together, 4, &[], &[room("z2", false, 4.0)], 0.0));
 }
--- a/crates/wire/src/backoff.rs
+++ b/crates/wire/src/backoff.rs
@@ -1,6 +1,6 @@
 //! Pauses between retries: exponential backoff with jitter.
 
-use crate::types::Span;
+use crate::types::TimeSpan;
 
 /// Grows the pause after each failure in a row.
 #[derive(Clone, Copy, Debug, Default)]
@@ -11,8 +11,8 @@
 impl Backoff {
     /// Counts a failure; the pause before the next try lies between half of
     /// and all of `first` doubled with each failure, `jitter` in 0..1.
-    pub fn failed(&mut self, first: Span, most: Span, jitter: f64) -> Span {
-        let full = Span(first.0 << self.failures.min(16)).min(most);
+    pub fn failed(&mut self, first: TimeSpan, most: TimeSpan, jitter: f64) -> TimeSpan {
+        let full = TimeSpan(first.0 << self.failures.min(16)).min(most);
         self.failures = self.failures.saturating_add(1);
         full.scaled(0.5 + jitter / 2.0)
     }
--- a/crates/wire/src/backoff/tests.rs
+++ b/crates/wire/src/backoff/tests.rs
@@ -4,7 +4,7 @@
 fn pauses_double_up_to_the_most() {
     let mut b = Backoff::default();
     let pause = |b: &mut Backoff| {
-        b.failed(Span::millis(100), Span::millis(500), 1.0)
+        b.failed(TimeSpan::millis(100), TimeSpan::millis(500), 1.0)
             .as_millis()
     };
     assert_eq!(
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud's messages.
 
-use crate::types::{Amounts, Kind, MachineId, Zone};
+use crate::types::{MachineId, MachineTypeName, Resources, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A machine type.
@@ -8,7 +8,7 @@
 pub struct MachineType {
     /// Its name.
     #[serde(rename = "sku")]
-    pub name: Kind,
+    pub name: MachineTypeName,
     /// Processors.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
@@ -37,8 +37,8 @@
 
 impl MachineType {
     /// What a machine of this type has.
-    pub fn has(&self) -> Amounts {
-        Amounts {
+    pub fn has(&self) -> Resources {
+        Resources {
             cpus: self.cpus,
             gpus: self.gpus,
             memory_gb: self.memory_gb,
@@ -56,13 +56,13 @@
 
 /// A request for machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct ProvisionRequest {
     /// The request's name, never reused.
     #[serde(rename = "hire")]
     pub request: String,
     /// Machine type.
     #[serde(rename = "box_kind")]
-    pub kind: Kind,
+    pub kind: MachineTypeName,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: Zone,
@@ -105,7 +105,7 @@
     pub addr: String,
     /// Its type.
     #[serde(rename = "box_kind")]
-    pub kind: Kind,
+    pub kind: MachineTypeName,
     /// Its zone.
     #[serde(rename = "yard")]
     pub zone: Zone,
--- a/crates/wire/src/command.rs
+++ b/crates/wire/src/command.rs
@@ -8,23 +8,24 @@
 /// Whether a command may be run again after it was started and its machine lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Again {
+pub enum RestartPolicy {
     /// It may.
     #[default]
-    Yes,
+    #[serde(rename = "yes")]
+    Allowed,
     /// It may not: once it was started, nobody starts it a second time.
     Never,
 }
 
 /// Stands for the directory that an attempt runs in, in arguments, environment and
 /// texts: the worker puts its own in its place.
-pub const HERE: &str = "/:pebblefold:here:";
+pub const WORKING_DIR_PLACEHOLDER: &str = "/:pebblefold:here:";
 
 /// Something that stands in the attempt's directory before the command starts;
 /// `to` is within it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Put {
+pub enum StagedFile {
     /// A link to a file or directory.
     Link {
         /// What it leads to.
@@ -55,11 +56,11 @@
 
 /// A command, uploaded under its job's id.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Description {
+pub struct CommandSpec {
     /// The program and its arguments.
     pub argv: Vec<String>,
     /// A directory that all machines share: each attempt runs in one of its own
-    /// within it, and the first that ends writes [`EXIT`] there.
+    /// within it, and the first that ends writes [`EXIT_FILE`] there.
     pub dir: String,
     /// A file to read from.
     #[serde(default)]
@@ -75,25 +76,25 @@
     pub env: BTreeMap<String, String>,
     /// Whether it may be run again.
     #[serde(default)]
-    pub again: Again,
+    pub again: RestartPolicy,
     /// What stands in its directory before it starts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub put: Vec<Put>,
+    pub put: Vec<StagedFile>,
     /// Seconds after which it is ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit_s: Option<f64>,
 }
 
 /// The file that tells how a command ended.
-pub const EXIT: &str = "exit.json";
+pub const EXIT_FILE: &str = "exit.json";
 /// The file that is made, once, before a command starts.
-pub const STARTED: &str = "started.json";
+pub const STARTED_FILE: &str = "started.json";
 /// The file that tells that a second start was refused.
-pub const REFUSED: &str = "refused.json";
+pub const REFUSED_FILE: &str = "refused.json";
 
 /// How a command ended, or where it was started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct ExitRecord {
     /// The exit code; 128 and the signal's number if a signal ended it.
     pub code: i64,
     /// The attempt's directory.
--- a/crates/wire/src/http/tests.rs
+++ b/crates/wire/src/http/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 use proptest::prelude::*;
 
--- a/crates/wire/src/kvstore.rs
+++ b/crates/wire/src/kvstore.rs
@@ -19,7 +19,7 @@
 
 /// The answer about one key: as an entry, with its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeyAnswer {
+pub struct KeyResponse {
     /// The key.
     pub key: String,
     /// Its value.
@@ -35,7 +35,7 @@
 
 /// A page of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entries {
+pub struct EntryPage {
     /// The keys, in order.
     #[serde(rename = "entries")]
     pub items: Vec<Entry>,
@@ -49,7 +49,7 @@
 
 /// A condition: the key has this version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Condition {
+pub struct Precondition {
     /// The key.
     pub key: String,
     /// The version it must have.
@@ -60,7 +60,7 @@
 /// One change of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Op {
+pub enum Operation {
     /// Write a key.
     Put {
         /// The key.
@@ -80,29 +80,29 @@
     },
 }
 
-impl Op {
+impl Operation {
     /// The key that it changes.
     pub fn key(&self) -> &str {
         match self {
-            Op::Put { key, .. } | Op::Delete { key } => key,
+            Operation::Put { key, .. } | Operation::Delete { key } => key,
         }
     }
 }
 
 /// A transaction.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     /// What must hold.
     #[serde(rename = "if")]
-    pub conditions: Vec<Condition>,
+    pub conditions: Vec<Precondition>,
     /// What then happens.
     #[serde(rename = "apply")]
-    pub ops: Vec<Op>,
+    pub ops: Vec<Operation>,
 }
 
 /// Answer to a transaction, and of a missing key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Revision {
+pub struct TransactionResponse {
     /// Revision of the store.
     #[serde(rename = "ledger_mark", default)]
     pub revision: Version,
@@ -113,7 +113,7 @@
 
 /// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseRequest {
+pub struct LeaseGrantRequest {
     /// Its life.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
@@ -121,7 +121,7 @@
 
 /// A lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lease {
+pub struct LeaseGrant {
     /// Its number.
     #[serde(rename = "permit")]
     pub lease: u64,
@@ -129,7 +129,7 @@
 
 /// One change seen by a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Change {
+pub struct WatchEvent {
     /// The key, when written.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
@@ -146,11 +146,11 @@
 
 /// Answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Changes {
+pub struct WatchResponse {
     /// Revision of the store.
     #[serde(rename = "ledger_mark")]
     pub revision: Version,
     /// The changes, in order.
     #[serde(rename = "news", default)]
-    pub events: Vec<Change>,
+    pub events: Vec<WatchEvent>,
 }
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -1,16 +1,17 @@
 //! What the controller nodes tell one another.
 
-use crate::types::{Image, JobId, Label, MachineId, Token};
+use crate::types::{FencingToken, Image, JobId, MachineId, NodeId};
 use serde::{Deserialize, Serialize};
 
 /// A leader's sign of life, sent to each peer a few times a second beside all
 /// that it does.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct LeaderHeartbeat {
     /// Who leads.
-    pub label: Label,
+    #[serde(rename = "label")]
+    pub node_id: NodeId,
     /// By which token.
-    pub token: Token,
+    pub token: FencingToken,
     /// How long ago, in milliseconds, the state service last answered it.
     pub state_ms: u64,
     /// How long ago it last had time for anything else.
@@ -19,16 +20,16 @@
 
 /// A leader's word to its successor: take the key from me.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Take {
+pub struct LeadershipTransfer {
     /// The leader's token.
-    pub token: Token,
+    pub token: FencingToken,
 }
 
 /// A node's question to another: does it doubt the leader too?
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct SuspicionQuery {
     /// The leader's token.
-    pub token: Token,
+    pub token: FencingToken,
     /// Whether it is the state service that does not answer the leader, rather
     /// than the leader that is silent.
     pub no_state: bool,
@@ -36,11 +37,12 @@
 
 /// The answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Opinion {
+pub struct SuspicionReport {
     /// Whose.
-    pub label: Label,
+    #[serde(rename = "label")]
+    pub node_id: NodeId,
     /// Of the holder of this token.
-    pub token: Token,
+    pub token: FencingToken,
     /// Whether it does.
     pub agrees: bool,
     /// Workers that have lately come over to it from the leader, as far as that matters.
@@ -50,7 +52,7 @@
 
 /// What a node says of its build.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct BuildInfo {
     /// The oldest level that it serves.
     pub low: u32,
     /// The newest.
@@ -68,11 +70,12 @@
 /// A node's word about itself, sent to each peer about once a second and
 /// answered in kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct PeerHeartbeat {
     /// Who speaks.
-    pub label: Label,
+    #[serde(rename = "label")]
+    pub node_id: NodeId,
     /// Highest token it knows of.
-    pub token: Token,
+    pub token: FencingToken,
     /// Whether it holds that token itself.
     pub leads: bool,
     /// Whether it has read everything recorded and answers workers; builds that do
@@ -89,7 +92,7 @@
     pub effort_us: u64,
     /// Its build; none from builds that know no levels.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub levels: Option<Told>,
+    pub levels: Option<BuildInfo>,
     /// Jobs whose users it lately told that they are cancelled.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cancelled: Vec<JobId>,
--- a/crates/wire/src/rate_limit.rs
+++ b/crates/wire/src/rate_limit.rs
@@ -4,17 +4,17 @@
 
 /// Allows so many things a second, with bursts.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
-    pub fn new(rate: f64, burst: f64) -> Bucket {
-        Bucket {
+    pub fn new(rate: f64, burst: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             burst,
             level: burst,
--- a/crates/wire/src/types.rs
+++ b/crates/wire/src/types.rs
@@ -76,7 +76,7 @@
 );
 text_id!(
     /// A machine type.
-    Kind
+    MachineTypeName
 );
 text_id!(
     /// A team.
@@ -88,12 +88,12 @@
 );
 text_id!(
     /// A controller node's name.
-    Label
+    NodeId
 );
 
 number!(
     /// Who is entitled to give commands: the version of the leader's key.
-    Token(u64)
+    FencingToken(u64)
 );
 number!(
     /// A key's version in the state service; 0 stands for "no such key".
@@ -101,11 +101,11 @@
 );
 number!(
     /// A worker's session; grows whenever its lease runs out.
-    Session(u64)
+    AgentEpoch(u64)
 );
 number!(
     /// A worker's message number; (session, tally) orders its messages.
-    Tally(u64)
+    HeartbeatSequence(u64)
 );
 number!(
     /// An attempt at running a task.
@@ -144,26 +144,26 @@
 
 /// A length of time in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Span(pub u64);
+pub struct TimeSpan(pub u64);
 
 /// A moment on the wall clock, in milliseconds; kept in the state service.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Wall(pub u64);
+pub struct WallTime(pub u64);
 
-impl Span {
+impl TimeSpan {
     /// No time at all.
-    pub const ZERO: Span = Span(0);
+    pub const ZERO: TimeSpan = TimeSpan(0);
 
     /// A span of `s` seconds; negative and non-finite ones count as zero.
-    pub fn secs(s: f64) -> Span {
-        Span((s.max(0.0) * 1e6).min(1e15) as u64)
+    pub fn secs(s: f64) -> TimeSpan {
+        TimeSpan((s.max(0.0) * 1e6).min(1e15) as u64)
     }
     /// A span of whole milliseconds.
-    pub const fn millis(ms: u64) -> Span {
-        Span(ms * 1000)
+    pub const fn millis(ms: u64) -> TimeSpan {
+        TimeSpan(ms * 1000)
     }
     /// In seconds.
     pub fn as_secs(self) -> f64 {
@@ -174,40 +174,40 @@
         self.0 / 1000
     }
     /// This span times `f`.
-    pub fn scaled(self, f: f64) -> Span {
-        Span::secs(self.as_secs() * f)
+    pub fn scaled(self, f: f64) -> TimeSpan {
+        TimeSpan::secs(self.as_secs() * f)
     }
 }
 
 impl Time {
     /// Time since `earlier`, zero when that lies ahead.
-    pub fn since(self, earlier: Time) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    pub fn since(self, earlier: Time) -> TimeSpan {
+        TimeSpan(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add<Span> for Time {
+impl Add<TimeSpan> for Time {
     type Output = Time;
-    fn add(self, s: Span) -> Time {
+    fn add(self, s: TimeSpan) -> Time {
         Time(self.0 + s.0)
     }
 }
-impl Sub<Span> for Time {
+impl Sub<TimeSpan> for Time {
     type Output = Time;
-    fn sub(self, s: Span) -> Time {
+    fn sub(self, s: TimeSpan) -> Time {
         Time(self.0.saturating_sub(s.0))
     }
 }
-impl Add for Span {
-    type Output = Span;
-    fn add(self, s: Span) -> Span {
-        Span(self.0 + s.0)
+impl Add for TimeSpan {
+    type Output = TimeSpan;
+    fn add(self, s: TimeSpan) -> TimeSpan {
+        TimeSpan(self.0 + s.0)
     }
 }
 
 /// What a task takes of a machine, or what a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Amounts {
+pub struct Resources {
     /// Processors.
     pub cpus: f64,
     /// Graphics processors.
@@ -219,46 +219,46 @@
 /// Slack for sums of decimal amounts.
 const EPS: f64 = 1e-6;
 
-impl Amounts {
+impl Resources {
     /// Whether `self` fits into `room`.
-    pub fn fits(&self, room: &Amounts) -> bool {
+    pub fn fits(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + EPS
             && self.gpus <= room.gpus + EPS
             && self.memory_gb <= room.memory_gb + EPS
     }
     /// The largest share of `whole` that this takes, over the resources.
-    pub fn share_of(&self, whole: &Amounts) -> f64 {
+    pub fn share_of(&self, whole: &Resources) -> f64 {
         let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         part(self.cpus, whole.cpus)
             .max(part(self.gpus, whole.gpus))
             .max(part(self.memory_gb, whole.memory_gb))
     }
     /// These amounts `n` times.
-    pub fn times(&self, n: f64) -> Amounts {
-        Amounts {
+    pub fn times(&self, n: f64) -> Resources {
+        Resources {
             cpus: self.cpus * n,
             gpus: self.gpus * n,
             memory_gb: self.memory_gb * n,
         }
     }
     /// The larger of both, amount by amount.
-    pub fn most(&self, other: &Amounts) -> Amounts {
-        Amounts {
+    pub fn most(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus.max(other.cpus),
             gpus: self.gpus.max(other.gpus),
             memory_gb: self.memory_gb.max(other.memory_gb),
         }
     }
     /// The smaller of both, amount by amount.
-    pub fn least(&self, other: &Amounts) -> Amounts {
-        Amounts {
+    pub fn least(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
             memory_gb: self.memory_gb.min(other.memory_gb),
         }
     }
     /// How many times this fits into `room`, at most `most`.
-    pub fn count_in(&self, room: &Amounts, most: u32) -> u32 {
+    pub fn count_in(&self, room: &Resources, most: u32) -> u32 {
         let part = |need: f64, have: f64| {
             if need <= EPS {
                 f64::from(most)
@@ -273,29 +273,29 @@
     }
 }
 
-impl Add for Amounts {
-    type Output = Amounts;
-    fn add(self, o: Amounts) -> Amounts {
-        Amounts {
+impl Add for Resources {
+    type Output = Resources;
+    fn add(self, o: Resources) -> Resources {
+        Resources {
             cpus: self.cpus + o.cpus,
             gpus: self.gpus + o.gpus,
             memory_gb: self.memory_gb + o.memory_gb,
         }
     }
 }
-impl AddAssign for Amounts {
-    fn add_assign(&mut self, o: Amounts) {
+impl AddAssign for Resources {
+    fn add_assign(&mut self, o: Resources) {
         *self = *self + o;
     }
 }
-impl Sub for Amounts {
-    type Output = Amounts;
-    fn sub(self, o: Amounts) -> Amounts {
+impl Sub for Resources {
+    type Output = Resources;
+    fn sub(self, o: Resources) -> Resources {
         self + o.times(-1.0)
     }
 }
-impl SubAssign for Amounts {
-    fn sub_assign(&mut self, o: Amounts) {
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, o: Resources) {
         *self = *self - o;
     }
 }
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,11 +1,11 @@
 //! What users send and get.
 
-use crate::types::{Amounts, Class, Image, JobId, Kind, Team, Zone};
+use crate::types::{Class, Image, JobId, MachineTypeName, Resources, Team, Zone};
 use serde::{Deserialize, Serialize};
 
 /// How the tasks of a job belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum JobShape {
     /// Independent tasks.
     #[serde(rename = "batch")]
     Array,
@@ -47,7 +47,7 @@
     #[serde(rename = "crew")]
     pub team: Team,
     /// Array, gang or service.
-    pub shape: Shape,
+    pub shape: JobShape,
     /// Its priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
@@ -70,7 +70,7 @@
     pub image_gb: f64,
     /// Allowed machine types.
     #[serde(rename = "kinds_of_box", default)]
-    pub kinds: Option<Vec<Kind>>,
+    pub kinds: Option<Vec<MachineTypeName>>,
     /// The only allowed zone.
     #[serde(rename = "yard", default)]
     pub zone: Option<Zone>,
@@ -110,8 +110,8 @@
 
 impl Submission {
     /// What each task takes.
-    pub fn needs(&self) -> Amounts {
-        Amounts {
+    pub fn needs(&self) -> Resources {
+        Resources {
             cpus: self.cpus,
             gpus: self.gpus,
             memory_gb: self.memory_gb,
@@ -150,7 +150,7 @@
 
 /// A job's stage as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum JobStage {
     /// No task runs.
     #[serde(rename = "pending")]
     Queued,
@@ -167,12 +167,12 @@
 
 /// The answer about a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobAnswer {
+pub struct JobStatus {
     /// Its id.
     #[serde(rename = "ref")]
     pub id: JobId,
     /// Its stage.
-    pub stage: Stage,
+    pub stage: JobStage,
     /// Tasks done, for display.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
@@ -183,7 +183,7 @@
 
 /// An answer that carries only a reason.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorResponse {
     /// The reason.
     pub error: String,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,6 +1,8 @@
 //! Reports of workers and the commands they get.
 
-use crate::types::{Attempt, Kind, Label, MachineId, Session, Tally, Token, Zone};
+use crate::types::{
+    AgentEpoch, Attempt, FencingToken, HeartbeatSequence, MachineId, MachineTypeName, NodeId, Zone,
+};
 use serde::{Deserialize, Serialize};
 
 /// State of a task on its machine.
@@ -25,7 +27,7 @@
 
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum StopReason {
     /// Completed.
     #[serde(rename = "done")]
     Done,
@@ -66,7 +68,7 @@
     pub state: TaskState,
     /// Why it ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<StopReason>,
     /// Whether its progress was saved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -74,7 +76,7 @@
 
 /// A worker's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "box")]
     pub machine: MachineId,
@@ -82,7 +84,7 @@
     pub addr: String,
     /// Its type.
     #[serde(rename = "box_kind")]
-    pub kind: Kind,
+    pub kind: MachineTypeName,
     /// Its zone.
     #[serde(rename = "yard")]
     pub zone: Zone,
@@ -91,12 +93,13 @@
     pub spot: bool,
     /// The session.
     #[serde(rename = "shift")]
-    pub session: Session,
+    pub epoch: AgentEpoch,
     /// The message's number.
-    pub tally: Tally,
+    #[serde(rename = "tally")]
+    pub sequence: HeartbeatSequence,
     /// Highest token seen.
     #[serde(rename = "baton")]
-    pub token: Token,
+    pub token: FencingToken,
     /// Seconds until the machine is taken.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
@@ -146,10 +149,10 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// Who commands.
     #[serde(rename = "baton")]
-    pub token: Token,
+    pub token: FencingToken,
     /// What to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -160,10 +163,10 @@
 pub struct DirectCommands {
     /// Who commands.
     #[serde(rename = "baton")]
-    pub token: Token,
+    pub token: FencingToken,
     /// The session that is meant.
     #[serde(rename = "shift")]
-    pub session: Session,
+    pub epoch: AgentEpoch,
     /// What to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -171,8 +174,8 @@
 
 /// "Not me": who to report to instead, if known.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportElsewhere {
+pub struct LeaderRedirect {
     /// The leader.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<Label>,
+    pub report_to: Option<NodeId>,
 }
--- a/crates/workflow/src/plan.rs
+++ b/crates/workflow/src/plan.rs
@@ -11,7 +11,7 @@
 use crate::needs::{JobHint, Retry};
 use crate::tool::{Ended, amounts};
 use pebblefold_wire::types::JobId;
-use pebblefold_wire::users::{Priority, Shape, Submission};
+use pebblefold_wire::users::{JobShape, Priority, Submission};
 use std::collections::BTreeSet;
 
 /// Tries of a step that is certain not to have been started.
@@ -132,7 +132,7 @@
     /// file and line: all of it, before anything runs.
     pub fn refused(&self, p: &Process) -> BTreeSet<String> {
         let mut out = BTreeSet::new();
-        if self.job.shape != Shape::Array || self.job.tasks != 1 {
+        if self.job.shape != JobShape::Array || self.job.tasks != 1 {
             out.insert("the job of a workflow is a batch of one piece: each step is one".into());
         }
         self.gather(p, &mut out);
@@ -188,7 +188,7 @@
         }
         let mut job = self.job.clone();
         job.id = id.clone();
-        (job.tasks, job.shape) = (1, Shape::Array);
+        (job.tasks, job.shape) = (1, JobShape::Array);
         job.cpus = cores.unwrap_or(job.cpus);
         job.memory_gb = memory.unwrap_or(job.memory_gb);
         if let Some(h) = hint {
--- a/crates/workflow/src/plan/tests.rs
+++ b/crates/workflow/src/plan/tests.rs
@@ -1,4 +1,3 @@
-
 use super::*;
 
 // A slip in this table runs a step twice whose class forbids it.
--- a/crates/workflow/src/records.rs
+++ b/crates/workflow/src/records.rs
@@ -5,7 +5,10 @@
 
 use crate::engine::TaskPath;
 use pebblefold_net::{Client, Sent};
-use pebblefold_wire::kvstore::{Condition, Entries, Lease, LeaseRequest, Op, Revision, Txn};
+use pebblefold_wire::kvstore::{
+    EntryPage, LeaseGrant, LeaseGrantRequest, Operation, Precondition, Transaction,
+    TransactionResponse,
+};
 use pebblefold_wire::types::Version;
 use pebblefold_wire::{decode, encode};
 use serde::{Deserialize, Serialize};
@@ -132,9 +135,9 @@
     text[..end.unwrap_or(0)].to_string()
 }
 
-fn put(key: String, value: impl Serialize, lease: Option<u64>) -> Op {
+fn put(key: String, value: impl Serialize, lease: Option<u64>) -> Operation {
     let value = serde_json::to_value(value).unwrap_or_default();
-    Op::Put { key, value, lease }
+    Operation::Put { key, value, lease }
 }
 
 impl Records {
@@ -350,20 +353,20 @@
     async fn commit(
         &self,
         conditions: Vec<(String, Version)>,
-        ops: Vec<Op>,
+        ops: Vec<Operation>,
     ) -> Result<Option<Version>, RecordError> {
         if let Some(last) = self.last.get() {
             sleep((last + BETWEEN).saturating_duration_since(Instant::now())).await;
         }
         let conditions = conditions
             .into_iter()
-            .map(|(key, version)| Condition { key, version })
+            .map(|(key, version)| Precondition { key, version })
             .collect();
-        let body = encode(&Txn { conditions, ops });
+        let body = encode(&Transaction { conditions, ops });
         self.writes.set(self.writes.get() + 1);
         let (status, body) = self.ask("POST", "/commit", &body).await?;
         self.last.set(Some(Instant::now()));
-        let revision = decode::<Revision>(&body).map(|r| r.revision);
+        let revision = decode::<TransactionResponse>(&body).map(|r| r.revision);
         Ok(revision.filter(|_| status == 200))
     }
 
@@ -373,7 +376,7 @@
         loop {
             let path = format!("/keys?starts=flow/{}/&since={since}&most=1000", self.name);
             let (_, body) = self.ask("GET", &path, &[]).await?;
-            let page: Entries = decode(&body)
+            let page: EntryPage = decode(&body)
                 .ok_or_else(|| RecordError::Refused("a page cannot be read".into()))?;
             for e in page.items {
                 since.clone_from(&e.key);
@@ -467,7 +470,7 @@
     pub async fn claims(&self) -> Result<usize, RecordError> {
         let path = format!("/keys?starts={}&most=1000", self.claims_key());
         let (_, body) = self.ask("GET", &path, &[]).await?;
-        let page: Entries =
+        let page: EntryPage =
             decode(&body).ok_or_else(|| RecordError::Refused("a page cannot be read".into()))?;
         Ok(page.items.len())
     }
@@ -519,9 +522,9 @@
         }
         if self.lease.is_none() {
             let ttl_ms = CLAIM.as_millis() as u64;
-            let asked = encode(&LeaseRequest { ttl_ms });
+            let asked = encode(&LeaseGrantRequest { ttl_ms });
             let (_, body) = self.records.ask("POST", "/leases", &asked).await?;
-            let lease = decode::<Lease>(&body).map(|l| l.lease);
+            let lease = decode::<LeaseGrant>(&body).map(|l| l.lease);
             let lease = lease.ok_or_else(|| RecordError::Refused("a lease".into()))?;
             let op = put(self.key.clone(), &self.records.name, Some(lease));
             if self.records.commit(Vec::new(), vec![op]).await?.is_some() {
--- a/crates/workflow/src/runner.rs
+++ b/crates/workflow/src/runner.rs
@@ -13,10 +13,13 @@
 use crate::tool::{CommandLine, Ended, command_line, ended, inputs, outputs, reusable};
 use pebblefold_client::{Client, ClientError, Policy};
 use pebblefold_net::{Client as Net, Sent};
-use pebblefold_wire::command::{Again, Description, EXIT, HERE, Mark, Put, REFUSED};
+use pebblefold_wire::command::{
+    CommandSpec, EXIT_FILE, ExitRecord, REFUSED_FILE, RestartPolicy, StagedFile,
+    WORKING_DIR_PLACEHOLDER,
+};
 use pebblefold_wire::encode;
-use pebblefold_wire::types::{JobId, Span};
-use pebblefold_wire::users::{Stage, Submission};
+use pebblefold_wire::types::{JobId, TimeSpan};
+use pebblefold_wire::users::{JobStage, Submission};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -202,7 +205,7 @@
 
 fn client(front: SocketAddrV4) -> Client {
     let policy = Policy {
-        deadline: Span::millis(60_000),
+        deadline: TimeSpan::millis(60_000),
         ..Policy::default()
     };
     Client::new(vec![front], policy)
@@ -444,7 +447,7 @@
             continue;
         }
         let id: JobId = step.job.as_str().into();
-        if !place(work, name).join(&step.job).join(EXIT).exists() {
+        if !place(work, name).join(&step.job).join(EXIT_FILE).exists() {
             gone(&client, &id).await;
             jobs += 1;
         }
@@ -468,8 +471,8 @@
 }
 
 /// How a job's command ended, if it did.
-pub fn mark(work: &Path, name: &str, job: &str) -> Option<Mark> {
-    read_json(&place(work, name).join(job).join(EXIT)).ok()
+pub fn mark(work: &Path, name: &str, job: &str) -> Option<ExitRecord> {
+    read_json(&place(work, name).join(job).join(EXIT_FILE)).ok()
 }
 
 /// Why a try of a step has no outputs.
@@ -509,7 +512,7 @@
     }
 
     async fn tried(&self, task: &Task) -> Result<Kept, String> {
-        let runtime = json!({"outdir": HERE, "tmpdir": format!("{HERE}/.tmp")});
+        let runtime = json!({"outdir": WORKING_DIR_PLACEHOLDER, "tmpdir": format!("{WORKING_DIR_PLACEHOLDER}/.tmp")});
         let given = inputs(task, &runtime, &Local("/".into()), self.limits)?;
         if let Kind::Expression(_) = task.tool.kind {
             // It reads files, so it is evaluated here; it needs no machine.
@@ -576,15 +579,15 @@
         let job = allowed.submission(task, id, self.limits).map_err(fatal)?;
         let runtime = json!({
             "cores": job.cpus, "ram": job.memory_gb * 1024.0,
-            "outdir": HERE, "tmpdir": format!("{HERE}/.tmp"),
+            "outdir": WORKING_DIR_PLACEHOLDER, "tmpdir": format!("{WORKING_DIR_PLACEHOLDER}/.tmp"),
         });
         let line = command_line(task, given, &runtime, self.limits).map_err(fatal)?;
-        if !dir.join(EXIT).exists() {
+        if !dir.join(EXIT_FILE).exists() {
             self.describe(task, given, &job, &dir).map_err(fatal)?;
             self.job(task, &job, &dir, &line, retry).await?;
         }
-        let named = |e: std::io::Error| fatal(format!("{}: {e}", dir.join(EXIT).display()));
-        let mark: Mark = read_json(&dir.join(EXIT)).map_err(named)?;
+        let named = |e: std::io::Error| fatal(format!("{}: {e}", dir.join(EXIT_FILE).display()));
+        let mark: ExitRecord = read_json(&dir.join(EXIT_FILE)).map_err(named)?;
         let lost = match &mark {
             m if m.not_started.is_some() => Lost::NotStarted,
             m if m.too_long => Lost::TooLong,
@@ -603,7 +606,7 @@
         }
         // From here on the directory has its name.
         let here = |v: &Value| -> Value {
-            let text = v.to_string().replace(HERE, &mark.dir);
+            let text = v.to_string().replace(WORKING_DIR_PLACEHOLDER, &mark.dir);
             serde_json::from_str(&text).unwrap_or_default()
         };
         let (runtime, own) = (here(&runtime), here(&Value::Object(line.inputs.clone())));
@@ -679,7 +682,7 @@
         let mut every = LOOKS.0;
         let mut marked = false;
         loop {
-            if dir.join(REFUSED).exists() {
+            if dir.join(REFUSED_FILE).exists() {
                 // Nobody starts it a second time, and nobody knows whether the
                 // first went to its end.
                 let _ = client.cancel(id).await;
@@ -689,8 +692,8 @@
                 });
             }
             match client.status(id).await {
-                Ok(a) if a.stage == Stage::Done => return Ok(()),
-                Ok(a) if a.stage == Stage::Cancelled => {
+                Ok(a) if a.stage == JobStage::Done => return Ok(()),
+                Ok(a) if a.stage == JobStage::Cancelled => {
                     return Err(fatal(format!("job {id} was cancelled")));
                 }
                 Ok(_) => {}
@@ -703,8 +706,8 @@
             if !marked {
                 every = (every * 3 / 2).min(LOOKS.1);
             }
-            while Instant::now() < next && !dir.join(REFUSED).exists() {
-                if !marked && dir.join(EXIT).exists() {
+            while Instant::now() < next && !dir.join(REFUSED_FILE).exists() {
+                if !marked && dir.join(EXIT_FILE).exists() {
                     (marked, every) = (true, LOOKS.0);
                     break;
                 }
@@ -713,19 +716,22 @@
         }
     }
 
-    fn description(&self, dir: &Path, line: &CommandLine, retry: Retry) -> Description {
+    fn description(&self, dir: &Path, line: &CommandLine, retry: Retry) -> CommandSpec {
         let mut env = BTreeMap::from([
-            ("HOME".to_string(), HERE.to_string()),
-            ("TMPDIR".to_string(), format!("{HERE}/.tmp")),
+            ("HOME".to_string(), WORKING_DIR_PLACEHOLDER.to_string()),
+            (
+                "TMPDIR".to_string(),
+                format!("{WORKING_DIR_PLACEHOLDER}/.tmp"),
+            ),
             (
                 "PATH".to_string(),
                 "/usr/local/bin:/usr/bin:/bin".to_string(),
             ),
         ]);
         env.extend(line.env.clone());
-        let mut put = vec![Put::Directory { to: ".tmp".into() }];
+        let mut put = vec![StagedFile::Directory { to: ".tmp".into() }];
         put.extend(line.put.iter().cloned());
-        Description {
+        CommandSpec {
             argv: line.argv.clone(),
             env,
             dir: dir.display().to_string(),
@@ -733,15 +739,15 @@
             stdout: line.stdout.clone(),
             stderr: line.stderr.clone(),
             again: match retry {
-                Retry::Never | Retry::IfNotStarted => Again::Never,
-                Retry::OnFailure(_) => Again::Yes,
+                Retry::Never | Retry::IfNotStarted => RestartPolicy::Never,
+                Retry::OnFailure(_) => RestartPolicy::Allowed,
             },
             put,
             limit_s: line.limit_s,
         }
     }
 
-    async fn upload(&self, id: &JobId, d: &Description) -> Result<(), String> {
+    async fn upload(&self, id: &JobId, d: &CommandSpec) -> Result<(), String> {
         let (path, body) = (format!("/descriptions/{id}"), encode(d));
         let mut last = String::new();
         for _ in 0..UPLOADS {
--- a/crates/workflow/src/tool.rs
+++ b/crates/workflow/src/tool.rs
@@ -6,7 +6,7 @@
 use crate::engine::{Object, Task, library};
 use crate::expression::{Limits, Scope};
 use crate::types::{Type, misfit};
-use pebblefold_wire::command::{HERE, Put};
+use pebblefold_wire::command::{StagedFile, WORKING_DIR_PLACEHOLDER};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 
 /// A command, ready to run. Arguments are passed as they are, without a shell
 /// unless the tool asks for one: spaces, quotes and leading dashes in file names
-/// mean nothing. [`HERE`] stands for the directory it will run in.
+/// mean nothing. [`WORKING_DIR_PLACEHOLDER`] stands for the directory it will run in.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CommandLine {
     /// The program and its arguments.
@@ -31,7 +31,7 @@
     /// What it asks for in its environment.
     pub env: BTreeMap<String, String>,
     /// What stands in its directory before it starts.
-    pub put: Vec<Put>,
+    pub put: Vec<StagedFile>,
     /// Seconds that it may take.
     pub limit_s: Option<f64>,
     /// Its inputs, with the places they have for the command.
@@ -317,24 +317,30 @@
 }
 
 /// Puts a file or directory at a place; what belongs to it stands beside it.
-fn put(o: &Object, to: &str, writable: bool, out: &mut Vec<Put>, what: &str) -> Result<(), String> {
+fn put(
+    o: &Object,
+    to: &str,
+    writable: bool,
+    out: &mut Vec<StagedFile>,
+    what: &str,
+) -> Result<(), String> {
     let to = inside(to, what)?;
     let within = to
         .rsplit_once('/')
         .map_or(String::new(), |(d, _)| format!("{d}/"));
     match (text_of(o, "path"), is_file(o)) {
-        (Some(p), _) if writable => out.push(Put::Copy { from: p.into(), to }),
-        (Some(p), _) => out.push(Put::Link { from: p.into(), to }),
+        (Some(p), _) if writable => out.push(StagedFile::Copy { from: p.into(), to }),
+        (Some(p), _) => out.push(StagedFile::Link { from: p.into(), to }),
         (None, true) => {
             let text = text_of(o, "contents");
             let text = text.ok_or_else(|| format!("{what}: a File needs path or contents"))?;
-            out.push(Put::Text {
+            out.push(StagedFile::Text {
                 to,
                 text: text.into(),
             });
         }
         (None, false) => {
-            out.push(Put::Directory { to: to.clone() });
+            out.push(StagedFile::Directory { to: to.clone() });
             for v in o
                 .get("listing")
                 .and_then(Value::as_array)
@@ -382,7 +388,7 @@
 
 #[derive(Default)]
 struct Staged {
-    put: Vec<Put>,
+    put: Vec<StagedFile>,
     /// Where files from elsewhere stand now.
     moved: BTreeMap<String, String>,
 }
@@ -418,7 +424,7 @@
                     Value::String(s) => s.clone(),
                     other => other.to_string(),
                 };
-                self.put.push(Put::Text { to, text });
+                self.put.push(StagedFile::Text { to, text });
                 Ok(())
             }
             (_, None) => Err(format!("{what}: text needs an entryname")),
@@ -427,7 +433,11 @@
 }
 
 /// What stands in the directory, and the inputs with the places they have there.
-fn staged(task: &Task, make: &Maker<'_>, given: &Object) -> Result<(Vec<Put>, Object), String> {
+fn staged(
+    task: &Task,
+    make: &Maker<'_>,
+    given: &Object,
+) -> Result<(Vec<StagedFile>, Object), String> {
     use crate::needs::Item;
     let what = format!("{}: InitialWorkDirRequirement", task.path);
     let needs = &task.tool.needs;
@@ -502,8 +512,8 @@
 /// Gives a file its place for the command, and what belongs to it beside it.
 fn place(o: &mut Object, to: &str) {
     let (folder, base) = to.rsplit_once('/').unwrap_or(("", to));
-    let path = format!("{HERE}/{to}");
-    let directory = format!("{HERE}/{folder}");
+    let path = format!("{WORKING_DIR_PLACEHOLDER}/{to}");
+    let directory = format!("{WORKING_DIR_PLACEHOLDER}/{folder}");
     o.insert("location".into(), format!("file://{path}").into());
     o.insert("path".into(), path.into());
     o.insert("dirname".into(), directory.trim_end_matches('/').into());
--- a/crates/workflow/tests/tool.rs
+++ b/crates/workflow/tests/tool.rs
@@ -404,7 +404,7 @@
 // What stands in the directory has its place there for the command as well.
 #[test]
 fn a_directory_is_laid_out_before_the_command_starts() {
-    use pebblefold_wire::command::{HERE, Put};
+    use pebblefold_wire::command::{StagedFile, WORKING_DIR_PLACEHOLDER};
     let req = "hints: {InitialWorkDirRequirement: {listing: [$(inputs.f), {entryname: conf/run.ini, entry: \"n=$(inputs.n)\"}, {entryname: copy, entry: $(inputs.g), writable: true}, {class: Directory, basename: d, listing: []}]}}\n";
     let fields = format!(
         "outputs: []\n{req}baseCommand: t\ninputs: {{n: int, f: {{type: File, inputBinding: {{}}}}, g: {{type: File, inputBinding: {{}}}}, h: {{type: File, inputBinding: {{}}}}}}\n"
@@ -417,20 +417,20 @@
     assert_eq!(
         l.put,
         [
-            Put::Link {
+            StagedFile::Link {
                 from: "/in/f x".into(),
                 to: "f x".into()
             },
-            Put::Text {
+            StagedFile::Text {
                 to: "conf/run.ini".into(),
                 text: "n=4".into()
             },
-            Put::Copy {
+            StagedFile::Copy {
                 from: "/in/g".into(),
                 to: "copy".into()
             },
-            Put::Directory { to: "d".into() },
-            Put::Text {
+            StagedFile::Directory { to: "d".into() },
+            StagedFile::Text {
                 to: ".inputs/1/h.txt".into(),
                 text: "made".into()
             },
@@ -439,9 +439,9 @@
     assert_eq!(
         l.argv[1..],
         [
-            format!("{HERE}/f x"),
-            format!("{HERE}/copy"),
-            format!("{HERE}/.inputs/1/h.txt")
+            format!("{WORKING_DIR_PLACEHOLDER}/f x"),
+            format!("{WORKING_DIR_PLACEHOLDER}/copy"),
+            format!("{WORKING_DIR_PLACEHOLDER}/.inputs/1/h.txt")
         ]
     );
     let out = line(
