--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -2,10 +2,12 @@
 //! `cargo bench`. Times are reported, not checked; they depend on the machine.
 
 use hdrhistogram::Histogram;
-use pebblefold_controller::core::placement_tables::{Cache, Estimates, Row};
+use pebblefold_controller::core::placement_tables::{FetchEstimates, ImageCache, MachineRow};
 use pebblefold_controller::core::preemption::{Victim, Victims, evict};
 use pebblefold_controller::core::quota::Bounds;
-use pebblefold_controller::core::scheduling_cycle::{Cycle, Pace, TeamUse, Want};
+use pebblefold_controller::core::scheduling_cycle::{
+    CycleParameters, PlacementRequest, SchedulingCycle, TeamUse,
+};
 use pebblefold_controller::settings::TeamShare;
 use pebblefold_controller::types::{Image, Resources, Time, TimeSpan};
 use pebblefold_controller::wire::users::Priority;
@@ -16,7 +18,7 @@
 
 const NOW: Time = Time(1_000_000_000);
 const MACHINES: usize = 1800;
-const JOBS: usize = 300;
+const WAITING_JOBS: usize = 300;
 const ROUNDS: usize = 40;
 
 fn amounts(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
@@ -32,16 +34,16 @@
 }
 
 /// Machines, of which about one in `busy` has room.
-fn rows(rng: &mut StdRng, busy: usize) -> Vec<Row> {
+fn rows(rng: &mut StdRng, busy: usize) -> Vec<MachineRow> {
     let whole = amounts(48.0, 8.0, 288.0);
     (0..MACHINES)
         .map(|i| {
-            let mut cache = Cache::default();
+            let mut cache = ImageCache::default();
             for _ in 0..6 {
                 cache.fetched(&image(rng.random_range(0..24)), 6.0, NOW, 150.0);
             }
             let gpus = if i % busy == 0 { 8.0 } else { 0.0 };
-            Row {
+            MachineRow {
                 id: format!("host-{i:06}").into(),
                 kind: "box".into(),
                 zone: format!("zone-{}", i % 3).into(),
@@ -58,8 +60,8 @@
         .collect()
 }
 
-fn wants(rng: &mut StdRng) -> Vec<Want> {
-    (0..JOBS)
+fn wants(rng: &mut StdRng) -> Vec<PlacementRequest> {
+    (0..WAITING_JOBS)
         .map(|i| {
             let gang = i % 3 != 0;
             let tasks = if gang {
@@ -68,7 +70,7 @@
                 rng.random_range(20u32..400)
             };
             let levels = [Priority::Low, Priority::Normal, Priority::High];
-            Want {
+            PlacementRequest {
                 job: format!("wk-{i:06}").into(),
                 team: "team".into(),
                 class: "class".into(),
@@ -101,7 +103,7 @@
 }
 
 /// Eight small tasks on each machine without room.
-fn victims(rows: &[Row]) -> Vec<Victim> {
+fn victims(rows: &[MachineRow]) -> Vec<Victim> {
     let full = rows.iter().enumerate().filter(|(_, r)| r.free.gpus < 1.0);
     full.flat_map(|(row, _)| {
         (0..8).map(move |n| Victim {
@@ -132,17 +134,17 @@
 }
 
 fn main() {
-    let pace = Pace {
+    let pace = CycleParameters {
         now: NOW,
         most_skew: TimeSpan::secs(30.0),
     };
-    let estimates = Estimates::new(TimeSpan::secs(30.0));
+    let estimates = FetchEstimates::new(TimeSpan::secs(30.0));
     let teams = || {
         let share = TeamShare::default();
         let used = Resources::default();
         BTreeMap::from([("team".into(), TeamUse { used, share })])
     };
-    println!("{MACHINES} machines, {JOBS} waiting jobs");
+    println!("{MACHINES} machines, {WAITING_JOBS} waiting jobs");
     for (name, busy) in [
         ("a cycle, every machine free", 1),
         ("a cycle, one in 100 free", 100),
@@ -153,7 +155,7 @@
             let (mut rows, mut wants) = (rows(&mut rng, busy), wants(&mut rng));
             let mut teams = teams();
             let start = Instant::now();
-            Cycle::new(pace, &mut rows, &mut teams, &estimates).run(&mut wants);
+            SchedulingCycle::new(pace, &mut rows, &mut teams, &estimates).run(&mut wants);
             times.saturating_record(start.elapsed().as_micros() as u64);
         }
         report(name, &times);
@@ -166,7 +168,7 @@
         let mut teams = teams();
         let start = Instant::now();
         let victims = Victims::new(found, rows.len());
-        let cycle = Cycle::new(pace, &mut rows, &mut teams, &estimates);
+        let cycle = SchedulingCycle::new(pace, &mut rows, &mut teams, &estimates);
         let bounds = Bounds::default();
         let gangs = wants.iter().filter(|w| w.gang).take(16);
         let room =
--- a/crates/controller/src/core/assignment.rs
+++ b/crates/controller/src/core/assignment.rs
@@ -1,7 +1,7 @@
 //! Where a task may be. A placement stands from the moment it is to be
 //! recorded until there is proof that the task is not on its machine.
 
-use super::failpoints::{self, Decision};
+use super::failpoints::{self, SafetyCheck};
 use crate::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence, MachineId, Time};
 use crate::wire::workers::{ReportedTask, TaskState};
 use std::fmt;
@@ -20,7 +20,7 @@
 
 /// How far a start has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum AssignmentPhase {
     /// Not sent by us, and nobody else can: it was decided in this term.
     Unsent,
     /// Sent in the answer to this report. Whether it arrived shows in the
@@ -35,22 +35,22 @@
     Seen(TaskState),
 }
 
-impl fmt::Display for Phase {
+impl fmt::Display for AssignmentPhase {
     /// The spelling that `/inspect` has always shown, whatever the types are called.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Phase::Unsent => f.write_str("Unsent"),
-            Phase::Sent(sequence) => write!(f, "Sent(Tally({sequence}))"),
-            Phase::Inherited => f.write_str("Inherited"),
-            Phase::Kept => f.write_str("Kept"),
-            Phase::Seen(state) => write!(f, "Seen({state:?})"),
+            AssignmentPhase::Unsent => f.write_str("Unsent"),
+            AssignmentPhase::Sent(sequence) => write!(f, "Sent(Tally({sequence}))"),
+            AssignmentPhase::Inherited => f.write_str("Inherited"),
+            AssignmentPhase::Kept => f.write_str("Kept"),
+            AssignmentPhase::Seen(state) => write!(f, "Seen({state:?})"),
         }
     }
 }
 
 /// A task's place.
 #[derive(Clone, Debug)]
-pub struct Placement {
+pub struct Assignment {
     /// The machine.
     pub machine: MachineId,
     /// The session of its worker that is meant.
@@ -60,7 +60,7 @@
     /// The change of its chunk that records it.
     pub change: u64,
     /// How far the start has come.
-    pub phase: Phase,
+    pub phase: AssignmentPhase,
     /// When it was placed.
     pub placed: Time,
     /// Since when it runs.
@@ -73,7 +73,7 @@
 
 /// What a report says about a placement on its machine.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum PresenceProof {
     /// The task is on the machine, or may be.
     Present,
     /// The start did not arrive and never will; it may be sent again.
@@ -82,15 +82,15 @@
     Absent,
 }
 
-impl Placement {
+impl Assignment {
     /// One found in the records of an earlier leader.
-    pub fn inherited(machine: MachineId, epoch: AgentEpoch, attempt: Attempt) -> Placement {
-        Placement {
+    pub fn inherited(machine: MachineId, epoch: AgentEpoch, attempt: Attempt) -> Assignment {
+        Assignment {
             machine,
             epoch,
             attempt,
             change: 0,
-            phase: Phase::Inherited,
+            phase: AssignmentPhase::Inherited,
             placed: Time(0),
             running: None,
             cold: None,
@@ -101,7 +101,7 @@
     /// Whether the start was never sent, so that dropping the placement is
     /// proof enough of absence.
     pub fn unsent(&self) -> bool {
-        self.phase == Phase::Unsent
+        self.phase == AssignmentPhase::Unsent
     }
 
     /// Judges a report that is newer than all before it from this machine.
@@ -113,26 +113,29 @@
     ///   was made after its answer.
     /// - Not listed, with an older token: nothing is proved, since an older
     ///   leader's start may still be on its way.
-    pub fn judge(
+    pub fn check_presence(
         &self,
         epoch: AgentEpoch,
         sequence: HeartbeatSequence,
         token: FencingToken,
-        ours: FencingToken,
+        has_our_token: FencingToken,
         listed: Option<&ReportedTask>,
-    ) -> Verdict {
+    ) -> PresenceProof {
         if epoch > self.epoch {
-            return Verdict::Absent;
+            return PresenceProof::Absent;
         }
-        let theirs = token != ours && failpoints::holds(Decision::AbsenceNeedsOurToken);
+        let theirs =
+            token != has_our_token && failpoints::enforced(SafetyCheck::AbsenceNeedsOurToken);
         if listed.is_some() || theirs {
-            return Verdict::Present;
+            return PresenceProof::Present;
         }
         match self.phase {
-            Phase::Unsent => Verdict::Present,
-            Phase::Sent(at) if sequence > at => Verdict::Undelivered,
-            Phase::Sent(_) => Verdict::Present,
-            Phase::Inherited | Phase::Kept | Phase::Seen(_) => Verdict::Absent,
+            AssignmentPhase::Unsent => PresenceProof::Present,
+            AssignmentPhase::Sent(at) if sequence > at => PresenceProof::Undelivered,
+            AssignmentPhase::Sent(_) => PresenceProof::Present,
+            AssignmentPhase::Inherited | AssignmentPhase::Kept | AssignmentPhase::Seen(_) => {
+                PresenceProof::Absent
+            }
         }
     }
 }
--- a/crates/controller/src/core/assignment/tests.rs
+++ b/crates/controller/src/core/assignment/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn place(phase: Phase) -> Placement {
-    Placement {
+fn place(phase: AssignmentPhase) -> Assignment {
+    Assignment {
         phase,
-        ..Placement::inherited("m".into(), AgentEpoch(2), Attempt(1))
+        ..Assignment::inherited("m".into(), AgentEpoch(2), Attempt(1))
     }
 }
 
-fn verdict(phase: Phase, epoch: u64, sequence: u64, token: u64) -> Verdict {
-    place(phase).judge(
+fn verdict(phase: AssignmentPhase, epoch: u64, sequence: u64, token: u64) -> PresenceProof {
+    place(phase).check_presence(
         AgentEpoch(epoch),
         HeartbeatSequence(sequence),
         FencingToken(token),
@@ -17,12 +17,12 @@
     )
 }
 
-// A report proves absence only under the conditions named at `judge`;
+// A report proves absence only under the conditions named at `check_presence`;
 // each line here is a way to run a task twice if it were weakened.
 #[test]
 fn absence_needs_proof() {
-    use Phase::*;
-    use Verdict::*;
+    use AssignmentPhase::*;
+    use PresenceProof::*;
     assert_eq!(
         verdict(Inherited, 2, 9, 6),
         Present,
--- a/crates/controller/src/core/autoscaler/cloud_proxy.rs
+++ b/crates/controller/src/core/autoscaler/cloud_proxy.rs
@@ -14,7 +14,7 @@
 
 /// The hands of a duty.
 #[derive(Clone, Debug)]
-pub struct Hands {
+pub struct CloudProxy {
     peers: Vec<NodeId>,
     /// The peer that is asked.
     peer: Option<usize>,
@@ -28,10 +28,10 @@
     pub changes: u64,
 }
 
-impl Hands {
+impl CloudProxy {
     /// Our own, with these peers to fall back on.
-    pub fn new(peers: Vec<NodeId>) -> Hands {
-        Hands {
+    pub fn new(peers: Vec<NodeId>) -> CloudProxy {
+        CloudProxy {
             peers,
             peer: None,
             failures: 0,
--- a/crates/controller/src/core/autoscaler/cloud_proxy/tests.rs
+++ b/crates/controller/src/core/autoscaler/cloud_proxy/tests.rs
@@ -8,7 +8,7 @@
 // cut lasted. It must not flap either: our own way is tried ever rarer.
 #[test]
 fn a_peer_is_asked_while_our_own_way_fails() {
-    let mut h = Hands::new(vec!["b".into(), "c".into()]);
+    let mut h = CloudProxy::new(vec!["b".into(), "c".into()]);
     let (mut own, mut asked) = (0, 0);
     // We do not reach the cloud for 300 s; b does not either, c does.
     let mut t = 0.0;
--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -6,9 +6,9 @@
 //! heard of; whoever repeats it gets the same machines. A release can't be
 //! taken back: whoever reads it starts nothing on its machines.
 
-use crate::core::failpoints::{self, Decision};
-use crate::core::keys::DUTIES;
-use crate::core::pending_writes::Book;
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::keys::LEADER_RECORDS;
+use crate::core::pending_writes::PendingWrites;
 use crate::types::{FencingToken, MachineId, MachineTypeName, Time, TimeSpan, WallTime, Zone};
 use crate::wire::cloud::ProvisionRequest;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines of one type, zone and kind (spot or not).
-pub type Market = (MachineTypeName, Zone, bool);
+pub type CapacityPool = (MachineTypeName, Zone, bool);
 
 /// Most machines of one hire.
 pub const MOST_RENTED: u32 = 50;
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Hire {
+struct ProvisionIntent {
     rent: ProvisionRequest,
     stage: Stage,
 }
@@ -60,13 +60,13 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct HireRecord {
+struct ProvisionRecord {
     r: ProvisionRequest,
     t: WallTime,
 }
 
 #[derive(Serialize, Deserialize)]
-struct ReleaseRecord {
+struct TerminationRecord {
     t: WallTime,
     /// The machines, by why they go.
     w: BTreeMap<String, Vec<MachineId>>,
@@ -80,24 +80,24 @@
     /// How long lists lag, and what one record may hold.
     list_lag: TimeSpan,
     value_bytes: usize,
-    hires: BTreeMap<String, Hire>,
+    provisions: BTreeMap<String, ProvisionIntent>,
     releases: BTreeMap<String, Release>,
     /// Machines that are to go, and since when they are gone.
     going: BTreeMap<MachineId, Option<Time>>,
     /// Records to be written.
-    pub book: Book,
+    pub pending_writes: PendingWrites,
 }
 
 fn value<T: Serialize>(v: &T) -> Value {
     serde_json::to_value(v).unwrap_or(Value::Null)
 }
 
-fn hire_key(name: &str) -> String {
-    format!("{DUTIES}h/{name}")
+fn provision_key(name: &str) -> String {
+    format!("{LEADER_RECORDS}h/{name}")
 }
 
 fn release_key(name: &str) -> String {
-    format!("{DUTIES}x/{name}")
+    format!("{LEADER_RECORDS}x/{name}")
 }
 
 impl Intents {
@@ -108,10 +108,10 @@
             next: 1,
             list_lag,
             value_bytes,
-            hires: BTreeMap::new(),
+            provisions: BTreeMap::new(),
             releases: BTreeMap::new(),
             going: BTreeMap::new(),
-            book: Book::default(),
+            pending_writes: PendingWrites::default(),
         }
     }
 
@@ -127,22 +127,25 @@
     /// it or may yet. Returns the machines that are to go. A record that
     /// cannot be read is left where it is.
     pub fn load(&mut self, key: &str, stored: &Value, wall: WallTime) -> Vec<MachineId> {
-        let rest = key.strip_prefix(DUTIES).and_then(|k| k.split_once('/'));
+        let rest = key
+            .strip_prefix(LEADER_RECORDS)
+            .and_then(|k| k.split_once('/'));
         match rest {
-            Some(("h", name)) if failpoints::holds(Decision::HiresAreRepeated) => {
-                if let Ok(record) = HireRecord::deserialize(stored) {
+            Some(("h", name)) if failpoints::enforced(SafetyCheck::HiresAreRepeated) => {
+                if let Ok(record) = ProvisionRecord::deserialize(stored) {
                     let age = TimeSpan::millis(wall.0.saturating_sub(record.t.0));
                     if age > STALE.max(TimeSpan(self.list_lag.0 * 4)) {
-                        self.book.delete(key.into());
+                        self.pending_writes.delete(key.into());
                     } else {
                         let (rent, stage) = (record.r, Stage::Doubtful);
-                        self.hires.insert(name.into(), Hire { rent, stage });
+                        self.provisions
+                            .insert(name.into(), ProvisionIntent { rent, stage });
                     }
                 }
                 Vec::new()
             }
-            Some(("x", name)) if failpoints::holds(Decision::ReleasesStand) => {
-                let Ok(record) = ReleaseRecord::deserialize(stored) else {
+            Some(("x", name)) if failpoints::enforced(SafetyCheck::ReleasesStand) => {
+                let Ok(record) = TerminationRecord::deserialize(stored) else {
                     return Vec::new();
                 };
                 let machines: Vec<MachineId> = record.w.into_values().flatten().collect();
@@ -164,10 +167,12 @@
 
     /// An intent is stored: it may be acted on.
     pub fn stored(&mut self, key: &str) {
-        let rest = key.strip_prefix(DUTIES).and_then(|k| k.split_once('/'));
+        let rest = key
+            .strip_prefix(LEADER_RECORDS)
+            .and_then(|k| k.split_once('/'));
         match rest {
             Some(("h", name)) => {
-                if let Some(h) = self.hires.get_mut(name)
+                if let Some(h) = self.provisions.get_mut(name)
                     && h.stage == Stage::Decided
                 {
                     h.stage = Stage::Stored;
@@ -183,7 +188,7 @@
     }
 
     /// Decides to hire machines, at most [`MOST_RENTED`].
-    pub fn hire(&mut self, (kind, zone, spot): Market, count: u32, wall: WallTime) {
+    pub fn provision(&mut self, (kind, zone, spot): CapacityPool, count: u32, wall: WallTime) {
         let name = self.name();
         let rent = ProvisionRequest {
             request: name.clone(),
@@ -193,32 +198,33 @@
             count: count.clamp(1, MOST_RENTED),
         };
         let r = rent.clone();
-        self.book
-            .put(hire_key(&name), value(&HireRecord { r, t: wall }));
+        self.pending_writes
+            .put(provision_key(&name), value(&ProvisionRecord { r, t: wall }));
         let stage = Stage::Decided;
-        self.hires.insert(name, Hire { rent, stage });
+        self.provisions
+            .insert(name, ProvisionIntent { rent, stage });
     }
 
-    fn unfilled(&self) -> impl Iterator<Item = &Hire> {
-        let all = self.hires.values();
+    fn unfilled(&self) -> impl Iterator<Item = &ProvisionIntent> {
+        let all = self.provisions.values();
         all.filter(|h| !matches!(h.stage, Stage::Filled(..)))
     }
 
     /// Whether the answer to a hire is still to come.
-    pub fn is_hiring(&self) -> bool {
+    pub fn is_provisioning(&self) -> bool {
         self.unfilled().next().is_some()
     }
 
     /// Whether more hires may be decided: once all there are have been asked
     /// for. Calls to the cloud are scarce; what is wanted meanwhile is grouped.
-    pub fn may_hire(&self) -> bool {
-        let unasked = |h: &Hire| matches!(h.stage, Stage::Decided | Stage::Stored);
+    pub fn may_provision(&self) -> bool {
+        let unasked = |h: &ProvisionIntent| matches!(h.stage, Stage::Decided | Stage::Stored);
         !self.unfilled().any(unasked)
     }
 
     /// A hire is being asked for.
-    pub fn hire_asked(&mut self, name: &str) {
-        if let Some(h) = self.hires.get_mut(name)
+    pub fn provision_asked(&mut self, name: &str) {
+        if let Some(h) = self.provisions.get_mut(name)
             && matches!(h.stage, Stage::Decided | Stage::Stored)
         {
             h.stage = Stage::Asked;
@@ -231,32 +237,33 @@
     }
 
     /// The next hire to ask for, those that may have been asked for first.
-    pub fn next_hire(&self) -> Option<ProvisionRequest> {
-        let ready =
-            |h: &&Hire| h.stage != Stage::Decided || !failpoints::holds(Decision::IntentBeforeAct);
+    pub fn next_provision(&self) -> Option<ProvisionRequest> {
+        let ready = |h: &&ProvisionIntent| {
+            h.stage != Stage::Decided || !failpoints::enforced(SafetyCheck::IntentBeforeAct)
+        };
         let next = self.unfilled().filter(ready);
         next.min_by_key(|h| h.stage != Stage::Doubtful)
             .map(|h| h.rent.clone())
     }
 
     /// A hire was asked for and not answered.
-    pub fn hire_lost(&mut self, name: &str) {
-        if let Some(h) = self.hires.get_mut(name) {
+    pub fn provision_lost(&mut self, name: &str) {
+        if let Some(h) = self.provisions.get_mut(name) {
             h.stage = Stage::Doubtful;
         }
     }
 
     fn settle(&mut self, name: &str) {
-        if self.hires.remove(name).is_some() {
-            self.book.delete(hire_key(name));
+        if self.provisions.remove(name).is_some() {
+            self.pending_writes.delete(provision_key(name));
         }
     }
 
     /// A hire was refused and not carried out. One that may have been asked
     /// for before keeps its name.
-    pub fn hire_refused(&mut self, name: &str) {
+    pub fn provision_refused(&mut self, name: &str) {
         if self
-            .hires
+            .provisions
             .get(name)
             .is_some_and(|h| h.stage != Stage::Doubtful)
         {
@@ -269,16 +276,16 @@
     pub fn no_room(&mut self, name: &str) {
         let Some(ProvisionRequest {
             kind, zone, spot, ..
-        }) = self.hires.get(name).map(|h| h.rent.clone())
+        }) = self.provisions.get(name).map(|h| h.rent.clone())
         else {
             return;
         };
-        let alike = |h: &Hire| {
+        let alike = |h: &ProvisionIntent| {
             let r = &h.rent;
             (&r.kind, &r.zone, r.spot) == (&kind, &zone, spot)
                 && matches!(h.stage, Stage::Decided | Stage::Stored)
         };
-        let all = self.hires.iter().filter(|(_, h)| alike(h));
+        let all = self.provisions.iter().filter(|(_, h)| alike(h));
         let others: Vec<String> = all.map(|(n, _)| n.clone()).collect();
         others.iter().for_each(|n| self.settle(n));
         self.settle(name);
@@ -287,7 +294,7 @@
     /// A hire was answered with these machines. Its name is kept until all of
     /// them were heard of, so that a successor can ask for them.
     pub fn filled(&mut self, name: &str, machines: &[MachineId], now: Time) {
-        if let Some(h) = self.hires.get_mut(name) {
+        if let Some(h) = self.provisions.get_mut(name) {
             h.stage = Stage::Filled(now, machines.iter().cloned().collect());
         }
     }
@@ -332,8 +339,8 @@
             return;
         }
         let name = self.name();
-        self.book
-            .put(release_key(&name), value(&ReleaseRecord { t: wall, w }));
+        self.pending_writes
+            .put(release_key(&name), value(&TerminationRecord { t: wall, w }));
         let release = Release {
             machines: names,
             stored: false,
@@ -346,7 +353,8 @@
     /// Machines to ask the release of next.
     pub fn next_release(&self) -> Vec<MachineId> {
         let ready = |r: &&Release| {
-            r.answered.is_none() && (r.stored || !failpoints::holds(Decision::IntentBeforeAct))
+            r.answered.is_none()
+                && (r.stored || !failpoints::enforced(SafetyCheck::IntentBeforeAct))
         };
         let open = self.releases.values().filter(ready);
         let names = open.flat_map(|r| &r.machines).filter(|m| !self.is_gone(m));
@@ -384,7 +392,7 @@
         let listed = TimeSpan(self.list_lag.0 * 3);
         let going = &self.going;
         let mut over = Vec::new();
-        for (name, h) in &mut self.hires {
+        for (name, h) in &mut self.provisions {
             if let Stage::Filled(at, missing) = &mut h.stage {
                 missing.retain(|m| !heard(m) && !going.contains_key(m));
                 if missing.is_empty() || now.since(*at) > listed {
@@ -405,7 +413,7 @@
             for m in machines.into_iter().flatten() {
                 self.going.remove(&m);
             }
-            self.book.delete(release_key(&name));
+            self.pending_writes.delete(release_key(&name));
         }
     }
 
@@ -418,7 +426,7 @@
 
     /// Machines hired that were not heard of yet, for tests.
     pub fn unheard(&self) -> BTreeSet<MachineId> {
-        let all = self.hires.values().filter_map(|h| match &h.stage {
+        let all = self.provisions.values().filter_map(|h| match &h.stage {
             Stage::Filled(_, missing) => Some(missing),
             _ => None,
         });
--- a/crates/controller/src/core/autoscaler/state.rs
+++ b/crates/controller/src/core/autoscaler/state.rs
@@ -1,7 +1,7 @@
 //! The renting duty's own state: what the cloud was asked and is to be asked.
 
-use super::cloud_proxy::Hands;
-use super::intents::{Intents, Market};
+use super::cloud_proxy::CloudProxy;
+use super::intents::{CapacityPool, Intents};
 use crate::settings::Settings;
 use crate::types::{FencingToken, MachineId, Time, TimeSpan};
 use crate::wire::cloud::{ListedMachine, ProvisionRequest};
@@ -29,7 +29,7 @@
 
 /// Renting's own state.
 #[derive(Debug)]
-pub struct Rental {
+pub struct Autoscaler {
     pub(in crate::core) calls: TokenBucket,
     pub(in crate::core) calling: bool,
     pub(in crate::core) not_before: Time,
@@ -37,8 +37,8 @@
     /// What the cloud is to do.
     pub intents: Intents,
     /// Who calls the cloud.
-    pub hands: Hands,
-    pub(in crate::core) paused: BTreeMap<Market, Time>,
+    pub hands: CloudProxy,
+    pub(in crate::core) paused: BTreeMap<CapacityPool, Time>,
     pub(in crate::core) list_due: Time,
     pub(in crate::core) list_every: TimeSpan,
     pub(in crate::core) listing: Vec<ListedMachine>,
@@ -50,18 +50,18 @@
     pub(in crate::core) tend_due: Time,
 }
 
-impl Rental {
+impl Autoscaler {
     /// Nothing under way.
-    pub fn new(settings: &Settings, token: FencingToken, now: Time) -> Rental {
+    pub fn new(settings: &Settings, token: FencingToken, now: Time) -> Autoscaler {
         let peers = settings.peers.iter().map(|p| p.node_id.clone()).collect();
         let rate = settings.cloud_rps * 0.9;
-        Rental {
+        Autoscaler {
             calls: TokenBucket::new(rate, rate.max(1.0)),
             calling: false,
             not_before: now,
             backoff: Backoff::default(),
             intents: Intents::new(token, settings.list_lag, settings.state_limits.value_bytes),
-            hands: Hands::new(peers),
+            hands: CloudProxy::new(peers),
             paused: BTreeMap::new(),
             list_due: now,
             list_every: TimeSpan(settings.list_lag.0 / 2).max(TimeSpan::secs(2.0)),
--- a/crates/controller/src/core/cache_hints.rs
+++ b/crates/controller/src/core/cache_hints.rs
@@ -25,7 +25,7 @@
 
 /// How far giving back has come.
 #[derive(Clone, Debug)]
-struct Giving {
+struct HintTransfer {
     to: FencingToken,
     after: Option<MachineId>,
     left: usize,
@@ -42,13 +42,13 @@
 
 /// What is remembered.
 #[derive(Clone, Debug, Default)]
-pub struct Keepsake {
+pub struct CacheHints {
     machines: BTreeMap<MachineId, Kept>,
     fetches: BTreeMap<Image, TimeSpan>,
-    giving: Option<Giving>,
+    giving: Option<HintTransfer>,
 }
 
-impl Keepsake {
+impl CacheHints {
     /// A leader told this.
     pub fn note(
         &mut self,
@@ -116,7 +116,7 @@
                 .map(|(id, _)| id)
                 .collect();
             let begin = (ids.len() as f64 * from.clamp(0.0, 1.0)) as usize;
-            self.giving = Some(Giving {
+            self.giving = Some(HintTransfer {
                 to,
                 after: begin.checked_sub(1).map(|n| ids[n].clone()),
                 left: ids.len(),
--- a/crates/controller/src/core/cache_hints/tests.rs
+++ b/crates/controller/src/core/cache_hints/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use std::collections::BTreeSet;
 
-fn told(n: usize) -> Keepsake {
-    let mut k = Keepsake::default();
+fn told(n: usize) -> CacheHints {
+    let mut k = CacheHints::default();
     let machine = |i: usize| {
         let id = format!("host-{i:04}").as_str().into();
         (id, vec![(Image::from("img"), 5.0)])
--- a/crates/controller/src/core/delivery.rs
+++ b/crates/controller/src/core/delivery.rs
@@ -24,7 +24,7 @@
 
 /// What a report shows of the answers before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum DeliveryEvidence {
     /// Nothing.
     None,
     /// It took one: our token is new to it, or a start is there.
@@ -39,7 +39,7 @@
 
 /// What is held of one machine's hearing.
 #[derive(Clone, Debug, Default)]
-pub struct Hearing {
+pub struct DeliveryMonitor {
     /// When the last answers went out.
     answers: VecDeque<Time>,
     /// Signs in a row that they were missed, and when the last was counted.
@@ -49,7 +49,7 @@
     deaf: Option<(Time, Time)>,
 }
 
-impl Hearing {
+impl DeliveryMonitor {
     /// An answer that is to be taken went out.
     pub fn answered(&mut self, now: Time) {
         if self.answers.len() == MOST_ANSWERS {
@@ -60,12 +60,12 @@
 
     /// A report came that is newer than all before it. True if the machine counts as
     /// deaf from now on.
-    pub fn reported(&mut self, now: Time, lease: TimeSpan, sign: Sign) -> bool {
+    pub fn reported(&mut self, now: Time, lease: TimeSpan, sign: DeliveryEvidence) -> bool {
         let was = self.deaf.is_some();
         match sign {
-            Sign::None => {}
-            Sign::Took => (self.missed, self.deaf) = (0, None),
-            Sign::Missed | Sign::OlderToken => {
+            DeliveryEvidence::None => {}
+            DeliveryEvidence::Took => (self.missed, self.deaf) = (0, None),
+            DeliveryEvidence::Missed | DeliveryEvidence::OlderToken => {
                 let again = self.missed_at.is_none_or(|t| now.since(t) >= APART);
                 if again && !self.answers.is_empty() {
                     self.missed += 1;
@@ -75,7 +75,7 @@
                     self.deaf.get_or_insert((now, now));
                 }
             }
-            Sign::NewSession => {
+            DeliveryEvidence::NewSession => {
                 let unheard = |t: &&Time| {
                     let age = now.since(**t);
                     age >= PATIENCE && age + SLACK < lease
--- a/crates/controller/src/core/effects.rs
+++ b/crates/controller/src/core/effects.rs
@@ -1,5 +1,5 @@
 //! The core's hands: what its parts need from below to act. Each part keeps
-//! what it waits for in a [`Waits`] of its own, so nothing here knows them.
+//! what it waits for in a [`PendingCalls`] of its own, so nothing here knows them.
 
 use super::{Answer, Call, CallId, Now, Output, RequestId, Target};
 use crate::settings::Settings;
@@ -17,15 +17,15 @@
 /// The calls that a part waits for, each with what its reply is for. A reply
 /// that no part waits for is void: a part that is gone takes its calls along.
 #[derive(Debug)]
-pub struct Waits<T>(HashMap<CallId, T>);
+pub struct PendingCalls<T>(HashMap<CallId, T>);
 
-impl<T> Default for Waits<T> {
+impl<T> Default for PendingCalls<T> {
     fn default() -> Self {
-        Waits(HashMap::new())
+        PendingCalls(HashMap::new())
     }
 }
 
-impl<T> Waits<T> {
+impl<T> PendingCalls<T> {
     /// Notes what a call's reply is for.
     pub fn add(&mut self, call: CallId, what: T) {
         self.0.insert(call, what);
@@ -39,7 +39,7 @@
 
 /// Kinds of requests whose times are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Timed {
+pub enum RequestKind {
     /// A submission.
     Submit,
     /// A poll.
@@ -52,7 +52,7 @@
 
 /// Collects outputs, names calls, and keeps the rates that the parts share.
 #[derive(Debug)]
-pub struct Io {
+pub struct Effects {
     /// The time of the input at hand.
     pub now: Now,
     /// Random numbers.
@@ -71,8 +71,8 @@
     pub learned_types: Option<MachineTypes>,
     out: Vec<Output>,
     next_call: u64,
-    timed: HashMap<RequestId, (Timed, Time)>,
-    times: BTreeMap<Timed, Histogram<u64>>,
+    timed: HashMap<RequestId, (RequestKind, Time)>,
+    times: BTreeMap<RequestKind, Histogram<u64>>,
 }
 
 /// Most requests waiting at once; more are told to come back.
@@ -80,14 +80,14 @@
 /// How long a request is remembered whose connection may have been given up.
 const TIMED_KEPT: TimeSpan = TimeSpan::millis(30_000);
 
-impl Io {
+impl Effects {
     /// Hands that have done nothing yet.
-    pub(crate) fn new(settings: &Settings, seed: u64) -> Io {
+    pub(crate) fn new(settings: &Settings, seed: u64) -> Effects {
         let limits = settings.state_limits;
         let nodes = f64::from(settings.size);
         let per_node = |all: f64, share: f64| (all * share / nodes).max(1.0);
         let bucket = |rate: f64| TokenBucket::new(rate, rate);
-        Io {
+        Effects {
             now: Now {
                 time: Time(0),
                 wall: WallTime(0),
@@ -116,7 +116,7 @@
         self.rng.random()
     }
 
-    /// Makes a call. Whoever wants the reply notes the name in its [`Waits`].
+    /// Makes a call. Whoever wants the reply notes the name in its [`PendingCalls`].
     pub fn call(
         &mut self,
         target: Target,
@@ -139,14 +139,14 @@
     }
 
     /// Has a lease kept alive.
-    pub fn keep(&mut self, keep: super::Keep) {
-        self.out.push(Output::Keep(keep));
+    pub fn keep(&mut self, keep: super::LeaseKeepAlive) {
+        self.out.push(Output::LeaseKeepAlive(keep));
     }
 
     /// Notes when a request came; false if too many wait already. Reports are
     /// always taken: a worker that is not answered loses its lease.
-    pub fn begin(&mut self, request: RequestId, kind: Timed) -> bool {
-        if self.timed.len() >= MOST_WAITING && kind != Timed::Report {
+    pub fn begin(&mut self, request: RequestId, kind: RequestKind) -> bool {
+        if self.timed.len() >= MOST_WAITING && kind != RequestKind::Report {
             return false;
         }
         self.timed.insert(request, (kind, self.now.time));
--- a/crates/controller/src/core/election.rs
+++ b/crates/controller/src/core/election.rs
@@ -1,11 +1,11 @@
 //! Who leads: the holder of a key that hangs on a lease. Its version is the
 //! token.
 
-use super::effects::{Io, Waits};
-use super::format_version::member_versions::{self, Registry};
-use super::format_version::{FENCED, Level};
-use super::job_records::{self, LeaderValue};
-use super::{Keep, Reply, Target};
+use super::effects::{Effects, PendingCalls};
+use super::format_version::member_versions::{self, MemberVersions};
+use super::format_version::{FENCED, FormatVersion};
+use super::job_records::{self, LeaderRecord};
+use super::{LeaseKeepAlive, Reply, Target};
 use crate::types::{FencingToken, NodeId, Time, TimeSpan, Version};
 use crate::wire;
 use crate::wire::backoff::Backoff;
@@ -29,7 +29,7 @@
 
 /// Where this node stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ElectionState {
     /// Does not know yet who leads.
     Unknown,
     /// Somebody leads, or the key was there at this version.
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Election {
     /// Where this node stands.
-    pub standing: Standing,
+    pub standing: ElectionState,
     node_id: NodeId,
     ttl: TimeSpan,
     nonce: u64,
@@ -64,24 +64,24 @@
     /// When the last answered read was sent.
     pub contact: Option<Time>,
     /// Calls under way.
-    pub waits: Waits<Awaits>,
+    pub pending_calls: PendingCalls<PendingCall>,
     /// The level in force, and what the nodes serve.
-    pub registry: Registry,
+    pub registry: MemberVersions,
     /// The highest level that the policy allows.
-    highest: Level,
+    highest: FormatVersion,
     /// Nobody has led yet: the store may begin at the first fenced level.
     virgin: bool,
     /// Conditions and changes of a rise that the next claim carries.
-    rise: Option<member_versions::Rise>,
+    rise: Option<member_versions::Activation>,
     /// Whether the claim under way is a leader's, to rise.
     rising: bool,
     /// The level that the claim under way brings.
-    brings: Option<Level>,
+    brings: Option<FormatVersion>,
 }
 
 /// What the election waits for.
 #[derive(Clone, Debug)]
-pub enum Awaits {
+pub enum PendingCall {
     /// The leader's key.
     ReadLeader {
         /// When it was asked for.
@@ -110,7 +110,7 @@
 
 /// What an answer leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ElectionOutcome {
     /// Nothing new.
     None,
     /// This node leads now, with this token and lease.
@@ -119,7 +119,12 @@
 
 impl Election {
     /// At the start of a process.
-    pub fn new(node_id: NodeId, ttl: TimeSpan, registry: Registry, highest: Level) -> Election {
+    pub fn new(
+        node_id: NodeId,
+        ttl: TimeSpan,
+        registry: MemberVersions,
+        highest: FormatVersion,
+    ) -> Election {
         Election {
             registry,
             highest,
@@ -127,7 +132,7 @@
             rise: None,
             rising: false,
             brings: None,
-            standing: Standing::Unknown,
+            standing: ElectionState::Unknown,
             node_id,
             ttl,
             nonce: 0,
@@ -138,18 +143,18 @@
             keep_due: Time(0),
             leader: None,
             contact: None,
-            waits: Waits::default(),
+            pending_calls: PendingCalls::default(),
         }
     }
 
     /// Starts over, after leadership ended.
     pub fn reset(&mut self, now: Time) {
-        self.standing = Standing::Unknown;
+        self.standing = ElectionState::Unknown;
         self.calling = false;
         self.leader = None;
         (self.rise, self.rising) = (None, false);
         // Whatever was under way is void: what it led to is read.
-        self.waits = Waits::default();
+        self.pending_calls = PendingCalls::default();
         self.not_before = now + TimeSpan::millis(50);
     }
 
@@ -160,13 +165,18 @@
 
     /// This node leads and rises to the first fenced level: the leader's key moves,
     /// so it is claimed anew, in the commit that raises the level.
-    pub fn rise(&mut self, io: &mut Io, token: FencingToken, rise: member_versions::Rise) {
-        if self.standing == Standing::Leading && !self.calling {
+    pub fn rise(
+        &mut self,
+        effects: &mut Effects,
+        token: FencingToken,
+        rise: member_versions::Activation,
+    ) {
+        if self.standing == ElectionState::Leading && !self.calling {
             (self.rise, self.rising) = (Some(rise), true);
-            self.standing = Standing::Vacant(Version(token.0));
-            self.tick(io);
+            self.standing = ElectionState::Vacant(Version(token.0));
+            self.tick(effects);
             if self.calling {
-                self.standing = Standing::Rising;
+                self.standing = ElectionState::Rising;
             } else {
                 self.goes_on();
             }
@@ -177,11 +187,11 @@
     /// compares it. What the holder has written by then stands, what it writes
     /// later fails.
     pub fn depose(&mut self, version: Version) {
-        if self.standing == Standing::Following(version) {
+        if self.standing == ElectionState::Following(version) {
             // The watch under way has nothing more to say.
-            self.waits = Waits::default();
+            self.pending_calls = PendingCalls::default();
             self.calling = false;
-            self.standing = Standing::Vacant(version);
+            self.standing = ElectionState::Vacant(version);
         }
     }
 
@@ -192,44 +202,44 @@
     }
 
     /// Makes the next call, if one is due.
-    pub fn tick(&mut self, io: &mut Io) {
-        let now = io.now.time;
+    pub fn tick(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
         if self.calling || now < self.not_before {
             return;
         }
         let registration = self.registry.registration();
         let serves = self.registry.serves().is_ok();
-        let mut call = |io: &mut Io, method, path: String, body, timeout, awaits| {
+        let mut call = |effects: &mut Effects, method, path: String, body, timeout, awaits| {
             self.calling = true;
-            let id = io.call(Target::State, method, path, body, timeout);
-            self.waits.add(id, awaits);
+            let id = effects.call(Target::State, method, path, body, timeout);
+            self.pending_calls.add(id, awaits);
         };
         // One that cannot serve the level in force follows whoever can.
         let standing = match self.standing {
-            Standing::Vacant(version) if !serves => Standing::Following(version),
+            ElectionState::Vacant(version) if !serves => ElectionState::Following(version),
             standing => standing,
         };
         match standing {
-            Standing::Unknown => call(
-                io,
+            ElectionState::Unknown => call(
+                effects,
                 "GET",
                 format!("/keys?starts={}&most=1000", member_versions::PREFIX),
                 Vec::new(),
                 TimeSpan::secs(2.0),
-                Awaits::ReadLeader { sent: now },
+                PendingCall::ReadLeader { sent: now },
             ),
-            Standing::Following(_) | Standing::Vacant(_) if registration.is_some() => {
+            ElectionState::Following(_) | ElectionState::Vacant(_) if registration.is_some() => {
                 let body = registration.map(|txn| wire::encode(&txn));
                 call(
-                    io,
+                    effects,
                     "POST",
                     "/commit".into(),
                     body.unwrap_or_default(),
                     TimeSpan::secs(2.0),
-                    Awaits::Register,
+                    PendingCall::Register,
                 );
             }
-            Standing::Following(_) => {
+            ElectionState::Following(_) => {
                 let path = format!(
                     "/changes?starts={}&since={}&hold_ms={}",
                     member_versions::PREFIX,
@@ -238,64 +248,71 @@
                 );
                 let timeout = HOLD + TimeSpan::secs(2.0);
                 call(
-                    io,
+                    effects,
                     "GET",
                     path,
                     Vec::new(),
                     timeout,
-                    Awaits::WatchLeader { sent: now },
+                    PendingCall::WatchLeader { sent: now },
                 );
             }
-            Standing::Vacant(version) => {
+            ElectionState::Vacant(version) => {
                 let request = LeaseGrantRequest {
                     ttl_ms: self.ttl.as_millis(),
                 };
                 call(
-                    io,
+                    effects,
                     "POST",
                     "/leases".into(),
                     wire::encode(&request),
                     TimeSpan::secs(2.0),
-                    Awaits::NewLease,
+                    PendingCall::NewLease,
                 );
-                self.standing = Standing::Leasing(version);
-            }
-            Standing::Leasing(_) | Standing::Claiming(_) | Standing::Leading | Standing::Rising => {
+                self.standing = ElectionState::Leasing(version);
             }
+            ElectionState::Leasing(_)
+            | ElectionState::Claiming(_)
+            | ElectionState::Leading
+            | ElectionState::Rising => {}
         }
     }
 
     /// Takes a reply to one of its calls.
-    pub fn on_reply(&mut self, io: &mut Io, what: Awaits, reply: Reply) -> Outcome {
+    pub fn on_reply(
+        &mut self,
+        effects: &mut Effects,
+        what: PendingCall,
+        reply: Reply,
+    ) -> ElectionOutcome {
         match what {
-            Awaits::ReadLeader { sent } => self.on_read(io, sent, reply),
-            Awaits::WatchLeader { sent } => {
-                self.on_watch(io, sent, reply);
-                Outcome::None
+            PendingCall::ReadLeader { sent } => self.on_read(effects, sent, reply),
+            PendingCall::WatchLeader { sent } => {
+                self.on_watch(effects, sent, reply);
+                ElectionOutcome::None
             }
-            Awaits::NewLease => {
-                self.on_lease(io, reply);
-                Outcome::None
+            PendingCall::NewLease => {
+                self.on_lease(effects, reply);
+                ElectionOutcome::None
             }
-            Awaits::Register => {
-                self.on_registered(io, reply);
-                Outcome::None
+            PendingCall::Register => {
+                self.on_registered(effects, reply);
+                ElectionOutcome::None
             }
-            Awaits::Claim { lease } => self.on_claim(io, lease, reply),
-            Awaits::ClaimRead { lease } => self.on_claim_read(io, lease, reply),
+            PendingCall::Claim { lease } => self.on_claim(effects, lease, reply),
+            PendingCall::ClaimRead { lease } => self.on_claim_read(effects, lease, reply),
         }
     }
 
     /// Has the leader's lease kept alive for as long as this is called at least
     /// every few seconds: a leader that is behind must not lose office for it,
     /// as the next one would have as much to do; one that does nothing must.
-    pub fn keep(&mut self, io: &mut Io, lease: u64, token: FencingToken) {
-        let now = io.now.time;
+    pub fn keep(&mut self, effects: &mut Effects, lease: u64, token: FencingToken) {
+        let now = effects.now.time;
         if now < self.keep_due {
             return;
         }
         self.keep_due = now + KEPT_FOR.scaled(0.25);
-        io.keep(Keep {
+        effects.keep(LeaseKeepAlive {
             lease,
             every: self.ttl.scaled(0.25).min(RENEWED),
             until: now + KEPT_FOR,
@@ -310,19 +327,19 @@
 
     /// Ends the lease of a leader that is none any more, and its renewals: were
     /// the word of its end lost, they would keep the key from everybody.
-    pub fn give_up(&mut self, io: &mut Io, lease: u64, token: FencingToken) {
-        io.keep(Keep {
+    pub fn give_up(&mut self, effects: &mut Effects, lease: u64, token: FencingToken) {
+        effects.keep(LeaseKeepAlive {
             lease,
             every: RENEWED,
-            until: io.now.time,
+            until: effects.now.time,
             token,
         });
-        self.drop_lease(io, lease);
+        self.drop_lease(effects, lease);
     }
 
-    fn failed(&mut self, io: &mut Io) {
-        let jitter = io.jitter();
-        self.not_before = io.now.time
+    fn failed(&mut self, effects: &mut Effects) {
+        let jitter = effects.jitter();
+        self.not_before = effects.now.time
             + self
                 .backoff
                 .failed(TimeSpan::millis(150), TimeSpan::secs(1.0), jitter);
@@ -334,11 +351,11 @@
     }
 
     /// Judges the leader's key as read.
-    fn found(&mut self, io: &Io, key: Option<(Option<LeaderValue>, Version)>) {
+    fn found(&mut self, effects: &Effects, key: Option<(Option<LeaderRecord>, Version)>) {
         match key {
             None => {
                 self.leader = None;
-                self.standing = Standing::Vacant(Version(0));
+                self.standing = ElectionState::Vacant(Version(0));
             }
             Some((value, version)) => {
                 self.revision = self.revision.max(version);
@@ -348,27 +365,27 @@
                 let own = value.as_ref().is_some_and(|v| v.node_id == self.node_id);
                 self.leader = value.map(|v| (v.node_id, FencingToken(version.0)));
                 self.standing = if own {
-                    Standing::Vacant(version)
+                    ElectionState::Vacant(version)
                 } else {
-                    Standing::Following(version)
+                    ElectionState::Following(version)
                 };
                 if !own {
-                    tracing::debug!(now = ?io.now.time, %version, "following");
+                    tracing::debug!(now = ?effects.now.time, %version, "following");
                 }
             }
         }
     }
 
     /// The leader's key and the levels were read, or not.
-    pub fn on_read(&mut self, io: &mut Io, sent: Time, reply: Reply) -> Outcome {
+    pub fn on_read(&mut self, effects: &mut Effects, sent: Time, reply: Reply) -> ElectionOutcome {
         self.calling = false;
         let page = match &reply {
             Reply::Answer(200, body) => wire::decode::<EntryPage>(body),
             _ => None,
         };
         let Some(page) = page else {
-            self.failed(io);
-            return Outcome::None;
+            self.failed(effects);
+            return ElectionOutcome::None;
         };
         self.contact(sent);
         self.registry.load(&page.items);
@@ -377,12 +394,15 @@
         self.virgin = fences && self.registry.is_virgin(page.revision, page.items.len());
         let key = self.holder_key();
         let holder = page.items.into_iter().find(|e| e.key == key);
-        self.found(io, holder.map(|e| (job_records::read(&e.value), e.version)));
-        Outcome::None
+        self.found(
+            effects,
+            holder.map(|e| (job_records::read(&e.value), e.version)),
+        );
+        ElectionOutcome::None
     }
 
     /// What this node wrote about itself is stored, or not.
-    fn on_registered(&mut self, io: &mut Io, reply: Reply) {
+    fn on_registered(&mut self, effects: &mut Effects, reply: Reply) {
         self.calling = false;
         match reply {
             Reply::Answer(200, body) => {
@@ -392,25 +412,25 @@
                 // A new store has one change more now. Otherwise the watch goes on
                 // from what was read: what others changed since was not seen yet.
                 if self.virgin {
-                    self.standing = Standing::Unknown;
+                    self.standing = ElectionState::Unknown;
                 }
             }
             // Something else was stored meanwhile, or this was after all.
             _ => {
-                self.standing = Standing::Unknown;
-                self.failed(io);
+                self.standing = ElectionState::Unknown;
+                self.failed(effects);
             }
         }
     }
 
     /// A follower's watch was answered, or not.
-    pub fn on_watch(&mut self, io: &mut Io, sent: Time, reply: Reply) {
+    pub fn on_watch(&mut self, effects: &mut Effects, sent: Time, reply: Reply) {
         self.calling = false;
         match reply {
             Reply::Answer(200, body) => {
                 let Some(changes) = wire::decode::<WatchResponse>(&body) else {
-                    self.standing = Standing::Unknown;
-                    return self.failed(io);
+                    self.standing = ElectionState::Unknown;
+                    return self.failed(effects);
                 };
                 self.contact(sent);
                 self.revision = self.revision.max(changes.revision);
@@ -425,24 +445,27 @@
                     .rfind(|e| e.put.as_deref() == Some(key) || e.delete.as_deref() == Some(key));
                 if let Some(e) = last {
                     let put = e.put.is_some();
-                    self.found(io, put.then(|| (job_records::read(&e.value), e.version)));
+                    self.found(
+                        effects,
+                        put.then(|| (job_records::read(&e.value), e.version)),
+                    );
                 }
             }
-            Reply::Answer(410, _) => self.standing = Standing::Unknown,
+            Reply::Answer(410, _) => self.standing = ElectionState::Unknown,
             _ => {
                 // A watch that was lost may have missed a change.
-                self.standing = Standing::Unknown;
-                self.failed(io);
+                self.standing = ElectionState::Unknown;
+                self.failed(effects);
             }
         }
     }
 
     /// A lease was granted, or not.
-    pub fn on_lease(&mut self, io: &mut Io, reply: Reply) {
+    pub fn on_lease(&mut self, effects: &mut Effects, reply: Reply) {
         self.calling = false;
         let (version, rises) = match (self.standing, &self.leader) {
-            (Standing::Leasing(version), _) => (version, false),
-            (Standing::Rising, Some((_, token))) => (Version(token.0), true),
+            (ElectionState::Leasing(version), _) => (version, false),
+            (ElectionState::Rising, Some((_, token))) => (Version(token.0), true),
             _ => return,
         };
         let lease = match reply {
@@ -453,11 +476,11 @@
             if rises {
                 return self.goes_on();
             }
-            self.standing = Standing::Unknown;
-            return self.failed(io);
+            self.standing = ElectionState::Unknown;
+            return self.failed(effects);
         };
-        self.nonce = io.rng.random();
-        let value = LeaderValue {
+        self.nonce = effects.rng.random();
+        let value = LeaderRecord {
             node_id: self.node_id.clone(),
             nonce: self.nonce,
         };
@@ -471,11 +494,11 @@
         let mut key = self.holder_key();
         self.brings = None;
         if let Some(rise) = self.rise.take() {
-            (key, self.brings) = (member_versions::HOLDER, Some(rise.to));
+            (key, self.brings) = (member_versions::LEADER_KEY, Some(rise.to));
             txn.conditions.extend(rise.conditions);
             txn.ops = rise.ops;
             txn.ops.push(Operation::Put {
-                key: member_versions::STONE.into(),
+                key: member_versions::LEGACY_LEADER_KEY.into(),
                 value: member_versions::stone(),
                 lease: None,
             });
@@ -483,113 +506,118 @@
             txn.conditions
                 .extend(self.registry.fence().map(member_versions::fence));
             if self.virgin {
-                (key, self.brings) = (member_versions::HOLDER, Some(FENCED));
+                (key, self.brings) = (member_versions::LEADER_KEY, Some(FENCED));
                 txn.ops = self.registry.begin();
             }
         }
         txn.ops.push(Operation::Put {
             key: key.into(),
-            value: job_records::leader_value(&value),
+            value: job_records::leader_record(&value),
             lease: Some(lease),
         });
-        self.standing = Standing::Claiming(lease);
+        self.standing = ElectionState::Claiming(lease);
         self.calling = true;
-        let id = io.call(
+        let id = effects.call(
             Target::State,
             "POST",
             "/commit".into(),
             wire::encode(&txn),
             TimeSpan::secs(2.0),
         );
-        self.waits.add(id, Awaits::Claim { lease });
+        self.pending_calls.add(id, PendingCall::Claim { lease });
     }
 
     /// The claim was answered, or not.
-    pub fn on_claim(&mut self, io: &mut Io, lease: u64, reply: Reply) -> Outcome {
+    pub fn on_claim(&mut self, effects: &mut Effects, lease: u64, reply: Reply) -> ElectionOutcome {
         self.calling = false;
-        if self.standing != Standing::Claiming(lease) {
-            return Outcome::None;
+        if self.standing != ElectionState::Claiming(lease) {
+            return ElectionOutcome::None;
         }
         match reply {
             Reply::Answer(200, body) => match wire::decode::<TransactionResponse>(&body) {
-                Some(r) => self.elected(io, FencingToken(r.revision.0), lease),
+                Some(r) => self.elected(effects, FencingToken(r.revision.0), lease),
                 None => {
-                    self.standing = Standing::Unknown;
-                    Outcome::None
+                    self.standing = ElectionState::Unknown;
+                    ElectionOutcome::None
                 }
             },
             Reply::Lost => {
                 // It may have gone through, or may yet: the nonce tells.
                 self.calling = true;
-                let id = io.call(
+                let id = effects.call(
                     Target::State,
                     "GET",
                     format!("/keys?starts={}&most=1000", member_versions::PREFIX),
                     Vec::new(),
                     TimeSpan::secs(2.0),
                 );
-                self.waits.add(id, Awaits::ClaimRead { lease });
-                Outcome::None
+                self.pending_calls.add(id, PendingCall::ClaimRead { lease });
+                ElectionOutcome::None
             }
             _ => {
-                self.drop_lease(io, lease);
+                self.drop_lease(effects, lease);
                 if self.rising {
                     self.goes_on();
-                    return Outcome::None;
+                    return ElectionOutcome::None;
                 }
-                self.standing = Standing::Unknown;
-                self.not_before = io.now.time + TimeSpan::millis(50);
-                Outcome::None
+                self.standing = ElectionState::Unknown;
+                self.not_before = effects.now.time + TimeSpan::millis(50);
+                ElectionOutcome::None
             }
         }
     }
 
     /// The key was read after a claim whose answer was lost.
-    pub fn on_claim_read(&mut self, io: &mut Io, lease: u64, reply: Reply) -> Outcome {
+    pub fn on_claim_read(
+        &mut self,
+        effects: &mut Effects,
+        lease: u64,
+        reply: Reply,
+    ) -> ElectionOutcome {
         self.calling = false;
         if let Reply::Answer(200, body) = reply
             && let Some(page) = wire::decode::<EntryPage>(&body)
         {
             self.registry.load(&page.items);
-            let ours = |e: &&Entry| {
-                let value = job_records::read::<LeaderValue>(&e.value);
+            let has_our_token = |e: &&Entry| {
+                let value = job_records::read::<LeaderRecord>(&e.value);
                 value.is_some_and(|v| v.nonce == self.nonce)
             };
-            if let Some(e) = page.items.iter().find(ours) {
-                return self.elected(io, FencingToken(e.version.0), lease);
+            if let Some(e) = page.items.iter().find(has_our_token) {
+                return self.elected(effects, FencingToken(e.version.0), lease);
             }
         }
         // If the claim still goes through later, the key will name this node
         // while it does not lead, which a later read resolves.
-        self.drop_lease(io, lease);
+        self.drop_lease(effects, lease);
         if self.rising {
             self.goes_on();
-            return Outcome::None;
+            return ElectionOutcome::None;
         }
-        self.standing = Standing::Unknown;
-        Outcome::None
+        self.standing = ElectionState::Unknown;
+        ElectionOutcome::None
     }
 
     /// A rise came to nothing, or nobody can tell: the leader goes on as it was.
     /// If it went through after all, its next commit fails, and it starts over.
     fn goes_on(&mut self) {
-        (self.standing, self.rise, self.rising) = (Standing::Leading, None, false);
+        (self.standing, self.rise, self.rising) = (ElectionState::Leading, None, false);
     }
 
-    fn elected(&mut self, io: &Io, token: FencingToken, lease: u64) -> Outcome {
+    fn elected(&mut self, effects: &Effects, token: FencingToken, lease: u64) -> ElectionOutcome {
         self.goes_on();
         self.virgin = false;
         if let Some(level) = self.brings.take() {
             self.registry.risen(level, Version(token.0));
         }
         self.leader = Some((self.node_id.clone(), token));
-        self.keep_due = io.now.time;
-        Outcome::Elected(token, lease)
+        self.keep_due = effects.now.time;
+        ElectionOutcome::Elected(token, lease)
     }
 
     /// Ends a lease that is of no use any more.
-    fn drop_lease(&self, io: &mut Io, lease: u64) {
-        io.call(
+    fn drop_lease(&self, effects: &mut Effects, lease: u64) {
+        effects.call(
             Target::State,
             "DELETE",
             format!("/leases/{lease}"),
--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -1,7 +1,7 @@
-use super::super::format_version::{BEFORE, Range};
+use super::super::format_version::{SupportedVersions, UNVERSIONED};
 use super::super::{Call, Output};
 use super::*;
-use crate::testing::io_at;
+use crate::testing::effects_at;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -23,27 +23,32 @@
 }
 
 /// The last call made, and what its answer is for.
-fn called(e: &mut Election, io: &mut Io) -> (Call, Awaits) {
-    let mut calls = io.take_outputs().into_iter().filter_map(|o| match o {
+fn called(e: &mut Election, effects: &mut Effects) -> (Call, PendingCall) {
+    let mut calls = effects.take_outputs().into_iter().filter_map(|o| match o {
         Output::Call(c) => Some(c),
         _ => None,
     });
     let call = calls.next_back().expect("a call");
-    let what = e.waits.take(call.id).expect("waited for");
+    let what = e.pending_calls.take(call.id).expect("waited for");
     (call, what)
 }
 
 /// A leader before levels whose commit that raises the level is out: what it
 /// wrote, by key.
-fn rising(io: &mut Io) -> (Election, Awaits, BTreeMap<String, Value>) {
-    let registry = Registry::new("a".into(), Some(Range::OURS), BTreeMap::new(), 1);
-    let mut e = Election::new("a".into(), TimeSpan::secs(3.0), registry, Level(9));
-    e.tick(io);
-    let (_, what) = called(&mut e, io);
+fn rising(effects: &mut Effects) -> (Election, PendingCall, BTreeMap<String, Value>) {
+    let registry = MemberVersions::new(
+        "a".into(),
+        Some(SupportedVersions::SUPPORTED),
+        BTreeMap::new(),
+        1,
+    );
+    let mut e = Election::new("a".into(), TimeSpan::secs(3.0), registry, FormatVersion(9));
+    e.tick(effects);
+    let (_, what) = called(&mut e, effects);
     // Something else was stored before: this store is not a new one.
-    e.on_reply(io, what, page(Vec::new(), 9));
-    e.tick(io);
-    let (call, what) = called(&mut e, io);
+    e.on_reply(effects, what, page(Vec::new(), 9));
+    e.tick(effects);
+    let (call, what) = called(&mut e, effects);
     assert_eq!(
         call.path, "/commit",
         "it says what it serves before all else"
@@ -52,31 +57,35 @@
         revision: Version(10),
         failed: Vec::new(),
     };
-    e.on_reply(io, what, Reply::Answer(200, wire::encode(&stored)));
+    e.on_reply(effects, what, Reply::Answer(200, wire::encode(&stored)));
     for (path, answer) in [
         ("/leases", wire::encode(&LeaseGrant { lease: 7 })),
         ("/commit", wire::encode(&stored)),
     ] {
-        e.tick(io);
-        let (call, what) = called(&mut e, io);
+        e.tick(effects);
+        let (call, what) = called(&mut e, effects);
         assert_eq!(call.path, path);
-        e.on_reply(io, what, Reply::Answer(200, answer));
+        e.on_reply(effects, what, Reply::Answer(200, answer));
     }
     assert_eq!(
         (e.standing, e.holder_key()),
-        (Standing::Leading, member_versions::STONE)
+        (ElectionState::Leading, member_versions::LEGACY_LEADER_KEY)
     );
-    let rise = e.registry.rise(io.now.time, &[], Level(9)).expect("alone");
-    e.rise(io, FencingToken(10), rise);
-    let (_, what) = called(&mut e, io);
+    let rise = e
+        .registry
+        .rise(effects.now.time, &[], FormatVersion(9))
+        .expect("alone");
+    e.rise(effects, FencingToken(10), rise);
+    let (_, what) = called(&mut e, effects);
     e.on_reply(
-        io,
+        effects,
         what,
         Reply::Answer(200, wire::encode(&LeaseGrant { lease: 8 })),
     );
-    let (call, what) = called(&mut e, io);
+    let (call, what) = called(&mut e, effects);
     let txn: Transaction = wire::decode(&call.body).expect("a transaction");
-    let holds = |c: &Precondition| c.key == member_versions::STONE && c.version == Version(10);
+    let holds =
+        |c: &Precondition| c.key == member_versions::LEGACY_LEADER_KEY && c.version == Version(10);
     assert!(txn.conditions.iter().any(holds));
     let written = txn.ops.into_iter().filter_map(|op| match op {
         Operation::Put { key, value, .. } => Some((key, value)),
@@ -91,31 +100,31 @@
 #[test]
 fn a_rise_whose_answer_is_lost_is_looked_up() {
     for applied in [true, false] {
-        let mut io = io_at(5.0);
-        let (mut e, what, written) = rising(&mut io);
-        e.on_reply(&mut io, what, Reply::Lost);
-        let (_, what) = called(&mut e, &mut io);
+        let mut effects = effects_at(5.0);
+        let (mut e, what, written) = rising(&mut effects);
+        e.on_reply(&mut effects, what, Reply::Lost);
+        let (_, what) = called(&mut e, &mut effects);
         let keys = match applied {
             true => written.into_iter().map(|(k, v)| entry(&k, v, 11)).collect(),
             false => vec![entry(
-                member_versions::STONE,
+                member_versions::LEGACY_LEADER_KEY,
                 serde_json::json!({"label": "a", "nonce": 0}),
                 10,
             )],
         };
-        let outcome = e.on_reply(&mut io, what, page(keys, 11));
-        assert_eq!(e.standing, Standing::Leading);
+        let outcome = e.on_reply(&mut effects, what, page(keys, 11));
+        assert_eq!(e.standing, ElectionState::Leading);
         if applied {
-            assert_eq!(outcome, Outcome::Elected(FencingToken(11), 8));
+            assert_eq!(outcome, ElectionOutcome::Elected(FencingToken(11), 8));
             assert_eq!(
                 (e.registry.level(), e.holder_key()),
-                (FENCED, member_versions::HOLDER)
+                (FENCED, member_versions::LEADER_KEY)
             );
         } else {
-            assert_eq!(outcome, Outcome::None);
+            assert_eq!(outcome, ElectionOutcome::None);
             assert_eq!(
                 (e.registry.level(), e.holder_key()),
-                (BEFORE, member_versions::STONE)
+                (UNVERSIONED, member_versions::LEGACY_LEADER_KEY)
             );
         }
     }
@@ -123,10 +132,17 @@
 
 #[test]
 fn a_rise_that_is_refused_leaves_the_leader_as_it_was() {
-    let mut io = io_at(5.0);
-    let (mut e, what, _) = rising(&mut io);
+    let mut effects = effects_at(5.0);
+    let (mut e, what, _) = rising(&mut effects);
     let refused = TransactionResponse::default();
-    let outcome = e.on_reply(&mut io, what, Reply::Answer(409, wire::encode(&refused)));
-    assert_eq!((outcome, e.standing), (Outcome::None, Standing::Leading));
-    assert_eq!(e.registry.level(), BEFORE);
+    let outcome = e.on_reply(
+        &mut effects,
+        what,
+        Reply::Answer(409, wire::encode(&refused)),
+    );
+    assert_eq!(
+        (outcome, e.standing),
+        (ElectionOutcome::None, ElectionState::Leading)
+    );
+    assert_eq!(e.registry.level(), UNVERSIONED);
 }
--- a/crates/controller/src/core/failpoints.rs
+++ b/crates/controller/src/core/failpoints.rs
@@ -1,10 +1,10 @@
 //! Safety decisions that tests can switch off one by one, to see that the
-//! checker of the rules notices. Without the feature `weaken`, which no daemon
+//! checker of the rules notices. Without the feature `failpoints`, which no daemon
 //! is built with, all of them always hold.
 
 /// A safety decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
+pub enum SafetyCheck {
     /// A start is sent only once it is stored.
     WriteAhead,
     /// A silent machine's tasks are written off only once its lease is over.
@@ -56,7 +56,7 @@
     ConflictIsRead,
     /// A transaction without an answer is neither carried out nor refused, for its writer.
     LostIsUnknown,
-    /// What a team holds counts also the places of jobs that are over.
+    /// What a team enforced counts also the places of jobs that are over.
     EndedJobsHoldPlaces,
     /// A new leader follows changes from the first page of its load on.
     FollowsFromTheFirstPage,
@@ -71,25 +71,25 @@
     RewrittenBeforeNext,
 }
 
-#[cfg(any(test, feature = "weaken"))]
+#[cfg(any(test, feature = "failpoints"))]
 thread_local! {
     static WEAKENED: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
 }
 
 /// Switches decisions off on this thread, and all others on.
-#[cfg(any(test, feature = "weaken"))]
-pub fn weaken(off: &[Decision]) {
+#[cfg(any(test, feature = "failpoints"))]
+pub fn disable_check(off: &[SafetyCheck]) {
     WEAKENED.set(off.iter().fold(0, |all, d| all | 1 << *d as u64));
 }
 
-/// Whether a decision holds.
-#[cfg(any(test, feature = "weaken"))]
-pub fn holds(d: Decision) -> bool {
+/// Whether a decision enforced.
+#[cfg(any(test, feature = "failpoints"))]
+pub fn enforced(d: SafetyCheck) -> bool {
     WEAKENED.get() & (1 << d as u64) == 0
 }
 
-/// Whether a decision holds.
-#[cfg(not(any(test, feature = "weaken")))]
-pub const fn holds(_: Decision) -> bool {
+/// Whether a decision enforced.
+#[cfg(not(any(test, feature = "failpoints")))]
+pub const fn enforced(_: SafetyCheck) -> bool {
     true
 }
--- a/crates/controller/src/core/failure_detector/detector.rs
+++ b/crates/controller/src/core/failure_detector/detector.rs
@@ -51,7 +51,7 @@
 
 /// What is doubted of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum Suspicion {
     /// Nothing is heard of it.
     Silent,
     /// The state service does not answer it.
@@ -60,11 +60,11 @@
 
 /// What came of asking the leader directly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeOutcome {
     /// It answered.
     Answered,
     /// The connection was refused, which says nothing.
-    Refused,
+    NotServing,
     /// No answer in time.
     Silent,
 }
@@ -75,15 +75,15 @@
     /// Nothing.
     None,
     /// Ask the leader, the others and the state service.
-    LookInto(Doubt),
+    Probe(Suspicion),
     /// Replace the holder of this token.
-    Depose(FencingToken, Doubt),
+    Depose(FencingToken, Suspicion),
 }
 
 /// A doubt that is being looked into.
 #[derive(Clone, Debug)]
-struct Case {
-    doubt: Doubt,
+struct Investigation {
+    doubt: Suspicion,
     looked: Time,
     /// Whether the leader was asked and did not answer, or the connection was
     /// refused.
@@ -99,7 +99,7 @@
 
 /// What a node holds of the leader.
 #[derive(Clone, Debug)]
-pub struct Judge {
+pub struct FailureDetector {
     /// Nodes that agree for a verdict, this one among them.
     quorum: usize,
     /// How unlikely, in powers of ten, a silence is that is doubted; 0: none is.
@@ -113,7 +113,7 @@
     beat: Time,
     ticked: Option<Time>,
     steady_since: Time,
-    case: Option<Case>,
+    case: Option<Investigation>,
     /// Workers that came over from the leader since its last beat.
     came: BTreeMap<MachineId, Time>,
     pause: TimeSpan,
@@ -125,13 +125,13 @@
     pub refuted: u64,
 }
 
-impl Judge {
+impl FailureDetector {
     /// A judge among so many nodes, which doubts a silence that is by so many
     /// powers of ten unlikely; 0: it doubts nobody. With two there is nobody to agree with, and
     /// only the leader's lease decides.
-    pub fn new(nodes: usize, phi: f64) -> Judge {
+    pub fn new(nodes: usize, phi: f64) -> FailureDetector {
         let others = nodes.saturating_sub(1);
-        Judge {
+        FailureDetector {
             phi,
             quorum: (others / 2 + 1).max(2),
             subject: None,
@@ -212,7 +212,11 @@
         self.beat = now;
         self.state_age = TimeSpan::millis(beat.state_ms);
         self.late = TimeSpan::millis(beat.late_ms);
-        if self.case.as_ref().is_some_and(|c| c.doubt == Doubt::Silent) {
+        if self
+            .case
+            .as_ref()
+            .is_some_and(|c| c.doubt == Suspicion::Silent)
+        {
             self.refute();
         }
     }
@@ -226,28 +230,28 @@
         now.since(self.steady_since) >= SETTLES && self.ticked.is_some()
     }
 
-    fn doubt(&self, now: Time, phi: f64) -> Option<Doubt> {
+    fn doubt(&self, now: Time, phi: f64) -> Option<Suspicion> {
         if self.phi <= 0.0 {
             return None;
         }
         let silence = self.alive.silence(now)?;
         if silence >= LEAST_SILENCE && self.alive.phi(now) >= phi {
-            return Some(Doubt::Silent);
+            return Some(Suspicion::Silent);
         }
         // Its word is as old as its last beat.
         let age = self.state_age + now.since(self.beat);
         let said = self.state_age >= STATE_SILENCE;
-        (said && age >= STATE_SILENCE).then_some(Doubt::NoState)
+        (said && age >= STATE_SILENCE).then_some(Suspicion::NoState)
     }
 
     /// This node's word for another that doubts the holder of a token. `state`:
     /// the state service has lately answered it.
-    pub fn agrees(&self, now: Time, token: FencingToken, doubt: Doubt, state: bool) -> bool {
+    pub fn agrees(&self, now: Time, token: FencingToken, doubt: Suspicion, state: bool) -> bool {
         let same = self.subject.as_ref().is_some_and(|(_, t)| *t == token);
         let own = self.doubt(now, self.phi * AGREES);
         let holds = match doubt {
-            Doubt::Silent => own == Some(Doubt::Silent),
-            Doubt::NoState => own.is_some() && state,
+            Suspicion::Silent => own == Some(Suspicion::Silent),
+            Suspicion::NoState => own.is_some() && state,
         };
         same && self.is_steady(now) && holds
     }
@@ -271,7 +275,7 @@
         let came = self.came_lately(now) as usize;
         if let Some(c) = self.case.as_mut().filter(|c| c.doubt == doubt) {
             let came = came + c.agree.values().map(|n| *n as usize).sum::<usize>();
-            let seen = doubt == Doubt::NoState || c.silent || (c.refused && came >= CAME_OVER);
+            let seen = doubt == Suspicion::NoState || c.silent || (c.refused && came >= CAME_OVER);
             if seen && c.state && c.agree.len() + 1 >= self.quorum {
                 let ripe = *c.ripe.get_or_insert(now);
                 if now.since(ripe) >= TimeSpan(RANK.0 * u64::from(rank)) {
@@ -285,7 +289,7 @@
             }
             c.looked = now;
         } else {
-            self.case = Some(Case {
+            self.case = Some(Investigation {
                 doubt,
                 looked: now,
                 silent: false,
@@ -295,7 +299,7 @@
                 ripe: None,
             });
         }
-        Step::LookInto(doubt)
+        Step::Probe(doubt)
     }
 
     fn convict(&mut self, now: Time) {
@@ -307,21 +311,21 @@
     }
 
     /// The leader was asked directly.
-    pub fn probed(&mut self, now: Time, token: FencingToken, probe: Probe) {
+    pub fn probed(&mut self, now: Time, token: FencingToken, probe: ProbeOutcome) {
         if self.subject.as_ref().is_none_or(|(_, t)| *t != token) {
             return;
         }
         let Some(case) = &mut self.case else { return };
         match probe {
-            Probe::Silent => (case.silent, case.refused) = (true, false),
-            Probe::Refused => (case.silent, case.refused) = (false, true),
+            ProbeOutcome::Silent => (case.silent, case.refused) = (true, false),
+            ProbeOutcome::NotServing => (case.silent, case.refused) = (false, true),
             // Only its beats are lost.
-            Probe::Answered if case.doubt == Doubt::Silent => {
+            ProbeOutcome::Answered if case.doubt == Suspicion::Silent => {
                 self.alive.excuse(now);
                 self.not_before = self.not_before.max(now + EXCUSED);
                 self.refute();
             }
-            Probe::Answered => {}
+            ProbeOutcome::Answered => {}
         }
     }
 
--- a/crates/controller/src/core/failure_detector/detector/tests.rs
+++ b/crates/controller/src/core/failure_detector/detector/tests.rs
@@ -16,8 +16,8 @@
 }
 
 /// A judge among five that has heard beats for ten seconds.
-fn judge() -> Judge {
-    let mut j = Judge::new(5, 8.0);
+fn failure_detector() -> FailureDetector {
+    let mut j = FailureDetector::new(5, 8.0);
     j.follow(Some(&("a".into(), TOKEN)));
     for n in 0..200 {
         let now = at(f64::from(n) * 0.05);
@@ -31,7 +31,7 @@
 }
 
 /// Ticks on without beats until there is something to do.
-fn until_step(j: &mut Judge, from: f64, to: f64, rank: u32) -> Option<(f64, Step)> {
+fn until_step(j: &mut FailureDetector, from: f64, to: f64, rank: u32) -> Option<(f64, Step)> {
     let mut t = from;
     while t < to {
         t += 0.05;
@@ -46,20 +46,20 @@
 
 #[test]
 fn a_silent_leader_is_replaced_once_it_was_asked_and_others_agree() {
-    let mut j = judge();
+    let mut j = failure_detector();
     let (t, step) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
-    assert_eq!(step, Step::LookInto(Doubt::Silent));
+    assert_eq!(step, Step::Probe(Suspicion::Silent));
     assert!(t < 10.65, "{t}");
     j.reached_state();
     j.told("b".into(), TOKEN, true, 0);
-    j.probed(at(t), TOKEN, Probe::Silent);
+    j.probed(at(t), TOKEN, ProbeOutcome::Silent);
     // Two of four are no majority.
     let (t, step) = until_step(&mut j, t, 12.0, 0).unwrap();
-    assert_eq!(step, Step::LookInto(Doubt::Silent));
+    assert_eq!(step, Step::Probe(Suspicion::Silent));
     j.told("c".into(), TOKEN, true, 0);
     let mut other = j.clone();
     let (t, step) = until_step(&mut j, t, 12.0, 0).unwrap();
-    assert_eq!(step, Step::Depose(TOKEN, Doubt::Silent));
+    assert_eq!(step, Step::Depose(TOKEN, Suspicion::Silent));
     assert!(t < 11.2, "{t}");
     // One that comes later in rank leaves it to the first.
     let (later, _) = until_step(&mut other, t, 12.0, 2).unwrap();
@@ -70,16 +70,16 @@
 #[test]
 fn a_doubt_can_be_refuted() {
     let ripe = || {
-        let mut j = judge();
+        let mut j = failure_detector();
         let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
         j.reached_state();
         for l in ["b", "c", "d"] {
             j.told(l.into(), TOKEN, true, 0);
         }
-        j.probed(at(t), TOKEN, Probe::Silent);
+        j.probed(at(t), TOKEN, ProbeOutcome::Silent);
         (j, t)
     };
-    let deposes = |mut j: Judge, t: f64| {
+    let deposes = |mut j: FailureDetector, t: f64| {
         matches!(
             until_step(&mut j, t, t + 0.15, 0),
             Some((_, Step::Depose(..)))
@@ -90,7 +90,7 @@
     let (mut j, t) = ripe();
     j.heard(at(t), &beat(0));
     assert!(!deposes(j, t), "a beat came after all");
-    for probe in [Probe::Answered, Probe::Refused] {
+    for probe in [ProbeOutcome::Answered, ProbeOutcome::NotServing] {
         let (mut j, t) = ripe();
         j.probed(at(t), TOKEN, probe);
         assert!(!deposes(j, t), "{probe:?}");
@@ -110,13 +110,13 @@
 #[test]
 fn a_refusal_counts_once_workers_come_over() {
     let deposed = |came: &[(usize, f64)], told: u32| {
-        let mut j = judge();
+        let mut j = failure_detector();
         let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
         j.reached_state();
         for l in ["b", "c"] {
             j.told(l.into(), TOKEN, true, told);
         }
-        j.probed(at(t), TOKEN, Probe::Refused);
+        j.probed(at(t), TOKEN, ProbeOutcome::NotServing);
         for (i, ago) in came {
             let machine = format!("host-{i}").as_str().into();
             j.came_over(at(t - ago), TOKEN, &machine);
@@ -138,17 +138,17 @@
 // A judge that was frozen, or is behind, misses what waits for it unread.
 #[test]
 fn who_was_not_there_doubts_nobody() {
-    let mut j = judge();
+    let mut j = failure_detector();
     j.tick(at(70.0));
     assert_eq!(j.step(at(70.0), 0), Step::None);
-    assert!(!j.agrees(at(70.0), TOKEN, Doubt::Silent, true));
+    assert!(!j.agrees(at(70.0), TOKEN, Suspicion::Silent, true));
     let (t, _) = until_step(&mut j, 70.0, 75.0, 0).unwrap();
     assert!(t > 71.0, "{t}");
 }
 
 #[test]
 fn a_leader_without_the_state_service_is_replaced_by_one_that_has_it() {
-    let mut j = judge();
+    let mut j = failure_detector();
     let mut t = 10.0;
     let mut deposed = None;
     for n in 0..60 {
@@ -158,9 +158,9 @@
             j.heard(at(t), &beat(50 * n));
         }
         match j.step(at(t), 0) {
-            Step::LookInto(doubt) => {
-                assert_eq!(doubt, Doubt::NoState);
-                j.probed(at(t), TOKEN, Probe::Answered);
+            Step::Probe(doubt) => {
+                assert_eq!(doubt, Suspicion::NoState);
+                j.probed(at(t), TOKEN, ProbeOutcome::Answered);
                 for l in ["b", "c"] {
                     j.told(l.into(), TOKEN, true, 0);
                 }
@@ -182,16 +182,16 @@
 // Two that suspect one another in turn must not pass the key to and fro.
 #[test]
 fn verdicts_get_rarer() {
-    let mut j = judge();
+    let mut j = failure_detector();
     let mut verdicts = Vec::new();
     let mut t = 10.0;
     while t < 200.0 {
         t += 0.05;
         j.tick(at(t));
         match j.step(at(t), 0) {
-            Step::LookInto(_) => {
+            Step::Probe(_) => {
                 j.reached_state();
-                j.probed(at(t), TOKEN, Probe::Silent);
+                j.probed(at(t), TOKEN, ProbeOutcome::Silent);
                 for l in ["b", "c"] {
                     j.told(l.into(), TOKEN, true, 0);
                 }
@@ -207,11 +207,11 @@
 
 #[test]
 fn two_nodes_have_the_lease_alone() {
-    let mut j = judge();
-    j.quorum = Judge::new(2, 8.0).quorum;
+    let mut j = failure_detector();
+    j.quorum = FailureDetector::new(2, 8.0).quorum;
     let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
     j.reached_state();
-    j.probed(at(t), TOKEN, Probe::Silent);
+    j.probed(at(t), TOKEN, ProbeOutcome::Silent);
     let depose = |s| matches!(s, Some((_, Step::Depose(..))));
     assert!(!depose(until_step(&mut j, t, t + 0.15, 0)));
 }
--- a/crates/controller/src/core/format_version/chunk_progress/tests.rs
+++ b/crates/controller/src/core/format_version/chunk_progress/tests.rs
@@ -1,13 +1,13 @@
-use super::super::{BEFORE, FENCED};
+use super::super::{FENCED, UNVERSIONED};
 use super::*;
 use proptest::prelude::*;
 
-fn sample() -> Progress {
+fn sample() -> ChunkProgress {
     let place = |i, a, m: &str| (i, Attempt(a), m.into(), AgentEpoch(1));
-    Progress {
+    ChunkProgress {
         attempt: Attempt(3),
         done: vec![(0, 2), (5, 6)],
-        places: vec![
+        assignments: vec![
             place(2, 3, "host-7"),
             place(3, 3, "host-7"),
             place(4, 2, "host-8"),
@@ -19,9 +19,9 @@
 
 /// A record of each level as it was first stored; a later change must go on
 /// reading them.
-const GOLDEN: [(Level, &str); 3] = [
+const GOLDEN: [(FormatVersion, &str); 3] = [
     (
-        BEFORE,
+        UNVERSIONED,
         r#"{"n":3,"d":[[0,2],[5,6]],"p":[[2,3,"host-7",1],[3,3,"host-7",1],[4,2,"host-8",1],[7,3,"host-7",1]],"x":[[4,5]]}"#,
     ),
     (
@@ -29,7 +29,7 @@
         r#"{"n":3,"d":[[0,2],[5,6]],"p":[[2,3,"host-7",1],[3,3,"host-7",1],[4,2,"host-8",1],[7,3,"host-7",1]],"x":[[4,5]]}"#,
     ),
     (
-        REMEMBERED,
+        WITH_HISTORY,
         r#"{"n":3,"d":[0,2,5,6],"m":[["host-7",1,0,[2,1,4]],["host-8",1,1,[4]]],"x":[4,5]}"#,
     ),
 ];
@@ -38,18 +38,22 @@
 fn every_level_reads_what_was_once_stored() {
     assert_eq!(
         GOLDEN.len(),
-        super::super::TABLE.len(),
+        super::super::KNOWN_VERSIONS.len(),
         "a sample of each level"
     );
     for (level, text) in GOLDEN {
         let stored: Value = serde_json::from_str(text).unwrap();
-        assert_eq!(Progress::read(&stored).as_ref(), Ok(&sample()), "{level}");
+        assert_eq!(
+            ChunkProgress::read(&stored).as_ref(),
+            Ok(&sample()),
+            "{level}"
+        );
         assert_eq!(sample().write(level), stored, "{level}");
-        assert!(Progress::is_of(&stored, level), "{level}");
+        assert!(ChunkProgress::is_of(&stored, level), "{level}");
     }
     // What an older build wrote without stops.
     let old = serde_json::json!({"n": 1, "d": [], "p": []});
-    assert!(Progress::read(&old).is_ok());
+    assert!(ChunkProgress::read(&old).is_ok());
 }
 
 // A record that is damaged, or says more than this build knows, must not be
@@ -67,7 +71,7 @@
         r#"{"n":1,"m":[["h",1,0,[0,0]]]}"#,
     ] {
         let stored: Value = serde_json::from_str(text).unwrap();
-        let e = Progress::read(&stored).expect_err(text);
+        let e = ChunkProgress::read(&stored).expect_err(text);
         assert!(e.to_string().starts_with("in no form up to level"), "{e}");
     }
 }
@@ -85,17 +89,17 @@
     })
 }
 
-fn progress() -> impl Strategy<Value = Progress> {
-    let places = proptest::collection::btree_map(0u32..64, (0u64..9, 0u8..5, 1u64..3), 0..64);
-    (spans(), places, spans()).prop_map(|(done, places, stops)| {
+fn progress() -> impl Strategy<Value = ChunkProgress> {
+    let assignments = proptest::collection::btree_map(0u32..64, (0u64..9, 0u8..5, 1u64..3), 0..64);
+    (spans(), assignments, spans()).prop_map(|(done, assignments, stops)| {
         let place = |(i, (a, m, s))| {
             let machine = format!("host-{m:06}").as_str().into();
             (i, Attempt(a), machine, AgentEpoch(s))
         };
-        Progress {
+        ChunkProgress {
             attempt: Attempt(9),
             done,
-            places: places.into_iter().map(place).collect(),
+            assignments: assignments.into_iter().map(place).collect(),
             stops,
         }
     })
@@ -108,9 +112,9 @@
     })]
     #[test]
     fn what_is_written_at_any_level_is_read_at_every_later_one(p in progress()) {
-        for step in super::super::TABLE {
+        for step in super::super::KNOWN_VERSIONS {
             let stored = p.write(step.level);
-            prop_assert_eq!(Progress::read(&stored), Ok(p.clone()));
+            prop_assert_eq!(ChunkProgress::read(&stored), Ok(p.clone()));
         }
     }
 }
--- a/crates/controller/src/core/format_version/member_versions.rs
+++ b/crates/controller/src/core/format_version/member_versions.rs
@@ -10,8 +10,8 @@
 //! They stand below the leader's key, so the watch that follows it brings their
 //! changes: nothing more is asked for.
 
-use super::{BEFORE, FENCED, Level, Range};
-use crate::core::failpoints::{self, Decision};
+use super::{FENCED, FormatVersion, SupportedVersions, UNVERSIONED};
+use crate::core::failpoints::{self, SafetyCheck};
 use crate::types::{NodeId, Time, TimeSpan, Version};
 use crate::wire::kvstore::{Entry, Operation, Precondition, Transaction, WatchEvent};
 use crate::wire::peers::BuildInfo;
@@ -22,14 +22,14 @@
 /// What all of these keys begin with.
 pub const PREFIX: &str = "w/leader";
 /// The leader's key before [`FENCED`], and what stands in its place since.
-pub const STONE: &str = "w/leader";
+pub const LEGACY_LEADER_KEY: &str = "w/leader";
 /// The leader's key from [`FENCED`] on.
-pub const HOLDER: &str = "w/leader/holder";
+pub const LEADER_KEY: &str = "w/leader/holder";
 /// The level in force.
-pub const LEVEL: &str = "w/leader/level";
+pub const ACTIVE_VERSION_KEY: &str = "w/leader/level";
 /// Up to which level everything stored has its form.
 pub const DONE: &str = "w/leader/done";
-const MEMBERS: &str = "w/leader/at/";
+const MEMBER_PREFIX: &str = "w/leader/at/";
 
 /// How long every controller must have been there with the next level.
 pub const STEADY: TimeSpan = TimeSpan::millis(10_000);
@@ -43,15 +43,15 @@
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct Force {
-    level: Level,
+struct ActiveVersionRecord {
+    level: FormatVersion,
 }
 
 /// What a node wrote about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct MemberRecord {
     /// The levels it serves.
-    pub levels: Range,
+    pub levels: SupportedVersions,
     /// Its build.
     pub build: String,
     /// Where its policy differs from the default.
@@ -66,7 +66,7 @@
 
 /// Why a node does nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum NotServing {
     /// The level in force was not read yet.
     #[error("the level in force is not known yet")]
     Unknown,
@@ -75,27 +75,29 @@
     Unregistered,
     /// The level in force is beyond this build.
     #[error("level {0} is in force and this build serves {low} to {high}: start a newer one", low = .1.low, high = .1.high)]
-    Beyond(Level, Range),
+    Beyond(FormatVersion, SupportedVersions),
     /// The level in force cannot be read.
-    #[error("{LEVEL}: field level: not a level; nothing is changed until it can be read")]
+    #[error(
+        "{ACTIVE_VERSION_KEY}: field level: not a level; nothing is changed until it can be read"
+    )]
     Damaged,
 }
 
 /// What a node knows.
 #[derive(Clone, Debug)]
-pub struct Registry {
+pub struct MemberVersions {
     own: NodeId,
     /// None: as a build that knows no levels.
-    range: Option<Range>,
-    record: Option<Member>,
+    range: Option<SupportedVersions>,
+    record: Option<MemberRecord>,
     read: bool,
     /// Whether the level in force was ever read well.
     good: bool,
     damaged: bool,
-    force: Level,
+    force: FormatVersion,
     force_version: Version,
-    done: Level,
-    members: BTreeMap<NodeId, (Option<Member>, Version)>,
+    done: FormatVersion,
+    members: BTreeMap<NodeId, (Option<MemberRecord>, Version)>,
     /// What nodes said last and in which life, and since when.
     told: BTreeMap<NodeId, (BuildInfo, Time, Time)>,
 }
@@ -104,12 +106,12 @@
     serde_json::to_value(v).unwrap_or(Value::Null)
 }
 
-fn level_of(v: &Value) -> Option<Level> {
-    Force::deserialize(v).ok().map(|f| f.level)
+fn level_of(v: &Value) -> Option<FormatVersion> {
+    ActiveVersionRecord::deserialize(v).ok().map(|f| f.level)
 }
 
 fn member_key(node_id: &NodeId) -> String {
-    format!("{MEMBERS}{node_id}")
+    format!("{MEMBER_PREFIX}{node_id}")
 }
 
 fn put(key: String, v: Value) -> Operation {
@@ -117,32 +119,32 @@
     Operation::Put { key, value, lease }
 }
 
-impl Registry {
+impl MemberVersions {
     /// Nothing known yet. `range`: `None` for a node that behaves as builds did that
     /// knew no levels.
     pub fn new(
         own: NodeId,
-        range: Option<Range>,
+        range: Option<SupportedVersions>,
         policy: BTreeMap<String, f64>,
         life: u64,
-    ) -> Registry {
+    ) -> MemberVersions {
         let build = BUILD.to_string();
-        let record = range.map(|levels| Member {
+        let record = range.map(|levels| MemberRecord {
             levels,
             build,
             policy,
             life,
         });
-        Registry {
+        MemberVersions {
             own,
             range,
             record,
             read: false,
             good: false,
             damaged: false,
-            force: BEFORE,
+            force: UNVERSIONED,
             force_version: Version(0),
-            done: BEFORE,
+            done: UNVERSIONED,
             members: BTreeMap::new(),
             told: BTreeMap::new(),
         }
@@ -151,7 +153,7 @@
     /// All keys that begin with [`PREFIX`], as read at once.
     pub fn load(&mut self, entries: &[Entry]) {
         (self.force_version, self.damaged) = (Version(0), false);
-        self.good |= !entries.iter().any(|e| e.key == LEVEL);
+        self.good |= !entries.iter().any(|e| e.key == ACTIVE_VERSION_KEY);
         self.members.clear();
         for e in entries {
             self.note(&e.key, Some(&e.value), e.version);
@@ -169,7 +171,7 @@
     }
 
     fn note(&mut self, key: &str, stored: Option<&Value>, version: Version) {
-        if key == LEVEL {
+        if key == ACTIVE_VERSION_KEY {
             self.force_version = stored.map_or(Version(0), |_| version);
             match stored.and_then(level_of) {
                 // It never falls, whatever a late word says.
@@ -181,7 +183,7 @@
                 }
                 _ => {
                     tracing::error!(
-                        key = LEVEL,
+                        key = ACTIVE_VERSION_KEY,
                         field = "level",
                         "cannot be read; mend it by hand"
                     );
@@ -190,11 +192,14 @@
                 }
             }
         } else if key == DONE {
-            self.done = stored.and_then(level_of).unwrap_or(BEFORE).max(self.done);
-        } else if let Some(node_id) = key.strip_prefix(MEMBERS) {
+            self.done = stored
+                .and_then(level_of)
+                .unwrap_or(UNVERSIONED)
+                .max(self.done);
+        } else if let Some(node_id) = key.strip_prefix(MEMBER_PREFIX) {
             match stored {
                 Some(v) => {
-                    let member = Member::deserialize(v).ok();
+                    let member = MemberRecord::deserialize(v).ok();
                     if member.is_none() {
                         tracing::error!(key, "cannot be read; no level rises until it can");
                     }
@@ -208,9 +213,9 @@
     }
 
     /// The level in force.
-    pub fn level(&self) -> Level {
+    pub fn level(&self) -> FormatVersion {
         if self.range.is_none() {
-            return BEFORE;
+            return UNVERSIONED;
         }
         self.force
     }
@@ -218,16 +223,17 @@
     /// Where the leader's key is.
     pub fn holder_key(&self) -> &'static str {
         if self.level() >= FENCED {
-            HOLDER
+            LEADER_KEY
         } else {
-            STONE
+            LEGACY_LEADER_KEY
         }
     }
 
     /// The version of the level's key, which every write compares whose form
     /// depends on the level.
     pub fn fence(&self) -> Option<Version> {
-        let compares = self.range.is_some() && failpoints::holds(Decision::WritesCompareTheLevel);
+        let compares =
+            self.range.is_some() && failpoints::enforced(SafetyCheck::WritesCompareTheLevel);
         compares.then_some(self.force_version)
     }
 
@@ -236,28 +242,28 @@
     }
 
     /// Whether this node may act, and why not.
-    pub fn serves(&self) -> Result<(), Refused> {
+    pub fn serves(&self) -> Result<(), NotServing> {
         let (Some(range), Some(record)) = (self.range, &self.record) else {
             return Ok(());
         };
         if !self.read {
-            return Err(Refused::Unknown);
+            return Err(NotServing::Unknown);
         }
         if self.damaged {
-            return Err(Refused::Damaged);
+            return Err(NotServing::Damaged);
         }
         if !range.has(self.force) {
-            return Err(Refused::Beyond(self.force, range));
+            return Err(NotServing::Beyond(self.force, range));
         }
         // A rise compares what each node wrote: one that has not written yet what
         // it is now could be passed over.
         let stored = self.members.get(&self.own).and_then(|(m, _)| m.as_ref());
-        let enough = match failpoints::holds(Decision::EachLifeRegisters) {
+        let enough = match failpoints::enforced(SafetyCheck::EachLifeRegisters) {
             true => stored == Some(record),
             false => stored.is_some_and(|m| m.levels == record.levels),
         };
-        if !enough && failpoints::holds(Decision::RegisterBeforeActing) {
-            return Err(Refused::Unregistered);
+        if !enough && failpoints::enforced(SafetyCheck::RegisterBeforeActing) {
+            return Err(NotServing::Unregistered);
         }
         Ok(())
     }
@@ -328,15 +334,23 @@
     pub fn begin(&self) -> Vec<Operation> {
         let level = FENCED;
         vec![
-            put(STONE.into(), stone()),
-            put(LEVEL.into(), value(&Force { level })),
-            put(DONE.into(), value(&Force { level })),
+            put(LEGACY_LEADER_KEY.into(), stone()),
+            put(
+                ACTIVE_VERSION_KEY.into(),
+                value(&ActiveVersionRecord { level }),
+            ),
+            put(DONE.into(), value(&ActiveVersionRecord { level })),
         ]
     }
 
     /// The next level, if all have it: the conditions and changes of its commit, to
     /// which the holder adds that it is one. Otherwise what is waited for.
-    pub fn rise(&self, now: Time, peers: &[NodeId], highest: Level) -> Result<Rise, String> {
+    pub fn rise(
+        &self,
+        now: Time,
+        peers: &[NodeId],
+        highest: FormatVersion,
+    ) -> Result<Activation, String> {
         let range = self.range.ok_or("this node knows no levels")?;
         let next = self.force.next();
         if !range.has(next) {
@@ -345,7 +359,7 @@
         if next > highest {
             return Err(format!("the policy holds it at {highest} (highest_level)"));
         }
-        if self.done < self.force && failpoints::holds(Decision::RewrittenBeforeNext) {
+        if self.done < self.force && failpoints::enforced(SafetyCheck::RewrittenBeforeNext) {
             return Err(format!(
                 "stored records get the form of level {}",
                 self.force
@@ -373,18 +387,24 @@
                     return Err(format!("{node_id} must be there for {left} s more"));
                 }
             }
-            if failpoints::holds(Decision::RiseComparesMembers) {
+            if failpoints::enforced(SafetyCheck::RiseComparesMembers) {
                 conditions.push(Precondition {
                     key: member_key(node_id),
                     version: *version,
                 });
             }
         }
-        let mut ops = vec![put(LEVEL.into(), value(&Force { level: next }))];
+        let mut ops = vec![put(
+            ACTIVE_VERSION_KEY.into(),
+            value(&ActiveVersionRecord { level: next }),
+        )];
         if next == FENCED {
-            ops.push(put(DONE.into(), value(&Force { level: next })));
+            ops.push(put(
+                DONE.into(),
+                value(&ActiveVersionRecord { level: next }),
+            ));
         }
-        Ok(Rise {
+        Ok(Activation {
             to: next,
             conditions,
             ops,
@@ -392,7 +412,7 @@
     }
 
     /// This node's own commit raised the level, at this version.
-    pub fn risen(&mut self, level: Level, version: Version) {
+    pub fn risen(&mut self, level: FormatVersion, version: Version) {
         tracing::info!(%level, name = level.name(), "level in force, raised by this node");
         (self.force, self.force_version) = (level, version);
         if level == FENCED {
@@ -406,12 +426,15 @@
         let due = self.range.is_some() && self.done < self.force;
         due.then(|| Transaction {
             conditions: self.fenced(),
-            ops: vec![put(DONE.into(), value(&Force { level: self.force }))],
+            ops: vec![put(
+                DONE.into(),
+                value(&ActiveVersionRecord { level: self.force }),
+            )],
         })
     }
 
     /// Up to which level all that is stored has its form.
-    pub fn done(&self) -> Level {
+    pub fn done(&self) -> FormatVersion {
         self.done
     }
 
@@ -425,7 +448,7 @@
     }
 
     /// What the nodes run and what is waited for, for operators.
-    pub fn inspect(&self, now: Time, peers: &[NodeId], highest: Level) -> Value {
+    pub fn inspect(&self, now: Time, peers: &[NodeId], highest: FormatVersion) -> Value {
         let nodes: Vec<Value> = peers
             .iter()
             .chain([&self.own])
@@ -453,16 +476,16 @@
 /// Compares the level in force.
 pub fn fence(version: Version) -> Precondition {
     Precondition {
-        key: LEVEL.into(),
+        key: ACTIVE_VERSION_KEY.into(),
         version,
     }
 }
 
 /// A step up, to be committed by the holder.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rise {
+pub struct Activation {
     /// The level.
-    pub to: Level,
+    pub to: FormatVersion,
     /// What it compares.
     pub conditions: Vec<Precondition>,
     /// What it changes.
@@ -472,7 +495,7 @@
 /// What stands in the place of the leader's key from [`FENCED`] on. Builds without
 /// levels find a key that names nobody, and follow it for ever.
 pub fn stone() -> Value {
-    serde_json::json!({ "since": FENCED, "see": HOLDER })
+    serde_json::json!({ "since": FENCED, "see": LEADER_KEY })
 }
 
 #[cfg(test)]
--- a/crates/controller/src/core/format_version/member_versions/tests.rs
+++ b/crates/controller/src/core/format_version/member_versions/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-const TWO: Range = Range {
-    low: Level(0),
-    high: Level(2),
+const TWO: SupportedVersions = SupportedVersions {
+    low: FormatVersion(0),
+    high: FormatVersion(2),
 };
 
 fn entry(key: &str, value: Value, version: u64) -> Entry {
@@ -15,16 +15,16 @@
 
 fn member(node_id: &str, high: u32, version: u64) -> Entry {
     let said = serde_json::json!({"levels": {"low": 0, "high": high}, "build": "b", "life": 1});
-    entry(&format!("{MEMBERS}{node_id}"), said, version)
+    entry(&format!("{MEMBER_PREFIX}{node_id}"), said, version)
 }
 
 /// Node a among three, all of which serve two levels, at level 1.
-fn registry(extra: Vec<Entry>) -> Registry {
-    let mut r = Registry::new("a".into(), Some(TWO), BTreeMap::new(), 1);
+fn registry(extra: Vec<Entry>) -> MemberVersions {
+    let mut r = MemberVersions::new("a".into(), Some(TWO), BTreeMap::new(), 1);
     let mut all = vec![
-        entry(LEVEL, serde_json::json!({"level": 1}), 1),
+        entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": 1}), 1),
         entry(DONE, serde_json::json!({"level": 1}), 1),
-        entry(&format!("{MEMBERS}a"), value(&r.record), 2),
+        entry(&format!("{MEMBER_PREFIX}a"), value(&r.record), 2),
         member("b", 2, 3),
         member("c", 2, 4),
     ];
@@ -50,7 +50,7 @@
 
 /// What is waited for after all have said so for some seconds, but that one says
 /// this at the tenth.
-fn waits(mut r: Registry, secs: u32, tenth: Option<BuildInfo>) -> Option<String> {
+fn waits(mut r: MemberVersions, secs: u32, tenth: Option<BuildInfo>) -> Option<String> {
     for s in 0..secs {
         let say = |l| {
             if l == "c" && s == 10 {
@@ -64,7 +64,7 @@
         }
     }
     let peers = ["b".into(), "c".into()];
-    r.rise(at(f64::from(secs)), &peers, Level(9)).err()
+    r.rise(at(f64::from(secs)), &peers, FormatVersion(9)).err()
 }
 
 #[test]
@@ -81,17 +81,17 @@
     let older = registry(vec![member("c", 1, 9)]);
     assert!(text(older, 15, told(2, 1)).starts_with("c runs b (up to 1)"));
     let rewriting = vec![
-        entry(LEVEL, serde_json::json!({"level": 2}), 9),
+        entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": 2}), 9),
         entry(DONE, serde_json::json!({"level": 1}), 1),
     ];
     let mut r = registry(rewriting);
-    r.range = Some(Range {
-        low: Level(0),
-        high: Level(3),
+    r.range = Some(SupportedVersions {
+        low: FormatVersion(0),
+        high: FormatVersion(3),
     });
     assert!(text(r, 15, told(2, 1)).starts_with("stored records get"));
     let peers = ["b".into(), "c".into()];
-    let held = good().rise(at(0.0), &peers, Level(1)).unwrap_err();
+    let held = good().rise(at(0.0), &peers, FormatVersion(1)).unwrap_err();
     assert!(held.contains("highest_level"), "{held}");
 }
 
@@ -99,29 +99,32 @@
 // that know better.
 #[test]
 fn damaged_keys_are_named_and_nothing_is_lost() {
-    let bad = || entry(LEVEL, serde_json::json!({"level": "two"}), 9);
+    let bad = || entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": "two"}), 9);
     let starting = registry(vec![bad()]);
-    assert_eq!(starting.serves(), Err(Refused::Damaged));
+    assert_eq!(starting.serves(), Err(NotServing::Damaged));
     assert!(starting.registration().is_none());
     let mut running = registry(Vec::new());
     running.load(&[
         bad(),
-        entry(&format!("{MEMBERS}a"), value(&running.record), 2),
+        entry(&format!("{MEMBER_PREFIX}a"), value(&running.record), 2),
     ]);
-    assert_eq!((running.serves(), running.level()), (Ok(()), Level(1)));
+    assert_eq!(
+        (running.serves(), running.level()),
+        (Ok(()), FormatVersion(1))
+    );
     // It falls neither by a late word nor by a key that is gone.
     let mut r = registry(Vec::new());
     let change = |put: Option<&str>, level: u32| WatchEvent {
         put: put.map(String::from),
-        delete: put.is_none().then(|| LEVEL.into()),
+        delete: put.is_none().then(|| ACTIVE_VERSION_KEY.into()),
         value: serde_json::json!({ "level": level }),
         version: Version(20),
     };
-    r.apply(&change(Some(LEVEL), 2));
-    r.apply(&change(Some(LEVEL), 1));
+    r.apply(&change(Some(ACTIVE_VERSION_KEY), 2));
+    r.apply(&change(Some(ACTIVE_VERSION_KEY), 1));
     r.apply(&change(None, 0));
-    assert_eq!((r.level(), r.fence()), (Level(2), Some(Version(0))));
-    let odd = registry(vec![entry(&format!("{MEMBERS}c"), Value::Null, 9)]);
+    assert_eq!((r.level(), r.fence()), (FormatVersion(2), Some(Version(0))));
+    let odd = registry(vec![entry(&format!("{MEMBER_PREFIX}c"), Value::Null, 9)]);
     assert_eq!(odd.serves(), Ok(()));
     assert!(
         waits(odd, 15, told(2, 1))
@@ -139,7 +142,7 @@
     let (node_id, policy) = r.other_policy().unwrap();
     assert_eq!((node_id.as_str(), policy["doubt"]), ("c", 0.0));
     assert_eq!(
-        r.inspect(at(1.0), &["c".into()], Level(9))["one_policy"],
+        r.inspect(at(1.0), &["c".into()], FormatVersion(9))["one_policy"],
         false
     );
 }
@@ -147,20 +150,24 @@
 // It woke up after the rise with an older build's eyes.
 #[test]
 fn beyond_its_build_a_node_does_nothing_and_says_why() {
-    let r = registry(vec![entry(LEVEL, serde_json::json!({"level": 7}), 9)]);
+    let r = registry(vec![entry(
+        ACTIVE_VERSION_KEY,
+        serde_json::json!({"level": 7}),
+        9,
+    )]);
     let why = r.serves().unwrap_err().to_string();
     assert_eq!(
         why,
         "level 7 is in force and this build serves 0 to 2: start a newer one"
     );
     assert!(r.registration().is_none(), "it writes nothing either");
-    let shown = r.inspect(at(1.0), &["b".into()], Level(9));
+    let shown = r.inspect(at(1.0), &["b".into()], FormatVersion(9));
     assert_eq!(shown["serves"], format!("no: {why}"));
 }
 
 #[test]
 fn a_store_is_new_only_if_nothing_but_nodes_words_was_ever_written() {
-    let mut r = Registry::new("a".into(), Some(TWO), BTreeMap::new(), 1);
+    let mut r = MemberVersions::new("a".into(), Some(TWO), BTreeMap::new(), 1);
     let all = [member("b", 2, 1), member("c", 2, 2)];
     r.load(&all);
     assert!(r.is_virgin(Version(2), 2));
@@ -170,7 +177,7 @@
     );
     r.load(&[
         member("b", 2, 1),
-        entry(LEVEL, serde_json::json!({"level": 1}), 2),
+        entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": 1}), 2),
     ]);
     assert!(!r.is_virgin(Version(2), 2));
 }
--- a/crates/controller/src/core/format_version/mod.rs
+++ b/crates/controller/src/core/format_version/mod.rs
@@ -17,23 +17,23 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Level(pub u32);
+pub struct FormatVersion(pub u32);
 
-impl std::fmt::Display for Level {
+impl std::fmt::Display for FormatVersion {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}", self.0)
     }
 }
 
-impl Level {
+impl FormatVersion {
     /// The one above.
-    pub fn next(self) -> Level {
-        Level(self.0 + 1)
+    pub fn next(self) -> FormatVersion {
+        FormatVersion(self.0 + 1)
     }
 
     /// Its name, if this build knows it.
     pub fn name(self) -> &'static str {
-        let mut known = TABLE.iter().filter(|s| s.level == self);
+        let mut known = KNOWN_VERSIONS.iter().filter(|s| s.level == self);
         known.next().map_or("not known to this build", |s| s.name)
     }
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
     /// The level.
-    pub level: Level,
+    pub level: FormatVersion,
     /// Its name.
     pub name: &'static str,
     /// What is stored or told differently since.
@@ -52,16 +52,16 @@
 }
 
 /// Before there were levels.
-pub const BEFORE: Level = Level(0);
+pub const UNVERSIONED: FormatVersion = FormatVersion(0);
 /// Builds that know no levels are fenced.
-pub const FENCED: Level = Level(1);
+pub const FENCED: FormatVersion = FormatVersion(1);
 /// What a leader remembers is stored, and progress in a smaller form.
-pub const REMEMBERED: Level = Level(2);
+pub const WITH_HISTORY: FormatVersion = FormatVersion(2);
 
 /// All levels that this build knows, in order.
-pub const TABLE: [Step; 3] = [
+pub const KNOWN_VERSIONS: [Step; 3] = [
     Step {
-        level: BEFORE,
+        level: UNVERSIONED,
         name: "before",
         since: "as builds stored it that know no levels; the leader's key is w/leader",
         older: "-",
@@ -73,7 +73,7 @@
         older: "every build with levels",
     },
     Step {
-        level: REMEMBERED,
+        level: WITH_HISTORY,
         name: "remembered",
         since: "r/ keeps places by machine; d/f keeps what came for each class and team of late",
         older: "r/ in the old form: every build with levels; rewritten by the leader",
@@ -82,22 +82,22 @@
 
 /// The levels that a build serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Range {
+pub struct SupportedVersions {
     /// The oldest whose forms it reads.
-    pub low: Level,
+    pub low: FormatVersion,
     /// The newest that it can write.
-    pub high: Level,
+    pub high: FormatVersion,
 }
 
-impl Range {
+impl SupportedVersions {
     /// That of this build.
-    pub const OURS: Range = Range {
-        low: TABLE[0].level,
-        high: TABLE[TABLE.len() - 1].level,
+    pub const SUPPORTED: SupportedVersions = SupportedVersions {
+        low: KNOWN_VERSIONS[0].level,
+        high: KNOWN_VERSIONS[KNOWN_VERSIONS.len() - 1].level,
     };
 
     /// Whether a level is in it.
-    pub fn has(self, level: Level) -> bool {
+    pub fn has(self, level: FormatVersion) -> bool {
         (self.low..=self.high).contains(&level)
     }
 }
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -4,25 +4,27 @@
 // was first stored. A change of one is a new level, or stored work is lost.
 #[test]
 fn every_record_is_read_as_it_was_first_stored() {
-    use crate::core::job_records::{self, Assembly, Head, HeadStage, LeaderValue};
-    use crate::core::quota::arrival_history::Memory;
-    use crate::core::{autoscaler::intents::Intents, quarantine::Asides};
+    use crate::core::job_records::{
+        self, HeaderStage, JobHeader, LeaderRecord, SubmissionAssembler,
+    };
+    use crate::core::quota::arrival_history::ArrivalHistory;
+    use crate::core::{autoscaler::intents::Intents, quarantine::Quarantine};
     use crate::types::{FencingToken, TimeSpan, Version, WallTime};
     use serde_json::json;
 
     let head = json!({"s": "p", "n": 3});
-    assert_eq!(job_records::head_value(HeadStage::Open, 3), head);
-    for (s, stage) in [("d", HeadStage::Done), ("c", HeadStage::Cancelled)] {
-        let read = job_records::read::<Head>(&json!({"s": s, "n": 3}));
+    assert_eq!(job_records::job_header_value(HeaderStage::Open, 3), head);
+    for (s, stage) in [("d", HeaderStage::Done), ("c", HeaderStage::Cancelled)] {
+        let read = job_records::read::<JobHeader>(&json!({"s": s, "n": 3}));
         assert_eq!(read.map(|h| h.s), Some(stage));
     }
     let leader = json!({"label": "node-1", "nonce": 7});
-    let read = job_records::read::<LeaderValue>(&leader).unwrap();
-    assert_eq!(job_records::leader_value(&read), leader);
-    assert!(job_records::read::<LeaderValue>(&member_versions::stone()).is_none());
+    let read = job_records::read::<LeaderRecord>(&leader).unwrap();
+    assert_eq!(job_records::leader_record(&read), leader);
+    assert!(job_records::read::<LeaderRecord>(&member_versions::stone()).is_none());
     let text = r#"{"ref":"wk-1","lane":"train","crew":"red","shape":"ensemble","urgency":"urgent","pieces":2,"vcpus":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img","size_gb":6.2,"kinds_of_box":["g8"],"yard":null,"same_place":true,"scatter":false,"borrowed":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0}"#;
     let (one, two) = text.split_at(40);
-    let mut parts = Assembly::default();
+    let mut parts = SubmissionAssembler::default();
     parts.part("wk-1".into(), 1, &json!(two));
     let stored = json!({"at": 5, "n": 2, "s": one});
     let job = parts.job(&"wk-1".into(), Version(9), &stored).unwrap();
@@ -31,16 +33,16 @@
         (WallTime(5), 2, true)
     );
     let mut intents = Intents::new(FencingToken(9), TimeSpan::secs(4.0), 8192);
-    let hire = json!({"t": 5, "r": {"hire": "3-1", "box_kind": "g8", "yard": "a", "borrowed": true, "count": 2}});
+    let provision = json!({"t": 5, "r": {"hire": "3-1", "box_kind": "g8", "yard": "a", "borrowed": true, "count": 2}});
     let release = json!({"t": 5, "w": {"idle": ["host-1", "host-2"]}});
-    intents.load("d/h/3-1", &hire, WallTime(6));
+    intents.load("d/h/3-1", &provision, WallTime(6));
     assert_eq!(intents.load("d/x/3-2", &release, WallTime(6)).len(), 2);
     assert_eq!(intents.open(), [1, 1, 2]);
-    let mark = Asides::default().load("d/m/host-1", &json!({"n": 2, "t": 5, "d": true}));
+    let mark = Quarantine::default().load("d/m/host-1", &json!({"n": 2, "t": 5, "d": true}));
     assert_eq!(mark, Some(("host-1".into(), true)));
     let came = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
     assert_eq!(
-        Memory::new(TimeSpan::secs(600.0))
+        ArrivalHistory::new(TimeSpan::secs(600.0))
             .missing(&came)
             .map(|m| m.len()),
         Some(1)
@@ -50,9 +52,9 @@
 // A level left out, or two with one number, would be skipped by a rise.
 #[test]
 fn the_table_has_every_level_once() {
-    for (i, step) in TABLE.iter().enumerate() {
-        assert_eq!(step.level, Level(i as u32));
+    for (i, step) in KNOWN_VERSIONS.iter().enumerate() {
+        assert_eq!(step.level, FormatVersion(i as u32));
         assert!(!step.since.is_empty() && !step.older.is_empty());
     }
-    assert_eq!(Level(99).name(), "not known to this build");
+    assert_eq!(FormatVersion(99).name(), "not known to this build");
 }
--- a/crates/controller/src/core/garbage_collection.rs
+++ b/crates/controller/src/core/garbage_collection.rs
@@ -3,7 +3,7 @@
 //! written. Each goes only if it is as it was seen and its job's submission is
 //! not there, so that nothing a live job needs is ever removed.
 
-use crate::core::failpoints::{self, Decision};
+use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::keys;
 use crate::types::{JobId, Version};
 use crate::wire::kvstore::{Operation, Precondition};
@@ -14,7 +14,7 @@
 
 /// A key without its job.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Orphan {
+pub struct OrphanedKey {
     key: String,
     version: Version,
     job: JobId,
@@ -22,8 +22,8 @@
 
 /// Orphans found and not yet deleted.
 #[derive(Clone, Debug, Default)]
-pub struct Sweep {
-    found: VecDeque<Orphan>,
+pub struct GarbageCollector {
+    found: VecDeque<OrphanedKey>,
     /// Keys deleted so far.
     pub deleted: u64,
 }
@@ -34,20 +34,20 @@
         return Some(job);
     }
     match keys::watched(key) {
-        keys::Watched::Part(job, _) | keys::Watched::End(job) => Some(job),
+        keys::Watched::Part(job, _) | keys::Watched::JobOutcome(job) => Some(job),
         _ => None,
     }
 }
 
-impl Sweep {
+impl GarbageCollector {
     /// Looks at a key that was read; `there`: whether its job's submission
     /// was read too, whether or not it could be understood.
     pub fn look(&mut self, key: &str, version: Version, there: impl Fn(&JobId) -> bool) {
         if let Some(job) = owner(key)
-            && (!there(&job) || !failpoints::holds(Decision::OrphansOnly))
+            && (!there(&job) || !failpoints::enforced(SafetyCheck::OrphansOnly))
         {
             let key = key.into();
-            self.found.push_back(Orphan { key, version, job });
+            self.found.push_back(OrphanedKey { key, version, job });
         }
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// The next ones to delete, with what has to hold.
-    pub fn next(&mut self, room: usize) -> Vec<(Orphan, Vec<Precondition>, Operation)> {
+    pub fn next(&mut self, room: usize) -> Vec<(OrphanedKey, Vec<Precondition>, Operation)> {
         let n = room.min(MOST).min(self.found.len());
         let next = self.found.drain(..n);
         next.map(|o| {
@@ -66,11 +66,11 @@
                 version: o.version,
             };
             let gone = Precondition {
-                key: keys::job_key(&o.job),
+                key: keys::submission_key(&o.job),
                 version: Version(0),
             };
             let key = o.key.clone();
-            let conditions = if failpoints::holds(Decision::OrphansOnly) {
+            let conditions = if failpoints::enforced(SafetyCheck::OrphansOnly) {
                 vec![seen, gone]
             } else {
                 Vec::new()
@@ -81,7 +81,7 @@
     }
 
     /// One could not be written; it is tried again.
-    pub fn again(&mut self, orphan: Orphan) {
+    pub fn again(&mut self, orphan: OrphanedKey) {
         self.found.push_back(orphan);
     }
 }
--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -2,11 +2,11 @@
 //! conditional writes on the job's own key, and every answer that is not
 //! final rests on a fresh read.
 
-use super::effects::{Io, Waits};
-use super::failpoints::{self, Decision};
+use super::effects::{Effects, PendingCalls};
+use super::failpoints::{self, SafetyCheck};
 use super::format_version::member_versions;
-use super::job_records::{self, Head, HeadStage, TransactionLimits};
-use super::read_coalescing::{Comparison, Polls};
+use super::job_records::{self, HeaderStage, JobHeader, TransactionLimits};
+use super::read_coalescing::{ReadCoalescer, VersionComparison};
 use super::{Answer, Reply, RequestId, Target};
 use crate::settings::Settings;
 use crate::types::{JobId, Resources, TimeSpan, Version};
@@ -22,7 +22,7 @@
     /// The head of a job, to answer a poll.
     Poll(JobId),
     /// The head of a job that is submitted but cannot be accepted.
-    Known(JobId, Unable),
+    Known(JobId, Rejection),
     /// The commit that accepts a job, of so many tasks.
     Accept(JobId, u32),
     /// The head of a job whose acceptance was lost or raced.
@@ -35,7 +35,7 @@
 
 /// Why a submission cannot be accepted.
 #[derive(Clone, Debug)]
-pub enum Unable {
+pub enum Rejection {
     /// It is malformed.
     Malformed(String),
     /// It can never run.
@@ -46,7 +46,7 @@
 
 /// What can be read of a submission that is none.
 #[derive(serde::Deserialize)]
-struct JustId {
+struct SubmissionId {
     #[serde(rename = "ref")]
     id: JobId,
 }
@@ -71,21 +71,21 @@
 
 /// The users' side of a node.
 #[derive(Debug, Default)]
-pub struct Intake {
-    finals: BTreeMap<JobId, Head>,
+pub struct JobApi {
+    finals: BTreeMap<JobId, JobHeader>,
     order: VecDeque<JobId>,
     /// Task counts as the leader last told, for display.
     pub counts: BTreeMap<JobId, (u32, u32)>,
-    polls: Polls,
+    polls: ReadCoalescer,
     /// Jobs whose users were told that they are cancelled, and not the peers yet.
     pub confirmed: Vec<JobId>,
     /// Calls under way.
-    pub waits: Waits<Awaits>,
+    pub pending_calls: PendingCalls<PendingCall>,
 }
 
 /// What the intake waits for.
 #[derive(Clone, Debug)]
-pub enum Awaits {
+pub enum PendingCall {
     /// A step of a user's request.
     User {
         /// The request.
@@ -94,19 +94,19 @@
         step: Step,
     },
     /// A shared read for polls.
-    Compare(Comparison),
+    Compare(VersionComparison),
 }
 
-impl Intake {
-    fn remember(&mut self, id: &JobId, head: Head, version: Version) {
-        if head.s == HeadStage::Open {
+impl JobApi {
+    fn remember(&mut self, id: &JobId, head: JobHeader, version: Version) {
+        if head.s == HeaderStage::Open {
             return self.polls.remember(id, head, version);
         }
         self.polls.forget(id);
         if self.finals.insert(id.clone(), head).is_some() {
             return;
         }
-        if head.s == HeadStage::Cancelled {
+        if head.s == HeaderStage::Cancelled {
             self.confirmed.push(id.clone());
         }
         self.counts.remove(id);
@@ -119,11 +119,11 @@
     }
 
     /// Answers from memory if the job's state is final.
-    fn answer_final(&self, io: &mut Io, request: RequestId, id: &JobId) -> bool {
+    fn answer_final(&self, effects: &mut Effects, request: RequestId, id: &JobId) -> bool {
         let Some(head) = self.finals.get(id) else {
             return false;
         };
-        job_answer(io, request, 200, &self.answer(id, *head));
+        job_answer(effects, request, 200, &self.answer(id, *head));
         true
     }
 
@@ -138,13 +138,13 @@
         }
     }
 
-    fn answer(&self, id: &JobId, head: Head) -> JobStatus {
+    fn answer(&self, id: &JobId, head: JobHeader) -> JobStatus {
         let (done, running) = self.counts.get(id).copied().unwrap_or((0, 0));
         let (stage, done, running) = match head.s {
-            HeadStage::Done => (JobStage::Done, head.n, 0),
-            HeadStage::Cancelled => (JobStage::Cancelled, done, 0),
-            HeadStage::Open if running > 0 => (JobStage::Running, done, running),
-            HeadStage::Open => (JobStage::Queued, done, 0),
+            HeaderStage::Done => (JobStage::Done, head.n, 0),
+            HeaderStage::Cancelled => (JobStage::Cancelled, done, 0),
+            HeaderStage::Open if running > 0 => (JobStage::Running, done, running),
+            HeaderStage::Open => (JobStage::Queued, done, 0),
         };
         JobStatus {
             id: id.clone(),
@@ -155,8 +155,8 @@
     }
 }
 
-fn job_answer(io: &mut Io, request: RequestId, status: u16, answer: &JobStatus) {
-    io.answer(
+fn job_answer(effects: &mut Effects, request: RequestId, status: u16, answer: &JobStatus) {
+    effects.answer(
         request,
         Answer {
             status,
@@ -166,10 +166,10 @@
     );
 }
 
-fn refuse(io: &mut Io, request: RequestId, status: u16, error: &str) {
+fn refuse(effects: &mut Effects, request: RequestId, status: u16, error: &str) {
     tracing::debug!(status, error, "refused a user's request");
     let error = error.to_string();
-    io.answer(
+    effects.answer(
         request,
         Answer {
             status,
@@ -200,54 +200,65 @@
     (!team.allows(&at_once)).then_some("the job needs more than its team's limit")
 }
 
-impl Intake {
-    fn read(&mut self, io: &mut Io, request: RequestId, id: &JobId, step: Step) {
+impl JobApi {
+    fn read(&mut self, effects: &mut Effects, request: RequestId, id: &JobId, step: Step) {
         // Polls leave a part of the rate to submissions and cancellations.
         let spare = match step {
-            Step::Poll(_) => io.user_calls.burst() * POLLS_LEAVE,
+            Step::Poll(_) => effects.user_calls.burst() * POLLS_LEAVE,
             _ => 0.0,
         };
-        let now = io.now.time;
-        if io.user_calls.level(now) < spare || !io.user_calls.take(now, 1.0) {
-            return refuse(io, request, 503, "too many requests");
+        let now = effects.now.time;
+        if effects.user_calls.level(now) < spare || !effects.user_calls.take(now, 1.0) {
+            return refuse(effects, request, 503, "too many requests");
         }
-        let id = io.call(
+        let id = effects.call(
             Target::State,
             "GET",
-            format!("/keys/{}", job_records::head_key(id)),
+            format!("/keys/{}", job_records::job_header_key(id)),
             Vec::new(),
             READ_TIMEOUT,
         );
-        self.waits.add(id, Awaits::User { request, step });
+        self.pending_calls
+            .add(id, PendingCall::User { request, step });
     }
 
     /// Every change a user causes compares the level in force: one that this node
     /// decided before a rise, or that the network held back over it, fails.
-    fn commit(&mut self, io: &mut Io, request: RequestId, mut txn: Transaction, step: Step) {
-        txn.conditions.extend(io.level.map(member_versions::fence));
-        let now = io.now.time;
-        if !io.user_calls.take(now, 1.0) || !io.user_writes.take(now, txn.ops.len() as f64) {
-            return refuse(io, request, 503, "too many requests");
+    fn commit(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        mut txn: Transaction,
+        step: Step,
+    ) {
+        txn.conditions
+            .extend(effects.level.map(member_versions::fence));
+        let now = effects.now.time;
+        if !effects.user_calls.take(now, 1.0)
+            || !effects.user_writes.take(now, txn.ops.len() as f64)
+        {
+            return refuse(effects, request, 503, "too many requests");
         }
-        let id = io.call(
+        let id = effects.call(
             Target::State,
             "POST",
             "/commit".into(),
             wire::encode(&txn),
             COMMIT_TIMEOUT,
         );
-        self.waits.add(id, Awaits::User { request, step });
+        self.pending_calls
+            .add(id, PendingCall::User { request, step });
     }
 
     /// This node cannot serve now; another may.
-    pub fn refuse(&self, io: &mut Io, request: RequestId, why: &str) {
-        refuse(io, request, 503, why);
+    pub fn refuse(&self, effects: &mut Effects, request: RequestId, why: &str) {
+        refuse(effects, request, 503, why);
     }
 
     /// `POST /submissions`
     pub fn submit(
         &mut self,
-        io: &mut Io,
+        effects: &mut Effects,
         request: RequestId,
         body: &[u8],
         settings: &Settings,
@@ -255,38 +266,49 @@
     ) {
         let Some(job) = wire::decode::<Submission>(body) else {
             let why = "not a submission: a field is missing or of the wrong kind";
-            let Some(known) = wire::decode::<JustId>(body).filter(|j| valid_id(j.id.as_str()))
+            let Some(known) =
+                wire::decode::<SubmissionId>(body).filter(|j| valid_id(j.id.as_str()))
             else {
-                return refuse(io, request, 400, why);
+                return refuse(effects, request, 400, why);
             };
-            return self.look_up(io, request, &known.id, Unable::Malformed(why.into()));
+            return self.look_up(
+                effects,
+                request,
+                &known.id,
+                Rejection::Malformed(why.into()),
+            );
         };
         if let Some(field) = job.fault() {
             let why = format!("{field} is invalid");
             if !valid_id(job.id.as_str()) {
-                return refuse(io, request, 400, &why);
+                return refuse(effects, request, 400, &why);
             }
-            return self.look_up(io, request, &job.id, Unable::Malformed(why));
+            return self.look_up(effects, request, &job.id, Rejection::Malformed(why));
         }
-        if self.answer_final(io, request, &job.id) {
+        if self.answer_final(effects, request, &job.id) {
             return;
         }
         let unable = match types {
-            None => Some(Unable::NotNow),
-            Some(t) => never(&job, settings, t).map(Unable::Never),
+            None => Some(Rejection::NotNow),
+            Some(t) => never(&job, settings, t).map(Rejection::Never),
         };
         if let Some(unable) = unable {
-            return self.look_up(io, request, &job.id, unable);
+            return self.look_up(effects, request, &job.id, unable);
         }
         let limits = TransactionLimits {
             ops: settings.state_limits.txn_ops,
             value_bytes: settings.state_limits.value_bytes,
         };
-        match job_records::accept_txn(&job, io.now.wall, limits) {
-            Some(txn) => self.commit(io, request, txn, Step::Accept(job.id.clone(), job.tasks)),
+        match job_records::accept_txn(&job, effects.now.wall, limits) {
+            Some(txn) => self.commit(
+                effects,
+                request,
+                txn,
+                Step::Accept(job.id.clone(), job.tasks),
+            ),
             None => {
                 let why = "the submission is too large";
-                self.look_up(io, request, &job.id, Unable::Malformed(why.into()));
+                self.look_up(effects, request, &job.id, Rejection::Malformed(why.into()));
             }
         }
     }
@@ -294,107 +316,142 @@
     /// A job that is known already stays accepted, whatever the machine types or teams
     /// are today and whatever is sent under its id: a submission is refused for good
     /// only once no such job is found.
-    fn look_up(&mut self, io: &mut Io, request: RequestId, id: &JobId, unable: Unable) {
-        if !self.answer_final(io, request, id) {
-            self.read(io, request, id, Step::Known(id.clone(), unable));
+    fn look_up(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        id: &JobId,
+        unable: Rejection,
+    ) {
+        if !self.answer_final(effects, request, id) {
+            self.read(effects, request, id, Step::Known(id.clone(), unable));
         }
     }
 
     /// `GET /submissions/{id}`
-    pub fn poll(&mut self, io: &mut Io, request: RequestId, id: &str) {
+    pub fn poll(&mut self, effects: &mut Effects, request: RequestId, id: &str) {
         if !valid_id(id) {
-            return refuse(io, request, 404, "no such job");
+            return refuse(effects, request, 404, "no such job");
         }
         let id = JobId::from(id);
-        if self.answer_final(io, request, &id) {
+        if self.answer_final(effects, request, &id) {
             return;
         }
-        if self.polls.is_open(&id) && !failpoints::holds(Decision::AnswersAreFresh) {
-            let s = HeadStage::Open;
-            return job_answer(io, request, 200, &self.answer(&id, Head { s, n: 0 }));
+        if self.polls.is_open(&id) && !failpoints::enforced(SafetyCheck::AnswersAreFresh) {
+            let s = HeaderStage::Open;
+            return job_answer(
+                effects,
+                request,
+                200,
+                &self.answer(&id, JobHeader { s, n: 0 }),
+            );
         }
-        if self.polls.take(io.now.time, request, &id) {
-            self.compare(io);
+        if self.polls.take(effects.now.time, request, &id) {
+            self.compare(effects);
         } else {
-            self.read(io, request, &id, Step::Poll(id.clone()));
+            self.read(effects, request, &id, Step::Poll(id.clone()));
         }
     }
 
     /// Makes the next shared read for polls, if one is due.
-    pub fn compare(&mut self, io: &mut Io) {
-        let now = io.now.time;
+    pub fn compare(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
         for late in self.polls.overdue(now) {
-            refuse(io, late.request, 503, "the state service does not answer");
+            refuse(
+                effects,
+                late.request,
+                503,
+                "the state service does not answer",
+            );
         }
-        let Some((txn, comparison)) = self.polls.next(now, io.most_conditions) else {
+        let Some((txn, comparison)) = self.polls.next(now, effects.most_conditions) else {
             return;
         };
-        if !io.user_calls.take(now, 1.0) {
-            return self.on_compare(io, comparison, &Reply::NotSent);
+        if !effects.user_calls.take(now, 1.0) {
+            return self.on_compare(effects, comparison, &Reply::NotSent);
         }
-        let id = io.call(
+        let id = effects.call(
             Target::State,
             "POST",
             "/commit".into(),
             wire::encode(&txn),
             COMPARE_TIMEOUT,
         );
-        self.waits.add(id, Awaits::Compare(comparison));
+        self.pending_calls.add(id, PendingCall::Compare(comparison));
     }
 
     /// A shared read for polls was answered, or not.
-    pub fn on_compare(&mut self, io: &mut Io, comparison: Comparison, reply: &Reply) {
-        let pause = TimeSpan::secs(1.0 / (io.user_calls.burst() * SHARED_READS).max(1.0));
-        let out = self.polls.answered(io.now.time, pause, comparison, reply);
+    pub fn on_compare(
+        &mut self,
+        effects: &mut Effects,
+        comparison: VersionComparison,
+        reply: &Reply,
+    ) {
+        let pause = TimeSpan::secs(1.0 / (effects.user_calls.burst() * SHARED_READS).max(1.0));
+        let out = self
+            .polls
+            .answered(effects.now.time, pause, comparison, reply);
         for (request, id, head) in out.open {
             // It may have ended, by this node's own hand, while the answer was on its way.
-            if !self.answer_final(io, request, &id) {
+            if !self.answer_final(effects, request, &id) {
                 let answer = self.answer(&id, head);
-                job_answer(io, request, 200, &answer);
+                job_answer(effects, request, 200, &answer);
             }
         }
         for a in out.changed {
-            self.read(io, a.request, &a.id, Step::Poll(a.id.clone()));
+            self.read(effects, a.request, &a.id, Step::Poll(a.id.clone()));
         }
         for a in out.failed {
-            refuse(io, a.request, 503, "the state service does not answer");
+            refuse(effects, a.request, 503, "the state service does not answer");
         }
-        self.compare(io);
+        self.compare(effects);
     }
 
     /// `POST /submissions/{id}/cancel`
-    pub fn cancel(&mut self, io: &mut Io, request: RequestId, id: &str) {
+    pub fn cancel(&mut self, effects: &mut Effects, request: RequestId, id: &str) {
         if !valid_id(id) {
-            return refuse(io, request, 404, "no such job");
+            return refuse(effects, request, 404, "no such job");
         }
         let id = JobId::from(id);
-        if self.answer_final(io, request, &id) {
+        if self.answer_final(effects, request, &id) {
             return;
         }
-        self.read(io, request, &id, Step::CancelRead(id.clone(), CANCEL_TRIES));
+        self.read(
+            effects,
+            request,
+            &id,
+            Step::CancelRead(id.clone(), CANCEL_TRIES),
+        );
     }
 
     /// The state service answered a step, or not.
-    pub fn on_reply(&mut self, io: &mut Io, what: Awaits, reply: Reply) {
+    pub fn on_reply(&mut self, effects: &mut Effects, what: PendingCall, reply: Reply) {
         match what {
-            Awaits::User { request, step } => self.on_step(io, request, step, reply),
-            Awaits::Compare(comparison) => self.on_compare(io, comparison, &reply),
+            PendingCall::User { request, step } => self.on_step(effects, request, step, reply),
+            PendingCall::Compare(comparison) => self.on_compare(effects, comparison, &reply),
         }
     }
 
-    fn on_step(&mut self, io: &mut Io, request: RequestId, step: Step, reply: Reply) {
+    fn on_step(&mut self, effects: &mut Effects, request: RequestId, step: Step, reply: Reply) {
         match step {
-            Step::Accept(id, tasks) => self.on_accept(io, request, id, tasks, reply),
-            Step::Cancel(id, tries) => self.on_cancel(io, request, id, tries, reply),
+            Step::Accept(id, tasks) => self.on_accept(effects, request, id, tasks, reply),
+            Step::Cancel(id, tries) => self.on_cancel(effects, request, id, tries, reply),
             Step::Poll(_) | Step::Known(..) | Step::Accepted(_) | Step::CancelRead(..) => {
-                self.on_head(io, request, step, reply);
+                self.on_head(effects, request, step, reply);
             }
         }
     }
 
-    fn on_accept(&mut self, io: &mut Io, request: RequestId, id: JobId, tasks: u32, reply: Reply) {
+    fn on_accept(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        id: JobId,
+        tasks: u32,
+        reply: Reply,
+    ) {
         let reply = match reply {
-            Reply::Lost if !failpoints::holds(Decision::LostIsUnknown) => {
+            Reply::Lost if !failpoints::enforced(SafetyCheck::LostIsUnknown) => {
                 Reply::Answer(200, wire::encode(&TransactionResponse::default()))
             }
             reply => reply,
@@ -403,12 +460,13 @@
             Reply::Answer(200, body) => {
                 // Its user may have been told elsewhere, and have called it off here,
                 // before this answer came.
-                if self.answer_final(io, request, &id) {
+                if self.answer_final(effects, request, &id) {
                     return;
                 }
                 if let Some(r) = wire::decode::<TransactionResponse>(&body) {
-                    let s = HeadStage::Open;
-                    self.polls.remember(&id, Head { s, n: tasks }, r.revision);
+                    let s = HeaderStage::Open;
+                    self.polls
+                        .remember(&id, JobHeader { s, n: tasks }, r.revision);
                 }
                 let answer = JobStatus {
                     id,
@@ -416,56 +474,68 @@
                     done: None,
                     running: None,
                 };
-                job_answer(io, request, 201, &answer);
+                job_answer(effects, request, 201, &answer);
             }
             // Its own first copy, or another node's, or a later end of it: only a read
             // tells.
-            Reply::Answer(409, _) if !failpoints::holds(Decision::ConflictIsRead) => {
-                let s = HeadStage::Open;
-                let answer = self.answer(&id, Head { s, n: tasks });
-                job_answer(io, request, 200, &answer);
+            Reply::Answer(409, _) if !failpoints::enforced(SafetyCheck::ConflictIsRead) => {
+                let s = HeaderStage::Open;
+                let answer = self.answer(&id, JobHeader { s, n: tasks });
+                job_answer(effects, request, 200, &answer);
             }
             Reply::Answer(409, _) | Reply::Lost => {
-                self.read(io, request, &id, Step::Accepted(id.clone()));
+                self.read(effects, request, &id, Step::Accepted(id.clone()));
             }
             Reply::Answer(..) | Reply::NotSent => {
-                refuse(io, request, 503, "the state service does not answer");
+                refuse(effects, request, 503, "the state service does not answer");
             }
         }
     }
 
-    fn on_cancel(&mut self, io: &mut Io, request: RequestId, id: JobId, tries: u32, reply: Reply) {
+    fn on_cancel(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        id: JobId,
+        tries: u32,
+        reply: Reply,
+    ) {
         match reply {
             Reply::Answer(200, _) => {
-                let head = Head {
-                    s: HeadStage::Cancelled,
+                let head = JobHeader {
+                    s: HeaderStage::Cancelled,
                     n: 0,
                 };
                 self.remember(&id, head, Version(0));
                 let answer = self.answer(&id, head);
-                job_answer(io, request, 200, &answer);
+                job_answer(effects, request, 200, &answer);
             }
             Reply::Answer(409, _) | Reply::Lost if tries > 0 => {
-                self.read(io, request, &id, Step::CancelRead(id.clone(), tries - 1));
+                self.read(
+                    effects,
+                    request,
+                    &id,
+                    Step::CancelRead(id.clone(), tries - 1),
+                );
             }
-            _ => refuse(io, request, 503, "the state service does not answer"),
+            _ => refuse(effects, request, 503, "the state service does not answer"),
         }
     }
 
-    fn on_head(&mut self, io: &mut Io, request: RequestId, step: Step, reply: Reply) {
+    fn on_head(&mut self, effects: &mut Effects, request: RequestId, step: Step, reply: Reply) {
         let found = match reply {
             Reply::Answer(404, _) => None,
             Reply::Answer(200, body) => {
                 let entry = wire::decode::<Entry>(&body);
                 let head = entry
                     .as_ref()
-                    .and_then(|e| Some((job_records::read::<Head>(&e.value)?, e.version)));
+                    .and_then(|e| Some((job_records::read::<JobHeader>(&e.value)?, e.version)));
                 let Some(head) = head else {
-                    return refuse(io, request, 503, "the job's record cannot be read");
+                    return refuse(effects, request, 503, "the job's record cannot be read");
                 };
                 Some(head)
             }
-            _ => return refuse(io, request, 503, "the state service does not answer"),
+            _ => return refuse(effects, request, 503, "the state service does not answer"),
         };
         let (Step::Poll(id) | Step::Known(id, _) | Step::Accepted(id) | Step::CancelRead(id, _)) =
             &step
@@ -476,37 +546,39 @@
         let ended = self.finals.get(id).map(|head| (*head, Version(0)));
         let found = ended.or(found);
         match (found, &step) {
-            (Some((head, version)), Step::CancelRead(id, tries)) if head.s == HeadStage::Open => {
-                self.write_cancel(io, request, id, head, version, *tries);
+            (Some((head, version)), Step::CancelRead(id, tries)) if head.s == HeaderStage::Open => {
+                self.write_cancel(effects, request, id, head, version, *tries);
             }
             (Some((head, version)), _) => {
                 self.remember(id, head, version);
                 let answer = self.answer(id, head);
-                job_answer(io, request, 200, &answer);
+                job_answer(effects, request, 200, &answer);
             }
             // Accepted here since the read was sent: what it says is older than that.
-            (None, _) if self.polls.is_open(id) => refuse(io, request, 503, "accepted just now"),
-            (None, Step::Known(_, Unable::Malformed(why))) => refuse(io, request, 400, why),
-            (None, Step::Known(_, Unable::Never(why))) => refuse(io, request, 422, why),
-            (None, Step::Known(_, Unable::NotNow)) => {
-                refuse(io, request, 503, "the machine types are not known yet");
+            (None, _) if self.polls.is_open(id) => {
+                refuse(effects, request, 503, "accepted just now")
+            }
+            (None, Step::Known(_, Rejection::Malformed(why))) => refuse(effects, request, 400, why),
+            (None, Step::Known(_, Rejection::Never(why))) => refuse(effects, request, 422, why),
+            (None, Step::Known(_, Rejection::NotNow)) => {
+                refuse(effects, request, 503, "the machine types are not known yet");
             }
-            (None, Step::Accepted(_)) => refuse(io, request, 503, "not accepted yet"),
-            (None, _) => refuse(io, request, 404, "no such job"),
+            (None, Step::Accepted(_)) => refuse(effects, request, 503, "not accepted yet"),
+            (None, _) => refuse(effects, request, 404, "no such job"),
         }
     }
 
     fn write_cancel(
         &mut self,
-        io: &mut Io,
+        effects: &mut Effects,
         request: RequestId,
         id: &JobId,
-        head: Head,
+        head: JobHeader,
         version: Version,
         tries: u32,
     ) {
         let txn = job_records::cancel_txn(id, head, version);
-        self.commit(io, request, txn, Step::Cancel(id.clone(), tries));
+        self.commit(effects, request, txn, Step::Cancel(id.clone(), tries));
     }
 }
 
--- a/crates/controller/src/core/job_api/tests.rs
+++ b/crates/controller/src/core/job_api/tests.rs
@@ -1,24 +1,24 @@
 use super::super::Output;
 use super::*;
-use crate::testing::io_at;
+use crate::testing::effects_at;
 
 // A poll's read that was answered only after a cancellation had been told
 // brought the older state.
 #[test]
 fn a_read_answered_late_does_not_bring_back_an_older_state() {
-    let (mut io, mut intake) = (io_at(1.0), Intake::default());
+    let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
     let ended = Reply::Answer(200, wire::encode(&TransactionResponse::default()));
     let cancel = Step::Cancel(id.clone(), 1);
-    intake.on_step(&mut io, RequestId(1), cancel, ended);
+    job_api.on_step(&mut effects, RequestId(1), cancel, ended);
     let head = Entry {
-        key: job_records::head_key(&id),
-        value: job_records::head_value(HeadStage::Open, 3),
+        key: job_records::job_header_key(&id),
+        value: job_records::job_header_value(HeaderStage::Open, 3),
         version: Version(4),
     };
     let late = Reply::Answer(200, wire::encode(&head));
-    intake.on_step(&mut io, RequestId(2), Step::Poll(id), late);
-    let told: Vec<JobStage> = io
+    job_api.on_step(&mut effects, RequestId(2), Step::Poll(id), late);
+    let told: Vec<JobStage> = effects
         .take_outputs()
         .into_iter()
         .filter_map(|o| match o {
@@ -29,8 +29,8 @@
     assert_eq!(told, [JobStage::Cancelled, JobStage::Cancelled]);
 }
 
-fn told(io: &mut Io) -> Vec<(u64, u16, Option<JobStage>)> {
-    let answers = io.take_outputs().into_iter().filter_map(|o| match o {
+fn told(effects: &mut Effects) -> Vec<(u64, u16, Option<JobStage>)> {
+    let answers = effects.take_outputs().into_iter().filter_map(|o| match o {
         Output::Answer(r, a) => Some((r.0, a)),
         _ => None,
     });
@@ -43,7 +43,7 @@
 fn cancelled() -> Reply {
     let head = Entry {
         key: "job/wk-1".into(),
-        value: job_records::head_value(HeadStage::Cancelled, 3),
+        value: job_records::job_header_value(HeaderStage::Cancelled, 3),
         version: Version(9),
     };
     Reply::Answer(200, wire::encode(&head))
@@ -57,33 +57,38 @@
 // meanwhile and called the job off, once heard "pending" here after "withdrawn".
 #[test]
 fn an_acceptance_answered_late_is_no_newer_than_the_end() {
-    let (mut io, mut intake) = (io_at(1.0), Intake::default());
+    let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
-    intake.on_step(&mut io, RequestId(1), Step::Poll(id.clone()), cancelled());
-    intake.on_step(
-        &mut io,
+    job_api.on_step(
+        &mut effects,
+        RequestId(1),
+        Step::Poll(id.clone()),
+        cancelled(),
+    );
+    job_api.on_step(
+        &mut effects,
         RequestId(2),
         Step::Accept(id.clone(), 3),
         accepted(),
     );
     assert_eq!(
-        told(&mut io),
+        told(&mut effects),
         [
             (1, 200, Some(JobStage::Cancelled)),
             (2, 200, Some(JobStage::Cancelled))
         ]
     );
     // Nor does it bring the job back among the open ones.
-    assert!(!intake.polls.is_open(&id));
+    assert!(!job_api.polls.is_open(&id));
 }
 
 // A read sent before a job was accepted may be answered after that was told.
 #[test]
 fn an_accepted_job_is_not_unknown_to_a_read_sent_before() {
-    let (mut io, mut intake) = (io_at(1.0), Intake::default());
+    let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
-    intake.on_step(
-        &mut io,
+    job_api.on_step(
+        &mut effects,
         RequestId(1),
         Step::Accept(id.clone(), 3),
         accepted(),
@@ -92,15 +97,15 @@
     for (n, step) in [
         Step::Poll(id.clone()),
         Step::CancelRead(id.clone(), 1),
-        Step::Known(id.clone(), Unable::Never("unknown team")),
-        Step::Known(id.clone(), Unable::Malformed("pieces is invalid".into())),
+        Step::Known(id.clone(), Rejection::Never("unknown team")),
+        Step::Known(id.clone(), Rejection::Malformed("pieces is invalid".into())),
     ]
     .into_iter()
     .enumerate()
     {
-        intake.on_step(&mut io, RequestId(2 + n as u64), step, none());
+        job_api.on_step(&mut effects, RequestId(2 + n as u64), step, none());
     }
-    let statuses: Vec<u16> = told(&mut io).iter().map(|(_, s, _)| *s).collect();
+    let statuses: Vec<u16> = told(&mut effects).iter().map(|(_, s, _)| *s).collect();
     assert_eq!(statuses, [201, 503, 503, 503, 503]);
 }
 
@@ -116,17 +121,17 @@
         "snapshot_s": 0.0});
     for body in [no, whole] {
         for (found, status) in [(cancelled(), 200), (Reply::Answer(404, Vec::new()), 400)] {
-            let (mut io, mut intake) = (io_at(1.0), Intake::default());
+            let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
             let body = wire::encode(&body);
-            intake.submit(&mut io, RequestId(1), &body, &settings, None);
-            let calls: Vec<_> = io.take_outputs();
+            job_api.submit(&mut effects, RequestId(1), &body, &settings, None);
+            let calls: Vec<_> = effects.take_outputs();
             let [Output::Call(call)] = calls.as_slice() else {
                 panic!("{calls:?}")
             };
             assert_eq!((call.method, call.path.as_str()), ("GET", "/keys/job/wk-1"));
-            let what = intake.waits.take(call.id).unwrap();
-            intake.on_reply(&mut io, what, found);
-            let answers = told(&mut io);
+            let what = job_api.pending_calls.take(call.id).unwrap();
+            job_api.on_reply(&mut effects, what, found);
+            let answers = told(&mut effects);
             assert_eq!((answers.len(), answers[0].1), (1, status));
         }
     }
@@ -137,8 +142,8 @@
         vec![0xc1],
         Vec::new(),
     ] {
-        let (mut io, mut intake) = (io_at(1.0), Intake::default());
-        intake.submit(&mut io, RequestId(1), &body, &settings, None);
-        assert_eq!(told(&mut io), [(1, 400, None)]);
+        let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
+        job_api.submit(&mut effects, RequestId(1), &body, &settings, None);
+        assert_eq!(told(&mut effects), [(1, 400, None)]);
     }
 }
--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -2,11 +2,11 @@
 //!
 //! Its keys: [`super::keys`].
 
-use super::assignment::{Placement, Stop};
-use super::failpoints::{self, Decision};
-use super::format_version::Level;
-use super::format_version::chunk_progress::{Progress, Unreadable};
-use super::garbage_collection::Orphan;
+use super::assignment::{Assignment, Stop};
+use super::failpoints::{self, SafetyCheck};
+use super::format_version::FormatVersion;
+use super::format_version::chunk_progress::{ChunkProgress, UnreadableRecord};
+use super::garbage_collection::OrphanedKey;
 pub use super::keys::*;
 use crate::types::{
     Attempt, FencingToken, JobId, MachineId, NodeId, Time, TimeSpan, Version, WallTime,
@@ -20,7 +20,7 @@
 
 /// Who leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaderValue {
+pub struct LeaderRecord {
     /// The node.
     #[serde(rename = "label")]
     pub node_id: NodeId,
@@ -30,7 +30,7 @@
 
 /// A job's lasting state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HeadStage {
+pub enum HeaderStage {
     /// Accepted and not over.
     #[serde(rename = "p")]
     Open,
@@ -44,15 +44,15 @@
 
 /// A job's head.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct JobHeader {
     /// Its state.
-    pub s: HeadStage,
+    pub s: HeaderStage,
     /// Number of its tasks.
     pub n: u32,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct JobValue {
+struct SubmissionRecord {
     at: WallTime,
     n: u32,
     s: String,
@@ -68,13 +68,13 @@
 }
 
 /// The leader's value, to be written.
-pub fn leader_value(v: &LeaderValue) -> Value {
+pub fn leader_record(v: &LeaderRecord) -> Value {
     value(v)
 }
 
 /// The head of a job, to be written.
-pub fn head_value(s: HeadStage, n: u32) -> Value {
-    value(&Head { s, n })
+pub fn job_header_value(s: HeaderStage, n: u32) -> Value {
+    value(&JobHeader { s, n })
 }
 
 /// Reads any value of ours.
@@ -123,16 +123,19 @@
         pieces.push(piece);
     }
     let mut ops = vec![Operation::Put {
-        key: head_key(&job.id),
-        value: head_value(HeadStage::Open, job.tasks),
+        key: job_header_key(&job.id),
+        value: job_header_value(HeaderStage::Open, job.tasks),
         lease: None,
     }];
     let count = pieces.len() as u32;
     for (i, s) in pieces.into_iter().enumerate() {
         let (key, v) = if i == 0 {
-            (job_key(&job.id), value(&JobValue { at, n: count, s }))
+            (
+                submission_key(&job.id),
+                value(&SubmissionRecord { at, n: count, s }),
+            )
         } else {
-            (part_key(&job.id, i as u32), Value::String(s))
+            (submission_part_key(&job.id, i as u32), Value::String(s))
         };
         ops.push(Operation::Put {
             key,
@@ -152,7 +155,7 @@
     }
     Some(Transaction {
         conditions: vec![Precondition {
-            key: head_key(&job.id),
+            key: job_header_key(&job.id),
             version: Version(0),
         }],
         ops,
@@ -169,26 +172,29 @@
 
 /// The transaction that cancels a job whose head was read open at this version: of it
 /// and the one that calls the job done, one comes through.
-pub fn cancel_txn(id: &JobId, head: Head, version: Version) -> Transaction {
-    let value = head_value(HeadStage::Cancelled, head.n);
-    let key = head_key(id);
+pub fn cancel_txn(id: &JobId, head: JobHeader, version: Version) -> Transaction {
+    let value = job_header_value(HeaderStage::Cancelled, head.n);
+    let key = job_header_key(id);
     Transaction {
         conditions: vec![Precondition { key, version }],
-        ops: vec![put(head_key(id), value.clone()), put(end_key(id), value)],
+        ops: vec![
+            put(job_header_key(id), value.clone()),
+            put(job_outcome_key(id), value),
+        ],
     }
 }
 
 /// A set of task numbers, kept as ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ranges {
+pub struct IndexRanges {
     spans: BTreeMap<u32, u32>,
     count: u32,
 }
 
-impl Ranges {
+impl IndexRanges {
     /// All numbers below `n`.
-    pub fn below(n: u32) -> Ranges {
-        let mut r = Ranges::default();
+    pub fn below(n: u32) -> IndexRanges {
+        let mut r = IndexRanges::default();
         if n > 0 {
             r.spans.insert(0, n);
             r.count = n;
@@ -271,7 +277,7 @@
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum JobOutcome {
     /// All tasks done; `written` once the head says so.
     Done {
         /// Whether the head says so.
@@ -323,17 +329,17 @@
     /// Further keys of its submission.
     pub parts: u32,
     /// How it ended, if it has.
-    pub end: Option<End>,
+    pub end: Option<JobOutcome>,
     /// Tasks that are done.
-    pub done: Ranges,
+    pub done: IndexRanges,
     /// Tasks that are neither done nor placed.
-    pub waiting: Ranges,
+    pub waiting: IndexRanges,
     /// Where tasks are or may be: at most one place each.
-    pub places: BTreeMap<u32, Placement>,
+    pub assignments: BTreeMap<u32, Assignment>,
     /// Stored chunks.
     pub chunks: BTreeMap<u32, Chunk>,
     /// Done tasks that are not stored yet, with their chunk's change.
-    pub unsaved: BTreeMap<u32, u64>,
+    pub done_not_stored: BTreeMap<u32, u64>,
     /// Highest attempt ever used.
     pub attempt: Attempt,
     /// Whether one of its records cannot be read: it is left as it is.
@@ -368,11 +374,11 @@
             version,
             parts,
             end: None,
-            done: Ranges::default(),
-            waiting: Ranges::below(tasks),
-            places: BTreeMap::new(),
+            done: IndexRanges::default(),
+            waiting: IndexRanges::below(tasks),
+            assignments: BTreeMap::new(),
             chunks: BTreeMap::new(),
-            unsaved: BTreeMap::new(),
+            done_not_stored: BTreeMap::new(),
             attempt: Attempt(0),
             unreadable: false,
             notes: Default::default(),
@@ -411,46 +417,46 @@
     /// a change of leader.
     pub fn done_is_stored(&self, task: u32) -> bool {
         self.done.contains(task)
-            && (self.end == Some(End::Done { written: true })
-                || self.end == Some(End::Cancelled)
-                || !self.unsaved.contains_key(&task))
+            && (self.end == Some(JobOutcome::Done { written: true })
+                || self.end == Some(JobOutcome::Cancelled)
+                || !self.done_not_stored.contains_key(&task))
     }
 
     /// The record of a chunk as it should be stored while this level is in force.
-    pub fn chunk_value(&self, size: ChunkSize, chunk: u32, level: Level) -> Value {
+    pub fn chunk_value(&self, size: ChunkSize, chunk: u32, level: FormatVersion) -> Value {
         let low = chunk * size.0;
         let high = low + size.0;
-        let mut stops = Ranges::default();
-        if failpoints::holds(Decision::StopsAreStored) {
-            let stopped = self.places.range(low..high);
+        let mut stops = IndexRanges::default();
+        if failpoints::enforced(SafetyCheck::StopsAreStored) {
+            let stopped = self.assignments.range(low..high);
             let stopped = stopped.filter(|(_, p)| p.stop.is_some());
             for (&i, _) in stopped {
                 stops.insert(i);
             }
         }
-        let place = |(&i, p): (&u32, &Placement)| (i, p.attempt, p.machine.clone(), p.epoch);
-        let progress = Progress {
+        let place = |(&i, p): (&u32, &Assignment)| (i, p.attempt, p.machine.clone(), p.epoch);
+        let progress = ChunkProgress {
             attempt: self.attempt,
             done: self.done.within(low, high),
-            places: self.places.range(low..high).map(place).collect(),
+            assignments: self.assignments.range(low..high).map(place).collect(),
             stops: stops.within(low, high),
         };
         progress.write(level)
     }
 
     /// Stores a chunk.
-    pub fn chunk_write(&self, size: ChunkSize, chunk: u32, level: Level) -> Write {
+    pub fn chunk_write(&self, size: ChunkSize, chunk: u32, level: FormatVersion) -> Write {
         let key = chunk_key(&self.spec.id, chunk);
         let version = self.chunks.get(&chunk).map_or(Version(0), |c| c.version);
         let mut conditions = Vec::new();
         // However late this one is carried out, no newer record is written over.
-        if failpoints::holds(Decision::RecordsCompareVersions) {
+        if failpoints::enforced(SafetyCheck::RecordsCompareVersions) {
             let key = key.clone();
             conditions.push(Precondition { key, version });
         }
         // Whatever this node has not heard of yet, and however late it is: no start is
         // stored once the job's end is.
-        if self.starts_in(size, chunk) && failpoints::holds(Decision::StartsNeedAnOpenJob) {
+        if self.starts_in(size, chunk) && failpoints::enforced(SafetyCheck::StartsNeedAnOpenJob) {
             conditions.push(self.is_still_open());
         }
         let value = self.chunk_value(size, chunk, level);
@@ -459,7 +465,7 @@
 
     fn is_still_open(&self) -> Precondition {
         Precondition {
-            key: head_key(&self.spec.id),
+            key: job_header_key(&self.spec.id),
             version: self.version,
         }
     }
@@ -467,7 +473,7 @@
     /// A job ends once: whatever this node has not heard of, done is not written over
     /// a cancellation.
     fn ends_once(&self) -> Vec<Precondition> {
-        match failpoints::holds(Decision::OneEndDecides) {
+        match failpoints::enforced(SafetyCheck::OneEndDecides) {
             true => vec![self.is_still_open()],
             false => Vec::new(),
         }
@@ -476,8 +482,11 @@
     /// Calls it done; what may run of it stays on record.
     pub fn finish_write(&self) -> Write {
         let id = &self.spec.id;
-        let head = head_value(HeadStage::Done, self.spec.tasks);
-        let ops = vec![put(head_key(id), head.clone()), put(end_key(id), head)];
+        let head = job_header_value(HeaderStage::Done, self.spec.tasks);
+        let ops = vec![
+            put(job_header_key(id), head.clone()),
+            put(job_outcome_key(id), head),
+        ];
         (self.ends_once(), ops)
     }
 
@@ -485,9 +494,12 @@
     /// head says all that is still asked for.
     pub fn close_write(&self) -> Write {
         let id = &self.spec.id;
-        let head = head_value(HeadStage::Done, self.spec.tasks);
-        let gone = self.keys().into_iter().filter(|k| *k != end_key(id));
-        let mut ops = vec![put(head_key(id), head)];
+        let head = job_header_value(HeaderStage::Done, self.spec.tasks);
+        let gone = self
+            .keys()
+            .into_iter()
+            .filter(|k| *k != job_outcome_key(id));
+        let mut ops = vec![put(job_header_key(id), head)];
         ops.extend(gone.map(|key| Operation::Delete { key }));
         (self.ends_once(), ops)
     }
@@ -500,7 +512,7 @@
         let last = n == keys.len();
         // A submission without its end looks open to a successor, which would start it
         // anew: they go together or not yet.
-        if n + 1 == keys.len() && failpoints::holds(Decision::EndOutlivesSubmission) {
+        if n + 1 == keys.len() && failpoints::enforced(SafetyCheck::EndOutlivesSubmission) {
             n -= 1;
         }
         let ops = keys.into_iter().take(n);
@@ -517,15 +529,16 @@
         chunk: u32,
         version: Version,
         stored: &Value,
-    ) -> Result<(), Unreadable> {
+    ) -> Result<(), UnreadableRecord> {
         let there = Chunk {
             version,
             ..Chunk::default()
         };
         self.chunks.insert(chunk, there);
-        let read = Progress::read(stored);
+        let read = ChunkProgress::read(stored);
         let read = read.and_then(|v| v.check(self.spec.tasks).map(|()| v));
-        self.unreadable |= read.is_err() && failpoints::holds(Decision::UnreadableIsLeftAlone);
+        self.unreadable |=
+            read.is_err() && failpoints::enforced(SafetyCheck::UnreadableIsLeftAlone);
         let v = read?;
         self.attempt = self.attempt.max(v.attempt);
         for (a, b) in v.done {
@@ -534,15 +547,15 @@
                 self.waiting.remove(i);
             }
         }
-        for (i, attempt, machine, epoch) in v.places {
+        for (i, attempt, machine, epoch) in v.assignments {
             self.waiting.remove(i);
             self.attempt = self.attempt.max(attempt);
-            self.places
-                .insert(i, Placement::inherited(machine, epoch, attempt));
+            self.assignments
+                .insert(i, Assignment::inherited(machine, epoch, attempt));
         }
         let grace_s = self.spec.save_s;
         for (a, b) in v.stops {
-            for (_, p) in self.places.range_mut(a..b) {
+            for (_, p) in self.assignments.range_mut(a..b) {
                 p.stop = Some(Stop {
                     grace_s,
                     at: Time(0),
@@ -558,7 +571,7 @@
     pub fn held(&self) -> usize {
         match self.unreadable {
             true => self.spec.tasks as usize,
-            false => self.places.len(),
+            false => self.assignments.len(),
         }
     }
 
@@ -566,7 +579,7 @@
     pub fn starts_in(&self, size: ChunkSize, chunk: u32) -> bool {
         let stored = self.chunks.get(&chunk).map_or(0, |c| c.stored);
         let low = chunk * size.0;
-        let mut here = self.places.range(low..low + size.0);
+        let mut here = self.assignments.range(low..low + size.0);
         here.any(|(_, p)| p.unsent() && p.change > stored)
     }
 
@@ -579,19 +592,19 @@
             .iter()
             .filter(|(_, c)| c.version != Version(0))
             .map(|(&c, _)| chunk_key(id, c))
-            .chain((1..self.parts).map(|p| part_key(id, p)))
-            .chain([end_key(id), job_key(id)])
+            .chain((1..self.parts).map(|p| submission_part_key(id, p)))
+            .chain([job_outcome_key(id), submission_key(id)])
             .collect()
     }
 }
 
 /// Puts submissions back together from their pieces.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct SubmissionAssembler {
     parts: BTreeMap<(JobId, u32), String>,
 }
 
-impl Assembly {
+impl SubmissionAssembler {
     /// Keeps a further piece until its submission is read.
     pub fn part(&mut self, id: JobId, part: u32, v: &Value) {
         if let Value::String(s) = v {
@@ -601,7 +614,7 @@
 
     /// The job of a submission, if all its pieces are there.
     pub fn job(&mut self, id: &JobId, version: Version, v: &Value) -> Option<Job> {
-        let v: JobValue = read(v)?;
+        let v: SubmissionRecord = read(v)?;
         let mut text = v.s;
         for i in 1..v.n {
             text.push_str(&self.parts.remove(&(id.clone(), i))?);
@@ -616,14 +629,14 @@
 /// often soon followed by the next, or by its job's, and then needs no write
 /// of its own.
 #[derive(Debug, Default)]
-pub struct Dirty {
+pub struct DirtyChunks {
     chunks: BTreeMap<(JobId, u32), (Time, bool)>,
 }
 
 /// How long a chunk without starts waits for further changes.
 const SETTLES: TimeSpan = TimeSpan::millis(1000);
 
-impl Dirty {
+impl DirtyChunks {
     /// Notes a change; `start`: of a task that is to be started.
     pub fn note(&mut self, chunk: (JobId, u32), now: Time, start: bool) {
         let (_, starts) = self.chunks.entry(chunk).or_insert((now, false));
@@ -656,7 +669,7 @@
 
 /// What a transaction in flight carries.
 #[derive(Clone, Debug)]
-pub enum Item {
+pub enum CommitItem {
     /// A chunk as it was at a change.
     Chunk(JobId, u32, u64),
     /// A job's head said to be done.
@@ -668,17 +681,17 @@
     /// A duty's record stored, or deleted.
     Note(String, Option<Value>),
     /// A key without its job deleted.
-    Sweep(Orphan),
+    GarbageCollector(OrphanedKey),
 }
 
 /// The leader's only lane of writes: one transaction at a time, so that their
 /// order is never in doubt.
 #[derive(Debug, Default)]
-pub struct Lane {
+pub struct CommitPipeline {
     /// The transaction in flight with what it carries.
-    pub flight: Option<(Transaction, Vec<Item>)>,
+    pub flight: Option<(Transaction, Vec<CommitItem>)>,
     /// Whether an answer to it was lost, so that it may be applied already.
-    pub doubtful: bool,
+    pub outcome_unknown: bool,
     /// Whether a call for it is out.
     pub calling: bool,
     /// Not before this time.
@@ -691,7 +704,7 @@
 #[derive(Debug)]
 pub struct TransactionBuilder {
     txn: Transaction,
-    items: Vec<Item>,
+    items: Vec<CommitItem>,
     bytes: usize,
     limits: TransactionLimits,
 }
@@ -725,7 +738,12 @@
     }
 
     /// Adds an item with its changes and conditions; false if it does not fit.
-    pub fn add(&mut self, item: Item, conditions: Vec<Precondition>, ops: Vec<Operation>) -> bool {
+    pub fn add(
+        &mut self,
+        item: CommitItem,
+        conditions: Vec<Precondition>,
+        ops: Vec<Operation>,
+    ) -> bool {
         let bytes: usize = ops
             .iter()
             .map(|op| match op {
@@ -745,7 +763,7 @@
     }
 
     /// The transaction, if it has anything to do.
-    pub fn finish(self) -> Option<(Transaction, Vec<Item>)> {
+    pub fn finish(self) -> Option<(Transaction, Vec<CommitItem>)> {
         (!self.txn.ops.is_empty()).then_some((self.txn, self.items))
     }
 }
--- a/crates/controller/src/core/job_records/tests.rs
+++ b/crates/controller/src/core/job_records/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::format_version::TABLE;
+use crate::core::format_version::KNOWN_VERSIONS;
 use crate::testing;
 use crate::types::AgentEpoch;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
     fn ranges_are_a_set(steps in proptest::collection::vec((any::<bool>(), 0u32..40), 0..120),
         low in 0u32..40, size in 0u32..20) {
         let mut plain = BTreeSet::new();
-        let mut ranges = Ranges::default();
+        let mut ranges = IndexRanges::default();
         for (add, i) in steps {
             if add {
                 prop_assert_eq!(ranges.insert(i), plain.insert(i));
@@ -37,7 +37,7 @@
     let mut spec = testing::submission("wk-1", JobShape::Array, 3);
     spec.kinds = Some((0..300).map(|i| format!("kind-\"{i}\"").into()).collect());
     let txn = accept_txn(&spec, WallTime(5), limits).unwrap();
-    let mut assembly = Assembly::default();
+    let mut assembly = SubmissionAssembler::default();
     let mut first = None;
     for op in &txn.ops {
         let Operation::Put { key, value, .. } = op else {
@@ -67,15 +67,15 @@
             job.done.insert(i);
         }
         for i in high..100_000 {
-            let place = Placement::inherited(
+            let place = Assignment::inherited(
                 "machine-with-a-rather-long-name-000231".into(),
                 AgentEpoch(1 << 40),
                 Attempt(1 << 40),
             );
-            job.places.insert(i, place);
+            job.assignments.insert(i, place);
         }
         let chunk = size.of(high);
-        for step in TABLE {
+        for step in KNOWN_VERSIONS {
             let len = json_len(&job.chunk_value(size, chunk, step.level));
             assert!(len <= bytes, "{len} of {bytes} at level {}", step.level);
         }
--- a/crates/controller/src/core/keys.rs
+++ b/crates/controller/src/core/keys.rs
@@ -19,37 +19,37 @@
 /// What the leader watches.
 pub const WATCHED: &str = "w/";
 /// What a leader means to do, and what it remembers for a successor.
-pub const DUTIES: &str = "d/";
+pub const LEADER_RECORDS: &str = "d/";
 /// Progress records.
-pub const RECORDS: &str = "r/";
+pub const PROGRESS_RECORDS: &str = "r/";
 /// The machine types.
-pub const TYPES: &str = "types";
+pub const MACHINE_TYPES: &str = "types";
 /// Submissions.
-pub const JOBS: &str = "w/j/";
+pub const SUBMISSIONS: &str = "w/j/";
 /// Further pieces of long submissions.
-pub const PARTS: &str = "w/p/";
+pub const SUBMISSION_PARTS: &str = "w/p/";
 /// Ends of jobs that still have records.
-pub const ENDS: &str = "w/x/";
+pub const JOB_OUTCOMES: &str = "w/x/";
 
 /// The key of a job's head.
-pub fn head_key(id: &JobId) -> String {
+pub fn job_header_key(id: &JobId) -> String {
     format!("job/{id}")
 }
 /// The key of a job's submission.
-pub fn job_key(id: &JobId) -> String {
-    format!("{JOBS}{id}")
+pub fn submission_key(id: &JobId) -> String {
+    format!("{SUBMISSIONS}{id}")
 }
 /// The key of a job's end.
-pub fn end_key(id: &JobId) -> String {
-    format!("{ENDS}{id}")
+pub fn job_outcome_key(id: &JobId) -> String {
+    format!("{JOB_OUTCOMES}{id}")
 }
 /// The key of a further piece of a submission.
-pub fn part_key(id: &JobId, part: u32) -> String {
-    format!("{PARTS}{id}/{part}")
+pub fn submission_part_key(id: &JobId, part: u32) -> String {
+    format!("{SUBMISSION_PARTS}{id}/{part}")
 }
 /// The key of a chunk of tasks.
 pub fn chunk_key(id: &JobId, chunk: u32) -> String {
-    format!("{RECORDS}{id}/{chunk}")
+    format!("{PROGRESS_RECORDS}{id}/{chunk}")
 }
 
 /// What a watched key is about.
@@ -62,7 +62,7 @@
     /// A further piece of one.
     Part(JobId, u32),
     /// A job's end.
-    End(JobId),
+    JobOutcome(JobId),
     /// Something else.
     Other,
 }
@@ -71,11 +71,14 @@
 pub fn watched(key: &str) -> Watched {
     if key.starts_with(member_versions::PREFIX) {
         Watched::Office
-    } else if let Some(id) = key.strip_prefix(JOBS) {
+    } else if let Some(id) = key.strip_prefix(SUBMISSIONS) {
         Watched::Job(id.into())
-    } else if let Some(id) = key.strip_prefix(ENDS) {
-        Watched::End(id.into())
-    } else if let Some((id, part)) = key.strip_prefix(PARTS).and_then(|k| k.rsplit_once('/')) {
+    } else if let Some(id) = key.strip_prefix(JOB_OUTCOMES) {
+        Watched::JobOutcome(id.into())
+    } else if let Some((id, part)) = key
+        .strip_prefix(SUBMISSION_PARTS)
+        .and_then(|k| k.rsplit_once('/'))
+    {
         part.parse()
             .map_or(Watched::Other, |p| Watched::Part(id.into(), p))
     } else {
@@ -85,6 +88,6 @@
 
 /// Tells which job and chunk a key below `r/` is about.
 pub fn record(key: &str) -> Option<(JobId, u32)> {
-    let (id, chunk) = key.strip_prefix(RECORDS)?.rsplit_once('/')?;
+    let (id, chunk) = key.strip_prefix(PROGRESS_RECORDS)?.rsplit_once('/')?;
     Some((id.into(), chunk.parse().ok()?))
 }
