--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -9,19 +9,22 @@
 mod status_broadcast;
 mod task_completion;
 
-use super::autoscaler::state::{CloudCall, Rental};
-use super::effects::{Io, Waits};
-use super::failpoints::{self, Decision};
-use super::format_version::chunk_progress::Progress;
-use super::format_version::{Level, REMEMBERED};
-use super::garbage_collection::Sweep;
-use super::job_records::{self, Assembly, ChunkSize, Dirty, End, HeadStage, Job, Lane, Watched};
-use super::leader_announcement::Heralds;
-use super::leader_authority::{Bounds, Contact};
-use super::machine::{Held, Leaving, Machine};
-use super::placement_tables::Estimates;
-use super::quarantine::Asides;
-use super::quota::arrival_history::{self, Memory};
+use super::autoscaler::state::{Autoscaler, CloudCall};
+use super::effects::{Effects, PendingCalls};
+use super::failpoints::{self, SafetyCheck};
+use super::format_version::chunk_progress::ChunkProgress;
+use super::format_version::{FormatVersion, WITH_HISTORY};
+use super::garbage_collection::GarbageCollector;
+use super::job_records::{
+    self, ChunkSize, CommitPipeline, DirtyChunks, HeaderStage, Job, JobOutcome,
+    SubmissionAssembler, Watched,
+};
+use super::leader_announcement::LeaderAnnouncer;
+use super::leader_authority::{Bounds, LeaderAuthority};
+use super::machine::{DeferredHeartbeat, Machine, MachineLifecycle};
+use super::placement_tables::FetchEstimates;
+use super::quarantine::Quarantine;
+use super::quota::arrival_history::{self, ArrivalHistory};
 use super::{Reply, Target};
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -39,9 +42,9 @@
 
 /// What is to become of this leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum LeadershipOutcome {
     /// It goes on.
-    Stay,
+    Continue,
     /// Somebody holds a higher token.
     Deposed(FencingToken),
     /// It gives itself up, to start over from what is recorded.
@@ -77,7 +80,7 @@
     pub run_s: f64,
 }
 
-type Listed = Vec<(String, Attempt, TaskState, Option<StopReason>)>;
+type ReportedTasks = Vec<(String, Attempt, TaskState, Option<StopReason>)>;
 
 #[derive(Debug)]
 enum Load {
@@ -90,7 +93,7 @@
 /// What a leader waits for. It goes with its leader: replies for an earlier
 /// one are void.
 #[derive(Clone, Debug)]
-pub enum Awaits {
+pub enum PendingCall {
     /// Records or changes.
     Read {
         /// When they were asked for.
@@ -114,21 +117,21 @@
     /// The key whose version it is.
     pub holder: &'static str,
     /// The level in force.
-    pub level: Level,
+    pub level: FormatVersion,
     /// Changes of the levels' keys that its watch told.
     pub news: Vec<WatchEvent>,
     /// The lease that the token hangs on.
     pub lease: u64,
     /// Calls under way.
-    pub waits: Waits<Awaits>,
+    pub pending_calls: PendingCalls<PendingCall>,
     /// When it took office.
     pub office: Time,
     /// Until when its word counts.
-    pub contact: Contact,
+    pub authority: LeaderAuthority,
     load: Load,
     /// The revision of the load's first page: changes are followed from there.
     first_read: Option<Version>,
-    assembly: Assembly,
+    assembly: SubmissionAssembler,
     revision: Version,
     watching: bool,
     watch_again: Time,
@@ -136,12 +139,12 @@
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
     pub(super) types: BTreeMap<MachineTypeName, MachineType>,
-    pub(super) estimates: Estimates,
+    pub(super) estimates: FetchEstimates,
     pub(super) chunk_size: ChunkSize,
-    pub(super) lane: Lane,
-    pub(super) lane_backoff: Backoff,
+    pub(super) commit_pipeline: CommitPipeline,
+    pub(super) commit_backoff: Backoff,
     pub(super) writes: TokenBucket,
-    pub(super) dirty: Dirty,
+    pub(super) dirty: DirtyChunks,
     pub(super) finishing: BTreeSet<JobId>,
     pub(super) dropping: BTreeSet<JobId>,
     look_due: Time,
@@ -153,19 +156,19 @@
     rest: TimeSpan,
     /// Cycles run.
     pub cycles: u64,
-    pub(super) held: BTreeMap<MachineId, Held>,
+    pub(super) held: BTreeMap<MachineId, DeferredHeartbeat>,
     /// When held reports are next looked through, and the cycle after which
     /// they last were.
     pub(super) held_due: Time,
     pub(super) held_cycle: u64,
     /// Machines for which starts were stored since.
     pub(super) stored: BTreeSet<MachineId>,
-    pub(super) listed: BTreeMap<MachineId, Listed>,
+    pub(super) listed: BTreeMap<MachineId, ReportedTasks>,
     pub(super) direct: BTreeMap<MachineId, Vec<TaskId>>,
-    pub(super) heralds: Heralds,
-    pub(super) rental: Rental,
-    pub(super) asides: Asides,
-    pub(super) sweep: Sweep,
+    pub(super) announcer: LeaderAnnouncer,
+    pub(super) autoscaler: Autoscaler,
+    pub(super) quarantine: Quarantine,
+    pub(super) garbage_collector: GarbageCollector,
     /// When work was last stopped for other work.
     pub(super) reclaimed: Option<Time>,
     /// Submissions that were read, whether or not they could be understood.
@@ -188,7 +191,7 @@
         settings: Rc<Settings>,
         policy: Rc<Policy>,
         (holder, token, lease): (&'static str, FencingToken, u64),
-        level: Level,
+        level: FormatVersion,
         now: Time,
         types: &MachineTypes,
     ) -> Leader {
@@ -200,12 +203,12 @@
             level,
             news: Vec::new(),
             lease,
-            waits: Waits::default(),
+            pending_calls: PendingCalls::default(),
             office: now,
-            contact: Contact::new(bounds, now),
+            authority: LeaderAuthority::new(bounds, now),
             load: Load::Watched(Vec::new()),
             first_read: None,
-            assembly: Assembly::default(),
+            assembly: SubmissionAssembler::default(),
             revision: Version(0),
             watching: false,
             watch_again: now,
@@ -213,12 +216,12 @@
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             types: BTreeMap::new(),
-            estimates: Estimates::new(TimeSpan::secs(policy.first_fetch_s)),
+            estimates: FetchEstimates::new(TimeSpan::secs(policy.first_fetch_s)),
             chunk_size: ChunkSize::for_value(limits.value_bytes),
-            lane: Lane::default(),
-            lane_backoff: Backoff::default(),
+            commit_pipeline: CommitPipeline::default(),
+            commit_backoff: Backoff::default(),
             writes: TokenBucket::new(limits.write_rps * 0.7, limits.write_rps * 0.7),
-            dirty: Dirty::default(),
+            dirty: DirtyChunks::default(),
             finishing: BTreeSet::new(),
             dropping: BTreeSet::new(),
             look_due: now,
@@ -233,10 +236,10 @@
             stored: BTreeSet::new(),
             listed: BTreeMap::new(),
             direct: BTreeMap::new(),
-            heralds: Heralds::new(now, settings.workers.report),
-            rental: Rental::new(&settings, token, now),
-            asides: Asides::default(),
-            sweep: Sweep::default(),
+            announcer: LeaderAnnouncer::new(now, settings.workers.report),
+            autoscaler: Autoscaler::new(&settings, token, now),
+            quarantine: Quarantine::default(),
+            garbage_collector: GarbageCollector::default(),
             reclaimed: None,
             submitted: BTreeSet::new(),
             arrivals: BTreeMap::new(),
@@ -263,22 +266,25 @@
 
     /// Whether everything recorded has been read.
     pub fn is_loaded(&self) -> bool {
-        self.contact.is_loaded()
+        self.authority.is_loaded()
     }
 
     /// Whether reports may be answered.
     pub fn may_answer(&self, now: Time) -> bool {
-        self.contact.may_answer(now)
+        self.authority.may_answer(now)
     }
 
     /// Whether tasks may be started.
     pub fn may_start(&self, now: Time) -> bool {
-        self.contact.may_start(now)
+        self.authority.may_start(now)
     }
 
     /// Machines that it knows of, and those that have reported under its token.
     pub fn machines_heard(&self) -> (usize, usize) {
-        let heard = self.machines.values().filter(|m| m.ours_since.is_some());
+        let heard = self
+            .machines
+            .values()
+            .filter(|m| m.our_token_since.is_some());
         (self.machines.len(), heard.count())
     }
 
@@ -314,47 +320,50 @@
     }
 
     /// Does what is due as time passes.
-    pub fn tick(&mut self, io: &mut Io) {
-        if !self.watching && io.now.time >= self.watch_again {
-            self.read_on(io);
+    pub fn tick(&mut self, effects: &mut Effects) {
+        if !self.watching && effects.now.time >= self.watch_again {
+            self.read_on(effects);
         }
         if self.is_loaded() {
-            if io.now.time >= self.look_due {
-                self.look_due = io.now.time + LOOK_EVERY;
-                self.expire(io);
-                self.give_up_machines(io.now.time);
-                self.mean_releases(io.now.wall);
+            if effects.now.time >= self.look_due {
+                self.look_due = effects.now.time + LOOK_EVERY;
+                self.expire(effects);
+                self.give_up_machines(effects.now.time);
+                self.mean_releases(effects.now.wall);
             }
-            self.rental_tick(io);
-            self.send_heralds(io);
-            self.rewrite(io.now.time);
-            self.store_memory(io.now);
+            self.rental_tick(effects);
+            self.send_announcements(effects);
+            self.rewrite(effects.now.time);
+            self.store_memory(effects.now);
         }
     }
 
     /// Does what any input may have made due.
-    pub fn advance(&mut self, io: &mut Io) {
-        let now = io.now.time;
+    pub fn advance(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
         self.note_pace(now);
         if now >= self.next_cycle && self.may_start(now) {
             self.last_cycle = now;
             self.cycled = true;
             self.next_cycle = now + TimeSpan::secs(self.policy.cycle_s);
-            self.cycle(io);
+            self.cycle(effects);
             self.cycles += 1;
         }
-        self.pump(io);
-        self.send_direct(io);
-        self.answer_held(io);
+        self.pump(effects);
+        self.send_direct(effects);
+        self.answer_held(effects);
     }
 
-    fn read_on(&mut self, io: &mut Io) {
+    fn read_on(&mut self, effects: &mut Effects) {
         let (path, timeout) = match &self.load {
             Load::Watched(got) => (page(job_records::WATCHED, got), TimeSpan::secs(3.0)),
-            Load::Records(got) => (page(job_records::RECORDS, got), TimeSpan::secs(3.0)),
-            Load::Duties(got) => (page(super::keys::DUTIES, got), TimeSpan::secs(3.0)),
+            Load::Records(got) => (
+                page(job_records::PROGRESS_RECORDS, got),
+                TimeSpan::secs(3.0),
+            ),
+            Load::Duties(got) => (page(super::keys::LEADER_RECORDS, got), TimeSpan::secs(3.0)),
             Load::Done => {
-                let hold = self.contact.watch(io.now.time);
+                let hold = self.authority.watch(effects.now.time);
                 (
                     format!(
                         "/changes?starts={}&since={}&hold_ms={}",
@@ -367,24 +376,34 @@
             }
         };
         self.watching = true;
-        let sent = io.now.time;
-        let id = io.call(Target::State, "GET", path, Vec::new(), timeout);
-        self.waits.add(id, Awaits::Read { sent });
+        let sent = effects.now.time;
+        let id = effects.call(Target::State, "GET", path, Vec::new(), timeout);
+        self.pending_calls.add(id, PendingCall::Read { sent });
     }
 
     /// Takes a reply to one of its calls.
-    pub fn on_reply(&mut self, io: &mut Io, what: Awaits, reply: Reply) -> Fate {
+    pub fn on_reply(
+        &mut self,
+        effects: &mut Effects,
+        what: PendingCall,
+        reply: Reply,
+    ) -> LeadershipOutcome {
         match what {
-            Awaits::Read { sent } => self.on_read(io, sent, reply),
-            Awaits::Commit => self.on_commit(io, reply),
-            Awaits::Written(op) => self.on_written(&op, reply),
-            Awaits::Cloud(call, by) => self.on_cloud(io, call, by, reply),
+            PendingCall::Read { sent } => self.on_read(effects, sent, reply),
+            PendingCall::Commit => self.on_commit(effects, reply),
+            PendingCall::Written(op) => self.on_written(&op, reply),
+            PendingCall::Cloud(call, by) => self.on_cloud(effects, call, by, reply),
         }
     }
 
     /// A read of the records or of changes was answered, or not.
-    pub fn on_read(&mut self, io: &mut Io, sent: Time, reply: Reply) -> Fate {
-        let now = io.now.time;
+    pub fn on_read(
+        &mut self,
+        effects: &mut Effects,
+        sent: Time,
+        reply: Reply,
+    ) -> LeadershipOutcome {
+        let now = effects.now.time;
         self.watching = false;
         let (status, body) = match reply {
             Reply::Answer(status, body) => (status, body),
@@ -392,27 +411,27 @@
         };
         if status == 410 {
             // Fell behind by more than the service keeps: start over.
-            return Fate::StepDown("changes were missed");
+            return LeadershipOutcome::StepDown("changes were missed");
         }
         if status != 200 {
-            let jitter = io.jitter();
+            let jitter = effects.jitter();
             self.watch_again = now
                 + self
                     .watch_backoff
                     .failed(TimeSpan::millis(150), TimeSpan::secs(1.0), jitter);
-            return Fate::Stay;
+            return LeadershipOutcome::Continue;
         }
         self.watch_backoff.succeeded();
         self.watch_again = now;
         if !self.is_loaded() {
-            return self.on_page(io.now, sent, &body);
+            return self.on_page(effects.now, sent, &body);
         }
         let Some(changes) = wire::decode::<WatchResponse>(&body) else {
-            return Fate::StepDown("changes could not be read");
+            return LeadershipOutcome::StepDown("changes could not be read");
         };
-        let fate = self.apply(io, changes);
-        self.contact.showed(sent);
-        for id in self.contact.refuted() {
+        let fate = self.apply(effects, changes);
+        self.authority.showed(sent);
+        for id in self.authority.refuted() {
             if self.jobs.get(&id).is_some_and(Job::is_open) {
                 tracing::error!(job = %id, "said to be cancelled by a peer, and is not; it goes on");
             }
@@ -420,15 +439,15 @@
         fate
     }
 
-    fn on_page(&mut self, now: super::Now, sent: Time, body: &[u8]) -> Fate {
+    fn on_page(&mut self, now: super::Now, sent: Time, body: &[u8]) -> LeadershipOutcome {
         let Some(page) = wire::decode::<EntryPage>(body) else {
-            return Fate::StepDown("records could not be read");
+            return LeadershipOutcome::StepDown("records could not be read");
         };
         let more = page.more;
         // Changes are followed from the first page on; what a later page
         // already shows is applied twice without harm.
         let revision = *self.first_read.get_or_insert(page.revision);
-        self.contact.page(sent);
+        self.authority.page(sent);
         match &mut self.load {
             Load::Watched(got) => {
                 got.extend(page.items);
@@ -454,20 +473,20 @@
                 if !more {
                     let got = std::mem::take(got);
                     self.load_duties(now, got);
-                    if !failpoints::holds(Decision::FollowsFromTheFirstPage) {
+                    if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
                         self.revision = page.revision;
                     }
                     self.load = Load::Done;
-                    self.contact.loaded(sent);
+                    self.authority.loaded(sent);
                     tracing::info!(token = %self.token, jobs = self.jobs.len(), machines = self.machines.len(), "leading");
                 }
             }
             Load::Done => {}
         }
-        Fate::Stay
+        LeadershipOutcome::Continue
     }
 
-    fn load_watched(&mut self, entries: Vec<Entry>) -> Option<Fate> {
+    fn load_watched(&mut self, entries: Vec<Entry>) -> Option<LeadershipOutcome> {
         let mut holds = false;
         for e in &entries {
             match job_records::watched(&e.key) {
@@ -485,7 +504,9 @@
             }
         }
         if !holds {
-            return Some(Fate::StepDown("the lease ran out while loading"));
+            return Some(LeadershipOutcome::StepDown(
+                "the lease ran out while loading",
+            ));
         }
         let submitted = entries
             .iter()
@@ -496,7 +517,7 @@
         self.submitted = submitted.collect();
         for e in &entries {
             let there = |id: &JobId| self.submitted.contains(id);
-            self.sweep.look(&e.key, e.version, there);
+            self.garbage_collector.look(&e.key, e.version, there);
         }
         for e in &entries {
             if let Watched::Job(id) = job_records::watched(&e.key) {
@@ -504,13 +525,15 @@
             }
         }
         for e in &entries {
-            if let Watched::End(id) = job_records::watched(&e.key)
+            if let Watched::JobOutcome(id) = job_records::watched(&e.key)
                 && let Some(job) = self.jobs.get_mut(&id)
             {
-                job.end = Some(match job_records::read::<job_records::Head>(&e.value) {
-                    Some(h) if h.s == HeadStage::Done => End::Done { written: true },
-                    _ => End::Cancelled,
-                });
+                job.end = Some(
+                    match job_records::read::<job_records::JobHeader>(&e.value) {
+                        Some(h) if h.s == HeaderStage::Done => JobOutcome::Done { written: true },
+                        _ => JobOutcome::Cancelled,
+                    },
+                );
             }
         }
         None
@@ -555,8 +578,8 @@
         }
     }
 
-    fn memory(&self) -> Memory {
-        let mut memory = Memory::new(TimeSpan::secs(self.policy.floor_window_s));
+    fn memory(&self) -> ArrivalHistory {
+        let mut memory = ArrivalHistory::new(TimeSpan::secs(self.policy.floor_window_s));
         for (class, arrivals) in &self.arrivals {
             for a in arrivals {
                 memory.note(a.at, class, &a.team, a.machines, a.run_s);
@@ -567,7 +590,7 @@
 
     /// Stores what came of late now and then, if the level in force has it.
     fn store_memory(&mut self, at: super::Now) {
-        if self.level < REMEMBERED || at.time < self.memory_due {
+        if self.level < WITH_HISTORY || at.time < self.memory_due {
             return;
         }
         self.memory_due = at.time + MEMORY_EVERY;
@@ -575,9 +598,9 @@
         let value = self.memory().store(at.wall, bytes);
         if value != self.memory_stored {
             self.memory_stored = value.clone();
-            self.rental
+            self.autoscaler
                 .intents
-                .book
+                .pending_writes
                 .put(arrival_history::KEY.into(), value);
         }
     }
@@ -614,12 +637,12 @@
                 continue;
             };
             // Without its submission a record is a remnant of an ended job.
-            self.sweep
+            self.garbage_collector
                 .look(&e.key, e.version, |id| submitted.contains(id));
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if !Progress::is_of(&e.value, REMEMBERED) {
+            if !ChunkProgress::is_of(&e.value, WITH_HISTORY) {
                 self.older.insert((id.clone(), chunk));
             }
             if let Err(why) = job.load_chunk(chunk, e.version, &e.value) {
@@ -628,7 +651,7 @@
         }
         let mut stop = Vec::new();
         for (id, job) in &mut self.jobs {
-            for (&index, p) in &mut job.places {
+            for (&index, p) in &mut job.assignments {
                 p.placed = now;
                 let task = TaskId {
                     job: id.clone(),
@@ -640,11 +663,11 @@
                     .take(task, job.spec.needs());
             }
             if job.end.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
-                job.end = Some(End::Done { written: false });
+                job.end = Some(JobOutcome::Done { written: false });
                 self.finishing.insert(id.clone());
             }
             if !job.is_open() {
-                if job.places.is_empty() {
+                if job.assignments.is_empty() {
                     self.dropping.insert(id.clone());
                 } else {
                     stop.push(id.clone());
@@ -664,24 +687,24 @@
                 self.memory_stored = e.value;
                 continue;
             }
-            let go = self.rental.intents.load(&e.key, &e.value, now.wall);
+            let go = self.autoscaler.intents.load(&e.key, &e.value, now.wall);
             for id in go {
                 self.meet(now.time, &id)
-                    .send_back("an earlier leader meant to release it");
+                    .mark_for_termination("an earlier leader meant to release it");
             }
-            if let Some((id, drained)) = self.asides.load(&e.key, &e.value) {
-                let left = self.asides.pause_left(&id, now.wall);
+            if let Some((id, drained)) = self.quarantine.load(&e.key, &e.value) {
+                let left = self.quarantine.pause_left(&id, now.wall);
                 let m = self.meet(now.time, &id);
                 m.aside = left.map(|left| now.time + left);
-                if drained && m.leaving == Leaving::No {
-                    m.leaving = Leaving::Drain;
+                if drained && m.lifecycle == MachineLifecycle::InService {
+                    m.lifecycle = MachineLifecycle::Draining;
                 }
             }
         }
-        let [hires, releases, going] = self.rental.intents.open();
-        if hires + releases > 0 {
+        let [provisions, releases, going] = self.autoscaler.intents.open();
+        if provisions + releases > 0 {
             tracing::info!(
-                hires,
+                provisions,
                 releases,
                 machines = going,
                 "finishing what earlier leaders meant"
@@ -692,13 +715,13 @@
     /// A machine that was heard of. One that is to go stays so, whoever
     /// decided it and whatever brought the machine up again.
     pub(super) fn meet(&mut self, now: Time, id: &MachineId) -> &mut Machine {
-        let leaving = self.rental.intents.is_leaving(id);
+        let lifecycle = self.autoscaler.intents.is_leaving(id);
         let m = self
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(now));
-        if leaving {
-            m.leaving = Leaving::Release;
+        if lifecycle {
+            m.lifecycle = MachineLifecycle::Terminating;
         }
         m
     }
@@ -707,15 +730,15 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        let all: Vec<u32> = job.places.keys().copied().collect();
+        let all: Vec<u32> = job.assignments.keys().copied().collect();
         self.stop_tasks(now, id, &all, 0.0, why);
-        if self.jobs[id].places.is_empty() {
+        if self.jobs[id].assignments.is_empty() {
             self.dropping.insert(id.clone());
         }
     }
 
-    fn apply(&mut self, io: &mut Io, changes: WatchResponse) -> Fate {
-        let now = io.now.time;
+    fn apply(&mut self, effects: &mut Effects, changes: WatchResponse) -> LeadershipOutcome {
+        let now = effects.now.time;
         for e in &changes.events {
             if let Some(Watched::Part(id, n)) = e.put.as_deref().map(job_records::watched) {
                 self.assembly.part(id, n, &e.value);
@@ -724,7 +747,7 @@
         for e in &changes.events {
             if let Some(key) = &e.delete {
                 if key == self.holder {
-                    return Fate::StepDown("the lease ran out");
+                    return LeadershipOutcome::StepDown("the lease ran out");
                 }
                 continue;
             }
@@ -733,16 +756,16 @@
                     self.news.push(e.clone());
                     let key = e.put.as_deref() == Some(self.holder);
                     if key && e.version.0 != self.token.0 {
-                        return Fate::Deposed(FencingToken(e.version.0));
+                        return LeadershipOutcome::Deposed(FencingToken(e.version.0));
                     }
                 }
                 Some(Watched::Job(id)) => {
                     self.add_job(&id, e.version, &e.value);
                     self.cycle_soon(now);
                 }
-                Some(Watched::End(id)) => {
-                    let cancelled = job_records::read::<job_records::Head>(&e.value)
-                        .is_some_and(|h| h.s == HeadStage::Cancelled);
+                Some(Watched::JobOutcome(id)) => {
+                    let cancelled = job_records::read::<job_records::JobHeader>(&e.value)
+                        .is_some_and(|h| h.s == HeaderStage::Cancelled);
                     if cancelled {
                         self.cancelled(now, &id);
                     }
@@ -751,7 +774,7 @@
             }
         }
         self.revision = self.revision.max(changes.revision);
-        Fate::Stay
+        LeadershipOutcome::Continue
     }
 
     fn cancelled(&mut self, now: Time, id: &JobId) {
@@ -767,8 +790,8 @@
         let Some(job) = self.jobs.get(id).filter(|j| j.is_open()) else {
             return;
         };
-        let tasks: Vec<u32> = job.places.keys().copied().collect();
-        if self.contact.told(now, id) {
+        let tasks: Vec<u32> = job.assignments.keys().copied().collect();
+        if self.authority.told(now, id) {
             tracing::info!(job = %id, tasks = tasks.len(), "cancelled, as a peer says");
             self.stop_tasks(now, id, &tasks, 0.0, "a peer says that it is cancelled");
         }
@@ -778,7 +801,7 @@
     /// by now would be known too, and so many changes there cannot be since.
     pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
         let rate = self.settings.state_limits.write_rps * 2.0;
-        let since = (self.contact.age(now).as_secs() * rate) as u64;
+        let since = (self.authority.age(now).as_secs() * rate) as u64;
         let most = self.revision.0.saturating_add(since + MOST_AT_ONCE);
         (self.revision.0 + 1..=most).contains(&token.0)
     }
@@ -796,7 +819,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.end = Some(End::Cancelled);
+        job.end = Some(JobOutcome::Cancelled);
         job.waiting = Default::default();
         self.finishing.remove(id);
         self.stop_all(now, id, why);
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -1,12 +1,12 @@
 //! Renting and returning machines.
 
-use crate::core::autoscaler::intents::{MOST_RENTED, Market};
+use crate::core::autoscaler::intents::{CapacityPool, MOST_RENTED};
 use crate::core::autoscaler::state::{BAD_GATEWAY, CONFLICT, CloudCall, GATEWAY_TIMEOUT};
-use crate::core::effects::Io;
-use crate::core::leader::{Awaits, Fate, Leader};
-use crate::core::machine::Leaving;
-use crate::core::placement_tables::{Cache, Row};
-use crate::core::scheduling_cycle::{Cycle, Pace, Want};
+use crate::core::effects::Effects;
+use crate::core::leader::{Leader, LeadershipOutcome, PendingCall};
+use crate::core::machine::MachineLifecycle;
+use crate::core::placement_tables::{ImageCache, MachineRow};
+use crate::core::scheduling_cycle::{CycleParameters, PlacementRequest, SchedulingCycle};
 use crate::core::{Reply, Target};
 use crate::settings::ObjectiveKind;
 use crate::types::{MachineId, NodeId, Time, TimeSpan, Zone};
@@ -32,77 +32,80 @@
 
 impl Leader {
     /// Makes the next call to the cloud, if one is due.
-    pub(super) fn rental_tick(&mut self, io: &mut Io) {
-        let now = io.now.time;
-        if now >= self.rental.tend_due {
-            self.rental.tend_due = now + TEND_EVERY;
+    pub(super) fn rental_tick(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
+        if now >= self.autoscaler.tend_due {
+            self.autoscaler.tend_due = now + TEND_EVERY;
             let machines = &self.machines;
             let heard = |id: &MachineId| {
                 let m = machines.get(id);
                 m.is_none_or(|m| m.reported.is_some() || m.listed_at.is_some())
             };
-            self.rental.intents.tend(now, heard);
+            self.autoscaler.intents.tend(now, heard);
             let there = |id: &MachineId| machines.contains_key(id);
-            let book = &mut self.rental.intents.book;
-            self.asides.tend(book, io.now.wall, there);
+            let pending_writes = &mut self.autoscaler.intents.pending_writes;
+            self.quarantine
+                .tend(pending_writes, effects.now.wall, there);
         }
-        if self.rental.calling || now < self.rental.not_before || !self.may_start(now) {
+        if self.autoscaler.calling || now < self.autoscaler.not_before || !self.may_start(now) {
             return;
         }
-        if self.rental.calls.level(now) < 1.0 {
+        if self.autoscaler.calls.level(now) < 1.0 {
             return;
         }
         let Some(call) = self.next_call(now) else {
             return;
         };
-        self.rental.calls.take(now, 1.0);
-        self.rental.calling = true;
+        self.autoscaler.calls.take(now, 1.0);
+        self.autoscaler.calling = true;
         let (method, path, body) = match &call {
             CloudCall::Types => ("GET", "/machine_types".to_string(), Vec::new()),
             CloudCall::List => {
-                let since = self.rental.listing.last().map(|m| m.id.to_string());
+                let since = self.autoscaler.listing.last().map(|m| m.id.to_string());
                 let since = since.map_or(String::new(), |s| format!("since={s}&"));
                 ("GET", format!("/machines?{since}most=500"), Vec::new())
             }
             CloudCall::ProvisionRequest(r) => {
                 tracing::info!(kind = %r.kind, zone = %r.zone, spot = r.spot, count = r.count, "renting");
-                self.rental.intents.hire_asked(&r.request);
+                self.autoscaler.intents.provision_asked(&r.request);
                 ("POST", "/machines".to_string(), wire::encode(r))
             }
             CloudCall::Release(names) => {
-                self.rental.intents.release_asked(names);
+                self.autoscaler.intents.release_asked(names);
                 let machines = names.clone();
                 let body = wire::encode(&MachineNames { machines });
                 ("POST", "/machines/release".to_string(), body)
             }
         };
-        let by = self.rental.hands.peer(now).cloned();
+        let by = self.autoscaler.hands.peer(now).cloned();
         let peer = by
             .as_ref()
             .and_then(|node_id| self.settings.peers.iter().find(|p| p.node_id == *node_id));
         let id = match peer {
             Some(p) => {
                 let path = format!("/cloud/{}{path}", self.token);
-                io.call(Target::Host(p.addr), method, path, body, CALL_BY_PEER)
+                effects.call(Target::Host(p.addr), method, path, body, CALL_BY_PEER)
             }
-            None => io.call(Target::Cloud, method, path, body, CALL),
+            None => effects.call(Target::Cloud, method, path, body, CALL),
         };
-        self.waits.add(id, Awaits::Cloud(call, by));
+        self.pending_calls.add(id, PendingCall::Cloud(call, by));
     }
 
     /// Writes down which machines are to go.
     pub(super) fn mean_releases(&mut self, wall: crate::types::WallTime) {
-        let intents = &self.rental.intents;
+        let intents = &self.autoscaler.intents;
         let (any, pressing) = (intents.may_release(false), intents.may_release(true));
         if !pressing {
             return;
         }
         let new = self.machines.iter().filter(|(id, m)| {
-            m.leaving == Leaving::Release && (any || !m.tasks.is_empty()) && !intents.is_leaving(id)
+            m.lifecycle == MachineLifecycle::Terminating
+                && (any || !m.tasks.is_empty())
+                && !intents.is_leaving(id)
         });
         let new: Vec<_> = new.map(|(id, m)| (id.clone(), m.why)).collect();
         if !new.is_empty() {
-            self.rental.intents.release(new.into_iter(), wall);
+            self.autoscaler.intents.release(new.into_iter(), wall);
         }
     }
 
@@ -113,33 +116,33 @@
         }
         // While spot machines go all the time there is always something to
         // release; other calls take turns with it.
-        let turn = if self.rental.released_last {
+        let turn = if self.autoscaler.released_last {
             [Self::other_call, Self::release_call]
         } else {
             [Self::release_call, Self::other_call]
         };
         let call = turn.into_iter().find_map(|next| next(self, now));
-        self.rental.released_last = matches!(call, Some(CloudCall::Release(_)));
+        self.autoscaler.released_last = matches!(call, Some(CloudCall::Release(_)));
         call
     }
 
     fn release_call(&mut self, _: Time) -> Option<CloudCall> {
-        let release = self.rental.intents.next_release();
+        let release = self.autoscaler.intents.next_release();
         (!release.is_empty()).then_some(CloudCall::Release(release))
     }
 
     fn other_call(&mut self, now: Time) -> Option<CloudCall> {
-        let late = now >= self.rental.list_due + self.rental.list_every;
+        let late = now >= self.autoscaler.list_due + self.autoscaler.list_every;
         if late {
             return Some(CloudCall::List);
         }
-        if let Some(rent) = self.rental.intents.next_hire() {
+        if let Some(rent) = self.autoscaler.intents.next_provision() {
             return Some(CloudCall::ProvisionRequest(rent));
         }
-        if now >= self.rental.list_due {
+        if now >= self.autoscaler.list_due {
             return Some(CloudCall::List);
         }
-        if now >= self.rental.types_due {
+        if now >= self.autoscaler.types_due {
             return Some(CloudCall::Types);
         }
         None
@@ -148,28 +151,28 @@
     /// The cloud answered, or not.
     pub fn on_cloud(
         &mut self,
-        io: &mut Io,
+        effects: &mut Effects,
         call: CloudCall,
         by: Option<NodeId>,
         reply: Reply,
-    ) -> Fate {
-        let now = io.now.time;
-        self.rental.calling = false;
+    ) -> LeadershipOutcome {
+        let now = effects.now.time;
+        self.autoscaler.calling = false;
         let (status, body) = match reply {
             // What a peer says when it got no answer itself, or did not ask.
             Reply::Answer(400 | 404 | 405 | BAD_GATEWAY | GATEWAY_TIMEOUT, _) if by.is_some() => {
                 (0, Vec::new())
             }
             Reply::Answer(CONFLICT, _) if by.is_some() => {
-                return Fate::StepDown("a peer knows a later leader");
+                return LeadershipOutcome::StepDown("a peer knows a later leader");
             }
             Reply::Answer(status, body) => (status, body),
             Reply::NotSent | Reply::Lost => (0, Vec::new()),
         };
         if status == 0 {
-            self.rental.hands.unanswered(now, by.as_ref());
+            self.autoscaler.hands.unanswered(now, by.as_ref());
         } else {
-            self.rental.hands.answered(now, by.as_ref());
+            self.autoscaler.hands.answered(now, by.as_ref());
         }
         let no_capacity = status == 503
             && wire::decode::<crate::wire::users::ErrorResponse>(&body)
@@ -177,61 +180,64 @@
         // Only 200 proves that released machines are gone.
         let malformed = status == 400 && !matches!(call, CloudCall::Release(_));
         if status != 200 && !no_capacity && !malformed {
-            let jitter = io.jitter();
-            self.rental.not_before = now
-                + self
-                    .rental
-                    .backoff
-                    .failed(TimeSpan::millis(700), TimeSpan::secs(5.0), jitter);
+            let jitter = effects.jitter();
+            self.autoscaler.not_before = now
+                + self.autoscaler.backoff.failed(
+                    TimeSpan::millis(700),
+                    TimeSpan::secs(5.0),
+                    jitter,
+                );
             if let CloudCall::ProvisionRequest(r) = call {
                 // Answered by a refusal, it was not carried out; otherwise it
                 // may have been, or may yet be: only its own name may ask again.
                 if status == 0 {
-                    self.rental.intents.hire_lost(&r.request);
+                    self.autoscaler.intents.provision_lost(&r.request);
                 } else {
-                    self.rental.intents.hire_refused(&r.request);
+                    self.autoscaler.intents.provision_refused(&r.request);
                 }
             }
-            return Fate::Stay;
+            return LeadershipOutcome::Continue;
         }
-        self.rental.backoff.succeeded();
+        self.autoscaler.backoff.succeeded();
         match call {
             CloudCall::Types => {
-                self.rental.types_due = now + TYPES_EVERY;
+                self.autoscaler.types_due = now + TYPES_EVERY;
                 if let Some(types) = wire::decode::<MachineTypes>(&body) {
                     self.set_types(&types);
-                    io.learned_types = Some(types);
+                    effects.learned_types = Some(types);
                 }
             }
             CloudCall::List => match wire::decode::<MachineList>(&body) {
                 Some(list) => {
                     let more = list.more && !list.machines.is_empty();
-                    self.rental.listing.extend(list.machines);
+                    self.autoscaler.listing.extend(list.machines);
                     if !more {
-                        self.rental.list_due = now + self.rental.list_every;
+                        self.autoscaler.list_due = now + self.autoscaler.list_every;
                         self.take_list(now);
                     }
                 }
-                None => self.rental.list_due = now + self.rental.list_every,
+                None => self.autoscaler.list_due = now + self.autoscaler.list_every,
             },
             CloudCall::ProvisionRequest(r) => {
                 if no_capacity || status == 400 {
                     let pause = TimeSpan::secs(self.policy.no_capacity_pause_s);
-                    self.rental.intents.no_room(&r.request);
+                    self.autoscaler.intents.no_room(&r.request);
                     tracing::info!(kind = %r.kind, zone = %r.zone, spot = r.spot, "no capacity");
-                    self.rental
+                    self.autoscaler
                         .paused
                         .insert((r.kind, r.zone, r.spot), now + pause);
                 } else if let Some(names) = wire::decode::<MachineNames>(&body) {
                     if (names.machines.len() as u32) < r.count {
                         let pause = TimeSpan::secs(self.policy.no_capacity_pause_s);
-                        self.rental
+                        self.autoscaler
                             .paused
                             .insert((r.kind.clone(), r.zone.clone(), r.spot), now + pause);
                     }
-                    self.rental.intents.filled(&r.request, &names.machines, now);
+                    self.autoscaler
+                        .intents
+                        .filled(&r.request, &names.machines, now);
                     for id in names.machines {
-                        if self.rental.intents.is_gone(&id) {
+                        if self.autoscaler.intents.is_gone(&id) {
                             continue;
                         }
                         let m = self.meet(now, &id);
@@ -242,7 +248,7 @@
                 }
             }
             CloudCall::Release(names) => {
-                self.rental.intents.released(&names, now);
+                self.autoscaler.intents.released(&names, now);
                 for id in names {
                     // By now the machine and everything on it is gone.
                     self.write_off(now, &id, "released");
@@ -251,16 +257,16 @@
                 }
             }
         }
-        Fate::Stay
+        LeadershipOutcome::Continue
     }
 
     fn take_list(&mut self, now: Time) {
-        let list = std::mem::take(&mut self.rental.listing);
-        self.rental.listed = Some(now);
+        let list = std::mem::take(&mut self.autoscaler.listing);
+        self.autoscaler.listed = Some(now);
         for l in list {
             // One that was taken in again would count as coming up, and
             // nothing would be rented for the work that waits for it.
-            if self.rental.intents.is_gone(&l.id) {
+            if self.autoscaler.intents.is_gone(&l.id) {
                 continue;
             }
             let m = self.meet(now, &l.id);
@@ -275,9 +281,9 @@
             m.listed = Some((l.stage, TimeSpan::secs(l.age_s)));
             m.listed_at = Some(now);
             if l.stage == MachineStage::Failed && m.tasks.is_empty() {
-                m.send_back("failed");
+                m.mark_for_termination("failed");
             }
-            self.herald(now, &l.id);
+            self.announce_to(now, &l.id);
             if !stopping.is_empty() {
                 // What an earlier leader had half told to stop is told whole;
                 // the rest is left out when it is sent.
@@ -290,7 +296,7 @@
     pub(super) fn give_up_machines(&mut self, now: Time) {
         let silence = self.silence();
         let lag = self.settings.list_lag;
-        let listed = self.rental.listed;
+        let listed = self.autoscaler.listed;
         let mut forget = Vec::new();
         for (id, m) in &mut self.machines {
             let heard = m.reported.unwrap_or(m.known);
@@ -307,32 +313,34 @@
             let unlisted = listed.is_some_and(|at| {
                 at > heard + fresh && m.listed_at.is_none_or(|l| at > l) && m.known + fresh < at
             });
-            match m.leaving {
-                Leaving::Release => {}
-                Leaving::Drain if m.tasks.is_empty() => m.send_back("put aside"),
+            match m.lifecycle {
+                MachineLifecycle::Terminating => {}
+                MachineLifecycle::Draining if m.tasks.is_empty() => {
+                    m.mark_for_termination("put aside")
+                }
                 // It is paid for nothing, as an idle machine is.
                 _ if m.tasks.is_empty()
                     && m.aside
                         .is_some_and(|t| t.since(now) > TimeSpan::secs(self.policy.idle_s)) =>
                 {
-                    m.send_back("put aside");
+                    m.mark_for_termination("put aside");
                 }
                 // It is paid, and nothing can be had of it.
                 _ if m.tasks.is_empty()
-                    && m.hearing
+                    && m.delivery
                         .deaf_for(now)
                         .is_some_and(|t| t > TimeSpan::secs(self.policy.silent_release_s)) =>
                 {
                     tracing::info!(machine = %id, "reports and does not hear, released");
-                    m.send_back("does not hear");
+                    m.mark_for_termination("does not hear");
                 }
                 _ if m.lost && matches!(m.listed, Some((MachineStage::Failed, _))) => {
-                    m.send_back("failed");
+                    m.mark_for_termination("failed");
                 }
                 _ if m.reported.is_none() => {
                     if quiet > patience && m.listed_at.is_some() {
                         tracing::info!(machine = %id, "did not come up, released");
-                        m.send_back("did not come up");
+                        m.mark_for_termination("did not come up");
                     } else if quiet > patience && unlisted && m.tasks.is_empty() {
                         forget.push(id.clone());
                     }
@@ -344,11 +352,11 @@
                     if !m.tasks.is_empty() {
                         tracing::info!(machine = %id, "silent and not listed, released");
                     }
-                    m.send_back("silent and not listed");
+                    m.mark_for_termination("silent and not listed");
                 }
                 _ if quiet > TimeSpan::secs(self.policy.silent_release_s) => {
                     tracing::info!(machine = %id, "silent for long, released");
-                    m.send_back("silent for long");
+                    m.mark_for_termination("silent for long");
                 }
                 _ => {}
             }
@@ -360,11 +368,11 @@
 
     /// The machines that a hire will bring, as rows: what they will take needs
     /// no further ones.
-    fn expected(&self, now: Time, r: &ProvisionRequest) -> Vec<Row> {
+    fn expected(&self, now: Time, r: &ProvisionRequest) -> Vec<MachineRow> {
         let Some(t) = self.types.get(&r.kind) else {
             return Vec::new();
         };
-        let row = |n: u32| Row {
+        let row = |n: u32| MachineRow {
             id: format!("{}#{n}", r.request).into(),
             kind: r.kind.clone(),
             zone: r.zone.clone(),
@@ -373,7 +381,7 @@
             free: t.has(),
             available: now,
             last_high: None,
-            cache: Cache::default(),
+            cache: ImageCache::default(),
             fetch_rate: t.fetch_gb_per_s,
             aside: false,
         };
@@ -384,7 +392,7 @@
     /// of yet: once it has a whole list, or every worker has had time to report.
     fn knows_its_fleet(&self, now: Time) -> bool {
         let reports = self.settings.workers.report.scaled(1.5) + TimeSpan::secs(1.0);
-        self.rental.listed.is_some() || now.since(self.office) > reports
+        self.autoscaler.listed.is_some() || now.since(self.office) > reports
     }
 
     /// How many idle machines to keep for classes whose starts are wanted
@@ -423,17 +431,22 @@
 
     /// After a cycle: orders machines for what found no room, and returns
     /// idle ones that nothing needs.
-    pub(super) fn plan_rental(&mut self, io: &mut Io, wants: &[Want], rows: &[Row]) {
-        let now = io.now.time;
-        let mut booting: Vec<Row> = self
+    pub(super) fn plan_rental(
+        &mut self,
+        effects: &mut Effects,
+        wants: &[PlacementRequest],
+        rows: &[MachineRow],
+    ) {
+        let now = effects.now.time;
+        let mut booting: Vec<MachineRow> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.reported.is_none() && m.leaving == Leaving::No)
+            .filter(|(_, m)| m.reported.is_none() && m.lifecycle == MachineLifecycle::InService)
             .filter(|(_, m)| !matches!(m.listed, Some((MachineStage::Failed, _))))
             .filter_map(|(id, m)| self.row(now, id, m))
             .collect();
         booting.extend(
-            self.rental
+            self.autoscaler
                 .intents
                 .coming()
                 .flat_map(|r| self.expected(now, r)),
@@ -441,7 +454,7 @@
         let on_the_way = booting.len() as u32;
         let mut room = (self.policy.most_booting as u32).saturating_sub(on_the_way);
         let rent_after = TimeSpan::secs(self.policy.rent_after_s);
-        let mut left: Vec<Want> = wants
+        let mut left: Vec<PlacementRequest> = wants
             .iter()
             .filter(|w| {
                 self.jobs
@@ -454,16 +467,16 @@
         // What the machines on their way will take needs no further ones.
         let mut teams = self.team_use();
         let estimates = self.estimates.clone();
-        let pace = Pace {
+        let pace = CycleParameters {
             now,
             most_skew: TimeSpan::secs(1e6),
         };
-        Cycle::new(pace, &mut booting, &mut teams, &estimates).run(&mut left);
+        SchedulingCycle::new(pace, &mut booting, &mut teams, &estimates).run(&mut left);
         left.retain(|w| !w.tasks.is_empty());
-        self.rental.paused.retain(|_, until| *until > now);
-        if self.rental.intents.may_hire() && self.knows_its_fleet(now) {
+        self.autoscaler.paused.retain(|_, until| *until > now);
+        if self.autoscaler.intents.may_provision() && self.knows_its_fleet(now) {
             let crowds = self.crowds();
-            let mut orders: BTreeMap<Market, f64> = BTreeMap::new();
+            let mut orders: BTreeMap<CapacityPool, f64> = BTreeMap::new();
             for w in &left {
                 let allowed = teams.get(&w.team).is_some_and(|t| {
                     t.share.allows(
@@ -484,7 +497,7 @@
                 .filter(|r| r.free == r.whole && !r.aside)
                 .count()
                 + booting.iter().filter(|r| r.free == r.whole).count();
-            let reserve = self.reserve(io.now.wall) as usize;
+            let reserve = self.reserve(effects.now.wall) as usize;
             if idle < reserve
                 && let Some(market) = self.any_market(&crowds)
             {
@@ -497,17 +510,19 @@
                     let count = n.min(MOST_RENTED);
                     n -= count;
                     let market = market.clone();
-                    self.rental.intents.hire(market, count, io.now.wall);
+                    self.autoscaler
+                        .intents
+                        .provision(market, count, effects.now.wall);
                 }
             }
         }
-        self.return_idle(io, &left, rows);
+        self.return_idle(effects, &left, rows);
     }
 
     /// Where to rent for a want: the cheapest per task that is not paused,
     /// and how many tasks a machine takes.
-    fn market(&self, w: &Want, crowds: &Crowds) -> Option<(Market, u32)> {
-        let mut best: Option<(f64, Market, u32)> = None;
+    fn market(&self, w: &PlacementRequest, crowds: &Crowds) -> Option<(CapacityPool, u32)> {
+        let mut best: Option<(f64, CapacityPool, u32)> = None;
         let taken = w.in_zones.iter().find(|(_, n)| **n > 0).map(|(z, _)| z);
         for t in self.types.values() {
             let per = w.need.count_in(&t.has(), 100_000);
@@ -520,7 +535,8 @@
                     && w.zone_room(zone) > 0;
                 for spot in [true, false] {
                     let market = (t.name.clone(), zone.clone(), spot);
-                    if !allowed || (spot && !w.spot) || self.rental.paused.contains_key(&market) {
+                    if !allowed || (spot && !w.spot) || self.autoscaler.paused.contains_key(&market)
+                    {
                         continue;
                     }
                     let price = if spot { t.spot_price } else { t.price };
@@ -535,13 +551,13 @@
     }
 
     /// The cheapest market at all.
-    fn any_market(&self, crowds: &Crowds) -> Option<Market> {
-        let mut best: Option<(f64, Market)> = None;
+    fn any_market(&self, crowds: &Crowds) -> Option<CapacityPool> {
+        let mut best: Option<(f64, CapacityPool)> = None;
         for t in self.types.values() {
             for zone in &t.zones {
                 for spot in [true, false] {
                     let market = (t.name.clone(), zone.clone(), spot);
-                    if self.rental.paused.contains_key(&market) {
+                    if self.autoscaler.paused.contains_key(&market) {
                         continue;
                     }
                     let price = if spot { t.spot_price } else { t.price };
@@ -573,8 +589,13 @@
     /// could use. What waits for several machines at once may never get them
     /// while idle ones elsewhere use up the cloud's room, so even a machine
     /// that it could use goes in the end.
-    fn return_idle(&mut self, io: &mut Io, waiting: &[Want], rows: &[Row]) {
-        let now = io.now.time;
+    fn return_idle(
+        &mut self,
+        effects: &mut Effects,
+        waiting: &[PlacementRequest],
+        rows: &[MachineRow],
+    ) {
+        let now = effects.now.time;
         // With no job left at all there is little to be ready for.
         let quiet = self.jobs.values().all(|j| !j.is_open());
         let idle_for = TimeSpan::secs(self.policy.idle_s).scaled(if quiet { 0.25 } else { 1.0 });
@@ -600,14 +621,14 @@
                 .map_or(0.0, |t| if row.spot { t.spot_price } else { t.price });
             idle.push((price, row.id.clone(), long));
         }
-        let reserve = self.reserve(io.now.wall) as usize;
+        let reserve = self.reserve(effects.now.wall) as usize;
         let spare = idle.len().saturating_sub(reserve);
         idle.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let go = idle.into_iter().filter(|(_, _, long)| *long).take(spare);
         for (_, id, _) in go {
             if let Some(m) = self.machines.get_mut(&id) {
                 tracing::info!(machine = %id, "idle, returned");
-                m.send_back("idle");
+                m.mark_for_termination("idle");
             }
         }
     }
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{io_at, leader};
+use crate::testing::{effects_at, leader};
 use crate::types::WallTime;
 use crate::wire::cloud::ListedMachine;
 
@@ -27,7 +27,7 @@
 fn a_late_list_does_not_bring_back_a_released_machine() {
     let mut leader = leader();
     leader.on_cloud(
-        &mut io_at(1.0),
+        &mut effects_at(1.0),
         CloudCall::List,
         None,
         list(&["host-1", "host-2"]),
@@ -35,13 +35,13 @@
     assert_eq!(leader.machines.len(), 2);
     let release = CloudCall::Release(vec!["host-1".into()]);
     leader.on_cloud(
-        &mut io_at(2.0),
+        &mut effects_at(2.0),
         release,
         None,
         Reply::Answer(200, Vec::new()),
     );
     leader.on_cloud(
-        &mut io_at(9.0),
+        &mut effects_at(9.0),
         CloudCall::List,
         None,
         list(&["host-1", "host-2"]),
@@ -55,25 +55,25 @@
 #[test]
 fn releases_leave_turns_to_renting_and_listing() {
     let mut leader = leader();
-    let market: Market = ("g4".into(), "z0".into(), true);
-    leader.rental.intents.hire(market, 3, WallTime(0));
+    let market: CapacityPool = ("g4".into(), "z0".into(), true);
+    leader.autoscaler.intents.provision(market, 3, WallTime(0));
     let mut made = Vec::new();
     for n in 0..6 {
         let id = MachineId::from(format!("host-{n}"));
-        leader.meet(Time(0), &id).send_back("idle");
+        leader.meet(Time(0), &id).mark_for_termination("idle");
         leader.mean_releases(WallTime(0));
-        for (key, _) in leader.rental.intents.book.take_puts(9) {
-            leader.rental.intents.stored(&key);
+        for (key, _) in leader.autoscaler.intents.pending_writes.take_puts(9) {
+            leader.autoscaler.intents.stored(&key);
         }
         made.push(match leader.next_call(Time(1)) {
             Some(CloudCall::Release(names)) => {
-                leader.rental.intents.release_asked(&names);
-                leader.rental.intents.released(&names, Time(1));
+                leader.autoscaler.intents.release_asked(&names);
+                leader.autoscaler.intents.released(&names, Time(1));
                 names.iter().for_each(|m| drop(leader.machines.remove(m)));
                 "release"
             }
             Some(CloudCall::ProvisionRequest(r)) => {
-                leader.rental.intents.filled(&r.request, &[], Time(1));
+                leader.autoscaler.intents.filled(&r.request, &[], Time(1));
                 "rent"
             }
             Some(CloudCall::List) => "list",
@@ -92,17 +92,19 @@
     };
     let mut first = leader();
     first
-        .rental
+        .autoscaler
         .intents
-        .hire(("g4".into(), "z0".into(), true), 3, WallTime(0));
-    first.meet(Time(0), &"host-1".into()).send_back("idle");
+        .provision(("g4".into(), "z0".into(), true), 3, WallTime(0));
+    first
+        .meet(Time(0), &"host-1".into())
+        .mark_for_termination("idle");
     first.mean_releases(WallTime(0));
     assert!(
         first
             .next_call(Time(1))
             .is_some_and(|c| matches!(c, CloudCall::List))
     );
-    let stored = first.rental.intents.book.take_puts(9);
+    let stored = first.autoscaler.intents.pending_writes.take_puts(9);
     let mut next = leader();
     let entries = stored
         .into_iter()
@@ -114,19 +116,24 @@
     next.load_duties(now, entries.collect());
     // It starts nothing there, whatever brings the machine up again.
     assert_eq!(
-        next.meet(Time(2), &"host-1".into()).leaving,
-        Leaving::Release
+        next.meet(Time(2), &"host-1".into()).lifecycle,
+        MachineLifecycle::Terminating
     );
     let Some(CloudCall::Release(names)) = next.next_call(Time(2)) else {
         panic!("the release is not asked for")
     };
     next.on_cloud(
-        &mut io_at(2.0),
+        &mut effects_at(2.0),
         CloudCall::Release(names),
         None,
         Reply::Answer(200, Vec::new()),
     );
-    next.on_cloud(&mut io_at(2.0), CloudCall::List, None, list(&["host-1"]));
+    next.on_cloud(
+        &mut effects_at(2.0),
+        CloudCall::List,
+        None,
+        list(&["host-1"]),
+    );
     assert!(next.machines.is_empty(), "a late list brought it back");
     let Some(CloudCall::ProvisionRequest(rent)) = next.next_call(Time(3)) else {
         panic!("the hire is not repeated")
@@ -141,11 +148,11 @@
     for (status, by) in [(400, None), (400, Some("node-1")), (404, Some("node-1"))] {
         let mut leader = leader();
         let id = MachineId::from("host-1");
-        leader.meet(Time(0), &id).send_back("idle");
+        leader.meet(Time(0), &id).mark_for_termination("idle");
         let call = CloudCall::Release(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
-        leader.on_cloud(&mut io_at(2.0), call, by.map(NodeId::from), reply);
+        leader.on_cloud(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
         assert!(leader.machines.contains_key(&id), "{status} by {by:?}");
-        assert!(!leader.rental.intents.is_gone(&id));
+        assert!(!leader.autoscaler.intents.is_gone(&id));
     }
 }
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -1,12 +1,12 @@
 //! What workers are told: starts, stops, `clear`, and the answers that carry them.
 
 use crate::core::RequestId;
-use crate::core::assignment::{Phase, Placement, Stop};
-use crate::core::effects::Io;
-use crate::core::failpoints::{self, Decision};
-use crate::core::job_records::{ChunkSize, End, Job};
+use crate::core::assignment::{Assignment, AssignmentPhase, Stop};
+use crate::core::effects::Effects;
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::job_records::{ChunkSize, Job, JobOutcome};
 use crate::core::leader::Leader;
-use crate::core::leader_announcement::Need;
+use crate::core::leader_announcement::AnnouncementPriority;
 use crate::types::{Attempt, JobId, MachineId, TaskId, Time, TimeSpan};
 use crate::wire;
 use crate::wire::users::Priority;
@@ -27,11 +27,11 @@
     /// The stop that a task may be told of now. One whose record goes first
     /// waits for it; records of an ended job are not written any more.
     fn stop_to_tell(&self, size: ChunkSize, index: u32) -> Option<Stop> {
-        let stop = self.places.get(&index)?.stop?;
+        let stop = self.assignments.get(&index)?.stop?;
         let told = stop
             .change
             .is_none_or(|c| !self.is_open() || self.is_stored(size, index, c))
-            || !failpoints::holds(Decision::StopsAreStored);
+            || !failpoints::enforced(SafetyCheck::StopsAreStored);
         told.then_some(stop)
     }
 }
@@ -66,7 +66,7 @@
         };
         job.notes.last_stop = Some(why);
         for index in tasks {
-            let Some(p) = job.places.get(index) else {
+            let Some(p) = job.assignments.get(index) else {
                 continue;
             };
             if p.unsent() {
@@ -74,13 +74,13 @@
             } else if p.stop.is_none_or(|s| grace_s < s.grace_s && grace_s == 0.0) {
                 // A gang that saves must not be cut short because one of its
                 // tasks has ended, saved, before the others.
-                let saving = p.stop.is_some() && job.end != Some(End::Cancelled);
+                let saving = p.stop.is_some() && job.end != Some(JobOutcome::Cancelled);
                 if !saving {
                     let change = (record != Record::No).then(|| job.touch(size, *index));
                     if change.is_some() {
                         self.dirty.note((id.clone(), size.of(*index)), now, true);
                     }
-                    let Some(p) = job.places.get_mut(index) else {
+                    let Some(p) = job.assignments.get_mut(index) else {
                         continue;
                     };
                     p.stop = Some(Stop {
@@ -88,7 +88,8 @@
                         at: now,
                         change: change.filter(|_| record == Record::First),
                     });
-                    if record == Record::First && failpoints::holds(Decision::StopsAreStored) {
+                    if record == Record::First && failpoints::enforced(SafetyCheck::StopsAreStored)
+                    {
                         // Told once it is stored.
                         continue;
                     }
@@ -113,18 +114,20 @@
 
     /// A machine will be taken: its tasks save, or at least leave in time to
     /// prove that they are gone.
-    pub(super) fn drain_noticed(&mut self, io: &mut Io, id: &MachineId) {
-        let now = io.now.time;
+    pub(super) fn drain_noticed(&mut self, effects: &mut Effects, id: &MachineId) {
+        let now = effects.now.time;
         let Some(m) = self.machines.get(id) else {
             return;
         };
-        let left = m.taken_at.map_or(TimeSpan::ZERO, |t| t.since(now));
+        let left = m
+            .termination_notice_at
+            .map_or(TimeSpan::ZERO, |t| t.since(now));
         let here: Vec<TaskId> = m.tasks.iter().cloned().collect();
         for task in here {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let Some(p) = job.places.get(&task.index) else {
+            let Some(p) = job.assignments.get(&task.index) else {
                 continue;
             };
             if p.stop.is_some() {
@@ -137,7 +140,7 @@
             }
             let grace = job.spec.save_s.min((left.as_secs() - 1.0).max(0.0));
             let tasks: Vec<u32> = if job.is_gang() {
-                job.places.keys().copied().collect()
+                job.assignments.keys().copied().collect()
             } else {
                 vec![task.index]
             };
@@ -147,22 +150,27 @@
     }
 
     /// Answers a report with what its machine is to do.
-    pub(super) fn answer_report(&mut self, io: &mut Io, request: RequestId, id: &MachineId) {
-        let now = io.now.time;
+    pub(super) fn answer_report(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        id: &MachineId,
+    ) {
+        let now = effects.now.time;
         if !self.may_answer(now) {
-            io.answer_later(request, 503, 1);
+            effects.answer_later(request, 503, 1);
             return;
         }
         let commands = self.commands(now, id);
         if let Some(m) = self.machines.get_mut(id) {
             m.answered = Some(now);
-            m.hearing.answered(now);
+            m.delivery.answered(now);
         }
         let body = wire::encode(&HeartbeatResponse {
             token: self.token,
             commands,
         });
-        io.answer_body(request, body);
+        effects.answer_body(request, body);
     }
 
     pub(super) fn commands(&mut self, now: Time, id: &MachineId) -> Vec<Command> {
@@ -173,25 +181,25 @@
         let Some(m) = self.machines.get(id) else {
             return Vec::new();
         };
-        let ours = m.ours;
+        let has_our_token = m.has_our_token;
         let epoch = m.epoch;
         let sequence = m.sequence;
-        let mut busy = m.strays;
+        let mut busy = m.unrecorded_usage;
         for (text, attempt, state, why) in listed {
             let Some(task) = TaskId::parse(&text) else {
                 continue;
             };
             let job = self.jobs.get(&task.job);
             let place = job
-                .and_then(|j| j.places.get(&task.index))
+                .and_then(|j| j.assignments.get(&task.index))
                 .filter(|p| &p.machine == id && p.attempt == attempt && p.epoch == epoch);
             if state == TaskState::Exited {
                 // Cleared only once nothing can start it again and, if it is
                 // done, once that is stored.
                 let kept = why == Some(StopReason::Done)
                     && job.is_some_and(|j| !j.is_service() && !j.done_is_stored(task.index))
-                    && failpoints::holds(Decision::DoneBeforeClear);
-                if ours && place.is_none() && !kept {
+                    && failpoints::enforced(SafetyCheck::DoneBeforeClear);
+                if has_our_token && place.is_none() && !kept {
                     forgets.push(Command::Forget {
                         task: text,
                         attempt,
@@ -232,7 +240,7 @@
             .map(|t| t.has());
         let tasks: Vec<TaskId> = m.tasks.iter().cloned().collect();
         if let Some(whole) = whole
-            && ours
+            && has_our_token
             && self.may_start(now)
         {
             let mut free = whole - busy;
@@ -241,20 +249,20 @@
                 let Some(job) = self.jobs.get_mut(&t.job) else {
                     continue;
                 };
-                let wanted = job.is_open() && !self.contact.is_told(&t.job);
+                let wanted = job.is_open() && !self.authority.is_told(&t.job);
                 let needs = job.spec.needs();
-                let Some(p) = job.places.get(&t.index) else {
+                let Some(p) = job.assignments.get(&t.index) else {
                     continue;
                 };
                 // Written ahead: only what is stored may be sent.
                 let stored = job.is_stored(size, t.index, p.change)
-                    || !failpoints::holds(Decision::WriteAhead);
+                    || !failpoints::enforced(SafetyCheck::WriteAhead);
                 if !p.unsent() || !stored || !wanted || p.epoch != epoch || !needs.fits(&free) {
                     continue;
                 }
                 free -= needs;
-                if let Some(p) = job.places.get_mut(&t.index) {
-                    p.phase = Phase::Sent(sequence);
+                if let Some(p) = job.assignments.get_mut(&t.index) {
+                    p.phase = AssignmentPhase::Sent(sequence);
                     if p.cold.is_some() {
                         p.cold = Some(now);
                     }
@@ -272,7 +280,7 @@
 
     /// Sends pending stops straight to their workers. One that arrives late
     /// is harmless: attempts are never reused for another placement.
-    pub fn send_direct(&mut self, io: &mut Io) {
+    pub fn send_direct(&mut self, effects: &mut Effects) {
         for (id, tasks) in std::mem::take(&mut self.direct) {
             let Some(m) = self.machines.get(&id) else {
                 continue;
@@ -285,7 +293,7 @@
                 .iter()
                 .filter_map(|t| {
                     let job = self.jobs.get(&t.job)?;
-                    let p = job.places.get(&t.index)?;
+                    let p = job.assignments.get(&t.index)?;
                     let grace_s = job.stop_to_tell(self.chunk_size, t.index)?.grace_s;
                     epoch = epoch.max(p.epoch);
                     Some(Command::Stop {
@@ -296,44 +304,44 @@
                 })
                 .collect();
             if !commands.is_empty() {
-                io.direct(addr, self.token, epoch, commands);
+                effects.direct(addr, self.token, epoch, commands);
             }
         }
     }
 
     /// A machine that a list shows: if it has tasks and has not reported to this
     /// leader yet, it is told who leads.
-    pub(super) fn herald(&mut self, now: Time, id: &MachineId) {
+    pub(super) fn announce_to(&mut self, now: Time, id: &MachineId) {
         let unheard = self.machines.get(id).filter(|m| m.reported.is_none());
-        let Some(m) = unheard.filter(|m| m.addr.is_some() && self.heralds.goes_on(now)) else {
+        let Some(m) = unheard.filter(|m| m.addr.is_some() && self.announcer.goes_on(now)) else {
             return;
         };
         let need = |t: &TaskId| {
             let job = self.jobs.get(&t.job)?;
-            let stops = !job.is_open() || job.places.get(&t.index)?.stop.is_some();
+            let stops = !job.is_open() || job.assignments.get(&t.index)?.stop.is_some();
             Some(match job.spec.priority {
-                _ if stops => Need::Stopping,
-                Priority::High | Priority::Production => Need::Urgent,
-                Priority::Low | Priority::Normal => Need::Busy,
+                _ if stops => AnnouncementPriority::Stopping,
+                Priority::High | Priority::Production => AnnouncementPriority::Urgent,
+                Priority::Low | Priority::Normal => AnnouncementPriority::Busy,
             })
         };
         if let Some(need) = m.tasks.iter().filter_map(need).min() {
-            self.heralds.note(now, need, id.clone());
+            self.announcer.note(now, need, id.clone());
         }
     }
 
     /// Tells the next machines who leads, by commands that hold none: a worker
     /// that sees a higher token reports at once. Nothing is read from the answer,
     /// as a report under way may still bring it an older leader's start.
-    pub(super) fn send_heralds(&mut self, io: &mut Io) {
-        for id in self.heralds.next(io.now.time, self.machines.len()) {
+    pub(super) fn send_announcements(&mut self, effects: &mut Effects) {
+        for id in self.announcer.next(effects.now.time, self.machines.len()) {
             let Some(m) = self.machines.get(&id).filter(|m| m.reported.is_none()) else {
                 continue;
             };
-            let placed = |t: &TaskId| Some(self.jobs.get(&t.job)?.places.get(&t.index)?.epoch);
+            let placed = |t: &TaskId| Some(self.jobs.get(&t.job)?.assignments.get(&t.index)?.epoch);
             let epoch = m.tasks.iter().filter_map(placed).max();
             if let (Some(addr), Some(epoch)) = (m.addr, epoch) {
-                io.direct(addr, self.token, epoch, Vec::new());
+                effects.direct(addr, self.token, epoch, Vec::new());
             }
         }
     }
@@ -364,14 +372,14 @@
         job.waiting.remove(task.index);
         job.attempt = job.attempt.max(attempt);
         let change = job.touch(size, task.index);
-        job.places.insert(
+        job.assignments.insert(
             task.index,
-            Placement {
+            Assignment {
                 machine: id.clone(),
                 epoch: m.epoch,
                 attempt,
                 change,
-                phase: Phase::Unsent,
+                phase: AssignmentPhase::Unsent,
                 placed: now,
                 running: None,
                 cold: (!warm).then_some(now),
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -1,11 +1,13 @@
 //! The leader's lane of writes: what changed goes out in conditional
 //! transactions, one at a time, ahead of what depends on it.
 
-use crate::core::effects::Io;
-use crate::core::format_version::REMEMBERED;
-use crate::core::format_version::chunk_progress::Progress;
-use crate::core::job_records::{self, End, Item, Job, TransactionBuilder, TransactionLimits};
-use crate::core::leader::{Awaits, Fate, Leader};
+use crate::core::effects::Effects;
+use crate::core::format_version::WITH_HISTORY;
+use crate::core::format_version::chunk_progress::ChunkProgress;
+use crate::core::job_records::{
+    self, CommitItem, Job, JobOutcome, TransactionBuilder, TransactionLimits,
+};
+use crate::core::leader::{Leader, LeadershipOutcome, PendingCall};
 use crate::core::{Reply, Target};
 use crate::types::{JobId, TaskId, Time, TimeSpan, Version};
 use crate::wire;
@@ -21,35 +23,35 @@
 
 impl Leader {
     /// Sends the next transaction, if there is anything to write.
-    pub(super) fn pump(&mut self, io: &mut Io) {
-        let now = io.now.time;
-        if self.lane.calling || now < self.lane.not_before {
+    pub(super) fn pump(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
+        if self.commit_pipeline.calling || now < self.commit_pipeline.not_before {
             return;
         }
-        if self.lane.flight.is_none() {
-            self.lane.flight = self.gather(now);
-            self.lane.doubtful = false;
+        if self.commit_pipeline.flight.is_none() {
+            self.commit_pipeline.flight = self.gather(now);
+            self.commit_pipeline.outcome_unknown = false;
         }
-        let Some((txn, _)) = &self.lane.flight else {
+        let Some((txn, _)) = &self.commit_pipeline.flight else {
             return;
         };
-        if !io.state_calls.take(now, 1.0) {
-            self.lane.not_before = now + TimeSpan::millis(50);
+        if !effects.state_calls.take(now, 1.0) {
+            self.commit_pipeline.not_before = now + TimeSpan::millis(50);
             return;
         }
-        self.lane.calling = true;
+        self.commit_pipeline.calling = true;
         let body = wire::encode(txn);
-        let id = io.call(
+        let id = effects.call(
             Target::State,
             "POST",
             "/commit".into(),
             body,
             TimeSpan::secs(1.0),
         );
-        self.waits.add(id, Awaits::Commit);
+        self.pending_calls.add(id, PendingCall::Commit);
     }
 
-    fn gather(&mut self, now: Time) -> Option<(Transaction, Vec<Item>)> {
+    fn gather(&mut self, now: Time) -> Option<(Transaction, Vec<CommitItem>)> {
         let limits = self.settings.state_limits;
         let level = self.writes.level(now) as usize;
         let ops = limits.txn_ops.min(level);
@@ -65,36 +67,44 @@
             },
         );
         // Acts wait for these; they are few.
-        for (key, value) in self.rental.intents.book.take_puts(b.room() / 2) {
+        for (key, value) in self
+            .autoscaler
+            .intents
+            .pending_writes
+            .take_puts(b.room() / 2)
+        {
             let op = Operation::Put {
                 key: key.clone(),
                 value: value.clone(),
                 lease: None,
             };
             if !b.add(
-                Item::Note(key.clone(), Some(value.clone())),
+                CommitItem::Note(key.clone(), Some(value.clone())),
                 Vec::new(),
                 vec![op],
             ) {
-                self.rental.intents.book.again(key, Some(value));
+                self.autoscaler
+                    .intents
+                    .pending_writes
+                    .again(key, Some(value));
             }
         }
         for id in std::mem::take(&mut self.finishing) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            if job.end != Some(End::Done { written: false }) {
+            if job.end != Some(JobOutcome::Done { written: false }) {
                 continue;
             }
             // If nothing of it is anywhere any more, it ends and goes at once.
-            if job.places.is_empty() {
+            if job.assignments.is_empty() {
                 let (conditions, ops) = job.close_write();
-                if b.add(Item::Close(id.clone()), conditions, ops) {
+                if b.add(CommitItem::Close(id.clone()), conditions, ops) {
                     continue;
                 }
             }
             let (conditions, ops) = job.finish_write();
-            if !b.add(Item::Finish(id.clone()), conditions, ops) {
+            if !b.add(CommitItem::Finish(id.clone()), conditions, ops) {
                 self.finishing.insert(id);
             }
         }
@@ -114,7 +124,7 @@
             };
             let (conditions, ops) = job.chunk_write(self.chunk_size, chunk, self.level);
             let change = c.change;
-            if !b.add(Item::Chunk(id, chunk, change), conditions, ops) {
+            if !b.add(CommitItem::Chunk(id, chunk, change), conditions, ops) {
                 break;
             }
             self.dirty.forget(&due);
@@ -129,30 +139,33 @@
                 continue;
             };
             // It comes back here once its end is stored, or its last task gone.
-            let over = matches!(job.end, Some(End::Cancelled | End::Done { written: true }));
-            if !over || !job.places.is_empty() {
+            let over = matches!(
+                job.end,
+                Some(JobOutcome::Cancelled | JobOutcome::Done { written: true })
+            );
+            if !over || !job.assignments.is_empty() {
                 continue;
             }
             let (ops, last) = job.drop_write(b.room());
-            if ops.is_empty() || !b.add(Item::Drop(id.clone(), last), Vec::new(), ops) {
+            if ops.is_empty() || !b.add(CommitItem::Drop(id.clone(), last), Vec::new(), ops) {
                 again.push(id);
                 break;
             }
         }
         self.dropping.extend(again);
         for key in self
-            .rental
+            .autoscaler
             .intents
-            .book
+            .pending_writes
             .take_deletes(b.room().min(MOST_SETTLED))
         {
             let op = Operation::Delete { key: key.clone() };
-            b.add(Item::Note(key, None), Vec::new(), vec![op]);
+            b.add(CommitItem::Note(key, None), Vec::new(), vec![op]);
         }
         if b.is_empty() {
             // Nothing else is to be written: time to clean up.
-            for (orphan, conditions, op) in self.sweep.next(b.room()) {
-                b.add(Item::Sweep(orphan), conditions, vec![op]);
+            for (orphan, conditions, op) in self.garbage_collector.next(b.room()) {
+                b.add(CommitItem::GarbageCollector(orphan), conditions, vec![op]);
             }
         }
         let built = b.finish()?;
@@ -161,29 +174,31 @@
     }
 
     /// A transaction was answered, or not.
-    pub fn on_commit(&mut self, io: &mut Io, reply: Reply) -> Fate {
-        let now = io.now.time;
-        self.lane.calling = false;
-        let Some((txn, items)) = self.lane.flight.take() else {
-            return Fate::Stay;
+    pub fn on_commit(&mut self, effects: &mut Effects, reply: Reply) -> LeadershipOutcome {
+        let now = effects.now.time;
+        self.commit_pipeline.calling = false;
+        let Some((txn, items)) = self.commit_pipeline.flight.take() else {
+            return LeadershipOutcome::Continue;
         };
-        let pause =
-            self.lane_backoff
-                .failed(TimeSpan::millis(100), TimeSpan::secs(1.0), io.jitter());
+        let pause = self.commit_backoff.failed(
+            TimeSpan::millis(100),
+            TimeSpan::secs(1.0),
+            effects.jitter(),
+        );
         match reply {
             Reply::Answer(200, body) => {
-                self.lane_backoff.succeeded();
-                self.lane.not_before = now + COMMIT_GAP;
-                self.lane.committed = Some(now);
+                self.commit_backoff.succeeded();
+                self.commit_pipeline.not_before = now + COMMIT_GAP;
+                self.commit_pipeline.committed = Some(now);
                 let Some(answer) = wire::decode::<TransactionResponse>(&body) else {
-                    return Fate::StepDown("a commit's answer could not be read");
+                    return LeadershipOutcome::StepDown("a commit's answer could not be read");
                 };
                 for item in items {
                     self.committed(item, &txn, answer.revision);
                 }
-                Fate::Stay
+                LeadershipOutcome::Continue
             }
-            Reply::Answer(409, body) if self.lane.doubtful => {
+            Reply::Answer(409, body) if self.commit_pipeline.outcome_unknown => {
                 // Either the lost first try went through or something else changed.
                 // What is recorded decides.
                 let failed = wire::decode::<TransactionResponse>(&body)
@@ -196,34 +211,45 @@
                 match own.cloned() {
                     Some(op) if failed.iter().all(|k| k != self.holder) => {
                         let key = op.key().to_string();
-                        self.lane.flight = Some((txn, items));
-                        self.lane.calling = true;
+                        self.commit_pipeline.flight = Some((txn, items));
+                        self.commit_pipeline.calling = true;
                         let path = format!("/keys/{key}");
-                        let id =
-                            io.call(Target::State, "GET", path, Vec::new(), TimeSpan::secs(2.0));
-                        self.waits.add(id, Awaits::Written(op));
-                        Fate::Stay
+                        let id = effects.call(
+                            Target::State,
+                            "GET",
+                            path,
+                            Vec::new(),
+                            TimeSpan::secs(2.0),
+                        );
+                        self.pending_calls.add(id, PendingCall::Written(op));
+                        LeadershipOutcome::Continue
                     }
-                    _ => Fate::StepDown("a write's fate is unknown"),
+                    _ => LeadershipOutcome::StepDown("a write's fate is unknown"),
                 }
             }
             Reply::Answer(409, body) => {
-                self.lane.not_before = now + COMMIT_GAP;
+                self.commit_pipeline.not_before = now + COMMIT_GAP;
                 let failed = wire::decode::<TransactionResponse>(&body)
                     .unwrap_or_default()
                     .failed;
                 if failed.iter().any(|k| k == self.holder) {
-                    return Fate::StepDown("a commit found another leader");
+                    return LeadershipOutcome::StepDown("a commit found another leader");
                 }
-                let swept = items.iter().any(|i| matches!(i, Item::Sweep(_)));
-                if !swept && failed.iter().any(|k| k.starts_with(job_records::RECORDS)) {
-                    return Fate::StepDown("a record was changed by somebody else");
+                let swept = items
+                    .iter()
+                    .any(|i| matches!(i, CommitItem::GarbageCollector(_)));
+                if !swept
+                    && failed
+                        .iter()
+                        .any(|k| k.starts_with(job_records::PROGRESS_RECORDS))
+                {
+                    return LeadershipOutcome::StepDown("a record was changed by somebody else");
                 }
-                let over = |id: &JobId| failed.contains(&job_records::head_key(id));
+                let over = |id: &JobId| failed.contains(&job_records::job_header_key(id));
                 for item in items {
                     // Nothing of a job that is over is started, whether or not
                     // the watch has told of its end yet.
-                    if let Item::Chunk(id, ..) = &item
+                    if let CommitItem::Chunk(id, ..) = &item
                         && over(id)
                     {
                         self.ended_elsewhere(now, id);
@@ -231,27 +257,27 @@
                     }
                     // A job cancelled in the meantime is told by the watch. An
                     // orphan that is none after all, or has changed, stays.
-                    let raced = matches!(&item, Item::Finish(id) | Item::Close(id) if over(id))
-                        || matches!(&item, Item::Sweep(_));
+                    let raced = matches!(&item, CommitItem::Finish(id) | CommitItem::Close(id) if over(id))
+                        || matches!(&item, CommitItem::GarbageCollector(_));
                     if !raced {
                         self.again(now, item);
                     }
                 }
-                Fate::Stay
+                LeadershipOutcome::Continue
             }
-            Reply::Answer(400, _) => Fate::StepDown("a commit was malformed"),
-            Reply::Answer(..) | Reply::NotSent if !self.lane.doubtful => {
+            Reply::Answer(400, _) => LeadershipOutcome::StepDown("a commit was malformed"),
+            Reply::Answer(..) | Reply::NotSent if !self.commit_pipeline.outcome_unknown => {
                 for item in items {
                     self.again(now, item);
                 }
-                self.lane.not_before = now + pause;
-                Fate::Stay
+                self.commit_pipeline.not_before = now + pause;
+                LeadershipOutcome::Continue
             }
             Reply::Answer(..) | Reply::NotSent | Reply::Lost => {
-                self.lane.doubtful |= matches!(reply, Reply::Lost);
-                self.lane.flight = Some((txn, items));
-                self.lane.not_before = now + pause;
-                Fate::Stay
+                self.commit_pipeline.outcome_unknown |= matches!(reply, Reply::Lost);
+                self.commit_pipeline.flight = Some((txn, items));
+                self.commit_pipeline.not_before = now + pause;
+                LeadershipOutcome::Continue
             }
         }
     }
@@ -261,10 +287,10 @@
     /// all before this one are settled: if it is newer than what was compared, and as this
     /// one would write it, the first try went through, whole, at its version. Else
     /// everything is started over from what is recorded.
-    pub(super) fn on_written(&mut self, op: &Operation, reply: Reply) -> Fate {
-        self.lane.calling = false;
-        let unknown = Fate::StepDown("a write's fate is unknown");
-        let Some((txn, items)) = self.lane.flight.take() else {
+    pub(super) fn on_written(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
+        self.commit_pipeline.calling = false;
+        let unknown = LeadershipOutcome::StepDown("a write's fate is unknown");
+        let Some((txn, items)) = self.commit_pipeline.flight.take() else {
             return unknown;
         };
         let Reply::Answer(200, body) = reply else {
@@ -278,11 +304,11 @@
         if found.version <= before.version || found.value != *value {
             return unknown;
         }
-        self.lane_backoff.succeeded();
+        self.commit_backoff.succeeded();
         for item in items {
             self.committed(item, &txn, found.version);
         }
-        Fate::Stay
+        LeadershipOutcome::Continue
     }
 
     /// Nothing of a job is left, here or stored. What is noted of its records goes
@@ -303,7 +329,7 @@
             _ => None,
         });
         let of = (id.clone(), chunk);
-        if value.is_some_and(|v| Progress::is_of(v, REMEMBERED)) {
+        if value.is_some_and(|v| ChunkProgress::is_of(v, WITH_HISTORY)) {
             self.older.remove(&of);
         } else {
             self.older.insert(of);
@@ -313,7 +339,7 @@
     /// Gives the next records the form of the level in force: a few at a time, and
     /// only while less than half of what may be written is.
     pub(super) fn rewrite(&mut self, now: Time) {
-        if self.level < REMEMBERED || now < self.rewrite_due || self.older.is_empty() {
+        if self.level < WITH_HISTORY || now < self.rewrite_due || self.older.is_empty() {
             return;
         }
         self.rewrite_due = now + REWRITE_EVERY;
@@ -335,26 +361,28 @@
 
     /// Whether all that is stored has the form of the level in force.
     pub fn is_rewritten(&self) -> bool {
-        self.level < REMEMBERED || self.older.is_empty()
+        self.level < WITH_HISTORY || self.older.is_empty()
     }
 
-    fn again(&mut self, now: Time, item: Item) {
+    fn again(&mut self, now: Time, item: CommitItem) {
         match item {
-            Item::Chunk(id, chunk, _) => self.dirty.note((id, chunk), now, true),
-            Item::Finish(id) | Item::Close(id) => {
+            CommitItem::Chunk(id, chunk, _) => self.dirty.note((id, chunk), now, true),
+            CommitItem::Finish(id) | CommitItem::Close(id) => {
                 self.finishing.insert(id);
             }
-            Item::Drop(id, _) => {
+            CommitItem::Drop(id, _) => {
                 self.dropping.insert(id);
             }
-            Item::Note(key, value) => self.rental.intents.book.again(key, value),
-            Item::Sweep(orphan) => self.sweep.again(orphan),
+            CommitItem::Note(key, value) => {
+                self.autoscaler.intents.pending_writes.again(key, value)
+            }
+            CommitItem::GarbageCollector(orphan) => self.garbage_collector.again(orphan),
         }
     }
 
-    fn committed(&mut self, item: Item, txn: &Transaction, revision: Version) {
+    fn committed(&mut self, item: CommitItem, txn: &Transaction, revision: Version) {
         match item {
-            Item::Chunk(id, chunk, change) => {
+            CommitItem::Chunk(id, chunk, change) => {
                 self.note_form(&id, chunk, txn);
                 if let Some(job) = self.jobs.get_mut(&id) {
                     let mut before = change;
@@ -365,7 +393,7 @@
                     }
                     let size = self.chunk_size;
                     let low = chunk * size.0;
-                    let here = job.places.range(low..low + size.0);
+                    let here = job.assignments.range(low..low + size.0);
                     let now_stored = |c: u64| before < c && c <= change;
                     for (&index, p) in here.clone() {
                         if p.stop.and_then(|s| s.change).is_some_and(now_stored) {
@@ -376,31 +404,31 @@
                     }
                     let unsent = here.filter(|(_, p)| p.unsent() && p.change <= change);
                     self.stored.extend(unsent.map(|(_, p)| p.machine.clone()));
-                    job.unsaved
+                    job.done_not_stored
                         .retain(|&t, n| size.of(t) != chunk || *n > change);
                 }
             }
-            Item::Finish(id) => {
+            CommitItem::Finish(id) => {
                 if let Some(job) = self.jobs.get_mut(&id)
-                    && job.end == Some(End::Done { written: false })
+                    && job.end == Some(JobOutcome::Done { written: false })
                 {
-                    job.end = Some(End::Done { written: true });
-                    job.unsaved.clear();
+                    job.end = Some(JobOutcome::Done { written: true });
+                    job.done_not_stored.clear();
                     tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, "done");
                     self.dropping.insert(id);
                 }
             }
-            Item::Close(id) => {
+            CommitItem::Close(id) => {
                 if let Some(job) = self.jobs.get(&id) {
                     tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, "done");
                 }
                 self.forget(&id);
             }
-            Item::Note(key, Some(_)) => self.rental.intents.stored(&key),
-            Item::Note(_, None) => {}
-            Item::Sweep(_) => self.sweep.deleted += 1,
-            Item::Drop(id, true) => self.forget(&id),
-            Item::Drop(id, false) => {
+            CommitItem::Note(key, Some(_)) => self.autoscaler.intents.stored(&key),
+            CommitItem::Note(_, None) => {}
+            CommitItem::GarbageCollector(_) => self.garbage_collector.deleted += 1,
+            CommitItem::Drop(id, true) => self.forget(&id),
+            CommitItem::Drop(id, false) => {
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.chunks.retain(|&c, _| {
                         let key = job_records::chunk_key(&id, c);
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::core::assignment::Placement;
-use crate::core::failpoints::{Decision, weaken};
-use crate::core::job_records::{End, Job};
+use crate::core::assignment::Assignment;
+use crate::core::failpoints::{SafetyCheck, disable_check};
+use crate::core::job_records::{Job, JobOutcome};
 use crate::core::leader::Leader;
 use crate::testing::{leader, submission};
 use crate::types::{AgentEpoch, Attempt, WallTime};
@@ -22,7 +22,7 @@
     with_job(&mut leader, "wk-1", 1);
     let id = JobId::from("wk-1");
     let job = leader.jobs.get_mut(&id).unwrap();
-    job.end = Some(End::Cancelled);
+    job.end = Some(JobOutcome::Cancelled);
     for chunk in 0..6 {
         let stored = job_records::Chunk {
             version: Version(9),
@@ -43,8 +43,8 @@
             let Operation::Delete { key } = op else {
                 continue;
             };
-            end &= *key != job_records::end_key(&id);
-            submitted &= *key != job_records::job_key(&id);
+            end &= *key != job_records::job_outcome_key(&id);
+            submitted &= *key != job_records::submission_key(&id);
         }
         for item in items {
             leader.committed(item, &txn, Version(10));
@@ -65,9 +65,9 @@
     for room in 4..9 {
         assert_eq!(left_after_each(room).last(), Some(&(false, false)));
     }
-    weaken(&[Decision::EndOutlivesSubmission]);
+    disable_check(&[SafetyCheck::EndOutlivesSubmission]);
     let caught = torn();
-    weaken(&[]);
+    disable_check(&[]);
     assert!(caught, "a deletion cut short was not missed");
 }
 
@@ -80,15 +80,18 @@
         with_job(&mut leader, "wk-1", 1);
         let id = JobId::from("wk-1");
         let job = leader.jobs.get_mut(&id).unwrap();
-        (job.end, job.waiting) = (Some(End::Done { written: false }), Default::default());
+        (job.end, job.waiting) = (
+            Some(JobOutcome::Done { written: false }),
+            Default::default(),
+        );
         let stored = job_records::Chunk {
             version: Version(9),
             ..Default::default()
         };
         job.chunks.insert(0, stored);
         if place {
-            let here = Placement::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
-            job.places.insert(0, here);
+            let here = Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
+            job.assignments.insert(0, here);
         }
         leader.older.insert((id.clone(), 0));
         leader.finishing.insert(id.clone());
@@ -99,7 +102,7 @@
         });
         let keys: Vec<String> = keys.collect();
         let open = Precondition {
-            key: job_records::head_key(&id),
+            key: job_records::job_header_key(&id),
             version: Version(7),
         };
         assert!(txn.conditions.contains(&open), "a cancellation may race");
@@ -130,17 +133,17 @@
         let job = leader.jobs.get_mut(&JobId::from(id)).unwrap();
         job.waiting.remove(0);
         let change = job.touch(leader.chunk_size, 0);
-        let place = Placement {
+        let place = Assignment {
             change,
-            phase: crate::core::assignment::Phase::Unsent,
-            ..Placement::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
+            phase: crate::core::assignment::AssignmentPhase::Unsent,
+            ..Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
         };
-        job.places.insert(0, place);
+        job.assignments.insert(0, place);
         leader.dirty.note((id.into(), 0), Time(0), true);
     }
-    let mut io = crate::testing::io_at(1.0);
-    leader.pump(&mut io);
-    let (txn, _) = leader.lane.flight.as_ref().unwrap();
+    let mut effects = crate::testing::effects_at(1.0);
+    leader.pump(&mut effects);
+    let (txn, _) = leader.commit_pipeline.flight.as_ref().unwrap();
     for id in ["job/wk-1", "job/wk-2"] {
         let fenced = |c: &Precondition| c.key == id && c.version == Version(7);
         assert!(txn.conditions.iter().any(fenced), "{id} is not compared");
@@ -149,11 +152,11 @@
         revision: Version(9),
         failed: vec!["job/wk-1".into()],
     };
-    let fate = leader.on_commit(&mut io, Reply::Answer(409, wire::encode(&refused)));
-    assert_eq!(fate, Fate::Stay);
+    let fate = leader.on_commit(&mut effects, Reply::Answer(409, wire::encode(&refused)));
+    assert_eq!(fate, LeadershipOutcome::Continue);
     let job = |id: &str| &leader.jobs[&JobId::from(id)];
-    assert!(!job("wk-1").is_open() && job("wk-1").places.is_empty());
-    assert!(job("wk-2").is_open() && job("wk-2").places.len() == 1);
+    assert!(!job("wk-1").is_open() && job("wk-1").assignments.is_empty());
+    assert!(job("wk-2").is_open() && job("wk-2").assignments.len() == 1);
     assert!(
         leader
             .dirty
@@ -163,31 +166,31 @@
 }
 
 /// A leader whose first start is in flight and whose answer was lost, once repeated.
-fn repeated(failed: &[&str]) -> (Leader, crate::core::effects::Io, Fate) {
+fn repeated(failed: &[&str]) -> (Leader, crate::core::effects::Effects, LeadershipOutcome) {
     let mut leader = leader();
     with_job(&mut leader, "wk-1", 2);
     let id = JobId::from("wk-1");
     let job = leader.jobs.get_mut(&id).unwrap();
     job.waiting.remove(0);
     let change = job.touch(leader.chunk_size, 0);
-    let place = Placement {
+    let place = Assignment {
         change,
-        phase: crate::core::assignment::Phase::Unsent,
-        ..Placement::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
+        phase: crate::core::assignment::AssignmentPhase::Unsent,
+        ..Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
     };
-    job.places.insert(0, place);
+    job.assignments.insert(0, place);
     leader.dirty.note((id, 0), Time(0), true);
-    let mut io = crate::testing::io_at(1.0);
-    leader.pump(&mut io);
-    leader.on_commit(&mut io, Reply::Lost);
-    io.now.time = io.now.time + TimeSpan::secs(5.0);
-    leader.pump(&mut io);
-    io.take_outputs();
+    let mut effects = crate::testing::effects_at(1.0);
+    leader.pump(&mut effects);
+    leader.on_commit(&mut effects, Reply::Lost);
+    effects.now.time = effects.now.time + TimeSpan::secs(5.0);
+    leader.pump(&mut effects);
+    effects.take_outputs();
     let failed = failed.iter().map(|k| (*k).to_string()).collect();
     let revision = Version(30);
     let body = wire::encode(&TransactionResponse { revision, failed });
-    let fate = leader.on_commit(&mut io, Reply::Answer(409, body));
-    (leader, io, fate)
+    let fate = leader.on_commit(&mut effects, Reply::Answer(409, body));
+    (leader, effects, fate)
 }
 
 // A transaction is carried out and only its answer lost. Its leader could not tell it from
@@ -196,21 +199,21 @@
 #[test]
 fn a_repeat_that_finds_its_own_first_copy_goes_on() {
     let own = "r/wk-1/0";
-    let (mut leader, mut io, fate) = repeated(&[own]);
-    assert_eq!(fate, Fate::Stay);
-    let calls = io.take_outputs();
+    let (mut leader, mut effects, fate) = repeated(&[own]);
+    assert_eq!(fate, LeadershipOutcome::Continue);
+    let calls = effects.take_outputs();
     let [crate::core::Output::Call(call)] = calls.as_slice() else {
         panic!("{calls:?}")
     };
     assert_eq!((call.method, call.path.as_str()), ("GET", "/keys/r/wk-1/0"));
     let id = JobId::from("wk-1");
     let job = &leader.jobs[&id];
-    let change = job.places[&0].change;
+    let change = job.assignments[&0].change;
     assert!(
         !job.is_stored(leader.chunk_size, 0, change),
         "nothing is sent on a guess"
     );
-    let (txn, _) = leader.lane.flight.clone().unwrap();
+    let (txn, _) = leader.commit_pipeline.flight.clone().unwrap();
     let (op, value) = txn
         .ops
         .iter()
@@ -226,7 +229,7 @@
         version,
     };
     let found = Reply::Answer(200, wire::encode(&entry));
-    assert_eq!(leader.on_written(&op, found), Fate::Stay);
+    assert_eq!(leader.on_written(&op, found), LeadershipOutcome::Continue);
     let job = &leader.jobs[&id];
     assert!(job.is_stored(leader.chunk_size, 0, change));
     assert_eq!(
@@ -234,13 +237,13 @@
         Version(25),
         "the next write compares it"
     );
-    assert!(leader.lane.flight.is_none());
+    assert!(leader.commit_pipeline.flight.is_none());
 }
 
 // What is not plainly its own is not taken for it: everything starts over from the records.
 #[test]
 fn what_is_not_plainly_its_own_is_not_taken_for_it() {
-    let gives_up = |fate| matches!(fate, Fate::StepDown(_));
+    let gives_up = |fate| matches!(fate, LeadershipOutcome::StepDown(_));
     let holder = leader().holder;
     for failed in [&["job/wk-1"][..], &[holder, "r/wk-1/0"], &[]] {
         assert!(gives_up(repeated(failed).2), "{failed:?}");
@@ -251,7 +254,7 @@
         version: Version(version),
     };
     let own = |leader: &Leader| {
-        let (txn, _) = leader.lane.flight.clone().unwrap();
+        let (txn, _) = leader.commit_pipeline.flight.clone().unwrap();
         let put = txn.ops.into_iter();
         put.filter_map(|op| match op {
             Operation::Put { value, .. } => Some(value),
@@ -263,7 +266,7 @@
     for case in 0..4 {
         let (mut leader, _, _) = repeated(&["r/wk-1/0"]);
         let value = own(&leader);
-        let op = leader.lane.flight.as_ref().unwrap().0.ops[0].clone();
+        let op = leader.commit_pipeline.flight.as_ref().unwrap().0.ops[0].clone();
         let reply = match case {
             0 => Reply::Answer(404, Vec::new()),
             1 => Reply::Answer(200, wire::encode(&entry(value, 0))),
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -1,12 +1,12 @@
 //! Workers' reports, as the leader sees them.
 
-use crate::core::assignment::{Phase, Placement, Verdict};
-use crate::core::delivery::Sign;
-use crate::core::effects::Io;
-use crate::core::failpoints::{self, Decision};
+use crate::core::assignment::{Assignment, AssignmentPhase, PresenceProof};
+use crate::core::delivery::DeliveryEvidence;
+use crate::core::effects::Effects;
+use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::job_records::Job;
-use crate::core::leader::{Fate, Leader};
-use crate::core::machine::Held;
+use crate::core::leader::{Leader, LeadershipOutcome};
+use crate::core::machine::DeferredHeartbeat;
 use crate::core::{Now, RequestId};
 use crate::types::{AgentEpoch, Attempt, MachineId, Resources, TaskId, Time, TimeSpan};
 use crate::wire::workers::{Heartbeat, ReportedTask, StopReason, TaskState};
@@ -28,43 +28,43 @@
     /// Handles a worker's report; `may_hold`: its answer may wait for work.
     pub fn on_report(
         &mut self,
-        io: &mut Io,
+        effects: &mut Effects,
         request: RequestId,
         report: Heartbeat,
         may_hold: bool,
-    ) -> Fate {
-        let now = io.now.time;
+    ) -> LeadershipOutcome {
+        let now = effects.now.time;
         if report.token > self.token {
-            io.answer_status(request, 421);
+            effects.answer_status(request, 421);
             if self.may_be(now, report.token) {
-                return Fate::Deposed(report.token);
+                return LeadershipOutcome::Deposed(report.token);
             }
             tracing::error!(machine = %report.machine, token = %report.token, "a report carries a token that nobody was given; it changes nothing");
-            return Fate::Stay;
+            return LeadershipOutcome::Continue;
         }
         if report.epoch == AgentEpoch(0) {
             tracing::error!(machine = %report.machine, "a report of session 0, which no worker has; it changes nothing");
-            io.answer_status(request, 400);
-            return Fate::Stay;
+            effects.answer_status(request, 400);
+            return LeadershipOutcome::Continue;
         }
         if !self.may_answer(now) {
-            io.answer_later(request, 503, 1);
-            return Fate::Stay;
+            effects.answer_later(request, 503, 1);
+            return LeadershipOutcome::Continue;
         }
-        if self.rental.intents.is_gone(&report.machine) {
+        if self.autoscaler.intents.is_gone(&report.machine) {
             // Held back by the network; the machine is gone.
-            io.answer_later(request, 503, 1);
-            return Fate::Stay;
+            effects.answer_later(request, 503, 1);
+            return LeadershipOutcome::Continue;
         }
-        let ours = report.token == self.token;
+        let has_our_token = report.token == self.token;
         let machine = self.meet(now, &report.machine);
         let older = (report.epoch, report.sequence) <= (machine.epoch, machine.sequence);
-        if older && failpoints::holds(Decision::NewestReportCounts) {
+        if older && failpoints::enforced(SafetyCheck::NewestReportCounts) {
             // Held back by the network; its sender no longer waits.
-            io.answer_later(request, 503, 1);
-            return Fate::Stay;
+            effects.answer_later(request, 503, 1);
+            return LeadershipOutcome::Continue;
         }
-        let before = (machine.epoch, machine.ours);
+        let before = (machine.epoch, machine.has_our_token);
         if report.epoch > machine.epoch {
             machine.cache.give_up(|_| false);
             machine.lost = false;
@@ -72,24 +72,24 @@
         machine.epoch = report.epoch;
         machine.sequence = report.sequence;
         machine.reported = Some(now);
-        machine.ours = ours;
-        if machine.ours {
-            machine.ours_since.get_or_insert(now);
+        machine.has_our_token = has_our_token;
+        if machine.has_our_token {
+            machine.our_token_since.get_or_insert(now);
         }
         machine.addr = report.addr.parse().ok();
         machine.kind = Some(report.kind.clone());
         machine.zone = Some(report.zone.clone());
         machine.spot = report.spot;
-        machine.taken_at = report.notice_s.map(|s| now + TimeSpan::secs(s));
+        machine.termination_notice_at = report.notice_s.map(|s| now + TimeSpan::secs(s));
         if let Some(held) = self.held.remove(&report.machine) {
-            io.answer_later(held.request, 503, 1);
+            effects.answer_later(held.request, 503, 1);
         }
-        let (freed, took) = self.take_in(io.now, &report);
+        let (freed, took) = self.take_in(effects.now, &report);
         self.note_listed(&report);
         self.note_hearing(now, &report, before, took);
         // One without our token may be an old copy, and its notice another's.
-        if report.notice_s.is_some() && ours {
-            self.drain_noticed(io, &report.machine);
+        if report.notice_s.is_some() && has_our_token {
+            self.drain_noticed(effects, &report.machine);
         }
         let id = &report.machine;
         if may_hold && self.idles(now, id, &report) {
@@ -98,7 +98,7 @@
             let hold = self.settings.workers.report.scaled(0.6);
             self.held.insert(
                 id.clone(),
-                Held {
+                DeferredHeartbeat {
                     request,
                     until: now + hold.min(LONGEST_HOLD),
                     cycles: None,
@@ -110,16 +110,16 @@
             self.cycle_soon(now);
             self.held.insert(
                 report.machine.clone(),
-                Held {
+                DeferredHeartbeat {
                     request,
                     until: now + HOLD,
                     cycles: Some(self.cycles),
                 },
             );
         } else {
-            self.answer_report(io, request, &report.machine);
+            self.answer_report(effects, request, &report.machine);
         }
-        Fate::Stay
+        LeadershipOutcome::Continue
     }
 
     /// Whether any work waits for room.
@@ -131,8 +131,8 @@
     /// Answers held reports whose moment has come. Only machines for which a
     /// start was stored are looked at closely, and after a cycle those that
     /// wait for one.
-    pub fn answer_held(&mut self, io: &mut Io) {
-        let now = io.now.time;
+    pub fn answer_held(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
         let mut due: Vec<MachineId> = Vec::new();
         let stored = std::mem::take(&mut self.stored);
         due.extend(stored.into_iter().filter(|id| {
@@ -157,15 +157,15 @@
         }
         for id in due {
             if let Some(h) = self.held.remove(&id) {
-                self.answer_report(io, h.request, &id);
+                self.answer_report(effects, h.request, &id);
             }
         }
     }
 
     /// Gives up held reports, when leadership ends.
-    pub fn drop_held(&mut self, io: &mut Io) {
+    pub fn drop_held(&mut self, effects: &mut Effects) {
         for (_, h) in std::mem::take(&mut self.held) {
-            io.answer_later(h.request, 503, 1);
+            effects.answer_later(h.request, 503, 1);
         }
     }
 
@@ -176,7 +176,7 @@
             && self
                 .machines
                 .get(id)
-                .is_some_and(|m| m.tasks.is_empty() && m.usable(now, self.silence()))
+                .is_some_and(|m| m.tasks.is_empty() && m.is_schedulable(now, self.silence()))
     }
 
     /// Whether starts for a machine still wait to be stored, and whether all
@@ -188,7 +188,7 @@
             let Some(job) = self.jobs.get(&t.job) else {
                 continue;
             };
-            if let Some(p) = job.places.get(&t.index).filter(|p| p.unsent()) {
+            if let Some(p) = job.assignments.get(&t.index).filter(|p| p.unsent()) {
                 let stored = job.is_stored(self.chunk_size, t.index, p.change);
                 waits |= !stored;
                 ready |= stored;
@@ -203,33 +203,33 @@
         &mut self,
         now: Time,
         report: &Heartbeat,
-        (epoch, ours): (AgentEpoch, bool),
-        took: Sign,
+        (epoch, has_our_token): (AgentEpoch, bool),
+        took: DeliveryEvidence,
     ) {
         let lease = self.settings.workers.lease;
         let Some(m) = self.machines.get_mut(&report.machine) else {
             return;
         };
         let sign = if epoch != AgentEpoch(0) && report.epoch > epoch {
-            Sign::NewSession
-        } else if m.ours && !ours {
-            Sign::Took
-        } else if !m.ours {
-            Sign::OlderToken
+            DeliveryEvidence::NewSession
+        } else if m.has_our_token && !has_our_token {
+            DeliveryEvidence::Took
+        } else if !m.has_our_token {
+            DeliveryEvidence::OlderToken
         } else {
             took
         };
-        if m.hearing.reported(now, lease, sign) {
+        if m.delivery.reported(now, lease, sign) {
             tracing::info!(machine = %report.machine, ?sign, "reports and does not hear its answers; no new work goes there");
         }
-        if m.hearing.hears() {
+        if m.delivery.hears() {
             return;
         }
         let here: Vec<TaskId> = m.tasks.iter().cloned().collect();
         for task in here {
             let place = self.jobs.get(&task.job);
-            let place = place.and_then(|j| j.places.get(&task.index));
-            if place.is_some_and(Placement::unsent) {
+            let place = place.and_then(|j| j.assignments.get(&task.index));
+            if place.is_some_and(Assignment::unsent) {
                 self.gone(now, &task, "its machine does not hear");
             }
         }
@@ -237,17 +237,17 @@
 
     /// Compares a report with the placements: whether it freed room, and what it
     /// shows of starts that were sent.
-    pub(super) fn take_in(&mut self, at: Now, report: &Heartbeat) -> (bool, Sign) {
+    pub(super) fn take_in(&mut self, at: Now, report: &Heartbeat) -> (bool, DeliveryEvidence) {
         let now = at.time;
         let id = &report.machine;
         let mut listed: BTreeMap<TaskId, &ReportedTask> = BTreeMap::new();
-        let mut strays = Resources::default();
+        let mut unrecorded_usage = Resources::default();
         for t in &report.tasks {
             let Some(task) = TaskId::parse(&t.task) else {
                 continue;
             };
             let job = self.jobs.get(&task.job);
-            let place = job.and_then(|j| j.places.get(&task.index));
+            let place = job.and_then(|j| j.assignments.get(&task.index));
             if place.is_some_and(|p| {
                 &p.machine == id && p.attempt == t.attempt && p.epoch == report.epoch
             }) {
@@ -256,7 +256,7 @@
             }
             if t.state != TaskState::Exited {
                 if let Some(j) = job {
-                    strays += j.spec.needs();
+                    unrecorded_usage += j.spec.needs();
                 }
             } else if t.why == Some(StopReason::Done) {
                 // A result is one whenever it was reported, but only of an attempt
@@ -270,54 +270,57 @@
             }
         }
         let Some(machine) = self.machines.get_mut(id) else {
-            return (false, Sign::None);
+            return (false, DeliveryEvidence::None);
         };
-        machine.strays = strays;
+        machine.unrecorded_usage = unrecorded_usage;
         let placed: Vec<TaskId> = machine.tasks.iter().cloned().collect();
         let mut freed = false;
-        let mut took = Sign::None;
+        let mut took = DeliveryEvidence::None;
         for task in placed {
             let seen = listed.get(&task).copied();
             let Some(job) = self.jobs.get_mut(&task.job) else {
                 continue;
             };
             let open = job.is_open();
-            let Some(p) = job.places.get_mut(&task.index) else {
+            let Some(p) = job.assignments.get_mut(&task.index) else {
                 continue;
             };
-            if matches!(p.phase, Phase::Sent(_)) && seen.is_some() {
-                took = Sign::Took;
+            if matches!(p.phase, AssignmentPhase::Sent(_)) && seen.is_some() {
+                took = DeliveryEvidence::Took;
             }
-            match p.judge(
+            match p.check_presence(
                 report.epoch,
                 report.sequence,
                 report.token,
                 self.token,
                 seen,
             ) {
-                Verdict::Absent if p.phase == Phase::Inherited && p.stop.is_none() && open => {
+                PresenceProof::Absent
+                    if p.phase == AssignmentPhase::Inherited && p.stop.is_none() && open =>
+                {
                     freed = true;
-                    p.phase = Phase::Kept;
+                    p.phase = AssignmentPhase::Kept;
                     self.go_on(now, &task);
                 }
                 // It waits for the rest of its gang.
-                Verdict::Absent if p.phase == Phase::Kept && p.stop.is_none() && open => {}
-                Verdict::Absent => {
+                PresenceProof::Absent
+                    if p.phase == AssignmentPhase::Kept && p.stop.is_none() && open => {}
+                PresenceProof::Absent => {
                     freed = true;
                     self.gone(now, &task, "its machine no longer has it");
                 }
                 // What is not wanted any more is not sent again; it never
                 // arrived, so it is nowhere.
-                Verdict::Undelivered if p.stop.is_some() || !open => {
+                PresenceProof::Undelivered if p.stop.is_some() || !open => {
                     self.gone(now, &task, "never arrived");
                 }
-                Verdict::Undelivered => {
-                    p.phase = Phase::Unsent;
-                    if took == Sign::None {
-                        took = Sign::Missed;
+                PresenceProof::Undelivered => {
+                    p.phase = AssignmentPhase::Unsent;
+                    if took == DeliveryEvidence::None {
+                        took = DeliveryEvidence::Missed;
                     }
                 }
-                Verdict::Present => {
+                PresenceProof::Present => {
                     if let Some(t) = seen {
                         freed |= self.seen(at, &task, t);
                     }
@@ -338,11 +341,11 @@
             return false;
         };
         let spec = job.spec.clone();
-        let Some(p) = job.places.get_mut(&task.index) else {
+        let Some(p) = job.assignments.get_mut(&task.index) else {
             return false;
         };
-        let inherited = p.phase == Phase::Inherited;
-        p.phase = Phase::Seen(t.state);
+        let inherited = p.phase == AssignmentPhase::Inherited;
+        p.phase = AssignmentPhase::Seen(t.state);
         if t.state == TaskState::Running && p.running.is_none() {
             p.running = Some(now);
             tracing::debug!(task = %task, machine = %p.machine, since_s = now.since(p.placed).as_secs(), "runs");
@@ -374,14 +377,20 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let kept = |p: &&Placement| p.phase == Phase::Kept;
+        let kept = |p: &&Assignment| p.phase == AssignmentPhase::Kept;
         let indices: Vec<u32> = if job.is_gang() {
-            if !job.places.values().any(|p| kept(&p)) {
+            if !job.assignments.values().any(|p| kept(&p)) {
                 return;
             }
-            let open = |p: &Placement| matches!(p.phase, Phase::Inherited | Phase::Kept);
-            if job.places.values().any(|p| !open(p) || p.stop.is_some()) {
-                let all = job.places.iter().filter(|(_, p)| kept(p));
+            let open = |p: &Assignment| {
+                matches!(p.phase, AssignmentPhase::Inherited | AssignmentPhase::Kept)
+            };
+            if job
+                .assignments
+                .values()
+                .any(|p| !open(p) || p.stop.is_some())
+            {
+                let all = job.assignments.iter().filter(|(_, p)| kept(p));
                 let all: Vec<u32> = all.map(|(i, _)| *i).collect();
                 for index in all {
                     let job = task.job.clone();
@@ -389,27 +398,27 @@
                 }
                 return;
             }
-            let whole = job.places.len() == job.spec.tasks as usize;
-            if !whole || !job.places.values().all(|p| kept(&p)) {
+            let whole = job.assignments.len() == job.spec.tasks as usize;
+            if !whole || !job.assignments.values().all(|p| kept(&p)) {
                 return;
             }
-            job.places.keys().copied().collect()
+            job.assignments.keys().copied().collect()
         } else {
-            let all = job.places.get(&task.index).filter(kept);
+            let all = job.assignments.get(&task.index).filter(kept);
             all.map(|_| task.index).into_iter().collect()
         };
-        let stays = |p: &Placement| {
+        let stays = |p: &Assignment| {
             self.machines
                 .get(&p.machine)
-                .is_some_and(|m| m.usable(now, self.silence()) && m.epoch == p.epoch)
+                .is_some_and(|m| m.is_schedulable(now, self.silence()) && m.epoch == p.epoch)
         };
         // A gang stays whole or goes whole.
-        let all_stay = indices.iter().all(|i| stays(&job.places[i]));
+        let all_stay = indices.iter().all(|i| stays(&job.assignments[i]));
         let attempt = Attempt(job.attempt.0 + 1);
         for index in indices {
             let job = task.job.clone();
             let task = TaskId { job, index };
-            let id = self.jobs[&task.job].places[&index].machine.clone();
+            let id = self.jobs[&task.job].assignments[&index].machine.clone();
             self.remove_place(now, &task, "never started");
             if all_stay {
                 self.put(now, &task, &id, attempt);
@@ -418,7 +427,7 @@
     }
 
     /// Expected remaining time of a task on its machine.
-    pub fn remaining(&self, now: Time, job: &Job, p: &Placement) -> TimeSpan {
+    pub fn remaining(&self, now: Time, job: &Job, p: &Assignment) -> TimeSpan {
         let run = TimeSpan::secs(job.spec.estimate_s);
         let cold = p.cold.map_or(TimeSpan::ZERO, |_| {
             self.estimates.of(&job.spec.image, job.spec.image_gb, None)
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::machine::Machine;
 use crate::core::{Output, Reply};
 use crate::testing::submission;
-use crate::testing::{io_at, leader};
+use crate::testing::{effects_at, leader};
 use crate::types::Resources;
 use crate::types::{FencingToken, HeartbeatSequence, Version, WallTime};
 use crate::wire;
@@ -20,11 +20,11 @@
     let task = TaskId::parse("wk-1/0").unwrap();
     m.take(task, Resources::default());
     m.answered = Some(Time(10_000_000));
-    m.ours_since = Some(Time(100_000_000));
+    m.our_token_since = Some(Time(100_000_000));
     let id = MachineId::from("host-1");
     leader.machines.insert(id.clone(), m);
     let mut lost_at = |secs: f64| {
-        leader.expire(&mut io_at(secs));
+        leader.expire(&mut effects_at(secs));
         leader.machines[&id].lost
     };
     // The fixture's lease is 10 s.
@@ -37,8 +37,8 @@
 /// under its token.
 fn leading() -> (Leader, MachineId) {
     let mut leader = leader();
-    leader.contact.page(Time(0));
-    leader.contact.loaded(Time(0));
+    leader.authority.page(Time(0));
+    leader.authority.loaded(Time(0));
     let spec = submission("wk-1", JobShape::Array, 2);
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
     leader.jobs.insert("wk-1".into(), job);
@@ -87,10 +87,10 @@
 }
 
 /// What it answers, and what becomes of it.
-fn hears(leader: &mut Leader, secs: f64, report: Heartbeat) -> (u16, Fate) {
-    let mut io = io_at(secs);
-    let fate = leader.on_report(&mut io, RequestId(1), report, false);
-    let answer = io.take_outputs().into_iter().find_map(|o| match o {
+fn hears(leader: &mut Leader, secs: f64, report: Heartbeat) -> (u16, LeadershipOutcome) {
+    let mut effects = effects_at(secs);
+    let fate = leader.on_report(&mut effects, RequestId(1), report, false);
+    let answer = effects.take_outputs().into_iter().find_map(|o| match o {
         Output::Answer(_, a) => Some(a.status),
         _ => None,
     });
@@ -110,9 +110,9 @@
             ..report(2, token)
         };
         hears(&mut leader, 2.0, told);
-        let places = leader.jobs[&"wk-1".into()].places.values();
+        let assignments = leader.jobs[&"wk-1".into()].assignments.values();
         assert_eq!(
-            places.filter(|p| p.stop.is_some()).count(),
+            assignments.filter(|p| p.stop.is_some()).count(),
             stopped,
             "{token}"
         );
@@ -126,22 +126,22 @@
     let (mut leader, _) = leading();
     assert_eq!(
         hears(&mut leader, 2.0, report(2, u64::MAX)),
-        (421, Fate::Stay)
+        (421, LeadershipOutcome::Continue)
     );
     // One that may have been given since the last read does.
     let later = FencingToken(9);
     let deposed = hears(&mut leader, 2.0, report(3, later.0));
-    assert_eq!(deposed, (421, Fate::Deposed(later)));
+    assert_eq!(deposed, (421, LeadershipOutcome::Deposed(later)));
     // A read has shown everything up to its revision, and no other leader.
     let none = WatchResponse {
         revision: Version(500),
         events: Vec::new(),
     };
     let read = Reply::Answer(200, wire::encode(&none));
-    leader.on_read(&mut io_at(2.5), Time(2_000_000), read);
+    leader.on_read(&mut effects_at(2.5), Time(2_000_000), read);
     assert_eq!(
         hears(&mut leader, 2.0, report(4, later.0)),
-        (421, Fate::Stay)
+        (421, LeadershipOutcome::Continue)
     );
 }
 
@@ -153,7 +153,10 @@
         epoch: AgentEpoch(0),
         ..report(9, 5)
     };
-    assert_eq!(hears(&mut leader, 2.0, no_session), (400, Fate::Stay));
+    assert_eq!(
+        hears(&mut leader, 2.0, no_session),
+        (400, LeadershipOutcome::Continue)
+    );
     assert_eq!(leader.machines[&id].sequence, before);
     // Results of attempts that were never given, of unknown tasks and jobs.
     let done = |name, attempt| task(name, attempt, TaskState::Exited, Some(StopReason::Done));
@@ -190,13 +193,13 @@
     let (mut leader, id) = leading();
     for n in 0..4u32 {
         let secs = 3.0 + 3.0 * f64::from(n);
-        leader.contact.showed(Time(0) + TimeSpan::secs(secs));
-        let placed = leader.jobs[&"wk-1".into()].places.len();
+        leader.authority.showed(Time(0) + TimeSpan::secs(secs));
+        let placed = leader.jobs[&"wk-1".into()].assignments.len();
         assert_eq!(placed, 2, "at {secs} s");
         hears(&mut leader, secs, report(u64::from(n) + 2, 5));
     }
     let job = &leader.jobs[&"wk-1".into()];
-    assert!(job.places.is_empty() && job.waiting.len() == 2);
+    assert!(job.assignments.is_empty() && job.waiting.len() == 2);
     let m = &leader.machines[&id];
-    assert!(!m.usable(Time(12_000_000), leader.silence()));
+    assert!(!m.is_schedulable(Time(12_000_000), leader.silence()));
 }
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -2,18 +2,18 @@
 //! orders for machines.
 
 use super::command_dispatch::Record;
-use crate::core::assignment::Phase;
-use crate::core::effects::Io;
-use crate::core::failpoints::{self, Decision};
+use crate::core::assignment::AssignmentPhase;
+use crate::core::effects::Effects;
+use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::job_records::Job;
 use crate::core::leader::Leader;
 use crate::core::machine::Machine;
-use crate::core::placement_tables::Row;
+use crate::core::placement_tables::MachineRow;
 use crate::core::preemption::{self, Victim, Victims};
 use crate::core::quota::Bounds;
-use crate::core::quota::minimum_share::{Floors, Group, Service};
-use crate::core::quota::usage::{Account, Units};
-use crate::core::scheduling_cycle::{Cycle, Pace, TeamUse, Want};
+use crate::core::quota::minimum_share::{MinimumShares, Service, ShareGroup};
+use crate::core::quota::usage::{QuotaUnits, QuotaUsage};
+use crate::core::scheduling_cycle::{CycleParameters, PlacementRequest, SchedulingCycle, TeamUse};
 use crate::settings::{Objective, ObjectiveKind, Settings};
 use crate::types::{
     Attempt, Class, JobId, MachineId, Resources, TaskId, Team, Time, TimeSpan, WallTime,
@@ -83,7 +83,7 @@
         let ms = |s: f64| (s * 1000.0).clamp(0.0, 1e10) as i64;
         let since = wall.0 as i64 - job.at.0 as i64;
         let run = ms(job.spec.estimate_s);
-        let started = !job.done.is_empty() || !job.places.is_empty();
+        let started = !job.done.is_empty() || !job.assignments.is_empty();
         let mut times: Vec<i64> = self
             .of(job)
             .filter_map(|o| match (o.kind, o.within, job.spec.deadline_s) {
@@ -122,22 +122,22 @@
 
 impl Leader {
     /// The machines as the cycle sees them, and their names by row.
-    pub(super) fn rows(&self, now: Time) -> Vec<Row> {
+    pub(super) fn rows(&self, now: Time) -> Vec<MachineRow> {
         let silence = self.silence();
         self.machines
             .iter()
-            .filter(|(_, m)| m.is_well(now, silence))
+            .filter(|(_, m)| m.is_healthy(now, silence))
             .filter_map(|(id, m)| self.row(now, id, m))
             .collect()
     }
 
     /// One machine as a row.
-    pub(super) fn row(&self, now: Time, id: &MachineId, m: &Machine) -> Option<Row> {
+    pub(super) fn row(&self, now: Time, id: &MachineId, m: &Machine) -> Option<MachineRow> {
         let kind = m.kind.clone()?;
         let t = self.types.get(&kind)?;
         let whole = t.has();
-        let free = whole - m.strays - m.used;
-        Some(Row {
+        let free = whole - m.unrecorded_usage - m.used;
+        Some(MachineRow {
             id: id.clone(),
             kind,
             zone: m.zone.clone()?,
@@ -148,17 +148,17 @@
             last_high: m.last_high,
             cache: m.cache.clone(),
             fetch_rate: t.fetch_gb_per_s,
-            aside: m.is_aside(now),
+            aside: m.is_quarantined(now),
         })
     }
 
     /// Predicts when each row's machine will be free altogether.
-    fn predict(&self, now: Time, rows: &mut [Row]) {
+    fn predict(&self, now: Time, rows: &mut [MachineRow]) {
         let index: HashMap<&MachineId, usize> =
             rows.iter().enumerate().map(|(i, r)| (&r.id, i)).collect();
         let mut work = vec![0.0; rows.len()];
         for job in self.jobs.values() {
-            for p in job.places.values() {
+            for p in job.assignments.values() {
                 if let Some(&i) = index.get(&p.machine) {
                     let share = job.spec.needs().share_of(&rows[i].whole).min(1.0);
                     work[i] += self.remaining(now, job, p).as_secs() * share;
@@ -187,7 +187,7 @@
                 )
             })
             .collect();
-        let ended = failpoints::holds(Decision::EndedJobsHoldPlaces);
+        let ended = failpoints::enforced(SafetyCheck::EndedJobsHoldPlaces);
         for job in self.jobs.values().filter(|j| ended || j.is_open()) {
             if let Some(t) = teams.get_mut(&job.spec.team) {
                 t.used += job.spec.needs().times(job.held() as f64);
@@ -197,11 +197,15 @@
     }
 
     /// What teams hold, and what of that is being stopped.
-    pub(super) fn account(&self) -> Account {
-        let mut account = Account::new(&self.settings.teams);
+    pub(super) fn account(&self) -> QuotaUsage {
+        let mut account = QuotaUsage::new(&self.settings.teams);
         for job in self.jobs.values().filter(|j| j.held() > 0) {
-            let stopping = job.places.values().filter(|p| p.stop.is_some()).count();
-            let each = Units::of(&job.spec.needs());
+            let stopping = job
+                .assignments
+                .values()
+                .filter(|p| p.stop.is_some())
+                .count();
+            let each = QuotaUnits::of(&job.spec.needs());
             account.hold(&job.spec.team, each, job.held(), stopping);
         }
         account
@@ -209,7 +213,7 @@
 
     /// How classes and teams are served, by the work that came of late and the
     /// work that has waited too long for it.
-    pub(super) fn services(&self, wall: WallTime) -> BTreeMap<Group, Service> {
+    pub(super) fn services(&self, wall: WallTime) -> BTreeMap<ShareGroup, Service> {
         let window = TimeSpan::secs(self.policy.floor_window_s);
         let late = window.scaled(1.0 - self.policy.floor_share);
         let age = |at: WallTime| TimeSpan::millis(wall.0.saturating_sub(at.0));
@@ -244,16 +248,20 @@
         for job in self.jobs.values().filter(|j| j.is_open()) {
             let s = pair(&mut pairs, &job.spec.class, &job.spec.team);
             let each = job.spec.needs().share_of(&whole);
-            let staying = job.places.values().filter(|p| p.stop.is_none()).count();
+            let staying = job
+                .assignments
+                .values()
+                .filter(|p| p.stop.is_none())
+                .count();
             s.used += staying as f64 * each;
             if waits(job) {
                 s.overdue += f64::from(job.waiting.len()) * each * job.spec.estimate_s;
                 s.priority = s.priority.max(Some(job.spec.priority));
             }
         }
-        let mut all: BTreeMap<Group, Service> = BTreeMap::new();
+        let mut all: BTreeMap<ShareGroup, Service> = BTreeMap::new();
         for (class, team, s) in pairs {
-            for g in Group::both(class, team) {
+            for g in ShareGroup::both(class, team) {
                 all.entry(g).or_default().add(&s);
             }
         }
@@ -289,7 +297,7 @@
         all
     }
 
-    fn wants(&mut self, now: Time, wall: WallTime) -> Vec<Want> {
+    fn wants(&mut self, now: Time, wall: WallTime) -> Vec<PlacementRequest> {
         self.mark_entitled();
         let aims = Aims::new(&self.settings, self.policy.small_first, self.fleet());
         let patience = TimeSpan::secs(self.policy.patience_s);
@@ -302,7 +310,7 @@
                 job.notes.why = "a record of it cannot be read";
                 continue;
             }
-            if self.contact.is_told(id) {
+            if self.authority.is_told(id) {
                 job.notes.why = "it is cancelled, as a peer says";
                 continue;
             }
@@ -310,15 +318,15 @@
                 job.notes.why = "it failed lately";
                 continue;
             }
-            if job.is_gang() && !job.places.is_empty() {
+            if job.is_gang() && !job.assignments.is_empty() {
                 job.notes.why = "its last attempt is not gone yet";
                 continue;
             }
             let spec = job.spec.clone();
             let mut in_zones = BTreeMap::new();
             let mut unknown = false;
-            let binds = failpoints::holds(Decision::OldPlacesBindZones);
-            let bind = job.places.values().filter(|_| binds);
+            let binds = failpoints::enforced(SafetyCheck::OldPlacesBindZones);
+            let bind = job.assignments.values().filter(|_| binds);
             for p in bind {
                 match machines.get(&p.machine).and_then(|m| m.zone.clone()) {
                     Some(z) => *in_zones.entry(z).or_default() += 1,
@@ -335,7 +343,7 @@
             } else {
                 job.waiting.iter().take(MOST_TASKS).collect()
             };
-            wants.push(Want {
+            wants.push(PlacementRequest {
                 job: id.clone(),
                 team: spec.team.clone(),
                 class: spec.class.clone(),
@@ -367,7 +375,7 @@
                 // fetch would wait for ever on machines that have room. And where all
                 // machines are put aside, one of those is better than none.
                 overdue: job.notes.waiting_since.is_some_and(|t| {
-                    now.since(t) > patience && failpoints::holds(Decision::HoldsEndWithAge)
+                    now.since(t) > patience && failpoints::enforced(SafetyCheck::HoldsEndWithAge)
                 }),
                 avoid: job.notes.failed_on.clone(),
             });
@@ -376,9 +384,9 @@
     }
 
     /// One cycle.
-    pub(super) fn cycle(&mut self, io: &mut Io) {
-        let now = io.now.time;
-        let mut wants = self.wants(now, io.now.wall);
+    pub(super) fn cycle(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
+        let mut wants = self.wants(now, effects.now.wall);
         let holds = wants.iter().any(|w| w.aged && w.gang);
         let mut rows = self.rows(now);
         if holds {
@@ -386,16 +394,16 @@
         }
         let mut teams = self.team_use();
         let wait = self.settings.workers.gang_wait;
-        let pace = Pace {
+        let pace = CycleParameters {
             now,
             most_skew: TimeSpan(wait.0 * 6 / 10),
         };
         let estimates = self.estimates.clone();
-        let mut cycle = Cycle::new(pace, &mut rows, &mut teams, &estimates);
-        let (account, services) = (self.account(), self.services(io.now.wall));
+        let mut cycle = SchedulingCycle::new(pace, &mut rows, &mut teams, &estimates);
+        let (account, services) = (self.account(), self.services(effects.now.wall));
         let share = self.policy.floor_share;
         let machines = cycle.rows.len() as f64;
-        let floors = Floors::new(&services, machines, share, self.policy.floor_window_s);
+        let floors = MinimumShares::new(&services, machines, share, self.policy.floor_window_s);
         let mut bounds = Bounds { account, floors };
         cycle.run_floors(&mut wants, &mut bounds.floors);
         cycle.run_warm(&mut wants);
@@ -445,19 +453,21 @@
             job.notes.why = "";
         }
         wants.retain(|w| !w.tasks.is_empty());
-        self.plan_rental(io, &wants, &rows);
+        self.plan_rental(effects, &wants, &rows);
     }
 
     /// Stops tasks for work that found no room, and places that work where
     /// they were; it is sent once they have left.
     fn make_room(
         &self,
-        cycle: &mut Cycle<'_>,
-        wants: &mut [Want],
+        cycle: &mut SchedulingCycle<'_>,
+        wants: &mut [PlacementRequest],
         least: Priority,
         stops: &mut Stops,
     ) {
-        let urgent = |w: &Want| !w.tasks.is_empty() && (w.priority > Priority::Low || w.entitled);
+        let urgent = |w: &PlacementRequest| {
+            !w.tasks.is_empty() && (w.priority > Priority::Low || w.entitled)
+        };
         // They stand in the order of their ranks since the cycle's first part.
         let order: Vec<usize> = (0..wants.len())
             .filter(|&i| wants[i].priority >= least && urgent(&wants[i]))
@@ -515,7 +525,7 @@
         }
     }
 
-    fn victims(&self, now: Time, rows: &[Row]) -> Victims {
+    fn victims(&self, now: Time, rows: &[MachineRow]) -> Victims {
         let index: HashMap<&MachineId, usize> =
             rows.iter().enumerate().map(|(i, r)| (&r.id, i)).collect();
         let settle = TimeSpan::secs(self.policy.settle_s);
@@ -523,7 +533,7 @@
         for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_open()) {
             // A gang goes whole, so all of it must be within reach.
             let reachable = job
-                .places
+                .assignments
                 .values()
                 .all(|p| index.contains_key(&p.machine) && p.stop.is_none());
             if job.is_gang() && !reachable {
@@ -533,7 +543,7 @@
                 || self.settings.objectives.iter().any(|o| {
                     o.kind == ObjectiveKind::Wait && o.class.as_ref() == Some(&job.spec.class)
                 });
-            for (&task, p) in &job.places {
+            for (&task, p) in &job.assignments {
                 let Some(&row) = index.get(&p.machine) else {
                     continue;
                 };
@@ -547,8 +557,10 @@
                     ran
                 };
                 let share = job.spec.needs().share_of(&rows[row].whole);
-                let settled = matches!(p.phase, Phase::Seen(_) | Phase::Inherited)
-                    && now.since(p.placed) > settle;
+                let settled = matches!(
+                    p.phase,
+                    AssignmentPhase::Seen(_) | AssignmentPhase::Inherited
+                ) && now.since(p.placed) > settle;
                 // A start that is stopped soon does not count for its users,
                 // if they have an aim about starting.
                 let fresh = if settled || !aims { 0.0 } else { FRESH_COST };
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -1,11 +1,11 @@
 //! What the leader tells peers and operators.
 
 use crate::core::Now;
-use crate::core::assignment::Phase;
+use crate::core::assignment::AssignmentPhase;
 use crate::core::leader::Leader;
-use crate::core::machine::{Leaving, Machine};
-use crate::core::quota::minimum_share::{Floors, Group};
-use crate::core::quota::usage::Units;
+use crate::core::machine::{Machine, MachineLifecycle};
+use crate::core::quota::minimum_share::{MinimumShares, ShareGroup};
+use crate::core::quota::usage::QuotaUnits;
 use crate::types::{Image, JobId, MachineId, Time, Zone};
 use crate::wire::workers::TaskState;
 use std::collections::BTreeMap;
@@ -22,9 +22,9 @@
     pub fn counts(&self, id: &JobId) -> Option<(u32, u32)> {
         let job = self.jobs.get(id)?;
         let running = job
-            .places
+            .assignments
             .values()
-            .filter(|p| p.phase == Phase::Seen(TaskState::Running))
+            .filter(|p| p.phase == AssignmentPhase::Seen(TaskState::Running))
             .count();
         Some((job.done.len(), running as u32))
     }
@@ -98,8 +98,8 @@
     fn duties(&self, at: Now) -> serde_json::Value {
         let now = at.time;
         let age = |t: Option<Time>| t.map(|t| now.since(t).as_secs());
-        let hands = self.rental.hands.peer(now);
-        let [hires, releases, going] = self.rental.intents.open();
+        let hands = self.autoscaler.hands.peer(now);
+        let [provisions, releases, going] = self.autoscaler.intents.open();
         let duty = |name: &str, progress: Option<Time>, open: serde_json::Value| {
             serde_json::json!({
                 "duty": name, "fence": self.token, "held_s": now.since(self.office).as_secs(),
@@ -107,19 +107,19 @@
             })
         };
         let renting = serde_json::json!({
-            "hires": hires, "releases": releases, "machines_going": going,
+            "hires": provisions, "releases": releases, "machines_going": going,
             "by": hands.map_or("itself", |l| l.as_str()),
-            "hands_changed": self.rental.hands.changes,
+            "hands_changed": self.autoscaler.hands.changes,
         });
         let reclaiming = serde_json::json!({
-            "stopping": self.jobs.values().flat_map(|j| j.places.values())
+            "stopping": self.jobs.values().flat_map(|j| j.assignments.values())
                 .filter(|p| p.stop.is_some()).count(),
-            "put_aside": self.asides.count(at.wall),
+            "put_aside": self.quarantine.count(at.wall),
         });
         let cleaning = serde_json::json!({
-            "orphans_left": self.sweep.left(), "orphans_deleted": self.sweep.deleted,
-            "jobs_to_drop": self.dropping.len(), "records_to_write": self.rental.intents.book.len(),
-            "records_written": self.rental.intents.book.written,
+            "orphans_left": self.garbage_collector.left(), "orphans_deleted": self.garbage_collector.deleted,
+            "jobs_to_drop": self.dropping.len(), "records_to_write": self.autoscaler.intents.pending_writes.len(),
+            "records_written": self.autoscaler.intents.pending_writes.written,
         });
         serde_json::json!([
             duty(
@@ -127,9 +127,9 @@
                 Some(self.last_cycle).filter(|_| self.cycles > 0),
                 serde_json::json!({})
             ),
-            duty("renting", self.rental.hands.progress, renting),
+            duty("renting", self.autoscaler.hands.progress, renting),
             duty("reclaiming", self.reclaimed, reclaiming),
-            duty("cleaning", self.lane.committed, cleaning),
+            duty("cleaning", self.commit_pipeline.committed, cleaning),
         ])
     }
 
@@ -138,15 +138,15 @@
         let services = self.services(at.wall);
         let machines = self.rows(at.time).len() as f64;
         let (share, window) = (self.policy.floor_share, self.policy.floor_window_s);
-        let floors = Floors::new(&services, machines, share, window);
-        let served = |g: &Group| services.get(g).map_or(1.0, |s| s.share());
-        let gpus = |u: Units| u.gpus as f64 / 1000.0;
-        let cpus = |u: Units| u.cpus as f64 / 1000.0;
+        let floors = MinimumShares::new(&services, machines, share, window);
+        let served = |g: &ShareGroup| services.get(g).map_or(1.0, |s| s.share());
+        let gpus = |u: QuotaUnits| u.gpus as f64 / 1000.0;
+        let cpus = |u: QuotaUnits| u.cpus as f64 / 1000.0;
         let account = self.account();
         let teams: Vec<_> = account
             .teams()
             .map(|(team, h)| {
-                let g = Group::Team(team.clone());
+                let g = ShareGroup::Team(team.clone());
                 serde_json::json!({
                     "team": team, "guaranteed": {"cpus": h.share.cpus, "gpus": h.share.gpus},
                     "limit": {"cpus": h.share.cpus_max, "gpus": h.share.gpus_max},
@@ -161,7 +161,7 @@
             .arrivals
             .keys()
             .map(|class| {
-                let g = Group::Class(class.clone());
+                let g = ShareGroup::Class(class.clone());
                 serde_json::json!({
                     "class": class, "served": served(&g), "floor_machines": floors.of(&g),
                 })
@@ -184,13 +184,13 @@
                 serde_json::json!({
                     "machine": id, "kind": m.kind, "zone": m.zone, "spot": m.spot,
                     "session": m.epoch, "reported_s_ago": age(m.reported),
-                    "usable": m.usable(now, self.silence()), "lost": m.lost,
-                    "deaf_s": m.hearing.deaf_for(now).map(|t| t.as_secs()),
-                    "leaving": m.leaving != Leaving::No, "taken_in_s": m.taken_at.map(|t| t.since(now).as_secs()),
+                    "usable": m.is_schedulable(now, self.silence()), "lost": m.lost,
+                    "deaf_s": m.delivery.deaf_for(now).map(|t| t.as_secs()),
+                    "leaving": m.lifecycle != MachineLifecycle::InService, "taken_in_s": m.termination_notice_at.map(|t| t.since(now).as_secs()),
                     "images": m.cache.images().map(|(i, _)| i).collect::<Vec<_>>(),
                     "tasks": m.tasks.iter().map(|t| {
                         let job = self.jobs.get(&t.job);
-                        let p = job.and_then(|j| j.places.get(&t.index));
+                        let p = job.and_then(|j| j.assignments.get(&t.index));
                         serde_json::json!({
                             "task": t.to_string(), "owner": job.map(|j| &j.spec.team),
                             "attempt": p.map(|p| p.attempt),
@@ -210,7 +210,7 @@
                 serde_json::json!({
                     "job": id, "owner": j.spec.team, "class": j.spec.class,
                     "priority": j.spec.priority, "tasks": j.spec.tasks, "done": j.done.len(),
-                    "placed": j.places.len(), "waiting": j.waiting.len(),
+                    "placed": j.assignments.len(), "waiting": j.waiting.len(),
                     "waits_s": age(j.notes.waiting_since), "why": j.notes.why,
                     "within_guarantee": j.notes.entitled, "last_stop": j.notes.last_stop,
                     "end": j.end.map(|e| format!("{e:?}")),
@@ -223,22 +223,22 @@
             let z = zones.entry(m.zone.as_ref().map_or("", Zone::as_str));
             let z = z.or_default();
             z[0] += 1;
-            z[1] += usize::from(m.usable(now, self.silence()));
+            z[1] += usize::from(m.is_schedulable(now, self.silence()));
             z[2] += usize::from(m.spot);
             z[3] += m.tasks.len();
         }
         let zones: Vec<_> = zones
             .into_iter()
-            .map(|(zone, [machines, usable, spot, tasks])| {
+            .map(|(zone, [machines, is_schedulable, spot, tasks])| {
                 serde_json::json!({
-                    "zone": zone, "machines": machines, "usable": usable,
+                    "zone": zone, "machines": machines, "usable": is_schedulable,
                     "spot": spot, "tasks": tasks,
                 })
             })
             .collect();
         serde_json::json!({
             "token": self.token, "in_office_s": now.since(self.office).as_secs(),
-            "contact_s_ago": self.contact.age(now).as_secs(), "loaded": self.is_loaded(),
+            "contact_s_ago": self.authority.age(now).as_secs(), "loaded": self.is_loaded(),
             "cycles": self.cycles, "duties": self.duties(at),
             "shares": self.teams(at),
             "totals": {"machines": self.machines.len(), "jobs": self.jobs.len()},
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -1,9 +1,9 @@
 //! How tasks leave their machines: done, ended early, or proven gone.
 
 use crate::core::Now;
-use crate::core::effects::Io;
-use crate::core::failpoints::{self, Decision};
-use crate::core::job_records::End;
+use crate::core::effects::Effects;
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::job_records::JobOutcome;
 use crate::core::leader::Leader;
 use crate::core::machine::*;
 use crate::types::{MachineId, TaskId, Time, TimeSpan, Zone};
@@ -28,7 +28,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(place) = job.places.get(&task.index).cloned() else {
+        let Some(place) = job.assignments.get(&task.index).cloned() else {
             return;
         };
         if why == StopReason::Done && !job.is_service() {
@@ -72,9 +72,9 @@
                 if let Some(m) = self.machines.get_mut(&place.machine) {
                     m.faults.insert(task.job.clone(), now);
                     m.faults.retain(|_, t| now.since(*t) < FAULT_LIFE);
-                    if m.faults.len() >= SUSPECT && m.leaving == Leaving::No {
+                    if m.faults.len() >= SUSPECT && m.lifecycle == MachineLifecycle::InService {
                         tracing::info!(machine = %place.machine, "put aside: several jobs failed on it");
-                        m.leaving = Leaving::Drain;
+                        m.lifecycle = MachineLifecycle::Draining;
                         suspect = Some(place.machine.clone());
                     }
                 }
@@ -85,8 +85,8 @@
             StopReason::Done | StopReason::Stopped | StopReason::Peers | StopReason::Alone => {}
         }
         if let Some(id) = suspect {
-            let book = &mut self.rental.intents.book;
-            self.asides.drain(book, &id, wall);
+            let pending_writes = &mut self.autoscaler.intents.pending_writes;
+            self.quarantine.drain(pending_writes, &id, wall);
         }
     }
 
@@ -102,15 +102,15 @@
         job.waiting.remove(task.index);
         job.notes.failures = 0;
         let change = job.touch(size, task.index);
-        job.unsaved.insert(task.index, change);
+        job.done_not_stored.insert(task.index, change);
         self.dirty
             .note((task.job.clone(), size.of(task.index)), now, false);
         if job.done.len() == job.spec.tasks && job.end.is_none() {
-            job.end = Some(End::Done { written: false });
+            job.end = Some(JobOutcome::Done { written: false });
             self.finishing.insert(task.job.clone());
         }
         // Another attempt of it may still be somewhere.
-        if let Some(p) = job.places.get(&task.index)
+        if let Some(p) = job.assignments.get(&task.index)
             && p.unsent()
         {
             self.gone(now, task, "done elsewhere");
@@ -126,7 +126,7 @@
             && job.is_open()
             && proof != "done"
         {
-            let others: Vec<u32> = job.places.keys().copied().collect();
+            let others: Vec<u32> = job.assignments.keys().copied().collect();
             self.stop_tasks(now, &task.job, &others, 0.0, "its gang lost a task");
         }
     }
@@ -136,7 +136,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(p) = job.places.remove(&task.index) else {
+        let Some(p) = job.assignments.remove(&task.index) else {
             return;
         };
         let needs = job.spec.needs();
@@ -160,26 +160,26 @@
             };
             m.cache.give_up(waits);
         }
-        if self.jobs[&task.job].places.is_empty() && !self.jobs[&task.job].is_open() {
+        if self.jobs[&task.job].assignments.is_empty() && !self.jobs[&task.job].is_open() {
             self.dropping.insert(task.job.clone());
         }
     }
 
     /// Writes off machines whose workers must have ended their tasks.
-    pub fn expire(&mut self, io: &mut Io) {
-        let now = io.now.time;
+    pub fn expire(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
         let mut lease = self.settings.workers.lease.scaled(1.0005) + TimeSpan::secs(1.0);
-        let inherited = self.office + self.contact.inherited();
+        let inherited = self.office + self.authority.inherited();
         let mut dead = Vec::new();
         for (id, m) in &mut self.machines {
             if m.lost || m.tasks.is_empty() {
                 continue;
             }
             let failed = matches!(m.listed, Some((MachineStage::Failed, _)));
-            if !failpoints::holds(Decision::LeaseBeforeWriteOff) {
+            if !failpoints::enforced(SafetyCheck::LeaseBeforeWriteOff) {
                 lease = TimeSpan::secs(3.0);
             }
-            let (due, proof) = if let Some(since) = m.ours_since {
+            let (due, proof) = if let Some(since) = m.our_token_since {
                 // Older leaders' answers are dropped by a worker that has
                 // seen our token, so only our own renew its lease.
                 // Before it had our token an older leader may have done so:
@@ -190,8 +190,11 @@
                 )
             } else {
                 // An older leader may have answered it until it noticed.
-                let ours = m.answered.map_or(Time(0), |t| t + lease);
-                (inherited.max(ours), "silent since before this leader")
+                let has_our_token = m.answered.map_or(Time(0), |t| t + lease);
+                (
+                    inherited.max(has_our_token),
+                    "silent since before this leader",
+                )
             };
             if failed || now >= due {
                 let proof = if failed {
@@ -201,12 +204,12 @@
                 };
                 tracing::info!(machine = %id, proof, tasks = m.tasks.len(), "machine presumed dead");
                 m.lost = true;
-                m.ours = false;
+                m.has_our_token = false;
                 m.cache.clear();
                 dead.push((id.clone(), proof));
             }
         }
-        self.strike(io.now, dead.iter().map(|(id, _)| id));
+        self.strike(effects.now, dead.iter().map(|(id, _)| id));
         for (id, proof) in dead {
             self.write_off(now, &id, proof);
         }
@@ -225,8 +228,8 @@
             .filter(|v| v.len() <= MOST_AT_ONCE)
             .flatten()
         {
-            let book = &mut self.rental.intents.book;
-            if let Some(pause) = self.asides.strike(book, id, now.wall)
+            let pending_writes = &mut self.autoscaler.intents.pending_writes;
+            if let Some(pause) = self.quarantine.strike(pending_writes, id, now.wall)
                 && let Some(m) = self.machines.get_mut(id)
             {
                 tracing::info!(machine = %id, pause_s = pause.as_secs(), "put aside: silent again and again");
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::core::failpoints::{Decision, weaken};
+use crate::core::failpoints::{SafetyCheck, disable_check};
 use crate::core::format_version::member_versions;
-use crate::testing::{io_at, leader};
+use crate::testing::{effects_at, leader};
 
 /// How old its contact is when a leader has loaded, where the pages of the
 /// load took so many seconds each, and what it may do then.
@@ -13,7 +13,7 @@
         version: Version(5),
     };
     let mut t = 0.0;
-    for keys in [[member_versions::STONE].as_slice(), &[], &[]] {
+    for keys in [[member_versions::LEGACY_LEADER_KEY].as_slice(), &[], &[]] {
         let page = EntryPage {
             items: keys.iter().map(|k| key(k)).collect(),
             revision: Version(9),
@@ -21,12 +21,16 @@
         };
         let sent = Time(0) + TimeSpan::secs(t);
         t += page_s;
-        leader.on_read(&mut io_at(t), sent, Reply::Answer(200, wire::encode(&page)));
+        leader.on_read(
+            &mut effects_at(t),
+            sent,
+            Reply::Answer(200, wire::encode(&page)),
+        );
     }
     assert!(leader.is_loaded());
     let now = Time(0) + TimeSpan::secs(t);
     let (answers, starts) = (leader.may_answer(now), leader.may_start(now));
-    (leader.contact.age(now).as_secs(), answers, starts)
+    (leader.authority.age(now).as_secs(), answers, starts)
 }
 
 // A slow load once counted as contact when its last page was asked for,
@@ -37,9 +41,9 @@
     assert_eq!(after_a_load(0.1), (0.3, true, true));
     let (age, answers, starts) = after_a_load(20.0);
     assert!(age > 59.0 && !answers && !starts);
-    weaken(&[Decision::LoadIsAsOldAsItsFirstRead]);
+    disable_check(&[SafetyCheck::LoadIsAsOldAsItsFirstRead]);
     let (_, answers, _) = after_a_load(20.0);
-    weaken(&[]);
+    disable_check(&[]);
     assert!(answers, "a load that dragged on was not missed");
 }
 
@@ -68,20 +72,20 @@
         let mut leader = with_record(stored);
         let id = MachineId::from("host-1");
         let m = leader.meet(Time(0), &id);
-        (m.ours, m.epoch) = (true, crate::types::AgentEpoch(1));
+        (m.has_our_token, m.epoch) = (true, crate::types::AgentEpoch(1));
         let task = ("wk-1/1".into(), Attempt(1), TaskState::Running, None);
         leader.listed.insert(id.clone(), vec![task]);
         let halted = !leader.commands(Time(0), &id).is_empty();
         leader.dirty.note(("wk-1".into(), 0), Time(0), true);
-        let mut io = io_at(1.0);
-        leader.pump(&mut io);
+        let mut effects = effects_at(1.0);
+        leader.pump(&mut effects);
         let used = leader.team_use()[&Team::from("red")].used.gpus;
-        (halted, leader.lane.flight.is_some(), used)
+        (halted, leader.commit_pipeline.flight.is_some(), used)
     };
     assert_eq!(seen(future.clone()), (false, false, 3.0));
-    weaken(&[Decision::UnreadableIsLeftAlone]);
+    disable_check(&[SafetyCheck::UnreadableIsLeftAlone]);
     let harmed = seen(future);
-    weaken(&[]);
+    disable_check(&[]);
     assert_eq!(harmed, (true, true, 0.0));
     let good = serde_json::json!({"n": 1, "m": [["host-1", 1, 0, [0]]]});
     assert_eq!(seen(good), (true, true, 1.0));
@@ -118,14 +122,14 @@
     let old = serde_json::json!({"n": 1, "d": [], "p": [[0, 1, "host-1", 1]]});
     let mut leader = with_record(old);
     let written = |leader: &mut Leader, secs: f64| {
-        let mut io = io_at(secs);
-        leader.rewrite(io.now.time);
-        leader.pump(&mut io);
-        leader.lane.flight.is_some()
+        let mut effects = effects_at(secs);
+        leader.rewrite(effects.now.time);
+        leader.pump(&mut effects);
+        leader.commit_pipeline.flight.is_some()
     };
     assert!(!written(&mut leader, 1.0), "the level does not have it yet");
     assert!(leader.is_rewritten());
-    leader.level = REMEMBERED;
+    leader.level = WITH_HISTORY;
     assert!(!leader.is_rewritten());
     let level = leader.writes.level(Time(2_000_000));
     leader.writes.take(Time(2_000_000), level);
@@ -137,6 +141,9 @@
         revision: Version(9),
         failed: Vec::new(),
     };
-    leader.on_commit(&mut io_at(4.6), Reply::Answer(200, wire::encode(&answer)));
+    leader.on_commit(
+        &mut effects_at(4.6),
+        Reply::Answer(200, wire::encode(&answer)),
+    );
     assert!(leader.is_rewritten());
 }
--- a/crates/controller/src/core/leader_announcement.rs
+++ b/crates/controller/src/core/leader_announcement.rs
@@ -18,7 +18,7 @@
 
 /// How little a machine's tasks can wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Need {
+pub enum AnnouncementPriority {
     /// Something on it is being stopped, for other work or for good.
     Stopping,
     /// Urgent work is on it.
@@ -29,8 +29,8 @@
 
 /// Those that are still to be told.
 #[derive(Debug)]
-pub struct Heralds {
-    waiting: BTreeSet<(Need, MachineId)>,
+pub struct LeaderAnnouncer {
+    waiting: BTreeSet<(AnnouncementPriority, MachineId)>,
     /// Machines that may be told now, and when that was reckoned.
     credit: f64,
     at: Time,
@@ -40,15 +40,15 @@
     pub told: u64,
 }
 
-impl Heralds {
+impl LeaderAnnouncer {
     /// For a leader that takes office, whose workers report so often.
-    pub fn new(now: Time, report: TimeSpan) -> Heralds {
+    pub fn new(now: Time, report: TimeSpan) -> LeaderAnnouncer {
         let until = if report > OFTEN {
             now + report.scaled(1.25)
         } else {
             now
         };
-        Heralds {
+        LeaderAnnouncer {
             waiting: BTreeSet::new(),
             credit: 0.0,
             at: now,
@@ -63,7 +63,7 @@
     }
 
     /// A machine with tasks that has not reported to this leader yet.
-    pub fn note(&mut self, now: Time, need: Need, machine: MachineId) {
+    pub fn note(&mut self, now: Time, need: AnnouncementPriority, machine: MachineId) {
         if self.goes_on(now) {
             self.waiting.insert((need, machine));
         }
--- a/crates/controller/src/core/leader_announcement/tests.rs
+++ b/crates/controller/src/core/leader_announcement/tests.rs
@@ -5,9 +5,13 @@
 }
 
 fn told(machines: usize, report_s: f64) -> (Vec<MachineId>, f64) {
-    let mut h = Heralds::new(at(0.0), TimeSpan::secs(report_s));
+    let mut h = LeaderAnnouncer::new(at(0.0), TimeSpan::secs(report_s));
     for i in 0..machines {
-        let need = [Need::Busy, Need::Urgent, Need::Stopping][i % 3];
+        let need = [
+            AnnouncementPriority::Busy,
+            AnnouncementPriority::Urgent,
+            AnnouncementPriority::Stopping,
+        ][i % 3];
         h.note(at(0.0), need, format!("host-{i:05}").into());
     }
     let (mut all, mut last) = (Vec::new(), 0.0);
--- a/crates/controller/src/core/leader_authority.rs
+++ b/crates/controller/src/core/leader_authority.rs
@@ -7,7 +7,7 @@
 //! sending of a report answered by then. So what runs of that job is gone by
 //! `shown + H + lease`, which is no later than `cancel` after its user was told.
 
-use super::failpoints::{self, Decision};
+use super::failpoints::{self, SafetyCheck};
 use crate::settings::WorkerTimes;
 use crate::types::{JobId, Time, TimeSpan};
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
     /// For how long after a leader took office an earlier one's answers may keep
     /// alive what runs on a machine that is silent.
     pub fn inherited(&self) -> TimeSpan {
-        match failpoints::holds(Decision::OldLeadersAnswersCount) {
+        match failpoints::enforced(SafetyCheck::OldLeadersAnswersCount) {
             true => self.hold + self.lease,
             false => TimeSpan::ZERO,
         }
@@ -81,7 +81,7 @@
 
 /// What a leader's word rests on.
 #[derive(Clone, Debug)]
-pub struct Contact {
+pub struct LeaderAuthority {
     bounds: Bounds,
     /// When the first page of the load was asked for.
     began: Option<Time>,
@@ -93,10 +93,10 @@
     told: BTreeMap<JobId, Time>,
 }
 
-impl Contact {
+impl LeaderAuthority {
     /// Of a leader that has read nothing yet.
-    pub fn new(bounds: Bounds, now: Time) -> Contact {
-        Contact {
+    pub fn new(bounds: Bounds, now: Time) -> LeaderAuthority {
+        LeaderAuthority {
             bounds,
             began: None,
             loaded: false,
@@ -115,7 +115,7 @@
     /// first page may not have been seen, however new the last one is.
     pub fn loaded(&mut self, sent: Time) {
         self.loaded = true;
-        self.shown = match failpoints::holds(Decision::LoadIsAsOldAsItsFirstRead) {
+        self.shown = match failpoints::enforced(SafetyCheck::LoadIsAsOldAsItsFirstRead) {
             true => self.began.unwrap_or(sent),
             false => sent,
         };
@@ -148,7 +148,8 @@
 
     /// Whether reports may be answered.
     pub fn may_answer(&self, now: Time) -> bool {
-        let held = self.age(now) < self.bounds.hold || !failpoints::holds(Decision::BoundedHold);
+        let held =
+            self.age(now) < self.bounds.hold || !failpoints::enforced(SafetyCheck::BoundedHold);
         self.loaded && held
     }
 
--- a/crates/controller/src/core/leader_authority/tests.rs
+++ b/crates/controller/src/core/leader_authority/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::failpoints::weaken;
+use crate::core::failpoints::disable_check;
 
 fn at(secs: f64) -> Time {
     Time(0) + TimeSpan::secs(secs)
@@ -17,8 +17,8 @@
 }
 
 /// Of a leader whose load was asked for at second 0 and read by second 1.
-fn loaded() -> Contact {
-    let mut c = Contact::new(Bounds::new(&times(10.0, 40.0)), at(0.0));
+fn loaded() -> LeaderAuthority {
+    let mut c = LeaderAuthority::new(Bounds::new(&times(10.0, 40.0)), at(0.0));
     c.page(at(0.0));
     c.loaded(at(1.0));
     c
@@ -44,7 +44,7 @@
 fn a_short_h_shortens_the_watch() {
     let b = Bounds::new(&times(22.0, 25.0));
     assert!(b.hold() < TimeSpan::secs(1.0) && b.over() == TimeSpan::ZERO);
-    let mut c = Contact::new(b, at(0.0));
+    let mut c = LeaderAuthority::new(b, at(0.0));
     c.page(at(0.0));
     c.loaded(at(0.0));
     let late = TimeSpan::millis(300);
@@ -69,7 +69,7 @@
 
 #[test]
 fn only_a_read_that_was_taken_in_is_contact() {
-    let mut c = Contact::new(Bounds::new(&times(10.0, 40.0)), at(0.0));
+    let mut c = LeaderAuthority::new(Bounds::new(&times(10.0, 40.0)), at(0.0));
     assert!(!c.may_answer(at(0.1)) && !c.may_start(at(0.1)));
     c.page(at(0.0));
     c.page(at(30.0));
@@ -92,9 +92,9 @@
     let c = loaded();
     let late = c.shown() + hold;
     assert!(c.may_answer(late - TimeSpan(1)) && !c.may_answer(late));
-    weaken(&[Decision::BoundedHold]);
+    disable_check(&[SafetyCheck::BoundedHold]);
     let unbounded = c.may_answer(late);
-    weaken(&[]);
+    disable_check(&[]);
     assert!(unbounded, "the decision was not missed");
     assert!(c.may_start(at(3.9)) && !c.may_start(at(4.1)));
     // Without contact changes are wanted at once.
--- a/crates/controller/src/core/machine.rs
+++ b/crates/controller/src/core/machine.rs
@@ -1,8 +1,8 @@
 //! A machine as the leader knows it.
 
 use super::RequestId;
-use super::delivery::Hearing;
-use super::placement_tables::Cache;
+use super::delivery::DeliveryMonitor;
+use super::placement_tables::ImageCache;
 use crate::types::{
     AgentEpoch, HeartbeatSequence, JobId, MachineTypeName, Resources, TaskId, Time, TimeSpan, Zone,
 };
@@ -12,13 +12,13 @@
 
 /// How far a machine's return has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaving {
+pub enum MachineLifecycle {
     /// It stays.
-    No,
+    InService,
     /// It gets no new work; it goes when empty.
-    Drain,
+    Draining,
     /// Its release is due or asked for, whatever is on it.
-    Release,
+    Terminating,
 }
 
 /// A machine.
@@ -41,15 +41,15 @@
     /// When we last answered a report with 200.
     pub answered: Option<Time>,
     /// Whether its newest report carried our token.
-    pub ours: bool,
+    pub has_our_token: bool,
     /// When the first report did.
-    pub ours_since: Option<Time>,
+    pub our_token_since: Option<Time>,
     /// Whether it hears what it is answered.
-    pub hearing: Hearing,
+    pub delivery: DeliveryMonitor,
     /// Unrecorded tasks on it, and what they take.
-    pub strays: Resources,
+    pub unrecorded_usage: Resources,
     /// When the cloud takes it, if noticed.
-    pub taken_at: Option<Time>,
+    pub termination_notice_at: Option<Time>,
     /// Its state in the cloud's list, and its age there.
     pub listed: Option<(MachineStage, TimeSpan)>,
     /// When a list last had it.
@@ -59,11 +59,11 @@
     /// Whether its tasks were written off.
     pub lost: bool,
     /// Whether it is being returned.
-    pub leaving: Leaving,
+    pub lifecycle: MachineLifecycle,
     /// Why.
     pub why: &'static str,
     /// Its images.
-    pub cache: Cache,
+    pub cache: ImageCache,
     /// It gets no work before this time.
     pub aside: Option<Time>,
     /// When high-priority work was last placed here.
@@ -90,19 +90,19 @@
             sequence: HeartbeatSequence(0),
             reported: None,
             answered: None,
-            ours: false,
-            ours_since: None,
-            hearing: Hearing::default(),
-            strays: Resources::default(),
-            taken_at: None,
+            has_our_token: false,
+            our_token_since: None,
+            delivery: DeliveryMonitor::default(),
+            unrecorded_usage: Resources::default(),
+            termination_notice_at: None,
             listed: None,
             listed_at: None,
             known: now,
             lost: false,
-            leaving: Leaving::No,
+            lifecycle: MachineLifecycle::InService,
             why: "",
             aside: None,
-            cache: Cache::default(),
+            cache: ImageCache::default(),
             last_high: None,
             idle: None,
             faults: BTreeMap::new(),
@@ -112,9 +112,9 @@
     }
 
     /// It is to be released.
-    pub fn send_back(&mut self, why: &'static str) {
-        if self.leaving != Leaving::Release {
-            (self.leaving, self.why) = (Leaving::Release, why);
+    pub fn mark_for_termination(&mut self, why: &'static str) {
+        if self.lifecycle != MachineLifecycle::Terminating {
+            (self.lifecycle, self.why) = (MachineLifecycle::Terminating, why);
         }
     }
 
@@ -137,30 +137,30 @@
     }
 
     /// Whether it is put aside.
-    pub fn is_aside(&self, now: Time) -> bool {
+    pub fn is_quarantined(&self, now: Time) -> bool {
         self.aside.is_some_and(|t| now < t)
     }
 
     /// Whether new work may go here.
-    pub fn usable(&self, now: Time, silence: TimeSpan) -> bool {
-        self.is_well(now, silence) && !self.is_aside(now)
+    pub fn is_schedulable(&self, now: Time, silence: TimeSpan) -> bool {
+        self.is_healthy(now, silence) && !self.is_quarantined(now)
     }
 
     /// Whether new work may go here if there is nothing better: it is well now, whatever
     /// it was before.
-    pub fn is_well(&self, now: Time, silence: TimeSpan) -> bool {
-        self.ours
-            && self.hearing.hears()
+    pub fn is_healthy(&self, now: Time, silence: TimeSpan) -> bool {
+        self.has_our_token
+            && self.delivery.hears()
             && !self.lost
-            && self.leaving == Leaving::No
-            && self.taken_at.is_none()
+            && self.lifecycle == MachineLifecycle::InService
+            && self.termination_notice_at.is_none()
             && self.reported.is_some_and(|t| now.since(t) < silence)
     }
 }
 
 /// A report whose answer waits a moment for a commit.
 #[derive(Debug)]
-pub struct Held {
+pub struct DeferredHeartbeat {
     /// The request.
     pub request: RequestId,
     /// When it is answered at the latest.
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -51,7 +51,7 @@
 
 /// Which listener a request came in by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum Listener {
     /// Users, workers and health checks.
     Api,
     /// The other nodes and operators.
@@ -64,13 +64,13 @@
     /// Time has passed.
     Tick,
     /// Somebody asks.
-    Request(RequestId, Side, crate::http::Request),
+    Request(RequestId, Listener, crate::http::Request),
     /// A call was answered or failed.
     Reply(CallId, Reply),
     /// A lease that was to be kept is over.
-    Over(u64),
+    LeaseExpired(u64),
     /// A fixed piece of work took so long here.
-    Effort(TimeSpan),
+    SpeedSample(TimeSpan),
     /// The process is to end: what it holds goes to others first.
     Stop,
 }
@@ -133,13 +133,13 @@
     /// Make a call.
     Call(Call),
     /// Keep a lease of the state service alive, in place of any before it.
-    Keep(Keep),
+    LeaseKeepAlive(LeaseKeepAlive),
 }
 
 /// A lease to be renewed beside everything else, however much there is to do,
 /// as long as the core says so from time to time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keep {
+pub struct LeaseKeepAlive {
     /// The lease.
     pub lease: u64,
     /// Time between renewals.
@@ -150,7 +150,7 @@
     pub token: FencingToken,
 }
 
-impl Keep {
+impl LeaseKeepAlive {
     /// The call that renews it.
     pub fn path(&self) -> String {
         format!("/leases/{}/touch", self.lease)
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -9,17 +9,17 @@
 mod peer_heartbeat;
 
 use super::autoscaler::state::BAD_GATEWAY;
-use super::cache_hints::Keepsake;
-use super::effects::{Io, Timed, Waits};
-use super::election::{Election, Outcome};
-use super::failure_detector::detector::Judge;
-use super::format_version::member_versions::{Refused, Registry};
-use super::format_version::{Level, Range};
-use super::job_api::Intake;
+use super::cache_hints::CacheHints;
+use super::effects::{Effects, PendingCalls, RequestKind};
+use super::election::{Election, ElectionOutcome};
+use super::failure_detector::detector::FailureDetector;
+use super::format_version::member_versions::{MemberVersions, NotServing};
+use super::format_version::{FormatVersion, SupportedVersions};
+use super::job_api::JobApi;
 use super::job_records;
-use super::leader::{self, Fate, Leader};
-use super::self_health::Pulse;
-use super::{CallId, Input, Now, Output, Reply, RequestId, Side, Target};
+use super::leader::{self, Leader, LeadershipOutcome};
+use super::self_health::SelfHealth;
+use super::{CallId, Input, Listener, Now, Output, Reply, RequestId, Target};
 use crate::http;
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -32,7 +32,7 @@
 
 /// What the node itself waits for.
 #[derive(Clone, Debug)]
-enum Awaits {
+enum PendingCall {
     /// The stored machine types.
     Types,
     /// A worker's report, passed on to the leader.
@@ -48,7 +48,7 @@
         request: RequestId,
     },
     /// The leader, asked directly because it is doubted.
-    Probe {
+    ProbeOutcome {
         /// Its token.
         token: FencingToken,
         /// When it was asked.
@@ -59,7 +59,7 @@
     /// The leader's key, while it is doubted.
     Key,
     /// The commit that raises the level, or says that all is rewritten.
-    Level(Option<Level>),
+    FormatVersion(Option<FormatVersion>),
 }
 
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
 
 /// A worker whose reports are passed on, or lately were.
 #[derive(Debug, Default)]
-struct Passing {
+struct ForwardedWorker {
     seen: Time,
     /// Since when its reports are passed on.
     since: Option<Time>,
@@ -89,18 +89,18 @@
 pub struct Node {
     settings: Rc<Settings>,
     policy: Rc<Policy>,
-    io: Io,
-    waits: Waits<Awaits>,
+    effects: Effects,
+    pending_calls: PendingCalls<PendingCall>,
     election: Election,
-    intake: Intake,
+    job_api: JobApi,
     leader: Option<Leader>,
     peers: BTreeMap<NodeId, PeerView>,
     /// Workers whose reports are passed on.
-    passing: BTreeMap<MachineId, Passing>,
+    forwarded_workers: BTreeMap<MachineId, ForwardedWorker>,
     /// Peers that missed what was last told.
     missed: BTreeSet<NodeId>,
     /// What leaders told that no record has.
-    keepsake: Keepsake,
+    cache_hints: CacheHints,
     types: Option<MachineTypes>,
     types_due: Time,
     types_calling: bool,
@@ -109,8 +109,8 @@
     greeted: Time,
     /// Jobs whose users were told here that they are cancelled, and when.
     cancelled: VecDeque<(JobId, Time)>,
-    pulse: Pulse,
-    judge: Judge,
+    self_health: SelfHealth,
+    failure_detector: FailureDetector,
     /// Until when a peer that was told to may take this node's place.
     handing: Option<Time>,
     /// Since when the process is to end.
@@ -120,7 +120,7 @@
     /// Whether a node runs under another policy, as logged.
     policies: bool,
     /// Why it last did not serve, as logged.
-    refusing: Option<Refused>,
+    refusing: Option<NotServing>,
     /// When the state service last answered anything at all, or this life began.
     state_spoke: Option<Time>,
 }
@@ -152,7 +152,7 @@
 impl Node {
     /// A node at the start of its life.
     pub fn new(settings: Settings, policy: Policy, seed: u64) -> Node {
-        Node::with_levels(settings, policy, seed, Some(Range::OURS))
+        Node::with_levels(settings, policy, seed, Some(SupportedVersions::SUPPORTED))
     }
 
     /// A node that serves other levels than this build: as an older one would or,
@@ -161,41 +161,41 @@
         settings: Settings,
         policy: Policy,
         seed: u64,
-        range: Option<Range>,
+        range: Option<SupportedVersions>,
     ) -> Node {
         let settings = Rc::new(settings);
-        let mut io = Io::new(&settings, seed);
-        let life = io.rng.random();
-        let registry = Registry::new(
+        let mut effects = Effects::new(&settings, seed);
+        let life = effects.rng.random();
+        let registry = MemberVersions::new(
             settings.node_id.clone(),
             range,
             policy.changed.clone(),
             life,
         );
-        let highest = Level(policy.highest_level as u32);
+        let highest = FormatVersion(policy.highest_level as u32);
         let lease = TimeSpan::secs(policy.leader_lease_s);
         Node {
             raising: false,
             refusing: None,
             state_spoke: None,
             policies: false,
-            io,
-            waits: Waits::default(),
+            effects,
+            pending_calls: PendingCalls::default(),
             election: Election::new(settings.node_id.clone(), lease, registry, highest),
-            intake: Intake::default(),
+            job_api: JobApi::default(),
             leader: None,
             peers: BTreeMap::new(),
-            passing: BTreeMap::new(),
+            forwarded_workers: BTreeMap::new(),
             missed: BTreeSet::new(),
-            keepsake: Keepsake::default(),
+            cache_hints: CacheHints::default(),
             types: None,
             types_due: Time(0),
             types_calling: false,
             greet_due: Time(0),
             greeted: Time(0),
             cancelled: VecDeque::new(),
-            pulse: Pulse::default(),
-            judge: Judge::new(settings.peers.len() + 1, policy.doubt),
+            self_health: SelfHealth::default(),
+            failure_detector: FailureDetector::new(settings.peers.len() + 1, policy.doubt),
             handing: None,
             stopping: None,
             policy: Rc::new(policy),
@@ -205,29 +205,29 @@
 
     /// Takes an input; returns what to do.
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
-        self.io.now = now;
+        self.effects.now = now;
         self.state_spoke.get_or_insert(now.time);
-        self.io.level = self.election.registry.fence();
+        self.effects.level = self.election.registry.fence();
         match input {
             Input::Tick => self.tick(),
             Input::Request(id, side, request) => self.request(id, side, request),
             Input::Reply(id, reply) => self.reply(id, reply),
-            Input::Effort(took) => self.pulse.effort_us = took.0.max(1),
+            Input::SpeedSample(took) => self.self_health.effort_us = took.0.max(1),
             Input::Stop => {
                 tracing::info!("to end; hands over");
                 self.stopping = Some(now.time);
             }
-            Input::Over(lease) => {
+            Input::LeaseExpired(lease) => {
                 if self.leader.as_ref().is_some_and(|l| l.lease == lease) {
-                    self.end_leadership(Fate::StepDown("the lease ran out"));
+                    self.end_leadership(LeadershipOutcome::StepDown("the lease ran out"));
                 }
             }
         }
         self.spread_cancelled();
         if let Some(leader) = &mut self.leader {
-            leader.advance(&mut self.io);
+            leader.advance(&mut self.effects);
         }
-        self.io.take_outputs()
+        self.effects.take_outputs()
     }
 
     /// Whether this node leads and has loaded everything.
@@ -241,19 +241,19 @@
     }
 
     /// The level in force as this node knows it, and whether it serves it.
-    pub fn level(&self) -> (Level, bool) {
+    pub fn level(&self) -> (FormatVersion, bool) {
         (self.election.registry.level(), self.refused().is_none())
     }
 
     /// Up to which level everything stored has its form, as this node knows.
-    pub fn rewritten(&self) -> Level {
+    pub fn rewritten(&self) -> FormatVersion {
         self.election.registry.done()
     }
 
     /// Whether a process that is to end may: it leads no more, and users had time to
     /// be led elsewhere.
     pub fn may_end(&self) -> bool {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let left = |t: Time| now.since(t) >= USERS_LEAVE;
         self.leader.is_none() && self.stopping.is_some_and(left)
     }
@@ -271,93 +271,101 @@
     }
 
     fn tick(&mut self) {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         self.look_at_pace();
         self.judge_leader();
-        self.election.tick(&mut self.io);
+        self.election.tick(&mut self.effects);
         if let Some(leader) = &mut self.leader {
-            self.election.keep(&mut self.io, leader.lease, leader.token);
-            leader.tick(&mut self.io);
+            self.election
+                .keep(&mut self.effects, leader.lease, leader.token);
+            leader.tick(&mut self.effects);
         }
-        self.intake.compare(&mut self.io);
+        self.job_api.compare(&mut self.effects);
         if now >= self.greet_due {
             self.greet_due = now + GREET_EVERY;
-            self.passing.retain(|_, p| now.since(p.seen) < PASSING_KEPT);
+            self.forwarded_workers
+                .retain(|_, p| now.since(p.seen) < PASSING_KEPT);
             self.greet();
             self.see_to_levels();
         }
         if !self.types_calling && now >= self.types_due {
             self.types_calling = true;
-            let path = format!("/keys?starts={}/&most=100", job_records::TYPES);
+            let path = format!("/keys?starts={}/&most=100", job_records::MACHINE_TYPES);
             let limit = TimeSpan::secs(2.0);
-            let call = self.io.call(Target::State, "GET", path, Vec::new(), limit);
-            self.waits.add(call, Awaits::Types);
+            let call = self
+                .effects
+                .call(Target::State, "GET", path, Vec::new(), limit);
+            self.pending_calls.add(call, PendingCall::Types);
         }
-        self.io.forget_given_up();
+        self.effects.forget_given_up();
     }
 
-    fn request(&mut self, id: RequestId, side: Side, r: http::Request) {
+    fn request(&mut self, id: RequestId, side: Listener, r: http::Request) {
         let parts: Vec<&str> = r.path.split('/').skip(1).collect();
         let routes = (side, r.method.as_str(), parts.as_slice());
         let timed = match routes {
-            (Side::Api, "POST", ["submissions"]) => Some(Timed::Submit),
-            (Side::Api, "GET", ["submissions", _]) => Some(Timed::Poll),
-            (Side::Api, "POST", ["submissions", _, "cancel"]) => Some(Timed::Cancel),
-            (Side::Api, "POST", ["checkin"]) => Some(Timed::Report),
+            (Listener::Api, "POST", ["submissions"]) => Some(RequestKind::Submit),
+            (Listener::Api, "GET", ["submissions", _]) => Some(RequestKind::Poll),
+            (Listener::Api, "POST", ["submissions", _, "cancel"]) => Some(RequestKind::Cancel),
+            (Listener::Api, "POST", ["checkin"]) => Some(RequestKind::Report),
             _ => None,
         };
-        if timed.is_some_and(|kind| !self.io.begin(id, kind)) {
-            return self.io.answer_later(id, 503, 2);
+        if timed.is_some_and(|kind| !self.effects.begin(id, kind)) {
+            return self.effects.answer_later(id, 503, 2);
         }
         if let Some(why) = self.refused()
-            && let (Side::Api, ["submissions", ..] | ["checkin"])
-            | (Side::Internal, ["checkin"] | ["cloud", ..]) = (side, parts.as_slice())
+            && let (Listener::Api, ["submissions", ..] | ["checkin"])
+            | (Listener::Internal, ["checkin"] | ["cloud", ..]) = (side, parts.as_slice())
         {
             let why = why.to_string();
             return match parts[0] {
-                "cloud" => self.io.answer_status(id, BAD_GATEWAY),
-                "checkin" => self.io.answer_later(id, 503, 1),
-                _ => self.intake.refuse(&mut self.io, id, &why),
+                "cloud" => self.effects.answer_status(id, BAD_GATEWAY),
+                "checkin" => self.effects.answer_later(id, 503, 1),
+                _ => self.job_api.refuse(&mut self.effects, id, &why),
             };
         }
         match routes {
-            (Side::Api, "POST", ["submissions"]) => self.intake.submit(
-                &mut self.io,
+            (Listener::Api, "POST", ["submissions"]) => self.job_api.submit(
+                &mut self.effects,
                 id,
                 &r.body,
                 &self.settings,
                 self.types.as_ref(),
             ),
-            (Side::Api, "GET", ["submissions", job]) => {
+            (Listener::Api, "GET", ["submissions", job]) => {
                 self.refresh_counts(job);
-                self.intake.poll(&mut self.io, id, job);
+                self.job_api.poll(&mut self.effects, id, job);
             }
-            (Side::Api, "POST", ["submissions", job, "cancel"]) => {
-                self.intake.cancel(&mut self.io, id, job);
+            (Listener::Api, "POST", ["submissions", job, "cancel"]) => {
+                self.job_api.cancel(&mut self.effects, id, job);
             }
-            (Side::Api, "POST", ["checkin"]) => self.checkin(id, r.body),
-            (Side::Internal, "POST", ["checkin"]) => self.relayed(id, &r.body),
-            (Side::Api, "GET", ["ready"]) => {
+            (Listener::Api, "POST", ["checkin"]) => self.checkin(id, r.body),
+            (Listener::Internal, "POST", ["checkin"]) => self.relayed(id, &r.body),
+            (Listener::Api, "GET", ["ready"]) => {
                 let status = if self.is_ready() { 200 } else { 503 };
-                self.io.answer_status(id, status);
+                self.effects.answer_status(id, status);
             }
-            (Side::Internal, "POST", ["greet"]) => self.greeted(id, &r.body),
-            (Side::Internal, "POST", ["beat"]) => self.on_beat(id, &r.body),
-            (Side::Internal, "POST", ["opinion"]) => self.asked(id, &r.body),
-            (Side::Internal, "POST", ["take"]) => self.take_over(id, &r.body),
-            (Side::Internal, "GET" | "POST", ["cloud", token, ..]) => self.hand(id, token, &r),
-            (Side::Internal, "GET", ["inspect"]) => {
+            (Listener::Internal, "POST", ["greet"]) => self.greeted(id, &r.body),
+            (Listener::Internal, "POST", ["beat"]) => self.on_beat(id, &r.body),
+            (Listener::Internal, "POST", ["opinion"]) => self.asked(id, &r.body),
+            (Listener::Internal, "POST", ["take"]) => self.take_over(id, &r.body),
+            (Listener::Internal, "GET" | "POST", ["cloud", token, ..]) => self.hand(id, token, &r),
+            (Listener::Internal, "GET", ["inspect"]) => {
                 let body = wire::encode(&self.inspect(&r.query));
-                self.io.answer_body(id, body);
+                self.effects.answer_body(id, body);
             }
-            (Side::Api, _, ["submissions"] | ["submissions", _] | ["submissions", _, "cancel"])
-            | (Side::Api, _, ["checkin"] | ["ready"])
+            (
+                Listener::Api,
+                _,
+                ["submissions"] | ["submissions", _] | ["submissions", _, "cancel"],
+            )
+            | (Listener::Api, _, ["checkin"] | ["ready"])
             | (
-                Side::Internal,
+                Listener::Internal,
                 _,
                 ["greet" | "beat" | "opinion" | "take" | "inspect" | "checkin"],
-            ) => self.io.answer_status(id, 405),
-            _ => self.io.answer_status(id, 404),
+            ) => self.effects.answer_status(id, 405),
+            _ => self.effects.answer_status(id, 404),
         }
     }
 
@@ -365,55 +373,57 @@
         if let Some(leader) = &self.leader {
             let id = job.into();
             if let Some((done, running)) = leader.counts(&id) {
-                self.intake.note_counts(vec![(id, done, running)]);
+                self.job_api.note_counts(vec![(id, done, running)]);
             }
         }
     }
 
     /// Hands a reply to the part that waits for it.
     fn reply(&mut self, id: CallId, reply: Reply) {
-        let spoke = matches!(reply, Reply::Answer(..)).then_some(self.io.now.time);
-        if let Some(what) = self.leader.as_mut().and_then(|l| l.waits.take(id)) {
-            if !matches!(what, leader::Awaits::Cloud(..)) {
+        let spoke = matches!(reply, Reply::Answer(..)).then_some(self.effects.now.time);
+        if let Some(what) = self.leader.as_mut().and_then(|l| l.pending_calls.take(id)) {
+            if !matches!(what, leader::PendingCall::Cloud(..)) {
                 self.state_spoke = self.state_spoke.max(spoke);
             }
-            return self.lead(|leader, io| leader.on_reply(io, what, reply));
+            return self.lead(|leader, effects| leader.on_reply(effects, what, reply));
         }
-        if let Some(what) = self.election.waits.take(id) {
+        if let Some(what) = self.election.pending_calls.take(id) {
             self.state_spoke = self.state_spoke.max(spoke);
-            let outcome = self.election.on_reply(&mut self.io, what, reply);
+            let outcome = self.election.on_reply(&mut self.effects, what, reply);
             self.stand(outcome);
-        } else if let Some(what) = self.intake.waits.take(id) {
-            self.intake.on_reply(&mut self.io, what, reply);
+        } else if let Some(what) = self.job_api.pending_calls.take(id) {
+            self.job_api.on_reply(&mut self.effects, what, reply);
         } else {
-            match self.waits.take(id) {
-                Some(Awaits::Relay { request }) => return self.on_relay(request, reply),
-                Some(Awaits::Hand { request }) => return self.on_hand(request, reply),
-                Some(Awaits::Types) => self.on_types(&reply),
-                Some(Awaits::Greet(node_id)) => self.on_greet(node_id, &reply),
-                Some(Awaits::Probe { token, sent }) => self.on_probe(token, sent, &reply),
-                Some(Awaits::SuspicionReport) => self.on_opinion(&reply),
-                Some(Awaits::Key) => self.on_key(&reply),
-                Some(Awaits::Level(to)) => self.on_level(to, &reply),
+            match self.pending_calls.take(id) {
+                Some(PendingCall::Relay { request }) => return self.on_relay(request, reply),
+                Some(PendingCall::Hand { request }) => return self.on_hand(request, reply),
+                Some(PendingCall::Types) => self.on_types(&reply),
+                Some(PendingCall::Greet(node_id)) => self.on_greet(node_id, &reply),
+                Some(PendingCall::ProbeOutcome { token, sent }) => {
+                    self.on_probe(token, sent, &reply)
+                }
+                Some(PendingCall::SuspicionReport) => self.on_opinion(&reply),
+                Some(PendingCall::Key) => self.on_key(&reply),
+                Some(PendingCall::FormatVersion(to)) => self.on_level(to, &reply),
                 None => {}
             }
         }
         // Standing may have changed: go on at once.
-        self.election.tick(&mut self.io);
+        self.election.tick(&mut self.effects);
     }
 
     /// Takes or loses office as the election says.
-    fn stand(&mut self, outcome: Outcome) {
-        let now = self.io.now.time;
+    fn stand(&mut self, outcome: ElectionOutcome) {
+        let now = self.effects.now.time;
         match outcome {
-            Outcome::None => {}
-            Outcome::Elected(token, lease) => {
+            ElectionOutcome::None => {}
+            ElectionOutcome::Elected(token, lease) => {
                 tracing::info!(%token, "elected");
                 // A leader that raised the level holds the key anew.
                 if let Some(mut before) = self.leader.take() {
-                    before.drop_held(&mut self.io);
+                    before.drop_held(&mut self.effects);
                     self.election
-                        .give_up(&mut self.io, before.lease, before.token);
+                        .give_up(&mut self.effects, before.lease, before.token);
                     self.election.keep_anew();
                 }
                 let none = MachineTypes::default();
@@ -425,15 +435,15 @@
                     now,
                     self.types.as_ref().unwrap_or(&none),
                 );
-                let kept = self.keepsake.take();
+                let kept = self.cache_hints.take();
                 for (id, images) in kept.machines {
                     leader.inherit_cache(now, &id, &images);
                 }
                 for (image, took) in kept.fetches {
                     leader.estimates.note(&image, took);
                 }
-                self.election.keep(&mut self.io, lease, token);
-                leader.tick(&mut self.io);
+                self.election.keep(&mut self.effects, lease, token);
+                leader.tick(&mut self.effects);
                 self.leader = Some(leader);
                 self.greet_due = now;
             }
@@ -441,41 +451,43 @@
     }
 
     /// Lets the leader act, and ends its office if that is its fate.
-    fn lead(&mut self, act: impl FnOnce(&mut Leader, &mut Io) -> Fate) {
+    fn lead(&mut self, act: impl FnOnce(&mut Leader, &mut Effects) -> LeadershipOutcome) {
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
         let loaded = leader.is_loaded();
-        let fate = act(leader, &mut self.io);
+        let fate = act(leader, &mut self.effects);
         if leader.is_loaded() && !loaded {
-            self.greet_due = self.io.now.time;
+            self.greet_due = self.effects.now.time;
         }
         for change in leader.news.drain(..) {
             self.election.registry.apply(&change);
         }
-        if fate != Fate::Stay {
+        if fate != LeadershipOutcome::Continue {
             self.end_leadership(fate);
         } else {
-            leader.tick(&mut self.io);
+            leader.tick(&mut self.effects);
         }
-        if let Some(types) = self.io.learned_types.take() {
+        if let Some(types) = self.effects.learned_types.take() {
             self.learned(types);
         }
     }
 
-    fn end_leadership(&mut self, fate: Fate) {
+    fn end_leadership(&mut self, fate: LeadershipOutcome) {
         let Some(mut leader) = self.leader.take() else {
             return;
         };
-        leader.drop_held(&mut self.io);
-        let now = self.io.now.time;
+        leader.drop_held(&mut self.effects);
+        let now = self.effects.now.time;
         match fate {
-            Fate::Deposed(by) => tracing::info!(token = %leader.token, %by, "deposed"),
-            Fate::StepDown(why) => tracing::info!(token = %leader.token, why, "stepped down"),
-            Fate::Stay => {}
+            LeadershipOutcome::Deposed(by) => tracing::info!(token = %leader.token, %by, "deposed"),
+            LeadershipOutcome::StepDown(why) => {
+                tracing::info!(token = %leader.token, why, "stepped down")
+            }
+            LeadershipOutcome::Continue => {}
         }
         self.election
-            .give_up(&mut self.io, leader.lease, leader.token);
+            .give_up(&mut self.effects, leader.lease, leader.token);
         self.election.reset(now);
     }
 }
