--- a/crates/controller/src/core/node/cloud_proxy.rs
+++ b/crates/controller/src/core/node/cloud_proxy.rs
@@ -1,6 +1,6 @@
 //! Calls to the cloud that a node makes for a leader that does not reach it.
 
-use super::{Awaits, Node};
+use super::{Node, PendingCall};
 use crate::core::autoscaler::state::{BAD_GATEWAY, CONFLICT, GATEWAY_TIMEOUT};
 use crate::core::{Reply, RequestId, Target};
 use crate::http;
@@ -15,10 +15,10 @@
     /// for stands in the state service.
     pub(super) fn hand(&mut self, id: RequestId, token: &str, r: &http::Request) {
         let Some(token) = token.parse().ok().map(FencingToken) else {
-            return self.io.answer_status(id, 400);
+            return self.effects.answer_status(id, 400);
         };
         if self.greeting(Vec::new()).token > token {
-            return self.io.answer_status(id, CONFLICT);
+            return self.effects.answer_status(id, CONFLICT);
         }
         let mut path = r.path["/cloud/".len()..].to_string();
         path.drain(..path.find('/').unwrap_or(path.len()));
@@ -27,15 +27,16 @@
         }
         let method = if r.method == "GET" { "GET" } else { "POST" };
         let call = self
-            .io
+            .effects
             .call(Target::Cloud, method, path, r.body.clone(), CALL);
-        self.waits.add(call, Awaits::Hand { request: id });
+        self.pending_calls
+            .add(call, PendingCall::Hand { request: id });
     }
 
     /// The cloud answered, or not.
     pub(super) fn on_hand(&mut self, id: RequestId, reply: Reply) {
         match reply {
-            Reply::Answer(status, body) => self.io.answer(
+            Reply::Answer(status, body) => self.effects.answer(
                 id,
                 crate::core::Answer {
                     status,
@@ -43,8 +44,8 @@
                     body,
                 },
             ),
-            Reply::NotSent => self.io.answer_status(id, BAD_GATEWAY),
-            Reply::Lost => self.io.answer_status(id, GATEWAY_TIMEOUT),
+            Reply::NotSent => self.effects.answer_status(id, BAD_GATEWAY),
+            Reply::Lost => self.effects.answer_status(id, GATEWAY_TIMEOUT),
         }
     }
 }
--- a/crates/controller/src/core/node/format_version.rs
+++ b/crates/controller/src/core/node/format_version.rs
@@ -1,8 +1,8 @@
 //! The level in force: whether this node can serve it, and raising it.
 
-use super::{Awaits, Node};
-use crate::core::format_version::member_versions::Refused;
-use crate::core::format_version::{FENCED, Level};
+use super::{Node, PendingCall};
+use crate::core::format_version::member_versions::NotServing;
+use crate::core::format_version::{FENCED, FormatVersion};
 use crate::core::{Reply, Target};
 use crate::types::{NodeId, TimeSpan, Version};
 use crate::wire;
@@ -13,7 +13,7 @@
 
 impl Node {
     /// Why this node does nothing for users, workers and peers, if so.
-    pub(super) fn refused(&self) -> Option<Refused> {
+    pub(super) fn refused(&self) -> Option<NotServing> {
         self.election.registry.serves().err()
     }
 
@@ -22,8 +22,8 @@
         peers.map(|p| p.node_id.clone()).collect()
     }
 
-    fn highest(&self) -> Level {
-        Level(self.policy.highest_level as u32)
+    fn highest(&self) -> FormatVersion {
+        FormatVersion(self.policy.highest_level as u32)
     }
 
     /// Logs why this node does not serve and, as the leader, raises the level once
@@ -31,7 +31,7 @@
     pub(super) fn see_to_levels(&mut self) {
         let refused = self.refused();
         if refused != self.refusing {
-            if let Some(why @ (Refused::Beyond(..) | Refused::Damaged)) = &refused {
+            if let Some(why @ (NotServing::Beyond(..) | NotServing::Damaged)) = &refused {
                 tracing::error!(%why, "does not serve");
             }
             self.refusing = refused;
@@ -53,12 +53,12 @@
             return;
         }
         let (holder, token) = (leader.holder, leader.token);
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let registry = &self.election.registry;
         let (txn, to) = match registry.rise(now, &peers, highest) {
             Ok(rise) if rise.to == FENCED => {
                 tracing::info!(to = %rise.to, "all have it: raises the level");
-                return self.election.rise(&mut self.io, token, rise);
+                return self.election.rise(&mut self.effects, token, rise);
             }
             Ok(rise) => {
                 tracing::info!(to = %rise.to, "all have it: raises the level");
@@ -78,14 +78,14 @@
         });
         let body = wire::encode(&txn);
         let call = self
-            .io
+            .effects
             .call(Target::State, "POST", "/commit".into(), body, LIMIT);
-        self.waits.add(call, Awaits::Level(to));
+        self.pending_calls.add(call, PendingCall::FormatVersion(to));
         self.raising = true;
     }
 
     /// The level was raised, or not. If nobody can tell, the watch does.
-    pub(super) fn on_level(&mut self, to: Option<Level>, reply: &Reply) {
+    pub(super) fn on_level(&mut self, to: Option<FormatVersion>, reply: &Reply) {
         self.raising = false;
         if let Reply::Answer(200, body) = reply
             && let Some(r) = wire::decode::<TransactionResponse>(body)
@@ -99,7 +99,7 @@
     }
 
     pub(super) fn inspect_levels(&self) -> serde_json::Value {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let registry = &self.election.registry;
         registry.inspect(now, &self.labels(), self.highest())
     }
--- a/crates/controller/src/core/node/heartbeat_forwarding.rs
+++ b/crates/controller/src/core/node/heartbeat_forwarding.rs
@@ -1,7 +1,7 @@
 //! Workers' reports: the leader's own, and those passed on to it.
 
-use super::{Awaits, Node, PASSES_ON, PEER_FRESH, RELAY_TIMEOUT};
-use crate::core::leader::Fate;
+use super::{Node, PASSES_ON, PEER_FRESH, PendingCall, RELAY_TIMEOUT};
+use crate::core::leader::LeadershipOutcome;
 use crate::core::{Answer, Reply, RequestId, Target};
 use crate::types::{FencingToken, NodeId, TimeSpan};
 use crate::wire;
@@ -10,28 +10,31 @@
 impl Node {
     pub(super) fn checkin(&mut self, id: RequestId, body: Vec<u8>) {
         let Some(report) = wire::decode::<Heartbeat>(&body) else {
-            return self.io.answer_status(id, 400);
+            return self.effects.answer_status(id, 400);
         };
         if self.leader.is_some() {
             return self.report(id, report, true);
         }
         let foreman = self.foreman();
-        let now = self.io.now.time;
-        self.judge.came_over(now, report.token, &report.machine);
+        let now = self.effects.now.time;
+        self.failure_detector
+            .came_over(now, report.token, &report.machine);
         // The answer is the leader's wherever it is heard: where the leader is
         // out of a worker's reach, its lease need not run out.
         if let Some((node_id, token)) = &foreman
             && self.passes_on(&report, *token)
             && let Some(peer) = self.settings.peers.iter().find(|p| p.node_id == *node_id)
         {
-            let call = self.io.call(
+            let call = self.effects.call(
                 Target::Host(peer.addr),
                 "POST",
                 "/checkin".into(),
                 body,
                 RELAY_TIMEOUT,
             );
-            return self.waits.add(call, Awaits::Relay { request: id });
+            return self
+                .pending_calls
+                .add(call, PendingCall::Relay { request: id });
         }
         self.report_elsewhere(id, foreman.map(|(node_id, _)| node_id));
     }
@@ -45,8 +48,11 @@
         if token != report.token {
             return false;
         }
-        let now = self.io.now.time;
-        let p = self.passing.entry(report.machine.clone()).or_default();
+        let now = self.effects.now.time;
+        let p = self
+            .forwarded_workers
+            .entry(report.machine.clone())
+            .or_default();
         p.seen = now;
         let since = *p.since.get_or_insert(now);
         let goes_on = now.since(since) < TimeSpan(PASSES_ON.0 << p.turns.min(4));
@@ -61,15 +67,15 @@
     pub(super) fn relayed(&mut self, id: RequestId, body: &[u8]) {
         match wire::decode::<Heartbeat>(body) {
             Some(report) if self.leader.is_some() => self.report(id, report, false),
-            Some(_) => self.io.answer_status(id, 421),
-            None => self.io.answer_status(id, 400),
+            Some(_) => self.effects.answer_status(id, 421),
+            None => self.effects.answer_status(id, 400),
         }
     }
 
     pub(super) fn report(&mut self, id: RequestId, report: Heartbeat, may_hold: bool) {
         if let Some(leader) = &mut self.leader {
-            let fate = leader.on_report(&mut self.io, id, report, may_hold);
-            if fate != Fate::Stay {
+            let fate = leader.on_report(&mut self.effects, id, report, may_hold);
+            if fate != LeadershipOutcome::Continue {
                 self.end_leadership(fate);
             }
         }
@@ -78,7 +84,7 @@
     /// The leader answered a report that was passed on, or not.
     pub(super) fn on_relay(&mut self, id: RequestId, reply: Reply) {
         match reply {
-            Reply::Answer(200, body) => self.io.answer_body(id, body),
+            Reply::Answer(200, body) => self.effects.answer_body(id, body),
             // Another node may do better.
             _ => self.report_elsewhere(id, None),
         }
@@ -86,7 +92,7 @@
 
     pub(super) fn report_elsewhere(&mut self, id: RequestId, report_to: Option<NodeId>) {
         let body = wire::encode(&LeaderRedirect { report_to });
-        self.io.answer(
+        self.effects.answer(
             id,
             Answer {
                 status: 421,
@@ -98,7 +104,7 @@
 
     /// The leader and its token as far as known, if it is another node.
     pub(super) fn foreman(&self) -> Option<(NodeId, FencingToken)> {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let told = self
             .peers
             .iter()
--- a/crates/controller/src/core/node/inspect.rs
+++ b/crates/controller/src/core/node/inspect.rs
@@ -1,7 +1,7 @@
 //! What operators may see.
 
 use super::Node;
-use crate::core::election::Standing;
+use crate::core::election::ElectionState;
 
 impl Node {
     /// `query` may have `machine=` and `job=`, what their names begin with.
@@ -12,8 +12,8 @@
             named.next().map_or("", |(_, value)| value)
         };
         let (machine, job) = (starts("machine"), starts("job"));
-        let now = self.io.now.time;
-        let times = self.io.quantiles();
+        let now = self.effects.now.time;
+        let times = self.effects.quantiles();
         let peers: Vec<_> = self
             .peers
             .iter()
@@ -29,13 +29,13 @@
             "state_ok": self.state_ok(), "leads": self.leads(),
             "standing": format!("{:?}", self.election.standing),
             "leader": self.election.leader.as_ref().map(|(l, _)| l),
-            "late_share": self.pulse.share, "strained": self.pulse.strained,
-            "effort_us": self.pulse.effort_us, "slow": self.pulse.slow,
+            "late_share": self.self_health.share, "strained": self.self_health.strained,
+            "effort_us": self.self_health.effort_us, "slow": self.self_health.slow,
             "levels": self.inspect_levels(),
-            "leader_seen": self.judge.inspect(now),
+            "leader_seen": self.failure_detector.inspect(now),
             "peers": peers, "times": times,
-            "leading": self.leader.as_ref().map(|l| l.inspect(self.io.now, machine, job)),
-            "standing_by": matches!(self.election.standing, Standing::Following(_)),
+            "leading": self.leader.as_ref().map(|l| l.inspect(self.effects.now, machine, job)),
+            "standing_by": matches!(self.election.standing, ElectionState::Following(_)),
         })
     }
 }
--- a/crates/controller/src/core/node/leader_replacement.rs
+++ b/crates/controller/src/core/node/leader_replacement.rs
@@ -1,8 +1,8 @@
 //! Doubting the leader with the others, and replacing it.
 
-use super::{Awaits, Node, PEER_FRESH};
-use crate::core::failure_detector::detector::{Doubt, LOOKED_INTO, Probe, Step};
-use crate::core::leader::Fate;
+use super::{Node, PEER_FRESH, PendingCall};
+use crate::core::failure_detector::detector::{LOOKED_INTO, ProbeOutcome, Step, Suspicion};
+use crate::core::leader::LeadershipOutcome;
 use crate::core::{Reply, RequestId, Target};
 use crate::types::{FencingToken, NodeId, Time, TimeSpan, Version};
 use crate::wire;
@@ -18,17 +18,17 @@
 impl Node {
     /// Looks into what is held of the leader, and acts on it.
     pub(super) fn judge_leader(&mut self) {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let leader = self.election.leader.as_ref();
         let other = leader.filter(|(l, _)| self.leader.is_none() && *l != self.settings.node_id);
-        self.judge.follow(other);
-        self.judge.tick(now);
+        self.failure_detector.follow(other);
+        self.failure_detector.tick(now);
         let Some((leader, token)) = other.cloned() else {
             return;
         };
-        match self.judge.step(now, self.rank(&leader)) {
+        match self.failure_detector.step(now, self.rank(&leader)) {
             Step::None => {}
-            Step::LookInto(doubt) => self.look_into(&leader, token, doubt),
+            Step::Probe(doubt) => self.look_into(&leader, token, doubt),
             Step::Depose(token, doubt) => {
                 tracing::info!(leader = %leader, %token, ?doubt, "doubted by most; to be replaced");
                 self.election.depose(Version(token.0));
@@ -39,7 +39,7 @@
     /// The nodes fit to lead but for one, best first: those short of time come
     /// last, and the rest in the order of their names, so that all agree.
     fn fit<'a>(&'a self, but: &NodeId) -> Vec<(bool, &'a NodeId)> {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let peers = self.peers.iter();
         let fit = peers.filter(|(node_id, p)| {
             *node_id != but && p.state_ok && now.since(p.heard) < PEER_FRESH
@@ -51,8 +51,8 @@
 
     /// How many nodes would be better successors.
     fn rank(&self, leader: &NodeId) -> u32 {
-        let ours = (self.pulse.strained, &self.settings.node_id);
-        let better = self.fit(leader).into_iter().filter(|p| *p < ours);
+        let has_our_token = (self.self_health.strained, &self.settings.node_id);
+        let better = self.fit(leader).into_iter().filter(|p| *p < has_our_token);
         better.count() as u32
     }
 
@@ -60,12 +60,12 @@
     /// told to take the key from it. Until that is done this one goes on, so that
     /// there is no gap; if nobody does it, it gives the key up.
     pub(super) fn look_at_pace(&mut self) {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let peers = self.peers.values();
         let heard = peers.filter(|p| now.since(p.heard) < PEER_FRESH);
-        self.pulse.compare(heard.map(|p| p.effort_us));
+        self.self_health.compare(heard.map(|p| p.effort_us));
         let ends = self.stopping.is_some() && self.handing.is_none();
-        let over = self.pulse.beat(now, self.leader.is_some()) || ends;
+        let over = self.self_health.beat(now, self.leader.is_some()) || ends;
         let Some(token) = self.token() else {
             self.handing = None;
             return;
@@ -76,18 +76,18 @@
                 Some(_) => "the process is to end",
                 None => "out of processor time",
             };
-            self.end_leadership(Fate::StepDown(why));
+            self.end_leadership(LeadershipOutcome::StepDown(why));
             return self.election.let_others_go_first(now);
         }
         let best = self.fit(&self.settings.node_id).first().map(|(_, l)| *l);
         let to = best.and_then(|l| self.settings.peers.iter().find(|p| p.node_id == *l));
         if let Some(peer) = to.filter(|_| over) {
-            tracing::info!(%token, to = %peer.node_id, slow = self.pulse.slow, ends, "hands over");
+            tracing::info!(%token, to = %peer.node_id, slow = self.self_health.slow, ends, "hands over");
             let (target, body) = (
                 Target::Host(peer.addr),
                 wire::encode(&LeadershipTransfer { token }),
             );
-            self.io
+            self.effects
                 .call(target, "POST", "/take".into(), body, HANDED_OVER);
             self.handing = Some(now + HANDED_OVER);
         } else if ends {
@@ -99,84 +99,87 @@
     /// The leader hands over to this node.
     pub(super) fn take_over(&mut self, id: RequestId, body: &[u8]) {
         let Some(LeadershipTransfer { token }) = wire::decode(body) else {
-            return self.io.answer_status(id, 400);
+            return self.effects.answer_status(id, 400);
         };
         self.election.depose(Version(token.0));
-        self.election.tick(&mut self.io);
-        self.io.answer_status(id, 200);
+        self.election.tick(&mut self.effects);
+        self.effects.answer_status(id, 200);
     }
 
-    fn look_into(&mut self, leader: &NodeId, token: FencingToken, doubt: Doubt) {
+    fn look_into(&mut self, leader: &NodeId, token: FencingToken, doubt: Suspicion) {
         tracing::debug!(leader = %leader, ?doubt, "looked into");
         let greeting = wire::encode(&self.greeting(Vec::new()));
-        let no_state = doubt == Doubt::NoState;
+        let no_state = doubt == Suspicion::NoState;
         let ask = wire::encode(&SuspicionQuery { token, no_state });
-        let sent = self.io.now.time;
+        let sent = self.effects.now.time;
         for p in &self.settings.peers {
             let (path, body, what) = if p.node_id == *leader {
-                let what = Awaits::Probe { token, sent };
+                let what = PendingCall::ProbeOutcome { token, sent };
                 ("/greet", greeting.clone(), what)
             } else {
-                ("/opinion", ask.clone(), Awaits::SuspicionReport)
+                ("/opinion", ask.clone(), PendingCall::SuspicionReport)
             };
             let target = Target::Host(p.addr);
-            let id = self.io.call(target, "POST", path.into(), body, LOOKED_INTO);
-            self.waits.add(id, what);
+            let id = self
+                .effects
+                .call(target, "POST", path.into(), body, LOOKED_INTO);
+            self.pending_calls.add(id, what);
         }
         let path = format!("/keys/{}", self.election.holder_key());
         let call = self
-            .io
+            .effects
             .call(Target::State, "GET", path, Vec::new(), LOOKED_INTO);
-        self.waits.add(call, Awaits::Key);
+        self.pending_calls.add(call, PendingCall::Key);
     }
 
     pub(super) fn on_beat(&mut self, id: RequestId, body: &[u8]) {
         let Some(beat) = wire::decode::<LeaderHeartbeat>(body) else {
-            return self.io.answer_status(id, 400);
+            return self.effects.answer_status(id, 400);
         };
-        self.judge.heard(self.io.now.time, &beat);
-        self.io.answer_status(id, 200);
+        self.failure_detector.heard(self.effects.now.time, &beat);
+        self.effects.answer_status(id, 200);
     }
 
     /// Another node doubts the leader.
     pub(super) fn asked(&mut self, id: RequestId, body: &[u8]) {
         let Some(ask) = wire::decode::<SuspicionQuery>(body) else {
-            return self.io.answer_status(id, 400);
+            return self.effects.answer_status(id, 400);
         };
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let contact = self.election.contact;
         let state = contact.is_some_and(|t| now.since(t) < STATE_LATELY);
         let doubt = match ask.no_state {
-            true => Doubt::NoState,
-            false => Doubt::Silent,
+            true => Suspicion::NoState,
+            false => Suspicion::Silent,
         };
         let opinion = SuspicionReport {
             node_id: self.settings.node_id.clone(),
             token: ask.token,
-            agrees: self.refused().is_none() && self.judge.agrees(now, ask.token, doubt, state),
-            came: self.judge.came_lately(now),
+            agrees: self.refused().is_none()
+                && self.failure_detector.agrees(now, ask.token, doubt, state),
+            came: self.failure_detector.came_lately(now),
         };
-        self.io.answer_body(id, wire::encode(&opinion));
+        self.effects.answer_body(id, wire::encode(&opinion));
     }
 
     /// The leader was asked directly. A connection that is refused fails at once,
     /// one that is not accepted takes all the time there is.
     pub(super) fn on_probe(&mut self, token: FencingToken, sent: Time, reply: &Reply) {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let probe = match reply {
             Reply::Answer(200, body) => {
                 if let Some(g) = wire::decode(body) {
                     self.heard(g);
                 }
-                Probe::Answered
+                ProbeOutcome::Answered
             }
-            Reply::Answer(..) => Probe::Answered,
+            Reply::Answer(..) => ProbeOutcome::Answered,
             Reply::NotSent | Reply::Lost if now.since(sent) >= LOOKED_INTO.scaled(0.9) => {
-                Probe::Silent
+                ProbeOutcome::Silent
             }
-            Reply::NotSent | Reply::Lost => Probe::Refused,
+            Reply::NotSent | Reply::Lost => ProbeOutcome::NotServing,
         };
-        self.judge.probed(now, token, probe);
+        self.failure_detector.probed(now, token, probe);
     }
 
     pub(super) fn on_opinion(&mut self, reply: &Reply) {
@@ -184,13 +187,14 @@
             && let Some(o) = wire::decode::<SuspicionReport>(body)
             && self.settings.peers.iter().any(|p| p.node_id == o.node_id)
         {
-            self.judge.told(o.node_id, o.token, o.agrees, o.came);
+            self.failure_detector
+                .told(o.node_id, o.token, o.agrees, o.came);
         }
     }
 
     pub(super) fn on_key(&mut self, reply: &Reply) {
         if matches!(reply, Reply::Answer(200 | 404, _)) {
-            self.judge.reached_state();
+            self.failure_detector.reached_state();
         }
     }
 }
--- a/crates/controller/src/core/node/machine_type_cache.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -14,7 +14,7 @@
 impl Node {
     pub(super) fn on_types(&mut self, reply: &Reply) {
         self.types_calling = false;
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         self.types_due = now + TYPES_EVERY;
         if let Reply::Answer(200, body) = reply
             && let Some(page) = wire::decode::<EntryPage>(body)
@@ -64,7 +64,7 @@
             .enumerate()
             .take(self.settings.state_limits.txn_ops)
             .map(|(i, p)| Operation::Put {
-                key: format!("{}/{i:03}", job_records::TYPES),
+                key: format!("{}/{i:03}", job_records::MACHINE_TYPES),
                 value: serde_json::to_value(p).unwrap_or_default(),
                 lease: None,
             })
@@ -76,7 +76,7 @@
             }],
             ops,
         };
-        self.io.call(
+        self.effects.call(
             Target::State,
             "POST",
             "/commit".into(),
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -1,11 +1,11 @@
 //! What the nodes tell one another, and readiness.
 
 use super::{
-    Awaits, CANCELLED_KEPT, GREET_EVERY, GREET_GAP, MOST_CANCELLED, MOST_COUNTS, Node, PEER_FRESH,
-    PeerView, STATE_FRESH,
+    CANCELLED_KEPT, GREET_EVERY, GREET_GAP, MOST_CANCELLED, MOST_COUNTS, Node, PEER_FRESH,
+    PeerView, PendingCall, STATE_FRESH,
 };
-use crate::core::format_version::member_versions::Refused;
-use crate::core::leader::{Fate, Leader};
+use crate::core::format_version::member_versions::NotServing;
+use crate::core::leader::{Leader, LeadershipOutcome};
 use crate::core::{Reply, RequestId, Target};
 use crate::types::{JobId, NodeId, Time, TimeSpan};
 use crate::wire;
@@ -13,12 +13,12 @@
 
 impl Node {
     pub(super) fn state_ok(&self) -> bool {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let leading = self
             .leader
             .as_ref()
             .filter(|l| l.is_loaded())
-            .map(|l| l.contact.shown());
+            .map(|l| l.authority.shown());
         leading
             .max(self.election.contact)
             .is_some_and(|t| now.since(t) < STATE_FRESH)
@@ -31,11 +31,11 @@
     /// nodes up comes back to them late, and a refusal costs users less.
     pub(super) fn is_ready(&self) -> bool {
         // What it cannot read it must not answer for, whoever else is there.
-        let beyond = |why: &Refused| matches!(why, Refused::Beyond(..) | Refused::Damaged);
+        let beyond = |why: &NotServing| matches!(why, NotServing::Beyond(..) | NotServing::Damaged);
         if self.refused().as_ref().is_some_and(beyond) {
             return false;
         }
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         let fit = |p: &PeerView| p.state_ok && now.since(p.heard) < PEER_FRESH;
         let better = self.peers.values().any(fit);
         // One that hears nothing from the state service, not even a refusal, nor from
@@ -55,8 +55,8 @@
         // Where all have too much to do, one of them is as good as the other; one
         // whose processor alone is slow is not.
         let has_time = self.peers.values().any(|p| fit(p) && !p.strained);
-        let slow = self.pulse.slow && has_time;
-        let busy = self.pulse.strained && (self.leader.is_some() || slow);
+        let slow = self.self_health.slow && has_time;
+        let busy = self.self_health.strained && (self.leader.is_some() || slow);
         !busy || !better
     }
 
@@ -73,8 +73,8 @@
             loaded: self.leads() || self.peers.values().any(answers),
             cancelled: cancelled.map(|(id, _)| id.clone()).collect(),
             state_ok: self.state_ok(),
-            strained: self.pulse.strained || self.stopping.is_some(),
-            effort_us: self.pulse.effort_us,
+            strained: self.self_health.strained || self.stopping.is_some(),
+            effort_us: self.self_health.effort_us,
             levels: self.election.registry.tell(),
             counts,
             caches: Vec::new(),
@@ -86,10 +86,10 @@
     /// the leader stops it also while it cannot read so; and again for a while, as
     /// greetings get lost.
     pub(super) fn spread_cancelled(&mut self) {
-        let now = self.io.now.time;
+        let now = self.effects.now.time;
         self.cancelled
             .retain(|(_, at)| now.since(*at) < CANCELLED_KEPT);
-        for id in std::mem::take(&mut self.intake.confirmed) {
+        for id in std::mem::take(&mut self.job_api.confirmed) {
             if let Some(leader) = &mut self.leader {
                 leader.hear_cancelled(now, &id);
             }
@@ -99,7 +99,7 @@
     }
 
     pub(super) fn greet(&mut self) {
-        self.greeted = self.io.now.time;
+        self.greeted = self.effects.now.time;
         let counts = self
             .leader
             .as_mut()
@@ -107,23 +107,24 @@
             .unwrap_or_default();
         let mut greeting = self.greeting(counts);
         if let Some(leader) = &mut self.leader {
-            let known = self.keepsake.take_known(|id| leader.knows(id));
+            let known = self.cache_hints.take_known(|id| leader.knows(id));
             for (id, images) in known {
-                leader.inherit_cache(self.io.now.time, &id, &images);
+                leader.inherit_cache(self.effects.now.time, &id, &images);
             }
             greeting.caches = leader.changed_caches();
             greeting.fetches = leader.changed_fetches();
         }
         let body = wire::encode(&greeting);
         for p in &self.settings.peers {
-            let call = self.io.call(
+            let call = self.effects.call(
                 Target::Host(p.addr),
                 "POST",
                 "/greet".into(),
                 body.clone(),
                 GREET_EVERY.scaled(0.9),
             );
-            self.waits.add(call, Awaits::Greet(p.node_id.clone()));
+            self.pending_calls
+                .add(call, PendingCall::Greet(p.node_id.clone()));
         }
     }
 
@@ -146,7 +147,7 @@
 
     pub(super) fn greeted(&mut self, id: RequestId, body: &[u8]) {
         let Some(g) = wire::decode::<PeerHeartbeat>(body) else {
-            return self.io.answer_status(id, 400);
+            return self.effects.answer_status(id, 400);
         };
         let leads = g.leads.then_some(g.token);
         self.heard(g);
@@ -156,8 +157,8 @@
             let names = self.settings.peers.iter().map(|p| &p.node_id);
             let before = names.filter(|l| **l < self.settings.node_id).count();
             let from = before as f64 / (self.settings.peers.len() as f64 + 1.0);
-            answer.caches = self.keepsake.give(token, from);
-            let fetches = self.keepsake.fetches();
+            answer.caches = self.cache_hints.give(token, from);
+            let fetches = self.cache_hints.fetches();
             answer.fetches = match answer.caches.is_empty() {
                 true => Vec::new(),
                 false => fetches
@@ -166,15 +167,15 @@
                     .collect(),
             };
         }
-        self.io.answer_body(id, wire::encode(&answer));
+        self.effects.answer_body(id, wire::encode(&answer));
     }
 
     pub(super) fn heard(&mut self, g: PeerHeartbeat) {
         if !self.settings.peers.iter().any(|p| p.node_id == g.node_id) {
             return;
         }
-        self.intake.note_counts(g.counts);
-        let now = self.io.now.time;
+        self.job_api.note_counts(g.counts);
+        let now = self.effects.now.time;
         self.election.registry.heard(now, &g.node_id, g.levels);
         if let Some(leader) = &mut self.leader {
             for (image, ms) in &g.fetches {
@@ -184,7 +185,7 @@
                 leader.hear_cancelled(now, id);
             }
         }
-        self.keepsake.note(now, g.token, g.caches, g.fetches);
+        self.cache_hints.note(now, g.token, g.caches, g.fetches);
         self.peers.insert(
             g.node_id,
             PeerView {
@@ -201,7 +202,7 @@
         // for long: until then this one does, as long as its contact lets it.
         let deposes = |l: &Leader| g.token > l.token && g.loaded && l.may_be(now, g.token);
         if self.leader.as_ref().is_some_and(deposes) {
-            self.end_leadership(Fate::Deposed(g.token));
+            self.end_leadership(LeadershipOutcome::Deposed(g.token));
         }
     }
 }
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -32,7 +32,7 @@
     assert!(!node.is_ready(), "a peer has the state service");
     node.election.contact = Some(Time(0));
     assert!(node.is_ready());
-    node.pulse.strained = true;
+    node.self_health.strained = true;
     assert!(node.is_ready(), "a follower stays");
     node.leader = Some(testing::leader());
     assert!(!node.is_ready(), "a leader that is behind does not");
@@ -40,7 +40,7 @@
     assert!(node.is_ready(), "unless nobody is better");
     // A follower with a slow processor kept its users, who waited for it.
     node.leader = None;
-    node.pulse.slow = true;
+    node.self_health.slow = true;
     node.heard(peer(true));
     assert!(!node.is_ready(), "a slow follower leaves users to others");
     node.heard(PeerHeartbeat {
@@ -57,13 +57,13 @@
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
     let at = |node: &mut Node, secs: f64, input: Input| {
-        let now = testing::io_at(secs).now;
+        let now = testing::effects_at(secs).now;
         let out = node.handle(now, input).into_iter();
         let takes = out.filter(|o| matches!(o, Output::Call(c) if c.path == "/take"));
         takes.count()
     };
     at(&mut node, 5.0, Input::Tick);
-    node.stand(Outcome::Elected(FencingToken(5), 3));
+    node.stand(ElectionOutcome::Elected(FencingToken(5), 3));
     let fit = || PeerView {
         heard: Time(5_000_000),
         token: FencingToken(5),
@@ -86,7 +86,7 @@
     );
     at(&mut node, 6.0, Input::Tick);
     assert!(!node.may_end());
-    node.end_leadership(Fate::Deposed(FencingToken(9)));
+    node.end_leadership(LeadershipOutcome::Deposed(FencingToken(9)));
     assert!(!node.may_end(), "users are still led away");
     at(&mut node, 7.8, Input::Tick);
     assert!(node.may_end());
@@ -99,19 +99,19 @@
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
-    node.io.now.time = Time(5_000_000);
-    node.stand(Outcome::Elected(FencingToken(5), 3));
+    node.effects.now.time = Time(5_000_000);
+    node.stand(ElectionOutcome::Elected(FencingToken(5), 3));
     let kept = |node: &mut Node| {
-        let out = node.io.take_outputs().into_iter();
+        let out = node.effects.take_outputs().into_iter();
         out.filter_map(|o| match o {
-            Output::Keep(k) => Some((k.lease, k.until)),
+            Output::LeaseKeepAlive(k) => Some((k.lease, k.until)),
             _ => None,
         })
         .next_back()
     };
-    assert!(kept(&mut node).is_some_and(|(l, t)| l == 3 && t > node.io.now.time));
-    node.end_leadership(Fate::StepDown("for a test"));
-    assert_eq!(kept(&mut node), Some((3, node.io.now.time)));
+    assert!(kept(&mut node).is_some_and(|(l, t)| l == 3 && t > node.effects.now.time));
+    node.end_leadership(LeadershipOutcome::StepDown("for a test"));
+    assert_eq!(kept(&mut node), Some((3, node.effects.now.time)));
 }
 
 // A leader whose process was back at once led on without knowing of any image.
@@ -126,7 +126,7 @@
     let id = MachineId::from("host-1");
     let images = vec![(Image::from("img"), 5.0)];
     let fetches = vec![(Image::from("img"), 9000)];
-    peer.keepsake.note(
+    peer.cache_hints.note(
         Time(1),
         FencingToken(4),
         vec![(id.clone(), images)],
@@ -135,7 +135,7 @@
     leader.leader = Some(testing::leader());
     let told = wire::encode(&leader.greeting(Vec::new()));
     peer.greeted(RequestId(1), &told);
-    let Some(Output::Answer(_, answer)) = peer.io.take_outputs().pop() else {
+    let Some(Output::Answer(_, answer)) = peer.effects.take_outputs().pop() else {
         panic!("no answer");
     };
     let answer: PeerHeartbeat = wire::decode(&answer.body).unwrap();
@@ -171,9 +171,9 @@
     let mut heard = BTreeSet::new();
     for _ in 0..20 {
         node.greet();
-        for out in node.io.take_outputs() {
+        for out in node.effects.take_outputs() {
             let Output::Call(call) = out else { continue };
-            let Some(Awaits::Greet(node_id)) = node.waits.take(call.id) else {
+            let Some(PendingCall::Greet(node_id)) = node.pending_calls.take(call.id) else {
                 continue;
             };
             let reply = if node_id.as_str() == "node-1" {
@@ -199,7 +199,7 @@
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
-    node.io.now.time = Time(5_000_000);
+    node.effects.now.time = Time(5_000_000);
     node.leader = Some(testing::leader());
     let greeting = |node_id: &str, leads, loaded| PeerHeartbeat {
         node_id: node_id.into(),
@@ -222,7 +222,7 @@
     let settings = testing::settings(2);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut third = Node::new(settings, policy, 1);
-    third.io.now.time = Time(5_000_000);
+    third.effects.now.time = Time(5_000_000);
     let old = PeerHeartbeat {
         token: FencingToken(5),
         ..greeting("node-0", true, true)
@@ -248,7 +248,7 @@
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
     let tick = |node: &mut Node, secs: f64| {
-        node.handle(testing::io_at(secs).now, Input::Tick);
+        node.handle(testing::effects_at(secs).now, Input::Tick);
         node.is_ready()
     };
     assert!(tick(&mut node, 5.0), "it has just started");
@@ -266,9 +266,9 @@
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
-    node.io.now.time = Time(5_000_000);
+    node.effects.now.time = Time(5_000_000);
     let id = JobId::from("wk-1");
-    node.intake.confirmed.push(id.clone());
+    node.job_api.confirmed.push(id.clone());
     node.spread_cancelled();
     assert!(node.greet_due <= Time(5_000_000));
     let word = node.greeting(Vec::new());
@@ -278,10 +278,10 @@
     let wall = crate::types::WallTime(0);
     let job = job_records::Job::new(Rc::new(spec), wall, crate::types::Version(7), 1);
     leader.jobs.insert(id.clone(), job);
-    leader.contact.page(Time(0));
-    leader.contact.loaded(Time(0));
+    leader.authority.page(Time(0));
+    leader.authority.loaded(Time(0));
     leader.hear_cancelled(Time(5_000_000), &id);
-    assert!(leader.contact.is_told(&id));
+    assert!(leader.authority.is_told(&id));
     let job = &leader.jobs[&id];
     assert!(job.is_open() && !leader.dropping.contains(&id));
     let none = wire::kvstore::WatchResponse {
@@ -289,6 +289,6 @@
         events: Vec::new(),
     };
     let reply = Reply::Answer(200, wire::encode(&none));
-    leader.on_read(&mut testing::io_at(6.0), Time(5_500_000), reply);
-    assert!(!leader.contact.is_told(&id), "it goes on");
+    leader.on_read(&mut testing::effects_at(6.0), Time(5_500_000), reply);
+    assert!(!leader.authority.is_told(&id), "it goes on");
 }
--- a/crates/controller/src/core/pending_writes.rs
+++ b/crates/controller/src/core/pending_writes.rs
@@ -6,14 +6,14 @@
 
 /// Records as they should be stored, as far as that is not so yet.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct PendingWrites {
     puts: BTreeMap<String, Value>,
     deletes: BTreeSet<String>,
     /// Changes handed out to be written, for operators.
     pub written: u64,
 }
 
-impl Book {
+impl PendingWrites {
     /// A record is to be stored.
     pub fn put(&mut self, key: String, value: Value) {
         self.deletes.remove(&key);
--- a/crates/controller/src/core/placement_tables.rs
+++ b/crates/controller/src/core/placement_tables.rs
@@ -9,12 +9,12 @@
 /// caches, so this follows starts and finished fetches, and drops the least
 /// recently used where the machine's room runs out, as workers do.
 #[derive(Clone, Debug, Default)]
-pub struct Cache {
-    entries: Vec<Cached>,
+pub struct ImageCache {
+    entries: Vec<CachedImage>,
 }
 
 #[derive(Clone, Debug)]
-struct Cached {
+struct CachedImage {
     image: Image,
     gb: f64,
     used: Time,
@@ -22,7 +22,7 @@
     coming: Option<Time>,
 }
 
-impl Cache {
+impl ImageCache {
     /// Remaining fetch time: zero for an image that is there, `None` for one
     /// that is not. A fetch that takes longer than expected is never counted
     /// as over until it is.
@@ -39,7 +39,7 @@
     pub fn used(&mut self, image: &Image, gb: f64, now: Time, fetch: TimeSpan) {
         match self.entries.iter_mut().find(|e| &e.image == image) {
             Some(e) => e.used = now,
-            None => self.entries.push(Cached {
+            None => self.entries.push(CachedImage {
                 image: image.clone(),
                 gb,
                 used: now,
@@ -51,7 +51,7 @@
     /// Notes that the image is there; older ones make room for it.
     pub fn fetched(&mut self, image: &Image, gb: f64, now: Time, room_gb: f64) {
         self.entries.retain(|e| &e.image != image);
-        self.entries.push(Cached {
+        self.entries.push(CachedImage {
             image: image.clone(),
             gb,
             used: now,
@@ -93,7 +93,7 @@
 
 /// What fetching costs, learned from finished fetches.
 #[derive(Clone, Debug)]
-pub struct Estimates {
+pub struct FetchEstimates {
     latest: BTreeMap<Image, TimeSpan>,
     first: TimeSpan,
 }
@@ -101,10 +101,10 @@
 /// Most images whose fetch time is remembered.
 const MOST_ESTIMATES: usize = 4096;
 
-impl Estimates {
+impl FetchEstimates {
     /// Nothing known; `first` is what an image costs until then.
-    pub fn new(first: TimeSpan) -> Estimates {
-        Estimates {
+    pub fn new(first: TimeSpan) -> FetchEstimates {
+        FetchEstimates {
             latest: BTreeMap::new(),
             first,
         }
@@ -145,7 +145,7 @@
 
 /// A machine as a cycle sees it.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct MachineRow {
     /// The machine.
     pub id: MachineId,
     /// Its type.
@@ -163,7 +163,7 @@
     /// When high-priority work was last placed here.
     pub last_high: Option<Time>,
     /// Its images.
-    pub cache: Cache,
+    pub cache: ImageCache,
     /// Fetch rate of its type.
     pub fetch_rate: f64,
     /// Whether it is put aside: only work that has waited for long may go there.
--- a/crates/controller/src/core/placement_tables/tests.rs
+++ b/crates/controller/src/core/placement_tables/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn the_least_recently_used_image_goes_first() {
-    let mut c = Cache::default();
+    let mut c = ImageCache::default();
     let image = |n: u32| Image::from(format!("i{n}"));
     for n in 0..3 {
         c.fetched(&image(n), 10.0, Time(u64::from(n)), 30.0);
@@ -18,7 +18,7 @@
 // sent there as if the image were there, and its arrival was never noted.
 #[test]
 fn an_overdue_fetch_is_not_over() {
-    let mut c = Cache::default();
+    let mut c = ImageCache::default();
     let a = Image::from("a");
     c.used(&a, 6.0, Time(0), TimeSpan::secs(10.0));
     assert_eq!(c.remaining(&a, Time(4_000_000)), Some(TimeSpan::secs(6.0)));
@@ -29,7 +29,7 @@
 
 #[test]
 fn an_unseen_image_costs_what_its_size_says() {
-    let mut e = Estimates::new(TimeSpan::secs(30.0));
+    let mut e = FetchEstimates::new(TimeSpan::secs(30.0));
     let (a, b) = (Image::from("a"), Image::from("b"));
     assert_eq!(e.of(&a, 6.0, None), TimeSpan::secs(30.0));
     assert_eq!(e.of(&a, 6.0, Some(0.5)), TimeSpan::secs(12.0));
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -1,8 +1,8 @@
 //! Making room: which running tasks to stop for work that cannot be placed.
 //! Pure, as the cycle.
 
-use super::quota::{Bounds, Loss, Spent};
-use super::scheduling_cycle::{Cycle, Want};
+use super::quota::{Bounds, ReclaimCandidate, ReclaimUsage};
+use super::scheduling_cycle::{PlacementRequest, SchedulingCycle};
 use crate::types::{Class, JobId, Resources, Team};
 use crate::wire::users::Priority;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -60,13 +60,13 @@
     }
 
     /// What is lost with one of them: with a gang's task all the gang.
-    pub fn loss(&self, n: usize, want: &Want) -> Loss<'_> {
+    pub fn loss(&self, n: usize, want: &PlacementRequest) -> ReclaimCandidate<'_> {
         let v = &self.all[n];
         let tasks = match self.gangs.get(&v.job) {
             Some((members, _)) if v.gang => members.len() as f64,
             _ => 1.0,
         };
-        Loss {
+        ReclaimCandidate {
             team: &v.team,
             class: &v.class,
             takes: v.need.times(tasks),
@@ -104,7 +104,7 @@
 /// Whether `want` has a reason to have `v` stopped. Only the two that the
 /// platform names count: a higher priority, or a guarantee against what another
 /// team runs beyond its own. How much may be taken is for [`Bounds`] to say.
-fn has_reason(want: &Want, v: &Victim) -> bool {
+fn has_reason(want: &PlacementRequest, v: &Victim) -> bool {
     // A guarantee could also take from higher priorities; stopping urgent work
     // for work that can wait serves nobody.
     v.priority < want.priority
@@ -127,8 +127,8 @@
 /// Finds the cheapest set of tasks to stop so that `want` fits: a gang whole,
 /// of others as many tasks as `most`.
 pub fn evict(
-    cycle: &Cycle<'_>,
-    want: &Want,
+    cycle: &SchedulingCycle<'_>,
+    want: &PlacementRequest,
     victims: &Victims,
     taken: &BTreeSet<usize>,
     bounds: &Bounds,
@@ -159,7 +159,7 @@
             victims: Vec::new(),
             cost: 0.0,
         };
-        let mut spent = Spent::default();
+        let mut spent = ReclaimUsage::default();
         let mut gangs: BTreeSet<&JobId> = BTreeSet::new();
         for (cost, n) in here {
             if want.need.fits(&free) {
@@ -203,7 +203,7 @@
         let mut left = wanted;
         let mut in_zone: BTreeMap<_, u32> = BTreeMap::new();
         // What each machine's plan may take alone, all may not take together.
-        let mut spent = Spent::default();
+        let mut spent = ReclaimUsage::default();
         let mut gangs: BTreeSet<&JobId> = BTreeSet::new();
         for p in &plans {
             let row = &cycle.rows[p.row];
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -1,9 +1,9 @@
 //! Claims against a slow plain model: whatever is stopped is added up task
 //! by task afterwards.
 
-use super::super::placement_tables::{Cache, Estimates, Row};
-use super::super::quota::usage::{Account, Units};
-use super::super::scheduling_cycle::{Pace, TeamUse};
+use super::super::placement_tables::{FetchEstimates, ImageCache, MachineRow};
+use super::super::quota::usage::{QuotaUnits, QuotaUsage};
+use super::super::scheduling_cycle::{CycleParameters, TeamUse};
 use super::*;
 use crate::settings::TeamShare;
 use crate::types::{Time, TimeSpan};
@@ -25,8 +25,8 @@
     }
 }
 
-fn want(n: usize, tasks: u32, gpus: f64) -> Want {
-    Want {
+fn want(n: usize, tasks: u32, gpus: f64) -> PlacementRequest {
+    PlacementRequest {
         job: format!("want-{n}").into(),
         team: "owner".into(),
         class: "any".into(),
@@ -57,10 +57,10 @@
 
 /// Lets each want claim in turn, as a cycle does, against a lender with this
 /// guarantee that already loses `losing` GPUs. Returns what it is left.
-fn claims(guarantee: f64, losing: f64, tasks: &[Task], wants: &[Want]) -> (f64, usize) {
+fn claims(guarantee: f64, losing: f64, tasks: &[Task], wants: &[PlacementRequest]) -> (f64, usize) {
     let machines = tasks.iter().map(|t| t.0).max().map_or(0, |m| m + 1);
-    let mut rows: Vec<Row> = (0..machines)
-        .map(|i| Row {
+    let mut rows: Vec<MachineRow> = (0..machines)
+        .map(|i| MachineRow {
             id: format!("m{i}").into(),
             kind: "k".into(),
             zone: "z".into(),
@@ -69,7 +69,7 @@
             free: WHOLE,
             available: NOW,
             last_high: None,
-            cache: Cache::default(),
+            cache: ImageCache::default(),
             fetch_rate: 1.0,
             aside: false,
         })
@@ -81,8 +81,8 @@
         gpus_max: None,
     };
     let lender = Team::from("lender");
-    let mut account = Account::new(&BTreeMap::from([(lender.clone(), share)]));
-    account.hold(&lender, Units::of(&amounts(losing)), 1, 1);
+    let mut account = QuotaUsage::new(&BTreeMap::from([(lender.clone(), share)]));
+    account.hold(&lender, QuotaUnits::of(&amounts(losing)), 1, 1);
     let mut held = 0.0;
     let mut all = Vec::new();
     for (n, &(row, job, gpus)) in tasks.iter().enumerate() {
@@ -92,7 +92,7 @@
         }
         rows[row].free -= need;
         held += f64::from(gpus);
-        account.hold(&lender, Units::of(&need), 1, 0);
+        account.hold(&lender, QuotaUnits::of(&need), 1, 0);
         let of_job = tasks.iter().filter(|t| t.1 == job && t.2 == gpus);
         all.push(Victim {
             job: format!("job-{job}-{gpus}").into(),
@@ -114,12 +114,12 @@
     };
     let victims = Victims::new(all, rows.len());
     let mut teams = BTreeMap::from([(lender, TeamUse::default())]);
-    let estimates = Estimates::new(TimeSpan::secs(1.0));
-    let pace = Pace {
+    let estimates = FetchEstimates::new(TimeSpan::secs(1.0));
+    let pace = CycleParameters {
         now: NOW,
         most_skew: TimeSpan::secs(30.0),
     };
-    let mut cycle = Cycle::new(pace, &mut rows, &mut teams, &estimates);
+    let mut cycle = SchedulingCycle::new(pace, &mut rows, &mut teams, &estimates);
     let (mut taken, mut stopped) = (BTreeSet::new(), 0.0);
     let mut served = 0;
     for w in wants {
@@ -157,7 +157,7 @@
         tasks in proptest::collection::vec((0usize..10, 0u8..6, 1u32..4), 1..40),
         sizes in proptest::collection::vec((1u32..4, 1u32..5), 1..6),
     ) {
-        let wants: Vec<Want> = sizes.iter().enumerate()
+        let wants: Vec<PlacementRequest> = sizes.iter().enumerate()
             .map(|(n, &(t, g))| want(n, t, f64::from(g))).collect();
         let (left, served) = claims(f64::from(guarantee), f64::from(losing), &tasks, &wants);
         let (before, _) = claims(f64::from(guarantee), f64::from(losing), &tasks, &[]);
@@ -184,11 +184,11 @@
 // The model notices: with the bound switched off the lender loses all four.
 #[test]
 fn claims_without_a_bound_are_caught() {
-    use super::super::failpoints::{Decision, weaken};
+    use super::super::failpoints::{SafetyCheck, disable_check};
     let singles: Vec<Task> = (0..4).map(|i| (i, i as u8, 4)).collect();
-    let wants: Vec<Want> = (0..4).map(|n| want(n, 1, 4.0)).collect();
-    weaken(&[Decision::ClaimsAreBounded]);
+    let wants: Vec<PlacementRequest> = (0..4).map(|n| want(n, 1, 4.0)).collect();
+    disable_check(&[SafetyCheck::ClaimsAreBounded]);
     let (left, _) = claims(12.0, 0.0, &singles, &wants);
-    weaken(&[]);
+    disable_check(&[]);
     assert_eq!(left, 0.0);
 }
--- a/crates/controller/src/core/quarantine.rs
+++ b/crates/controller/src/core/quarantine.rs
@@ -2,8 +2,8 @@
 //! gets no work for a pause that doubles, and one on which several jobs failed
 //! gets none at all. A successor remembers both.
 
-use crate::core::keys::DUTIES;
-use crate::core::pending_writes::Book;
+use crate::core::keys::LEADER_RECORDS;
+use crate::core::pending_writes::PendingWrites;
 use crate::types::{MachineId, TimeSpan, WallTime};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -30,25 +30,25 @@
 
 /// The machines that are remembered.
 #[derive(Clone, Debug, Default)]
-pub struct Asides {
+pub struct Quarantine {
     marks: BTreeMap<MachineId, Mark>,
 }
 
 fn key(m: &MachineId) -> String {
-    format!("{DUTIES}m/{m}")
+    format!("{LEADER_RECORDS}m/{m}")
 }
 
-fn store(book: &mut Book, m: &MachineId, mark: &Mark) {
+fn store(pending_writes: &mut PendingWrites, m: &MachineId, mark: &Mark) {
     if let Ok(value) = serde_json::to_value(mark) {
-        book.put(key(m), value);
+        pending_writes.put(key(m), value);
     }
 }
 
-impl Asides {
+impl Quarantine {
     /// Takes over a stored mark. Returns the machine, and whether it is to get
     /// no work at all.
     pub fn load(&mut self, at: &str, stored: &Value) -> Option<(MachineId, bool)> {
-        let id = at.strip_prefix(DUTIES)?.strip_prefix("m/")?;
+        let id = at.strip_prefix(LEADER_RECORDS)?.strip_prefix("m/")?;
         let mark = Mark::deserialize(stored).ok()?;
         let id = MachineId::from(id);
         let drained = mark.d;
@@ -58,7 +58,12 @@
 
     /// A machine was silent for as long as its lease. Returns its pause. A
     /// first time is no sign, and is not stored.
-    pub fn strike(&mut self, book: &mut Book, m: &MachineId, wall: WallTime) -> Option<TimeSpan> {
+    pub fn strike(
+        &mut self,
+        pending_writes: &mut PendingWrites,
+        m: &MachineId,
+        wall: WallTime,
+    ) -> Option<TimeSpan> {
         let mark = self.marks.entry(m.clone()).or_insert(Mark {
             n: 0,
             t: wall,
@@ -66,23 +71,23 @@
         });
         (mark.n, mark.t) = (mark.n + 1, wall);
         let pause = mark.pause()?;
-        store(book, m, mark);
+        store(pending_writes, m, mark);
         Some(pause)
     }
 
     /// A machine is to get no work any more.
-    pub fn drain(&mut self, book: &mut Book, m: &MachineId, wall: WallTime) {
+    pub fn drain(&mut self, pending_writes: &mut PendingWrites, m: &MachineId, wall: WallTime) {
         let mark = self.marks.entry(m.clone()).or_insert(Mark {
             n: 0,
             t: wall,
             d: true,
         });
         mark.d = true;
-        store(book, m, mark);
+        store(pending_writes, m, mark);
     }
 
     /// Whether a machine gets no work now.
-    pub fn is_aside(&self, m: &MachineId, wall: WallTime) -> bool {
+    pub fn is_quarantined(&self, m: &MachineId, wall: WallTime) -> bool {
         self.marks.get(m).is_some_and(|k| k.d) || self.pause_left(m, wall).is_some()
     }
 
@@ -95,12 +100,17 @@
     }
 
     /// Forgets machines that are not there any more, and old strikes.
-    pub fn tend(&mut self, book: &mut Book, wall: WallTime, there: impl Fn(&MachineId) -> bool) {
+    pub fn tend(
+        &mut self,
+        pending_writes: &mut PendingWrites,
+        wall: WallTime,
+        there: impl Fn(&MachineId) -> bool,
+    ) {
         self.marks.retain(|m, k| {
             let old = wall.0 > k.t.0 + FORGOTTEN.as_millis() && !k.d;
             let keep = there(m) && !old;
             if !keep && (k.d || k.pause().is_some()) {
-                book.delete(key(m));
+                pending_writes.delete(key(m));
             }
             keep
         });
@@ -109,7 +119,7 @@
     /// How many machines get no work now.
     pub fn count(&self, wall: WallTime) -> usize {
         let all = self.marks.keys();
-        all.filter(|m| self.is_aside(m, wall)).count()
+        all.filter(|m| self.is_quarantined(m, wall)).count()
     }
 }
 
--- a/crates/controller/src/core/quota/arrival_history.rs
+++ b/crates/controller/src/core/quota/arrival_history.rs
@@ -10,7 +10,7 @@
 /// Where it is stored.
 pub const KEY: &str = "d/f";
 /// Parts that the time looked back over is kept in.
-const PARTS: u64 = 20;
+const SUBMISSION_PARTS: u64 = 20;
 
 /// What came within one part: machines that it fills, machine seconds, and jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
 
 /// A job that came, as far as is remembered.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Missing {
+pub struct MissingArrival {
     /// About when.
     pub at: WallTime,
     /// Its class.
@@ -46,17 +46,17 @@
 
 /// What came, by class, team and part.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Memory {
+pub struct ArrivalHistory {
     part: TimeSpan,
     came: BTreeMap<(Class, Team), BTreeMap<u64, Came>>,
 }
 
-impl Memory {
+impl ArrivalHistory {
     /// Nothing yet, looking back over so much.
-    pub fn new(window: TimeSpan) -> Memory {
-        let part = TimeSpan(window.0 / PARTS).max(TimeSpan::millis(1000));
+    pub fn new(window: TimeSpan) -> ArrivalHistory {
+        let part = TimeSpan(window.0 / SUBMISSION_PARTS).max(TimeSpan::millis(1000));
         let came = BTreeMap::new();
-        Memory { part, came }
+        ArrivalHistory { part, came }
     }
 
     fn part_of(&self, at: WallTime) -> u64 {
@@ -75,7 +75,7 @@
 
     /// As it is to be stored: no more than so many bytes, the oldest parts left out.
     pub fn store(&self, now: WallTime, bytes: usize) -> Value {
-        let mut oldest = self.part_of(now).saturating_sub(PARTS);
+        let mut oldest = self.part_of(now).saturating_sub(SUBMISSION_PARTS);
         loop {
             let rounded = |c: &Came| Came((c.0 * 100.0).round() / 100.0, c.1.round(), c.2);
             let lines = self.came.iter().map(|((class, team), parts)| {
@@ -98,7 +98,7 @@
     /// What a stored one says beyond what is known here, as arrivals: when, class,
     /// team, machines, and for how long. Of each part the greater word counts: what
     /// is known here is part of what was stored, or came later.
-    pub fn missing(&self, stored: &Value) -> Option<Vec<Missing>> {
+    pub fn missing(&self, stored: &Value) -> Option<Vec<MissingArrival>> {
         let stored = Stored::deserialize(stored).ok()?;
         let mut out = Vec::new();
         for (class, team, parts) in stored.c {
@@ -114,7 +114,7 @@
                 }
                 // As many jobs as there were, so that none looks larger than it was.
                 let jobs = came.2.saturating_sub(here.2).clamp(1, MOST_OF_PART);
-                let one = Missing {
+                let one = MissingArrival {
                     at: middle,
                     class: class.clone(),
                     team: team.clone(),
--- a/crates/controller/src/core/quota/arrival_history/tests.rs
+++ b/crates/controller/src/core/quota/arrival_history/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn full() -> Memory {
-    let mut m = Memory::new(TimeSpan::secs(600.0));
+fn full() -> ArrivalHistory {
+    let mut m = ArrivalHistory::new(TimeSpan::secs(600.0));
     for i in 0..200u64 {
         let class = ["urgent", "low"][i as usize % 2].into();
         m.note(
@@ -15,7 +15,7 @@
     m
 }
 
-fn sum(all: &[Missing]) -> f64 {
+fn sum(all: &[MissingArrival]) -> f64 {
     all.iter().map(|m| m.machines * m.run_s).sum()
 }
 
@@ -25,7 +25,7 @@
 fn a_successor_knows_what_came_and_is_over_and_counts_nothing_twice() {
     let now = WallTime(1_600_000);
     let stored = full().store(now, 8192);
-    let mut successor = Memory::new(TimeSpan::secs(600.0));
+    let mut successor = ArrivalHistory::new(TimeSpan::secs(600.0));
     let all = successor.missing(&stored).unwrap();
     assert!((sum(&all) - 200.0 * 60.0).abs() < 1.0, "{}", sum(&all));
     // Ten jobs are open and were read.
--- a/crates/controller/src/core/quota/minimum_share.rs
+++ b/crates/controller/src/core/quota/minimum_share.rs
@@ -13,17 +13,20 @@
 
 /// Whom a floor is for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Group {
+pub enum ShareGroup {
     /// A class of jobs.
     Class(Class),
     /// A team.
     Team(Team),
 }
 
-impl Group {
+impl ShareGroup {
     /// Both groups that a job belongs to.
-    pub fn both(class: &Class, team: &Team) -> [Group; 2] {
-        [Group::Class(class.clone()), Group::Team(team.clone())]
+    pub fn both(class: &Class, team: &Team) -> [ShareGroup; 2] {
+        [
+            ShareGroup::Class(class.clone()),
+            ShareGroup::Team(team.clone()),
+        ]
     }
 }
 
@@ -59,15 +62,15 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Floor {
+struct MinimumShare {
     least: f64,
     used: f64,
 }
 
 /// The floors in force.
 #[derive(Clone, Debug, Default)]
-pub struct Floors {
-    groups: BTreeMap<Group, Floor>,
+pub struct MinimumShares {
+    groups: BTreeMap<ShareGroup, MinimumShare>,
 }
 
 /// Divides `total` so that nobody gets more than asked for, and who gets less
@@ -81,23 +84,23 @@
     }
 }
 
-impl Floors {
+impl MinimumShares {
     /// The floors that a fleet of so many machines gives, where a `share` of
     /// what came within `window_s` seconds is to be served.
     pub fn new(
-        services: &BTreeMap<Group, Service>,
+        services: &BTreeMap<ShareGroup, Service>,
         fleet: f64,
         share: f64,
         window_s: f64,
-    ) -> Floors {
-        let mut floors = Floors::default();
+    ) -> MinimumShares {
+        let mut floors = MinimumShares::default();
         if share <= 0.0 {
             return floors;
         }
         for of_teams in [false, true] {
             let of: Vec<_> = services
                 .iter()
-                .filter(|(g, _)| matches!(g, Group::Team(_)) == of_teams)
+                .filter(|(g, _)| matches!(g, ShareGroup::Team(_)) == of_teams)
                 .filter(|(_, s)| s.overdue > 0.0)
                 .collect();
             // What goes first anyway needs no floor, unless all are alike.
@@ -114,7 +117,7 @@
             // The largest that anybody gets bounds those who asked for more.
             let most = asked.iter().map(|(_, gets)| *gets).fold(0.0, f64::max);
             for (group, s) in starved {
-                let floor = Floor {
+                let floor = MinimumShare {
                     least: need(s).min(most),
                     used: s.used,
                 };
@@ -125,26 +128,26 @@
     }
 
     /// Machines that a group lacks to its floor.
-    pub fn lacks(&self, group: &Group) -> f64 {
+    pub fn lacks(&self, group: &ShareGroup) -> f64 {
         let floor = self.groups.get(group);
         floor.map_or(0.0, |f| (f.least - f.used).max(0.0))
     }
 
     /// Whether a group keeps its floor when it loses so many machines.
-    pub fn spares(&self, group: &Group, machines: f64) -> bool {
+    pub fn spares(&self, group: &ShareGroup, machines: f64) -> bool {
         let floor = self.groups.get(group);
         floor.is_none_or(|f| f.used - machines >= f.least)
     }
 
     /// Work of a group was placed.
-    pub fn gain(&mut self, group: &Group, machines: f64) {
+    pub fn gain(&mut self, group: &ShareGroup, machines: f64) {
         if let Some(f) = self.groups.get_mut(group) {
             f.used += machines;
         }
     }
 
     /// Work of a group is stopped.
-    pub fn lose(&mut self, group: &Group, machines: f64) {
+    pub fn lose(&mut self, group: &ShareGroup, machines: f64) {
         self.gain(group, -machines);
     }
 
@@ -154,7 +157,7 @@
     }
 
     /// A group's floor in machines, if one is in force.
-    pub fn of(&self, group: &Group) -> Option<f64> {
+    pub fn of(&self, group: &ShareGroup) -> Option<f64> {
         self.groups.get(group).map(|f| f.least)
     }
 }
--- a/crates/controller/src/core/quota/mod.rs
+++ b/crates/controller/src/core/quota/mod.rs
@@ -5,15 +5,15 @@
 pub mod minimum_share;
 pub mod usage;
 
-use crate::core::failpoints::{self, Decision};
+use crate::core::failpoints::{self, SafetyCheck};
 use crate::types::{Class, Resources, Team};
-use minimum_share::{Floors, Group};
+use minimum_share::{MinimumShares, ShareGroup};
 use std::collections::BTreeMap;
-use usage::{Account, Units};
+use usage::{QuotaUnits, QuotaUsage};
 
 /// Work that may be stopped: a task, or a gang whole.
 #[derive(Clone, Copy, Debug)]
-pub struct Loss<'a> {
+pub struct ReclaimCandidate<'a> {
     /// Its team.
     pub team: &'a Team,
     /// Its class.
@@ -28,51 +28,51 @@
 
 /// What one claim has taken so far, before it is known whether it is made.
 #[derive(Clone, Debug, Default)]
-pub struct Spent {
-    teams: BTreeMap<Team, Units>,
-    groups: BTreeMap<Group, f64>,
+pub struct ReclaimUsage {
+    teams: BTreeMap<Team, QuotaUnits>,
+    groups: BTreeMap<ShareGroup, f64>,
 }
 
 /// What claims may take, all of them together.
 #[derive(Clone, Debug, Default)]
 pub struct Bounds {
     /// What teams hold.
-    pub account: Account,
+    pub account: QuotaUsage,
     /// What classes and teams must be left.
-    pub floors: Floors,
+    pub floors: MinimumShares,
 }
 
 impl Bounds {
     /// Whether this may be stopped too, after all that was taken and spent.
-    pub fn allows(&self, spent: &Spent, loss: &Loss<'_>) -> bool {
-        if loss.for_guarantee && failpoints::holds(Decision::ClaimsAreBounded) {
+    pub fn allows(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
+        if loss.for_guarantee && failpoints::enforced(SafetyCheck::ClaimsAreBounded) {
             let before = spent.teams.get(loss.team).copied().unwrap_or_default();
             if !self
                 .account
-                .covers(loss.team, before + Units::of(&loss.takes))
+                .covers(loss.team, before + QuotaUnits::of(&loss.takes))
             {
                 return false;
             }
         }
-        Group::both(loss.class, loss.team).iter().all(|g| {
+        ShareGroup::both(loss.class, loss.team).iter().all(|g| {
             let before = spent.groups.get(g).copied().unwrap_or(0.0);
             self.floors.spares(g, before + loss.machines)
         })
     }
 
     /// Notes it as spent by a claim that may yet come to nothing.
-    pub fn spend(&self, spent: &mut Spent, loss: &Loss<'_>) {
+    pub fn spend(&self, spent: &mut ReclaimUsage, loss: &ReclaimCandidate<'_>) {
         let team = spent.teams.entry(loss.team.clone()).or_default();
-        *team = *team + Units::of(&loss.takes);
-        for g in Group::both(loss.class, loss.team) {
+        *team = *team + QuotaUnits::of(&loss.takes);
+        for g in ShareGroup::both(loss.class, loss.team) {
             *spent.groups.entry(g).or_default() += loss.machines;
         }
     }
 
     /// It is stopped: a later claim sees that.
-    pub fn take(&mut self, loss: &Loss<'_>) {
-        self.account.take(loss.team, Units::of(&loss.takes));
-        for g in Group::both(loss.class, loss.team) {
+    pub fn take(&mut self, loss: &ReclaimCandidate<'_>) {
+        self.account.take(loss.team, QuotaUnits::of(&loss.takes));
+        for g in ShareGroup::both(loss.class, loss.team) {
             self.floors.lose(&g, loss.machines);
         }
     }
--- a/crates/controller/src/core/quota/usage.rs
+++ b/crates/controller/src/core/quota/usage.rs
@@ -9,7 +9,7 @@
 
 /// Processors and graphics processors in thousandths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Units {
+pub struct QuotaUnits {
     /// Thousandths of processors.
     pub cpus: i64,
     /// Thousandths of graphics processors.
@@ -20,38 +20,38 @@
     (amount * 1000.0).round().clamp(-1e15, 1e15) as i64
 }
 
-impl Units {
+impl QuotaUnits {
     /// Amounts in units.
-    pub fn of(a: &Resources) -> Units {
-        Units {
+    pub fn of(a: &Resources) -> QuotaUnits {
+        QuotaUnits {
             cpus: thousandths(a.cpus),
             gpus: thousandths(a.gpus),
         }
     }
 
     /// These units `n` times.
-    pub fn times(self, n: usize) -> Units {
-        Units {
+    pub fn times(self, n: usize) -> QuotaUnits {
+        QuotaUnits {
             cpus: self.cpus * n as i64,
             gpus: self.gpus * n as i64,
         }
     }
 }
 
-impl Add for Units {
-    type Output = Units;
-    fn add(self, o: Units) -> Units {
-        Units {
+impl Add for QuotaUnits {
+    type Output = QuotaUnits;
+    fn add(self, o: QuotaUnits) -> QuotaUnits {
+        QuotaUnits {
             cpus: self.cpus + o.cpus,
             gpus: self.gpus + o.gpus,
         }
     }
 }
 
-impl Sub for Units {
-    type Output = Units;
-    fn sub(self, o: Units) -> Units {
-        Units {
+impl Sub for QuotaUnits {
+    type Output = QuotaUnits;
+    fn sub(self, o: QuotaUnits) -> QuotaUnits {
+        QuotaUnits {
             cpus: self.cpus - o.cpus,
             gpus: self.gpus - o.gpus,
         }
@@ -60,28 +60,28 @@
 
 /// What one team holds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Holding {
+pub struct TeamUsage {
     /// Its guarantee and limit.
     pub share: TeamShare,
     /// What its tasks take or may take.
-    pub used: Units,
+    pub used: QuotaUnits,
     /// What of that is being stopped.
-    pub stopping: Units,
+    pub stopping: QuotaUnits,
 }
 
-impl Holding {
+impl TeamUsage {
     /// What is left when all that is being stopped is gone.
-    pub fn stays(&self) -> Units {
+    pub fn stays(&self) -> QuotaUnits {
         self.used - self.stopping
     }
 
     /// What it runs beyond its guarantee, of each that is guaranteed.
-    pub fn lent(&self) -> Units {
+    pub fn lent(&self) -> QuotaUnits {
         let beyond = |guarantee: Option<f64>, stays: i64| {
             guarantee.map_or(0, |g| (stays - thousandths(g)).max(0))
         };
         let stays = self.stays();
-        Units {
+        QuotaUnits {
             cpus: beyond(self.share.cpus, stays.cpus),
             gpus: beyond(self.share.gpus, stays.gpus),
         }
@@ -90,28 +90,28 @@
 
 /// What all teams hold.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
-    teams: BTreeMap<Team, Holding>,
+pub struct QuotaUsage {
+    teams: BTreeMap<Team, TeamUsage>,
 }
 
-impl Account {
+impl QuotaUsage {
     /// Nothing held yet by these teams.
-    pub fn new(shares: &BTreeMap<Team, TeamShare>) -> Account {
+    pub fn new(shares: &BTreeMap<Team, TeamShare>) -> QuotaUsage {
         let one = |(team, share): (&Team, &TeamShare)| {
-            let holding = Holding {
+            let holding = TeamUsage {
                 share: *share,
-                ..Holding::default()
+                ..TeamUsage::default()
             };
             (team.clone(), holding)
         };
-        Account {
+        QuotaUsage {
             teams: shares.iter().map(one).collect(),
         }
     }
 
     /// A team holds `tasks` tasks that take so much each, `stopping` of them
     /// on their way out.
-    pub fn hold(&mut self, team: &Team, each: Units, tasks: usize, stopping: usize) {
+    pub fn hold(&mut self, team: &Team, each: QuotaUnits, tasks: usize, stopping: usize) {
         if let Some(t) = self.teams.get_mut(team) {
             t.used = t.used + each.times(tasks);
             t.stopping = t.stopping + each.times(stopping);
@@ -119,7 +119,7 @@
     }
 
     /// So much more of a team is being stopped.
-    pub fn take(&mut self, team: &Team, units: Units) {
+    pub fn take(&mut self, team: &Team, units: QuotaUnits) {
         if let Some(t) = self.teams.get_mut(team) {
             t.stopping = t.stopping + units;
         }
@@ -127,7 +127,7 @@
 
     /// Whether a team that loses so much, beside what it is losing already,
     /// keeps its guarantee.
-    pub fn covers(&self, team: &Team, units: Units) -> bool {
+    pub fn covers(&self, team: &Team, units: QuotaUnits) -> bool {
         self.teams.get(team).is_some_and(|t| {
             let rest = t.stays() - units;
             let kept = |guarantee: Option<f64>, rest: i64| {
@@ -138,7 +138,7 @@
     }
 
     /// The teams.
-    pub fn teams(&self) -> impl Iterator<Item = (&Team, &Holding)> {
+    pub fn teams(&self) -> impl Iterator<Item = (&Team, &TeamUsage)> {
         self.teams.iter()
     }
 }
--- a/crates/controller/src/core/read_coalescing.rs
+++ b/crates/controller/src/core/read_coalescing.rs
@@ -3,7 +3,7 @@
 //! transaction that only compares the versions of their jobs' heads. A head
 //! that is unchanged is still open.
 
-use super::job_records::{self, Head};
+use super::job_records::{self, JobHeader};
 use super::{Reply, RequestId};
 use crate::types::{JobId, Time, TimeSpan, Version};
 use crate::wire;
@@ -12,7 +12,7 @@
 
 /// A poll that waits for the next comparison.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct WaitingRead {
     /// The request.
     pub request: RequestId,
     /// The job.
@@ -23,12 +23,12 @@
 
 /// A comparison under way.
 #[derive(Clone, Debug)]
-pub struct Comparison {
+pub struct VersionComparison {
     /// The polls it is for.
-    asked: Vec<Asked>,
+    asked: Vec<WaitingRead>,
     /// What it compares: only that is vouched for by its answer, whatever has been read
     /// or forgotten since it was sent.
-    heads: BTreeMap<JobId, Head>,
+    heads: BTreeMap<JobId, JobHeader>,
     sent: Time,
 }
 
@@ -46,9 +46,9 @@
 
 /// Open heads and the polls that ask for them.
 #[derive(Debug, Default)]
-pub struct Polls {
-    open: BTreeMap<JobId, (Head, Version)>,
-    waiting: Vec<Asked>,
+pub struct ReadCoalescer {
+    open: BTreeMap<JobId, (JobHeader, Version)>,
+    waiting: Vec<WaitingRead>,
     /// When the comparisons under way were sent.
     under_way: Vec<Time>,
     not_before: Time,
@@ -56,18 +56,18 @@
 
 /// What a comparison says of the polls that waited for it.
 #[derive(Debug, Default, PartialEq)]
-pub struct Compared {
+pub struct ComparisonResult {
     /// Their jobs are open.
-    pub open: Vec<(RequestId, JobId, Head)>,
+    pub open: Vec<(RequestId, JobId, JobHeader)>,
     /// Their jobs changed: to be read one by one.
-    pub changed: Vec<Asked>,
+    pub changed: Vec<WaitingRead>,
     /// Nothing is known.
-    pub failed: Vec<Asked>,
+    pub failed: Vec<WaitingRead>,
 }
 
-impl Polls {
+impl ReadCoalescer {
     /// Remembers a head read or written as open.
-    pub fn remember(&mut self, id: &JobId, head: Head, version: Version) {
+    pub fn remember(&mut self, id: &JobId, head: JobHeader, version: Version) {
         if self.open.len() >= MOST_OPEN && !self.open.contains_key(id) {
             // Any will do: it is read again when asked for.
             self.open.pop_first();
@@ -90,15 +90,15 @@
         let known = self.open.contains_key(id);
         if known {
             let (id, since) = (id.clone(), now);
-            self.waiting.push(Asked { request, id, since });
+            self.waiting.push(WaitingRead { request, id, since });
         }
         known
     }
 
     /// Polls that have waited for too long for a comparison.
-    pub fn overdue(&mut self, now: Time) -> Vec<Asked> {
+    pub fn overdue(&mut self, now: Time) -> Vec<WaitingRead> {
         let waiting = std::mem::take(&mut self.waiting);
-        let late = |a: &Asked| now.since(a.since) >= LONGEST;
+        let late = |a: &WaitingRead| now.since(a.since) >= LONGEST;
         let (late, waiting) = waiting.into_iter().partition(late);
         self.waiting = waiting;
         late
@@ -106,7 +106,7 @@
 
     /// The next comparison, if one is due, and the polls it is for; at most
     /// `most` jobs.
-    pub fn next(&mut self, now: Time, most: usize) -> Option<(Transaction, Comparison)> {
+    pub fn next(&mut self, now: Time, most: usize) -> Option<(Transaction, VersionComparison)> {
         let slow = |sent: &Time| now.since(*sent) >= SLOW;
         let busy = self.under_way.len() >= MOST_UNDER_WAY || !self.under_way.iter().all(slow);
         if busy || self.waiting.is_empty() || now < self.not_before {
@@ -127,7 +127,7 @@
         for id in jobs {
             // One forgotten meanwhile is not compared.
             if let Some((head, version)) = self.open.get(&id).copied() {
-                let key = job_records::head_key(&id);
+                let key = job_records::job_header_key(&id);
                 conditions.push(Precondition { key, version });
                 heads.insert(id, head);
             }
@@ -136,7 +136,7 @@
         let (ops, sent) = (Vec::new(), now);
         Some((
             Transaction { conditions, ops },
-            Comparison { asked, heads, sent },
+            VersionComparison { asked, heads, sent },
         ))
     }
 
@@ -145,15 +145,15 @@
         &mut self,
         now: Time,
         pause: TimeSpan,
-        comparison: Comparison,
+        comparison: VersionComparison,
         reply: &Reply,
-    ) -> Compared {
-        let Comparison { asked, heads, sent } = comparison;
+    ) -> ComparisonResult {
+        let VersionComparison { asked, heads, sent } = comparison;
         if let Some(n) = self.under_way.iter().position(|t| *t == sent) {
             self.under_way.swap_remove(n);
         }
         self.not_before = now + pause;
-        let mut out = Compared::default();
+        let mut out = ComparisonResult::default();
         match reply {
             Reply::Answer(200, _) => {
                 for a in asked {
@@ -168,7 +168,7 @@
                     .unwrap_or_default()
                     .failed;
                 for a in asked {
-                    if failed.is_empty() || failed.contains(&job_records::head_key(&a.id)) {
+                    if failed.is_empty() || failed.contains(&job_records::job_header_key(&a.id)) {
                         self.open.remove(&a.id);
                         out.changed.push(a);
                     } else {
@@ -180,8 +180,8 @@
             // One lost answer is no reason to leave all who shared it, and those who came
             // after them, without one.
             Reply::Lost => {
-                let young = |a: &Asked| now.since(a.since) < ANOTHER;
-                let (young, old): (Vec<Asked>, _) = asked.into_iter().partition(young);
+                let young = |a: &WaitingRead| now.since(a.since) < ANOTHER;
+                let (young, old): (Vec<WaitingRead>, _) = asked.into_iter().partition(young);
                 self.waiting.extend(young);
                 out.failed = old;
             }
--- a/crates/controller/src/core/read_coalescing/tests.rs
+++ b/crates/controller/src/core/read_coalescing/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of shared reads.
 
 use super::*;
-use crate::core::job_records::HeadStage;
+use crate::core::job_records::HeaderStage;
 
-fn polls() -> Polls {
-    let mut p = Polls::default();
-    let head = Head {
-        s: HeadStage::Open,
+fn polls() -> ReadCoalescer {
+    let mut p = ReadCoalescer::default();
+    let head = JobHeader {
+        s: HeaderStage::Open,
         n: 3,
     };
     for (id, version) in [("a", 5), ("b", 6)] {
@@ -18,7 +18,7 @@
     p
 }
 
-fn ids(asked: &[Asked]) -> Vec<u64> {
+fn ids(asked: &[WaitingRead]) -> Vec<u64> {
     asked.iter().map(|a| a.request.0).collect()
 }
 
@@ -78,7 +78,7 @@
     let (_, second) = p.next(ms(110), 192).unwrap();
     assert_eq!(ids(&second.asked), [7], "one that is late holds nobody up");
     let out = p.answered(ms(700), TimeSpan(0), lost, &Reply::Lost);
-    assert_eq!(out, Compared::default());
+    assert_eq!(out, ComparisonResult::default());
     let (_, again) = p.next(ms(700), 192).unwrap();
     assert_eq!(ids(&again.asked), [0, 1, 2]);
     // No poll is kept for longer than its user waits.
@@ -96,8 +96,8 @@
 #[test]
 fn a_head_that_comes_in_during_a_comparison_is_not_compared() {
     let mut p = polls();
-    let head = Head {
-        s: HeadStage::Open,
+    let head = JobHeader {
+        s: HeaderStage::Open,
         n: 3,
     };
     p.forget(&"a".into());
--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -6,8 +6,8 @@
 //! first, but only on machines without high-priority starts for over half the
 //! image's estimate.
 
-use super::placement_tables::{Estimates, Row};
-use super::quota::minimum_share::{Floors, Group};
+use super::placement_tables::{FetchEstimates, MachineRow};
+use super::quota::minimum_share::{MinimumShares, ShareGroup};
 use crate::settings::TeamShare;
 use crate::types::{
     Class, Image, JobId, MachineId, MachineTypeName, Resources, Team, Time, TimeSpan, Zone,
@@ -17,7 +17,7 @@
 
 /// What a job wants placed.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct PlacementRequest {
     /// The job.
     pub job: JobId,
     /// Its team.
@@ -68,7 +68,7 @@
 
 /// A decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Start {
+pub struct StartDecision {
     /// The job.
     pub job: JobId,
     /// The task's number.
@@ -88,7 +88,7 @@
 
 /// Fixed facts of a cycle.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct CycleParameters {
     /// Now.
     pub now: Time,
     /// Most that the fetches of one gang may differ.
@@ -97,17 +97,17 @@
 
 /// A cycle's state.
 #[derive(Debug)]
-pub struct Cycle<'a> {
+pub struct SchedulingCycle<'a> {
     /// Fixed facts.
-    pub pace: Pace,
+    pub pace: CycleParameters,
     /// The machines.
-    pub rows: &'a mut [Row],
+    pub rows: &'a mut [MachineRow],
     /// The teams.
     pub teams: &'a mut BTreeMap<Team, TeamUse>,
     /// Fetch estimates.
-    pub estimates: &'a Estimates,
+    pub estimates: &'a FetchEstimates,
     /// Decisions so far.
-    pub starts: Vec<Start>,
+    pub starts: Vec<StartDecision>,
     /// Rows held for a gang that has waited long.
     pub held: BTreeMap<usize, JobId>,
     /// Rows that had room for the smallest want when last looked at. Where
@@ -115,10 +115,10 @@
     open: Vec<usize>,
     /// Of these, the ones with room for each need that was looked for: rows
     /// only lose room until the next look, and needs are few.
-    roomy: Vec<Roomy>,
+    roomy: Vec<RowsWithRoom>,
     /// Rows by when they should be free, all and of each zone, for holding:
     /// made when first asked for, void once a row's time changes.
-    soonest: Vec<Soonest>,
+    soonest: Vec<RowsByAvailability>,
     /// Zones with machines.
     zones: BTreeSet<Zone>,
     /// How many rows hold each image, or are fetching it.
@@ -127,7 +127,7 @@
 
 /// Rows with room for a need.
 #[derive(Debug)]
-struct Roomy {
+struct RowsWithRoom {
     need: Resources,
     rows: Vec<usize>,
     /// How many tasks they took when they were looked for: no more will fit.
@@ -138,7 +138,7 @@
 
 /// Rows of a zone, or all, that should be free soonest first.
 #[derive(Debug)]
-struct Soonest {
+struct RowsByAvailability {
     zone: Option<Zone>,
     rows: Vec<usize>,
     /// All before this one are held.
@@ -150,7 +150,7 @@
 
 /// Which machines a pass may use.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Reach {
+enum PlacementScope {
     /// Any, by fetch cost.
     Any,
     /// Only where the image is, or will be within moments.
@@ -161,9 +161,9 @@
     Gated,
 }
 
-impl Want {
+impl PlacementRequest {
     /// Whether a task of this job may be on this machine at all.
-    pub fn allows(&self, row: &Row) -> bool {
+    pub fn allows(&self, row: &MachineRow) -> bool {
         (self.spot || !row.spot)
             && self.zone.as_ref().is_none_or(|z| z == &row.zone)
             && self.kinds.as_ref().is_none_or(|k| k.contains(&row.kind))
@@ -200,7 +200,7 @@
 
     /// Whether what holds for placing this holds for placing `other`, image
     /// and number of tasks apart.
-    pub fn is_like(&self, other: &Want) -> bool {
+    pub fn is_like(&self, other: &PlacementRequest) -> bool {
         self.priority == other.priority
             && self.entitled == other.entitled
             && self.gang == other.gang
@@ -220,14 +220,14 @@
     }
 }
 
-impl<'a> Cycle<'a> {
+impl<'a> SchedulingCycle<'a> {
     /// A cycle over these tables, with nothing placed yet.
     pub fn new(
-        pace: Pace,
-        rows: &'a mut [Row],
+        pace: CycleParameters,
+        rows: &'a mut [MachineRow],
         teams: &'a mut BTreeMap<Team, TeamUse>,
-        estimates: &'a Estimates,
-    ) -> Cycle<'a> {
+        estimates: &'a FetchEstimates,
+    ) -> SchedulingCycle<'a> {
         let mut holders: HashMap<Image, usize> = HashMap::new();
         for image in rows.iter().flat_map(|r| r.cache.known()) {
             match holders.get_mut(image) {
@@ -237,7 +237,7 @@
                 }
             }
         }
-        Cycle {
+        SchedulingCycle {
             pace,
             zones: rows.iter().map(|r| r.zone.clone()).collect(),
             open: Vec::new(),
@@ -258,7 +258,7 @@
     }
 
     /// Looks anew for rows with room for the smallest of `wants`.
-    fn look(&mut self, wants: &[Want]) {
+    fn look(&mut self, wants: &[PlacementRequest]) {
         let least = wants.iter().filter(|w| !w.tasks.is_empty()).map(|w| w.need);
         let least = least.reduce(|a, b| a.least(&b));
         self.roomy.clear();
@@ -271,7 +271,7 @@
     }
 
     /// Runs the cycle; what was placed leaves `wants`.
-    pub fn run(&mut self, wants: &mut [Want]) {
+    pub fn run(&mut self, wants: &mut [PlacementRequest]) {
         self.run_warm(wants);
         self.run_rest(wants);
     }
@@ -279,24 +279,24 @@
     /// The cycle's first part: high-priority work where its image is, or
     /// nearly is. Between the parts room may be made where an image is held,
     /// which is often sooner than a fetch elsewhere.
-    pub fn run_warm(&mut self, wants: &mut [Want]) {
-        wants.sort_by_cached_key(Want::rank);
+    pub fn run_warm(&mut self, wants: &mut [PlacementRequest]) {
+        wants.sort_by_cached_key(PlacementRequest::rank);
         self.look(wants);
-        self.high(wants, Reach::Warm);
+        self.high(wants, PlacementScope::Warm);
     }
 
     /// Before the cycle: classes and teams below their floor, up to it.
-    pub fn run_floors(&mut self, wants: &mut [Want], floors: &mut Floors) {
+    pub fn run_floors(&mut self, wants: &mut [PlacementRequest], floors: &mut MinimumShares) {
         if floors.is_empty() {
             return;
         }
-        wants.sort_by_cached_key(Want::rank);
+        wants.sort_by_cached_key(PlacementRequest::rank);
         self.look(wants);
         let Some(whole) = self.rows.iter().map(|r| r.whole).reduce(|a, b| a.most(&b)) else {
             return;
         };
         for want in wants.iter_mut().filter(|w| !w.tasks.is_empty()) {
-            let groups = Group::both(&want.class, &want.team);
+            let groups = ShareGroup::both(&want.class, &want.team);
             let lacks = groups.iter().map(|g| floors.lacks(g)).fold(0.0, f64::max);
             let each = want.need.share_of(&whole);
             // The last task may go a little above the floor, a gang whole.
@@ -308,7 +308,7 @@
                 ((lacks / each).ceil() as usize).min(want.tasks.len())
             };
             let rest = want.tasks.split_off(most);
-            self.place(want, Reach::Any);
+            self.place(want, PlacementScope::Any);
             let placed = (most - want.tasks.len()) as f64 * each;
             want.tasks.extend(rest);
             groups.iter().for_each(|g| floors.gain(g, placed));
@@ -316,17 +316,18 @@
     }
 
     /// The rest of the cycle.
-    pub fn run_rest(&mut self, wants: &mut [Want]) {
+    pub fn run_rest(&mut self, wants: &mut [PlacementRequest]) {
         self.look(wants);
-        self.high(wants, Reach::Any);
+        self.high(wants, PlacementScope::Any);
         // Without this a gang that needs several machines at once would wait
         // for ever behind smaller work that takes each one as it comes free.
         // What finds too few machines to hold leaves none to a larger one like
         // it: in a rush there are hundreds.
-        let mut failed: Vec<Want> = Vec::new();
+        let mut failed: Vec<PlacementRequest> = Vec::new();
         for want in wants.iter_mut().filter(|w| w.aged) {
-            self.place(want, Reach::Any);
-            let hopeless = |f: &Want| want.tasks.len() >= f.tasks.len() && want.is_like(f);
+            self.place(want, PlacementScope::Any);
+            let hopeless =
+                |f: &PlacementRequest| want.tasks.len() >= f.tasks.len() && want.is_like(f);
             if want.gang
                 && !want.tasks.is_empty()
                 && self.held.len() < self.rows.len()
@@ -341,7 +342,7 @@
                 .filter(|&i| wants[i].priority == level)
                 .collect();
             for &i in &batch {
-                self.place(&mut wants[i], Reach::Holders);
+                self.place(&mut wants[i], PlacementScope::Holders);
             }
             // Fewest holders first: the rarest image gains most from a fetch.
             batch.sort_by_cached_key(|&i| {
@@ -353,12 +354,12 @@
                 )
             });
             for &i in &batch {
-                self.place(&mut wants[i], Reach::Gated);
+                self.place(&mut wants[i], PlacementScope::Gated);
             }
         }
     }
 
-    fn high(&mut self, wants: &mut [Want], reach: Reach) {
+    fn high(&mut self, wants: &mut [PlacementRequest], reach: PlacementScope) {
         let mut groups: BTreeMap<Image, Vec<usize>> = BTreeMap::new();
         for (i, w) in wants.iter().enumerate().filter(|(_, w)| w.is_high()) {
             groups.entry(w.image.clone()).or_default().push(i);
@@ -392,7 +393,7 @@
 
     /// Holds the machines that should soonest be free together; false if there
     /// are not enough.
-    fn hold(&mut self, want: &Want) -> bool {
+    fn hold(&mut self, want: &PlacementRequest) -> bool {
         let mut best: Option<(Time, Vec<usize>)> = None;
         for list in self.soonest_for(want) {
             let mut left = want.tasks.len() as u32;
@@ -432,7 +433,7 @@
     /// The lists from which rows are held for a want, one a zone if all its
     /// tasks must be in one. In a rush hundreds of gangs look for rows to hold,
     /// so the rows are put in order once for all of them.
-    fn soonest_for(&mut self, want: &Want) -> Vec<usize> {
+    fn soonest_for(&mut self, want: &PlacementRequest) -> Vec<usize> {
         if self.soonest.is_empty() {
             let mut all: Vec<usize> = (0..self.rows.len()).collect();
             all.sort_by_key(|&i| (self.rows[i].available, i));
@@ -443,7 +444,7 @@
                     let here = |i: &usize| zone.as_ref().is_none_or(|z| *z == self.rows[*i].zone);
                     let rows = all.iter().copied().filter(here).collect();
                     let from = 0;
-                    Soonest { zone, rows, from }
+                    RowsByAvailability { zone, rows, from }
                 })
                 .collect();
         }
@@ -464,7 +465,7 @@
     }
 
     /// What fetching the image costs on a row.
-    pub fn fetch(&self, want: &Want, row: &Row) -> TimeSpan {
+    pub fn fetch(&self, want: &PlacementRequest, row: &MachineRow) -> TimeSpan {
         row.cache
             .remaining(&want.image, self.pace.now)
             .unwrap_or_else(|| {
@@ -473,7 +474,7 @@
             })
     }
 
-    fn reachable(&self, want: &Want, row: &Row, reach: Reach) -> bool {
+    fn reachable(&self, want: &PlacementRequest, row: &MachineRow, reach: PlacementScope) -> bool {
         let holds = row.cache.remaining(&want.image, self.pace.now).is_some();
         let idle = || {
             let cost = self.fetch(want, row);
@@ -481,10 +482,10 @@
                 .is_none_or(|t| self.pace.now.since(t) > TimeSpan(cost.0 / 2))
         };
         match reach {
-            Reach::Any => true,
-            Reach::Warm => self.fetch(want, row) <= WARM,
-            Reach::Holders => holds,
-            Reach::Gated => holds || want.overdue || idle(),
+            PlacementScope::Any => true,
+            PlacementScope::Warm => self.fetch(want, row) <= WARM,
+            PlacementScope::Holders => holds,
+            PlacementScope::Gated => holds || want.overdue || idle(),
         }
     }
 
@@ -492,9 +493,9 @@
     /// tightest fit, so that whole machines stay free for gangs.
     fn candidates(
         &self,
-        want: &Want,
+        want: &PlacementRequest,
         roomy: usize,
-        reach: Reach,
+        reach: PlacementScope,
         zone: Option<&Zone>,
     ) -> Vec<usize> {
         let mut rows: Vec<(TimeSpan, i64, bool, usize)> = self.roomy[roomy]
@@ -532,7 +533,7 @@
             by_zone.values().sum(),
             by_zone.values().copied().max().unwrap_or(0),
         );
-        self.roomy.push(Roomy {
+        self.roomy.push(RowsWithRoom {
             need,
             rows: list,
             most,
@@ -542,12 +543,12 @@
     }
 
     /// Places as many tasks as fit, or for a gang all or none.
-    fn place(&mut self, want: &mut Want, reach: Reach) {
+    fn place(&mut self, want: &mut PlacementRequest, reach: PlacementScope) {
         if want.tasks.is_empty() {
             return;
         }
         let roomy = self.roomy(want.need);
-        let Roomy {
+        let RowsWithRoom {
             most, most_in_zone, ..
         } = self.roomy[roomy];
         // Where rooms are few, most gangs need not be tried.
@@ -586,7 +587,7 @@
     }
 
     /// How many of its tasks the team's limit leaves room for.
-    fn team_room(&self, want: &Want) -> u32 {
+    fn team_room(&self, want: &PlacementRequest) -> u32 {
         let Some(team) = self.teams.get(&want.team) else {
             return 0;
         };
@@ -600,7 +601,7 @@
     }
 
     /// How tasks would be spread over rows: (row, tasks) in order.
-    fn spread(&self, want: &Want, rows: &[usize], allowed: u32) -> Vec<(usize, u32)> {
+    fn spread(&self, want: &PlacementRequest, rows: &[usize], allowed: u32) -> Vec<(usize, u32)> {
         let mut left = (want.tasks.len() as u32).min(allowed);
         let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
         let mut out = Vec::new();
@@ -630,14 +631,14 @@
         out
     }
 
-    fn trial(&self, want: &Want, rows: &[usize], allowed: u32) -> (usize, TimeSpan) {
+    fn trial(&self, want: &PlacementRequest, rows: &[usize], allowed: u32) -> (usize, TimeSpan) {
         let spread = self.spread(want, rows, allowed);
         let picked = spread.iter().map(|(_, n)| *n as usize).sum();
         let worst = spread.iter().map(|&(i, _)| self.fetch(want, &self.rows[i]));
         (picked, worst.max().unwrap_or(TimeSpan::ZERO))
     }
 
-    fn fill(&mut self, want: &mut Want, rows: &[usize], allowed: u32) {
+    fn fill(&mut self, want: &mut PlacementRequest, rows: &[usize], allowed: u32) {
         let spread = self.spread(want, rows, allowed);
         let total: u32 = spread.iter().map(|(_, n)| *n).sum();
         if want.gang && (total as usize) < want.tasks.len() {
@@ -651,7 +652,7 @@
     }
 
     /// Records a start in the tables.
-    pub fn assign(&mut self, want: &mut Want, task: u32, row: usize) {
+    pub fn assign(&mut self, want: &mut PlacementRequest, task: u32, row: usize) {
         let cost = self.fetch(want, &self.rows[row]);
         let r = &mut self.rows[row];
         r.free -= want.need;
@@ -670,7 +671,7 @@
         if let Some(team) = self.teams.get_mut(&want.team) {
             team.used += want.need;
         }
-        self.starts.push(Start {
+        self.starts.push(StartDecision {
             job: want.job.clone(),
             task,
             row,
--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -1,23 +1,23 @@
 //! The cycle against a slow plain model that places one task at a time
 //! and looks at every machine each time.
 
-use super::super::placement_tables::Cache;
+use super::super::placement_tables::ImageCache;
 use super::*;
 use proptest::prelude::*;
 
 const NOW: Time = Time(1_000_000_000);
 
-fn row(i: usize, (zone, spot, gpus, image, high): (u8, bool, u32, u8, u8)) -> Row {
+fn row(i: usize, (zone, spot, gpus, image, high): (u8, bool, u32, u8, u8)) -> MachineRow {
     let whole = Resources {
         cpus: 8.0,
         gpus: 4.0,
         memory_gb: 8.0,
     };
-    let mut cache = Cache::default();
+    let mut cache = ImageCache::default();
     if image < 3 {
         cache.fetched(&format!("i{image}").into(), 10.0, NOW, 100.0);
     }
-    Row {
+    MachineRow {
         id: format!("m{i}").into(),
         kind: "k".into(),
         zone: format!("z{zone}").into(),
@@ -40,8 +40,8 @@
 fn want(
     i: usize,
     (image, priority, team, gang, one_zone, spot, tasks, gpus, (entitled, overdue)): Drawn,
-) -> Want {
-    Want {
+) -> PlacementRequest {
+    PlacementRequest {
         class: "class".into(),
         job: format!("wk-{i}").into(),
         team: format!("t{team}").into(),
@@ -72,26 +72,26 @@
 }
 
 struct Plain {
-    rows: Vec<Row>,
+    rows: Vec<MachineRow>,
     used: BTreeMap<Team, f64>,
-    out: Vec<Start>,
+    out: Vec<StartDecision>,
 }
 
 impl Plain {
-    fn cost(&self, w: &Want, r: &Row) -> TimeSpan {
+    fn cost(&self, w: &PlacementRequest, r: &MachineRow) -> TimeSpan {
         r.cache
             .remaining(&w.image, NOW)
             .unwrap_or(TimeSpan::secs(w.image_gb))
     }
 
-    fn holders(&self, w: &Want) -> usize {
+    fn holders(&self, w: &PlacementRequest) -> usize {
         self.rows
             .iter()
             .filter(|r| r.cache.remaining(&w.image, NOW).is_some())
             .count()
     }
 
-    fn reach(&self, w: &Want, r: &Row, pass: &str) -> bool {
+    fn reach(&self, w: &PlacementRequest, r: &MachineRow, pass: &str) -> bool {
         let holds = r.cache.remaining(&w.image, NOW).is_some();
         let quiet = r
             .last_high
@@ -105,8 +105,8 @@
     }
 
     /// The one best machine for one more task.
-    fn best(&self, w: &Want, pass: &str, zone: Option<&Zone>) -> Option<usize> {
-        let fits = |r: &Row| {
+    fn best(&self, w: &PlacementRequest, pass: &str, zone: Option<&Zone>) -> Option<usize> {
+        let fits = |r: &MachineRow| {
             w.need.fits(&r.free) && (w.spot || !r.spot) && zone.is_none_or(|z| *z == r.zone)
         };
         (0..self.rows.len())
@@ -119,7 +119,7 @@
     }
 
     /// Places tasks one at a time; returns how many and the worst fetch.
-    fn fill(&mut self, w: &Want, pass: &str, zone: Option<&Zone>) -> (usize, TimeSpan) {
+    fn fill(&mut self, w: &PlacementRequest, pass: &str, zone: Option<&Zone>) -> (usize, TimeSpan) {
         let mut worst = TimeSpan::ZERO;
         let mut first = None;
         for (n, &task) in w.tasks.iter().enumerate() {
@@ -141,7 +141,7 @@
                 r.last_high = Some(NOW);
             }
             *self.used.get_mut(&w.team).unwrap() += w.need.gpus;
-            self.out.push(Start {
+            self.out.push(StartDecision {
                 job: w.job.clone(),
                 task,
                 row,
@@ -150,7 +150,7 @@
         (w.tasks.len(), worst)
     }
 
-    fn place(&mut self, w: &mut Want, pass: &str) {
+    fn place(&mut self, w: &mut PlacementRequest, pass: &str) {
         let zones: Vec<Option<Zone>> = match w.in_zones.keys().next() {
             _ if !w.one_zone => vec![None],
             Some(z) => vec![Some(z.clone())],
@@ -182,7 +182,7 @@
         }
     }
 
-    fn run(&mut self, wants: &mut [Want]) {
+    fn run(&mut self, wants: &mut [PlacementRequest]) {
         wants.sort_by_key(|w| {
             (
                 std::cmp::Reverse(w.priority),
@@ -242,8 +242,8 @@
         wants in proptest::collection::vec(
             (0u8..3, 0u8..3, 0u8..2, any::<bool>(), any::<bool>(), any::<bool>(), 1u32..6, 1u32..5, any::<(bool, bool)>()), 1..7),
     ) {
-        let rows: Vec<Row> = rows.into_iter().enumerate().map(|(i, r)| row(i, r)).collect();
-        let mut wants: Vec<Want> = wants.into_iter().enumerate().map(|(i, w)| want(i, w)).collect();
+        let rows: Vec<MachineRow> = rows.into_iter().enumerate().map(|(i, r)| row(i, r)).collect();
+        let mut wants: Vec<PlacementRequest> = wants.into_iter().enumerate().map(|(i, w)| want(i, w)).collect();
         let share = TeamShare { gpus_max: Some(10.0), ..Default::default() };
         let names: [Team; 2] = ["t0".into(), "t1".into()];
         let mut plain = Plain {
@@ -252,9 +252,9 @@
         plain.run(&mut wants.clone());
         let mut teams = names.iter().map(|t| (t.clone(), TeamUse { used: Resources::default(), share })).collect();
         let mut left = rows.clone();
-        let estimates = Estimates::new(TimeSpan::secs(30.0));
-        let pace = Pace { now: NOW, most_skew: TimeSpan::secs(20.0) };
-        let mut cycle = Cycle::new(pace, &mut left, &mut teams, &estimates);
+        let estimates = FetchEstimates::new(TimeSpan::secs(30.0));
+        let pace = CycleParameters { now: NOW, most_skew: TimeSpan::secs(20.0) };
+        let mut cycle = SchedulingCycle::new(pace, &mut left, &mut teams, &estimates);
         cycle.run(&mut wants);
         let starts = cycle.starts;
         prop_assert_eq!(&starts, &plain.out);
--- a/crates/controller/src/core/self_health.rs
+++ b/crates/controller/src/core/self_health.rs
@@ -27,7 +27,7 @@
 
 /// The holder's pulse.
 #[derive(Clone, Debug)]
-pub struct Pulse {
+pub struct SelfHealth {
     last: Option<Time>,
     began: Time,
     /// Time spent in late ticks since then.
@@ -47,9 +47,9 @@
     pub strained: bool,
 }
 
-impl Default for Pulse {
-    fn default() -> Pulse {
-        Pulse {
+impl Default for SelfHealth {
+    fn default() -> SelfHealth {
+        SelfHealth {
             last: None,
             began: Time(0),
             late: TimeSpan::ZERO,
@@ -65,7 +65,7 @@
     }
 }
 
-impl Pulse {
+impl SelfHealth {
     fn note_strain(&mut self, gap: TimeSpan) {
         let late = if gap > LATE { gap.as_secs() } else { 0.0 };
         self.strain = self.strain * (-gap.as_secs() / FORGETS_S).exp() + late;
--- a/crates/controller/src/core/self_health/tests.rs
+++ b/crates/controller/src/core/self_health/tests.rs
@@ -2,11 +2,11 @@
 
 /// Times of handing over within `secs`, ticks coming every `gap`.
 fn handed_over(gap: f64, secs: f64) -> Vec<f64> {
-    let mut pulse = Pulse::default();
+    let mut self_health = SelfHealth::default();
     let (mut t, mut out) = (0.0, Vec::new());
     while t < secs {
         t += gap;
-        if pulse.beat(Time(0) + TimeSpan::secs(t), true) {
+        if self_health.beat(Time(0) + TimeSpan::secs(t), true) {
             out.push(t);
         }
     }
@@ -28,14 +28,14 @@
 // time for them.
 #[test]
 fn strain_shows_within_seconds_and_passes_slowly() {
-    let mut pulse = Pulse::default();
+    let mut self_health = SelfHealth::default();
     let mut t = Time(0);
     let mut beat = |gap: f64, times: u32| {
         for _ in 0..times {
             t = t + TimeSpan::secs(gap);
-            pulse.beat(t, true);
+            self_health.beat(t, true);
         }
-        pulse.strained
+        self_health.strained
     };
     assert!(!beat(0.05, 100));
     assert!(!beat(0.9, 2), "a busy moment is none");
@@ -50,30 +50,30 @@
 #[test]
 fn a_slow_processor_is_reason_enough_and_much_work_is_not() {
     let over = |effort_us: u64| {
-        let mut pulse = Pulse {
+        let mut self_health = SelfHealth {
             effort_us,
-            ..Pulse::default()
+            ..SelfHealth::default()
         };
-        pulse.compare([60, 0, 50, 45].into_iter());
+        self_health.compare([60, 0, 50, 45].into_iter());
         let mut times = (1..2000).map(|n| f64::from(n) * 0.8);
-        times.find(|t| pulse.beat(Time(0) + TimeSpan::secs(*t), true))
+        times.find(|t| self_health.beat(Time(0) + TimeSpan::secs(*t), true))
     };
     assert!(over(300).is_some_and(|t| t < 5.0));
     assert!(over(120).is_some_and(|t| t > 30.0));
     assert!(over(0).is_some_and(|t| t > 30.0));
     // Alone it knows no better.
-    let mut pulse = Pulse {
+    let mut self_health = SelfHealth {
         effort_us: 10_000,
-        ..Pulse::default()
+        ..SelfHealth::default()
     };
-    pulse.compare(std::iter::empty());
-    assert!(!pulse.slow);
+    self_health.compare(std::iter::empty());
+    assert!(!self_health.slow);
 }
 
 #[test]
 fn one_long_stop_is_no_sign() {
-    let mut pulse = Pulse::default();
+    let mut self_health = SelfHealth::default();
     for t in [0.0, 10.0, 70.0, 70.1, 95.0] {
-        assert!(!pulse.beat(Time(0) + TimeSpan::secs(t), true));
+        assert!(!self_health.beat(Time(0) + TimeSpan::secs(t), true));
     }
 }
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -2,7 +2,9 @@
 
 use crate::core::failure_detector::detector::BEAT_EVERY;
 use crate::core::node::Node;
-use crate::core::{Call, CallId, Input, Keep, Now, Output, Reply, RequestId, Side, Target};
+use crate::core::{
+    Call, CallId, Input, LeaseKeepAlive, Listener, Now, Output, Reply, RequestId, Target,
+};
 use crate::http::{self, Request, Response};
 use crate::policy::Policy;
 use crate::settings::Settings;
@@ -55,7 +57,7 @@
     internal_open: Cell<u32>,
     most_api: u32,
     most_internal: u32,
-    keep: watch::Sender<Option<Keep>>,
+    keep: watch::Sender<Option<LeaseKeepAlive>>,
     /// Whether ticks come late: requests then wait long for their turn.
     behind: Cell<bool>,
 }
@@ -81,7 +83,7 @@
                         let _ = tx.send(answer);
                     }
                 }
-                Output::Keep(keep) => {
+                Output::LeaseKeepAlive(keep) => {
                     self.keep.send_replace(Some(keep));
                 }
                 Output::Call(call) => {
@@ -114,7 +116,11 @@
         }
     }
 
-    async fn answer(self: &Rc<Self>, side: Side, request: Request) -> Option<crate::core::Answer> {
+    async fn answer(
+        self: &Rc<Self>,
+        side: Listener,
+        request: Request,
+    ) -> Option<crate::core::Answer> {
         let id = RequestId(self.next_request.get());
         self.next_request.set(id.0 + 1);
         let (tx, rx) = oneshot::channel();
@@ -125,7 +131,7 @@
         answer.ok()?.ok()
     }
 
-    async fn serve(self: Rc<Self>, mut stream: TcpStream, side: Side) {
+    async fn serve(self: Rc<Self>, mut stream: TcpStream, side: Listener) {
         let mut data: Vec<u8> = Vec::new();
         loop {
             let request = match next_request(&mut stream, &mut data).await {
@@ -145,7 +151,7 @@
             if self.behind.get() && sender_is_gone(&stream) {
                 return;
             }
-            let of_user = side == Side::Api && request.path != "/checkin";
+            let of_user = side == Listener::Api && request.path != "/checkin";
             // Under pressure users' connections are closed after each answer,
             // so that workers always find a socket.
             let crowded = of_user && self.api_open.get() * 4 > self.most_api * 3;
@@ -172,10 +178,10 @@
         }
     }
 
-    async fn listen(self: Rc<Self>, listener: TcpListener, side: Side) {
+    async fn listen(self: Rc<Self>, listener: TcpListener, side: Listener) {
         let (open, most) = match side {
-            Side::Api => (&self.api_open, self.most_api),
-            Side::Internal => (&self.internal_open, self.most_internal),
+            Listener::Api => (&self.api_open, self.most_api),
+            Listener::Internal => (&self.internal_open, self.most_internal),
         };
         loop {
             if open.get() >= most {
@@ -192,8 +198,8 @@
             spawn_local(async move {
                 Rc::clone(&shared).serve(stream, side).await;
                 let open = match side {
-                    Side::Api => &shared.api_open,
-                    Side::Internal => &shared.internal_open,
+                    Listener::Api => &shared.api_open,
+                    Listener::Internal => &shared.internal_open,
                 };
                 open.set(open.get() - 1);
             });
@@ -238,7 +244,7 @@
     /// leader is there. Leases that are over are told.
     fn run(
         self,
-        mut orders: watch::Receiver<Option<Keep>>,
+        mut orders: watch::Receiver<Option<LeaseKeepAlive>>,
         over: mpsc::UnboundedSender<u64>,
     ) -> std::io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -294,7 +300,11 @@
 
     /// Tells every peer that the leader is there, each for itself: one that does
     /// not answer holds up nobody else's.
-    async fn beat(self: Rc<Self>, client: Rc<Client>, of: Rc<Cell<Option<(Keep, Time)>>>) {
+    async fn beat(
+        self: Rc<Self>,
+        client: Rc<Client>,
+        of: Rc<Cell<Option<(LeaseKeepAlive, Time)>>>,
+    ) {
         let busy: Vec<Rc<Cell<bool>>> = self.peers.iter().map(|_| Rc::default()).collect();
         loop {
             sleep(Duration::from_micros(BEAT_EVERY.0)).await;
@@ -390,8 +400,8 @@
             keep,
             behind: Cell::new(false),
         });
-        spawn_local(Rc::clone(&shared).listen(api, Side::Api));
-        spawn_local(Rc::clone(&shared).listen(internal, Side::Internal));
+        spawn_local(Rc::clone(&shared).listen(api, Listener::Api));
+        spawn_local(Rc::clone(&shared).listen(internal, Listener::Internal));
         let mut tried: Option<Instant> = None;
         let asked = asked_to_end();
         let mut ends: Option<Instant> = None;
@@ -406,10 +416,10 @@
             }
             if tried.is_none_or(|t| t.elapsed() > EFFORT_EVERY) {
                 tried = Some(Instant::now());
-                shared.feed(Input::Effort(effort()));
+                shared.feed(Input::SpeedSample(effort()));
             }
             while let Ok(lease) = over.try_recv() {
-                shared.feed(Input::Over(lease));
+                shared.feed(Input::LeaseExpired(lease));
             }
             ticked.store(shared.now().time.0, Ordering::Relaxed);
             shared.feed(Input::Tick);
--- a/crates/controller/src/policy/tests.rs
+++ b/crates/controller/src/policy/tests.rs
@@ -27,5 +27,5 @@
         told("local t = {} for i = 1, 1e7 do t[i] = ('x'):rep(1000) .. i end").contains("memory")
     );
     assert!(told("return { idle_s = os.time() }").contains("nil value"));
-    assert!(told("return { idle_s = io.open('x') }").contains("nil value"));
+    assert!(told("return { idle_s = effects.open('x') }").contains("nil value"));
 }
--- a/crates/controller/src/testing.rs
+++ b/crates/controller/src/testing.rs
@@ -1,8 +1,8 @@
 //! Fixtures for tests.
 
 use crate::core::Now;
-use crate::core::effects::Io;
-use crate::core::format_version::{BEFORE, member_versions};
+use crate::core::effects::Effects;
+use crate::core::format_version::{UNVERSIONED, member_versions};
 use crate::core::leader::Leader;
 use crate::policy::{DEFAULT_SCRIPT, Policy};
 use crate::settings::Settings;
@@ -44,13 +44,13 @@
 }
 
 /// Hands at a second of the day.
-pub fn io_at(secs: f64) -> Io {
-    let mut io = Io::new(&settings(0), 1);
-    io.now = Now {
+pub fn effects_at(secs: f64) -> Effects {
+    let mut effects = Effects::new(&settings(0), 1);
+    effects.now = Now {
         time: Time(0) + TimeSpan::secs(secs),
         wall: WallTime(0),
     };
-    io
+    effects
 }
 
 /// A machine type with four GPUs.
@@ -75,8 +75,15 @@
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).expect("the default is valid");
     let kinds = vec![machine_type()];
     let types = MachineTypes { kinds };
-    let office = (member_versions::STONE, FencingToken(5), 1);
-    Leader::new(settings, Rc::new(policy), office, BEFORE, Time(0), &types)
+    let office = (member_versions::LEGACY_LEADER_KEY, FencingToken(5), 1);
+    Leader::new(
+        settings,
+        Rc::new(policy),
+        office,
+        UNVERSIONED,
+        Time(0),
+        &types,
+    )
 }
 
 /// A job of one-GPU tasks.
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -2,10 +2,10 @@
 //! alone beside suspicion and verdict. Run with
 //! `cargo bench -p pebblefold-rehearsal --bench detection [-- SEEDS]`; simulated.
 
-use pebblefold_controller::core::cache_hints::Keepsake;
+use pebblefold_controller::core::cache_hints::CacheHints;
 use pebblefold_controller::core::failure_detector::accrual::Accrual;
-use pebblefold_controller::core::failure_detector::detector::Judge;
-use pebblefold_controller::core::leader_announcement::{Heralds, Need};
+use pebblefold_controller::core::failure_detector::detector::FailureDetector;
+use pebblefold_controller::core::leader_announcement::{AnnouncementPriority, LeaderAnnouncer};
 use pebblefold_controller::policy::DEFAULT_SCRIPT;
 use pebblefold_controller::types::{FencingToken, MachineId, NodeId, Time, TimeSpan};
 use pebblefold_controller::wire::encode;
@@ -330,7 +330,7 @@
         encode(&opinion).len(),
     ];
     println!("\nbytes of a beat, a question, an opinion, without headers: {bytes:?}");
-    let mut judge = Judge::new(5, 8.0);
+    let mut judge = FailureDetector::new(5, 8.0);
     judge.follow(Some(&(label, token)));
     let n = 1_000_000u64;
     let begun = Instant::now();
@@ -351,9 +351,9 @@
             .map(|i| format!("host-{i:06}").as_str().into())
             .collect();
         let begun = Instant::now();
-        let mut heralds = Heralds::new(Time(0), TimeSpan::secs(8.0));
+        let mut heralds = LeaderAnnouncer::new(Time(0), TimeSpan::secs(8.0));
         for id in &ids {
-            heralds.note(Time(0), Need::Busy, id.clone());
+            heralds.note(Time(0), AnnouncementPriority::Busy, id.clone());
         }
         let mut told = 0;
         for tick in 0..200u64 {
@@ -361,7 +361,7 @@
             told += heralds.next(now, ids.len()).len();
         }
         let herald = begun.elapsed();
-        let mut kept = Keepsake::default();
+        let mut kept = CacheHints::default();
         let images = vec![("image-1".into(), 7.0), ("image-2".into(), 9.0)];
         let all = ids.iter().map(|id| (id.clone(), images.clone())).collect();
         kept.note(Time(1), FencingToken(1), all, Vec::new());
--- a/crates/simulator/benches/levels.rs
+++ b/crates/simulator/benches/levels.rs
@@ -2,7 +2,7 @@
 //! with each start, and how soon a roll-out is over. Run with
 //! `cargo bench -p pebblefold-rehearsal --bench levels [-- SEEDS]`; simulated.
 
-use pebblefold_controller::core::format_version::{Level, REMEMBERED};
+use pebblefold_controller::core::format_version::{FormatVersion, WITH_HISTORY};
 use pebblefold_controller::policy::DEFAULT_SCRIPT;
 use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_simulator::script::{Build, Fault, Nodes, Script, What};
@@ -126,9 +126,9 @@
         let level = world.nodes().map(|(_, n)| n.level().0).max();
         let done = world.nodes().map(|(_, n)| n.rewritten()).max();
         let seen = [
-            level >= Some(Level(1)),
-            level >= Some(REMEMBERED),
-            done >= Some(REMEMBERED),
+            level >= Some(FormatVersion(1)),
+            level >= Some(WITH_HISTORY),
+            done >= Some(WITH_HISTORY),
         ];
         for (f, seen) in found.iter_mut().zip(seen) {
             if seen {
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -8,10 +8,10 @@
 use crate::script::Script;
 use crate::stand::{NodeAction, Out, Returned, Stand, Store};
 use pebblefold_controller::core::failure_detector::detector::BEAT_EVERY;
-use pebblefold_controller::core::format_version::{Level, Range};
+use pebblefold_controller::core::format_version::{FormatVersion, SupportedVersions};
 use pebblefold_controller::core::node::Node;
 use pebblefold_controller::core::{
-    CallId, Input, Keep, Now, Output, Reply, RequestId, Side, Target,
+    CallId, Input, LeaseKeepAlive, Listener, Now, Output, Reply, RequestId, Target,
 };
 use pebblefold_controller::policy::{DEFAULT_SCRIPT, Policy, PolicyError};
 use pebblefold_controller::settings::SettingsError;
@@ -75,7 +75,7 @@
     Arrive(Host, Message),
     Timeout(usize, u32, CallId),
     Reset(u64),
-    Keep(usize, u32),
+    LeaseKeepAlive(usize, u32),
     LeaderHeartbeat(usize, u32),
     Served(usize, u32),
 }
@@ -88,7 +88,7 @@
 struct Slot {
     node: Option<Node>,
     /// The levels that its next life serves, and whether this one was asked to end.
-    range: Option<Range>,
+    range: Option<SupportedVersions>,
     ending: bool,
     life: u32,
     born: Time,
@@ -99,7 +99,7 @@
     waiting: VecDeque<Input>,
     /// The lease to keep, as the core last said, and whether a renewal is due
     /// or under way.
-    keep: Option<Keep>,
+    keep: Option<LeaseKeepAlive>,
     keeping: bool,
     /// Renewals made, which names the next; when the last that was answered was
     /// sent, and the one under way.
@@ -241,14 +241,14 @@
     }
 
     /// The levels that a build of the script serves.
-    fn range(&self, build: Option<usize>) -> Option<Range> {
+    fn range(&self, build: Option<usize>) -> Option<SupportedVersions> {
         let Some(n) = build else {
-            return Some(Range::OURS);
+            return Some(SupportedVersions::SUPPORTED);
         };
         let (low, high) = self.stand.script().builds[n].levels?;
-        Some(Range {
-            low: Level(low),
-            high: Level(high),
+        Some(SupportedVersions {
+            low: FormatVersion(low),
+            high: FormatVersion(high),
         })
     }
 
@@ -337,12 +337,12 @@
                     }
                     None => {}
                 },
-                Output::Keep(keep) => {
+                Output::LeaseKeepAlive(keep) => {
                     let slot = &mut self.slots[n];
                     slot.keep = Some(keep);
                     if !std::mem::replace(&mut slot.keeping, true) {
                         slot.renewed = now.time;
-                        self.at(self.now, Event::Keep(n, life));
+                        self.at(self.now, Event::LeaseKeepAlive(n, life));
                         if !std::mem::replace(&mut self.slots[n].beating, true) {
                             self.at(self.now + BEAT_EVERY, Event::LeaderHeartbeat(n, life));
                         }
@@ -381,7 +381,7 @@
         let slot = &mut self.slots[n];
         let life = slot.life;
         if slot.paused {
-            return self.at(self.now + TICK, Event::Keep(n, life));
+            return self.at(self.now + TICK, Event::LeaseKeepAlive(n, life));
         }
         let Some(keep) = slot.keep.filter(|k| now < k.until) else {
             slot.keeping = false;
@@ -440,18 +440,21 @@
         if lease != keep.lease {
             // Another is to be kept by now.
             let life = slot.life;
-            return self.at(self.now, Event::Keep(n, life));
+            return self.at(self.now, Event::LeaseKeepAlive(n, life));
         }
         if matches!(reply, Reply::Answer(404, _)) {
             (slot.keep, slot.keeping) = (None, false);
-            return self.feed(n, Input::Over(keep.lease));
+            return self.feed(n, Input::LeaseExpired(keep.lease));
         }
         let answered = matches!(reply, Reply::Answer(200, _));
         if answered {
             slot.renewed = sent;
         }
         let life = slot.life;
-        self.at(self.now + keep.pause(answered), Event::Keep(n, life));
+        self.at(
+            self.now + keep.pause(answered),
+            Event::LeaseKeepAlive(n, life),
+        );
     }
 
     /// A core has time for the next of what waits for it.
@@ -486,7 +489,7 @@
                     return self.send(&Host::Node(n), Host::Node(node), back);
                 }
                 let from = Origin::Peer { node, life, id };
-                self.request(n, Side::Internal, request, from);
+                self.request(n, Listener::Internal, request, from);
             }
             (Host::Node(n), Message::Request { ticket, request }) => {
                 if self.slots[n].node.is_none() {
@@ -497,7 +500,7 @@
                 } else {
                     Host::Users
                 };
-                self.request(n, Side::Api, request, Origin::Stand { ticket, from });
+                self.request(n, Listener::Api, request, Origin::Stand { ticket, from });
             }
             (
                 Host::Node(_),
@@ -543,7 +546,7 @@
         self.stand.sender(ticket).unwrap_or(Host::Users)
     }
 
-    fn request(&mut self, n: usize, side: Side, request: Request, from: Origin) {
+    fn request(&mut self, n: usize, side: Listener, request: Request, from: Origin) {
         let slot = &mut self.slots[n];
         let id = RequestId(slot.next);
         slot.next += 1;
@@ -640,7 +643,7 @@
                 slot.node = Some(Node::with_levels(s, policy, seed, slot.range));
                 slot.born = self.now;
                 let life = slot.life;
-                self.feed(n, Input::Effort(USUAL_EFFORT));
+                self.feed(n, Input::SpeedSample(USUAL_EFFORT));
                 self.at(self.now, Event::Tick(n, life));
             }
             NodeAction::Pause(n) => self.slots[n].paused = self.slots[n].node.is_some(),
@@ -653,7 +656,7 @@
                 self.serve(n);
                 // Its processor is slow, and it finds that out.
                 let took = USUAL_EFFORT + TimeSpan(each.0 / 10);
-                self.feed(n, Input::Effort(took));
+                self.feed(n, Input::SpeedSample(took));
             }
         }
     }
@@ -700,10 +703,10 @@
                         self.reply(n, id, Reply::Lost);
                     }
                 }
-                Event::Keep(n, life) if self.slots[n].life == life => self.renew(n),
+                Event::LeaseKeepAlive(n, life) if self.slots[n].life == life => self.renew(n),
                 Event::Served(n, life) if self.slots[n].life == life => self.serve(n),
                 Event::LeaderHeartbeat(n, life) if self.slots[n].life == life => self.beat(n),
-                Event::Keep(..) | Event::Served(..) | Event::LeaderHeartbeat(..) => {}
+                Event::LeaseKeepAlive(..) | Event::Served(..) | Event::LeaderHeartbeat(..) => {}
                 Event::Reset(ticket) => {
                     self.stand.refused(t, ticket);
                     self.drain();
--- a/crates/simulator/src/stand.rs
+++ b/crates/simulator/src/stand.rs
@@ -14,7 +14,7 @@
 use crate::users::{Planned, UserRequest, Users, plan};
 use crate::waiting::{Waiting, could_start};
 use crate::worker::{PATIENCE, Times, job_of};
-use pebblefold_controller::core::format_version::chunk_progress::Progress;
+use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
 use pebblefold_controller::core::format_version::member_versions;
 use pebblefold_controller::core::job_records;
 use pebblefold_controller::types::{MachineId, NodeId, Resources, Time, TimeSpan};
@@ -111,7 +111,7 @@
         self.changes += txn.ops.len() as u64;
         for op in &txn.ops {
             if let Operation::Put { key, value, .. } = op
-                && key.starts_with(job_records::RECORDS)
+                && key.starts_with(job_records::PROGRESS_RECORDS)
             {
                 self.records += 1;
                 self.bytes += (key.len() + job_records::json_len(value)) as u64;
@@ -588,7 +588,10 @@
             }
             let (share, until) = self.lost_answers;
             unheard = now < until && self.rng.random_bool(share);
-            let holds = [member_versions::STONE, member_versions::HOLDER];
+            let holds = [
+                member_versions::LEGACY_LEADER_KEY,
+                member_versions::LEADER_KEY,
+            ];
             claims = txn.ops.iter().any(
                 |op| matches!(op, Operation::Put { key, .. } if holds.contains(&key.as_str())),
             );
@@ -624,7 +627,7 @@
             let Operation::Put { key, value, .. } = op else {
                 continue;
             };
-            if let Some(job) = key.strip_prefix(job_records::JOBS) {
+            if let Some(job) = key.strip_prefix(job_records::SUBMISSIONS) {
                 out.push(Noted {
                     moment: Moment::Accepted,
                     job: job.into(),
@@ -632,12 +635,12 @@
                 });
             }
             let Some((job, _)) = key
-                .strip_prefix(job_records::RECORDS)
+                .strip_prefix(job_records::PROGRESS_RECORDS)
                 .and_then(|k| k.split_once('/'))
             else {
                 continue;
             };
-            let places = Progress::read(value).map_or(Vec::new(), |p| p.places);
+            let places = ChunkProgress::read(value).map_or(Vec::new(), |p| p.assignments);
             for (task, attempt, machine, _) in places {
                 if self.known_starts.insert(format!("{job}/{task}/{attempt}")) {
                     out.push(Noted {
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{CutMode, JobPriority, JobShape, Nodes, Side, Spread, What};
@@ -287,22 +287,22 @@
 #[test]
 fn starting_what_was_cancelled_long_ago_is_caught() {
     let both = [
-        Decision::EndOutlivesSubmission,
-        Decision::StartsNeedAnOpenJob,
+        SafetyCheck::EndOutlivesSubmission,
+        SafetyCheck::StartsNeedAnOpenJob,
     ];
     caught(&both, "ran_cancelled", cut_short);
     for one in both {
-        weaken(&[one]);
+        disable_check(&[one]);
         let v = cut_short(100);
-        weaken(&[]);
+        disable_check(&[]);
         sound(&v, 100);
     }
 }
 
 /// The checker would notice: with safety decisions switched off, rules break
 /// within a few days.
-fn caught(off: &[Decision], rule: &str, day: impl Fn(u64) -> Verdict) {
-    weaken(off);
+fn caught(off: &[SafetyCheck], rule: &str, day: impl Fn(u64) -> Verdict) {
+    disable_check(off);
     let breaks = |seed| {
         day(seed)
             .broken
@@ -310,23 +310,23 @@
             .any(|b| b.breach.rule.to_string() == rule)
     };
     let found = (100..140).any(breaks);
-    weaken(&[]);
+    disable_check(&[]);
     assert!(found, "{off:?} was not missed");
 }
 
 #[test]
 fn writing_off_early_is_caught() {
-    caught(&[Decision::LeaseBeforeWriteOff], "ran_twice", rough);
+    caught(&[SafetyCheck::LeaseBeforeWriteOff], "ran_twice", rough);
 }
 
 #[test]
 fn sending_before_storing_is_caught() {
-    caught(&[Decision::WriteAhead], "ran_twice", refused_then_dead);
+    caught(&[SafetyCheck::WriteAhead], "ran_twice", refused_then_dead);
 }
 
 #[test]
 fn answering_for_ever_without_contact_is_caught() {
-    caught(&[Decision::BoundedHold], "ran_cancelled", lonely_leader);
+    caught(&[SafetyCheck::BoundedHold], "ran_cancelled", lonely_leader);
 }
 
 // The same seed has to give the same day to the last event.
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -6,8 +6,8 @@
 mod common;
 use common::{cluster, jobs, rehearse, sound};
 use pebblefold_controller::core::autoscaler::intents::Intents;
-use pebblefold_controller::core::failpoints::{Decision, weaken};
-use pebblefold_controller::core::garbage_collection::Sweep;
+use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
+use pebblefold_controller::core::garbage_collection::GarbageCollector;
 use pebblefold_controller::core::job_records;
 use pebblefold_controller::types::{
     FencingToken, JobId, MachineId, Time, TimeSpan, Version, WallTime,
@@ -127,10 +127,10 @@
             let holds = i + 1 == self.holders.len();
             // One want, for one machine beside the first.
             let has = h.known.iter().any(|m| m.as_str() != FIRST);
-            if !has && !h.intents.is_hiring() && h.intents.unheard().is_empty() {
+            if !has && !h.intents.is_provisioning() && h.intents.unheard().is_empty() {
                 step(&|w| {
                     let market = ("g4".into(), "z".into(), true);
-                    w.holders[i].intents.hire(market, 1, WallTime(0));
+                    w.holders[i].intents.provision(market, 1, WallTime(0));
                 });
             }
             let first = MachineId::from(FIRST);
@@ -148,13 +148,13 @@
                     step(&|w| w.work.extend([m.clone()]));
                 }
             }
-            if !h.commits && !h.intents.book.is_empty() {
+            if !h.commits && !h.intents.pending_writes.is_empty() {
                 step(&|w| {
                     let h = &mut w.holders[i];
-                    let puts = h.intents.book.take_puts(9);
+                    let puts = h.intents.pending_writes.take_puts(9);
                     let text = |(k, v): (String, Value)| (k, v.to_string());
                     let mut ops: Vec<_> = puts.into_iter().map(text).collect();
-                    let gone = h.intents.book.take_deletes(9);
+                    let gone = h.intents.pending_writes.take_deletes(9);
                     ops.extend(gone.into_iter().map(|k| (k, String::new())));
                     h.commits = true;
                     let sent = Sent::Commit(h.token, ops);
@@ -162,7 +162,7 @@
                 });
             }
             if !h.calls {
-                if let Some(ProvisionRequest { request, .. }) = h.intents.next_hire() {
+                if let Some(ProvisionRequest { request, .. }) = h.intents.next_provision() {
                     step(&|w| w.call(i, Sent::Hire(request.clone())));
                 }
                 let names = h.intents.next_release();
@@ -231,7 +231,7 @@
         let h = &mut self.holders[m.from];
         h.calls = false;
         if let Sent::Hire(name) = &m.sent {
-            h.intents.hire_lost(name);
+            h.intents.provision_lost(name);
         }
     }
 
@@ -267,7 +267,7 @@
                         h.intents.filled(&name, std::slice::from_ref(&new), Time(0));
                         h.known.insert(new);
                     } else {
-                        h.intents.hire_lost(&name);
+                        h.intents.provision_lost(&name);
                     }
                 }
             }
@@ -296,7 +296,7 @@
         }
         let holder = self.holders.last()?;
         let lost = |(m, listed): (&MachineId, &bool)| {
-            !listed && !holder.known.contains(m) && !holder.intents.is_hiring()
+            !listed && !holder.known.contains(m) && !holder.intents.is_provisioning()
         };
         let unknown = self.machines.iter().any(lost);
         unknown.then_some("a machine is paid and nobody will ask for it")
@@ -337,27 +337,27 @@
 }
 
 /// With a decision switched off there is a counter-example.
-fn missed(d: Decision) -> &'static str {
-    weaken(&[d]);
+fn missed(d: SafetyCheck) -> &'static str {
+    disable_check(&[d]);
     let (states, breach) = explore(1, 1);
-    weaken(&[]);
+    disable_check(&[]);
     println!("{d:?}: {breach:?} after {states} states");
     breach.unwrap_or("")
 }
 
 #[test]
 fn asking_before_storing_is_caught() {
-    assert_ne!(missed(Decision::IntentBeforeAct), "");
+    assert_ne!(missed(SafetyCheck::IntentBeforeAct), "");
 }
 
 #[test]
 fn forgetting_a_predecessors_hires_is_caught() {
-    assert_ne!(missed(Decision::HiresAreRepeated), "");
+    assert_ne!(missed(SafetyCheck::HiresAreRepeated), "");
 }
 
 #[test]
 fn using_what_a_predecessor_released_is_caught() {
-    let breach = missed(Decision::ReleasesStand);
+    let breach = missed(SafetyCheck::ReleasesStand);
     assert_eq!(breach, "a machine with work of the holder was released");
 }
 
@@ -366,8 +366,8 @@
 fn sweeps_a_live_key() -> bool {
     let job = JobId::from("wk-1");
     let accepted = [
-        job_records::job_key(&job),
-        format!("{}{job}/1", job_records::PARTS),
+        job_records::submission_key(&job),
+        format!("{}{job}/1", job_records::SUBMISSION_PARTS),
     ];
     // The acceptance lands before the first page, before the second, or
     // before the sweep.
@@ -382,13 +382,15 @@
         accept(&mut store, 0);
         let jobs: BTreeSet<String> = store
             .keys()
-            .filter(|k| k.starts_with(job_records::JOBS))
+            .filter(|k| k.starts_with(job_records::SUBMISSIONS))
             .cloned()
             .collect();
         accept(&mut store, 1);
-        let mut sweep = Sweep::default();
+        let mut sweep = GarbageCollector::default();
         for (key, version) in &store {
-            sweep.look(key, *version, |id| jobs.contains(&job_records::job_key(id)));
+            sweep.look(key, *version, |id| {
+                jobs.contains(&job_records::submission_key(id))
+            });
         }
         accept(&mut store, 2);
         for (_, conditions, op) in sweep.next(9) {
@@ -407,9 +409,9 @@
 #[test]
 fn sweeping_removes_no_key_of_a_live_job() {
     assert!(!sweeps_a_live_key());
-    weaken(&[Decision::OrphansOnly]);
+    disable_check(&[SafetyCheck::OrphansOnly]);
     let caught = sweeps_a_live_key();
-    weaken(&[]);
+    disable_check(&[]);
     assert!(caught, "sweeping without conditions was not missed");
 }
 
@@ -463,11 +465,11 @@
         // Four tasks had to go, and no other one was started twice.
         assert_eq!((start < 25.0, v.starts), (true, 32 + 2 + 4), "{start} s");
     }
-    weaken(&[Decision::StopsAreStored]);
+    disable_check(&[SafetyCheck::StopsAreStored]);
     let starts: Vec<f64> = (0..4)
         .map(|seed| decider_dies(seed).classes["urgent"].start_s[2])
         .collect();
-    weaken(&[]);
+    disable_check(&[]);
     assert!(starts.iter().any(|s| *s > 40.0), "not missed: {starts:?}");
 }
 
--- a/crates/simulator/tests/gap.rs
+++ b/crates/simulator/tests/gap.rs
@@ -4,8 +4,8 @@
 //! likes. How old a leader's knowledge is and whether it may answer is told by the
 //! real core; time goes in steps of a second.
 
-use pebblefold_controller::core::failpoints::{Decision, weaken};
-use pebblefold_controller::core::leader_authority::{Bounds, Contact};
+use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
+use pebblefold_controller::core::leader_authority::{Bounds, LeaderAuthority};
 use pebblefold_controller::settings::WorkerTimes;
 use pebblefold_controller::types::{Time, TimeSpan};
 use std::collections::HashSet;
@@ -114,8 +114,8 @@
 }
 
 /// The real thing, of this age.
-fn contact(age: u8) -> Contact {
-    let mut c = Contact::new(bounds(), ago(age));
+fn contact(age: u8) -> LeaderAuthority {
+    let mut c = LeaderAuthority::new(bounds(), ago(age));
     c.page(ago(age));
     c.loaded(ago(age));
     c
@@ -185,7 +185,7 @@
             }
             Side::Loads(first, cancelled, Some(second)) => {
                 if self.serves(i) {
-                    let mut c = Contact::new(bounds(), ago(first));
+                    let mut c = LeaderAuthority::new(bounds(), ago(first));
                     c.page(ago(first));
                     c.page(ago(second));
                     c.loaded(ago(second));
@@ -311,9 +311,9 @@
 /// Looks through every order; how many worlds there were, whether the gap was
 /// reached, and whether a task outlived its cancellation.
 fn explore(wrong: Wrong) -> (usize, bool, bool) {
-    weaken(match wrong {
-        Wrong::NoBound => &[Decision::BoundedHold],
-        Wrong::LastPage => &[Decision::LoadIsAsOldAsItsFirstRead],
+    disable_check(match wrong {
+        Wrong::NoBound => &[SafetyCheck::BoundedHold],
+        Wrong::LastPage => &[SafetyCheck::LoadIsAsOldAsItsFirstRead],
         _ => &[],
     });
     let first = World {
@@ -345,7 +345,7 @@
             }
         }
     }
-    weaken(&[]);
+    disable_check(&[]);
     (seen.len(), reached, broken)
 }
 
--- a/crates/simulator/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -3,12 +3,13 @@
 //! any node, leaders that come and go, one task on one machine. The transactions are
 //! the real ledger's, and so is what is read back.
 
-use pebblefold_controller::core::assignment::{Phase, Placement};
-use pebblefold_controller::core::failpoints::{Decision, weaken};
-use pebblefold_controller::core::format_version::TABLE;
-use pebblefold_controller::core::format_version::chunk_progress::Progress;
+use pebblefold_controller::core::assignment::{Assignment, AssignmentPhase};
+use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
+use pebblefold_controller::core::format_version::KNOWN_VERSIONS;
+use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
 use pebblefold_controller::core::job_records::{
-    self, Assembly, ChunkSize, End, Head, HeadStage, Job, TransactionLimits,
+    self, ChunkSize, HeaderStage, Job, JobHeader, JobOutcome, SubmissionAssembler,
+    TransactionLimits,
 };
 use pebblefold_controller::types::{AgentEpoch, Attempt, JobId, Version, WallTime};
 use pebblefold_controller::wire::kvstore::{Operation, Precondition, Transaction};
@@ -89,9 +90,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Question {
     /// What its user had been told when it was asked.
-    knew: Option<HeadStage>,
+    knew: Option<HeaderStage>,
     /// What a read sent since has shown.
-    shown: Option<Option<HeadStage>>,
+    shown: Option<Option<HeaderStage>>,
     /// Whether it is a cancellation whose fate a read has to tell.
     cancels: bool,
 }
@@ -115,9 +116,9 @@
     cancels: u8,
     lives: u8,
     /// The head as a node read it that is to cancel the job.
-    read: Option<(Head, Version)>,
+    read: Option<(JobHeader, Version)>,
     /// What the job's user was told last, and what is asked now; further questions.
-    told: Option<HeadStage>,
+    told: Option<HeaderStage>,
     question: Option<Question>,
     questions: u8,
     /// Whether what users are told is followed at all.
@@ -134,15 +135,15 @@
 }
 
 impl World {
-    fn head(&self) -> Option<HeadStage> {
-        let (value, _) = self.keys.get(&job_records::head_key(&id()))?;
-        job_records::read::<Head>(value).map(|h| h.s)
+    fn head(&self) -> Option<HeaderStage> {
+        let (value, _) = self.keys.get(&job_records::job_header_key(&id()))?;
+        job_records::read::<JobHeader>(value).map(|h| h.s)
     }
 
     fn places(&self) -> Vec<u64> {
         let record = self.keys.get(&job_records::chunk_key(&id(), 0));
-        let read = record.and_then(|(value, _)| Progress::read(value).ok());
-        let places = read.map_or(Vec::new(), |p| p.places);
+        let read = record.and_then(|(value, _)| ChunkProgress::read(value).ok());
+        let places = read.map_or(Vec::new(), |p| p.assignments);
         places.into_iter().map(|(_, a, ..)| a.0).collect()
     }
 
@@ -175,26 +176,26 @@
         let highest = self.places().into_iter().max().unwrap_or(0);
         if highest > self.stored {
             self.stored = highest;
-            if before != Some(HeadStage::Open) {
+            if before != Some(HeaderStage::Open) {
                 self.broken = Some("a start was stored after the job's end");
             }
         }
-        if before.is_some() && before != Some(HeadStage::Open) && self.head() != before {
+        if before.is_some() && before != Some(HeaderStage::Open) && self.head() != before {
             self.broken = Some("a final state was taken back");
         }
         Vec::new()
     }
 
     /// A user is told this, who knew that much when the question was asked.
-    fn tell(&mut self, knew: Option<HeadStage>, answer: Option<HeadStage>) {
+    fn tell(&mut self, knew: Option<HeaderStage>, answer: Option<HeaderStage>) {
         if !self.follows {
             return;
         }
-        let ended = |s| matches!(s, Some(HeadStage::Done | HeadStage::Cancelled));
+        let ended = |s| matches!(s, Some(HeaderStage::Done | HeaderStage::Cancelled));
         if knew.is_some() && answer.is_none() || ended(knew) && answer != knew {
             self.broken = Some("an answer is older than one given before it was asked for");
         }
-        if answer == Some(HeadStage::Cancelled) && self.head() != answer {
+        if answer == Some(HeaderStage::Cancelled) && self.head() != answer {
             self.broken = Some("a job is called cancelled that is not");
         }
         if answer.is_some() && !ended(self.told) {
@@ -202,7 +203,7 @@
         }
     }
 
-    fn ask(&mut self, knew: Option<HeadStage>, cancels: bool) {
+    fn ask(&mut self, knew: Option<HeaderStage>, cancels: bool) {
         let shown = None;
         self.question = self.follows.then_some(Question {
             knew,
@@ -213,11 +214,17 @@
 
     fn look(&mut self) {
         let has = |key: String| self.keys.contains_key(&key);
-        let over = matches!(self.head(), Some(HeadStage::Done | HeadStage::Cancelled));
-        if over && has(job_records::job_key(&id())) && !has(job_records::end_key(&id())) {
+        let over = matches!(
+            self.head(),
+            Some(HeaderStage::Done | HeaderStage::Cancelled)
+        );
+        if over
+            && has(job_records::submission_key(&id()))
+            && !has(job_records::job_outcome_key(&id()))
+        {
             self.broken = Some("a job that is over looks open to a successor");
         }
-        if self.head() == Some(HeadStage::Done) && !self.complete {
+        if self.head() == Some(HeaderStage::Done) && !self.complete {
             self.broken = Some("a job is called done before its task is");
         }
         if let Some(attempt) = self.running
@@ -229,23 +236,23 @@
 
     /// What a leader reads when it takes office.
     fn load(&self) -> Option<Job> {
-        let (value, version) = self.keys.get(&job_records::job_key(&id()))?;
-        let mut job = Assembly::default().job(&id(), Version(*version), value)?;
+        let (value, version) = self.keys.get(&job_records::submission_key(&id()))?;
+        let mut job = SubmissionAssembler::default().job(&id(), Version(*version), value)?;
         if let Some((value, version)) = self.keys.get(&job_records::chunk_key(&id(), 0)) {
             job.load_chunk(0, Version(*version), value).ok()?;
         }
         job.end = self.end();
         if job.end.is_none() && job.done.len() == 1 {
-            job.end = Some(End::Done { written: false });
+            job.end = Some(JobOutcome::Done { written: false });
         }
         Some(job)
     }
 
-    fn end(&self) -> Option<End> {
-        let (value, _) = self.keys.get(&job_records::end_key(&id()))?;
-        Some(match job_records::read::<Head>(value)?.s {
-            HeadStage::Done => End::Done { written: true },
-            _ => End::Cancelled,
+    fn end(&self) -> Option<JobOutcome> {
+        let (value, _) = self.keys.get(&job_records::job_outcome_key(&id()))?;
+        Some(match job_records::read::<JobHeader>(value)?.s {
+            HeaderStage::Done => JobOutcome::Done { written: true },
+            _ => JobOutcome::Cancelled,
         })
     }
 
@@ -267,13 +274,15 @@
             None => (failed, revision),
         };
         if !failed.is_empty() {
-            let head = failed.contains(&job_records::head_key(&id()));
-            let other = failed.iter().any(|k| *k != job_records::head_key(&id()));
+            let head = failed.contains(&job_records::job_header_key(&id()));
+            let other = failed
+                .iter()
+                .any(|k| *k != job_records::job_header_key(&id()));
             if doubtful || other {
                 self.leader = None;
             } else if head && let (Kind::Chunk(_), Some(job)) = (kind, &mut l.job) {
-                job.end = Some(End::Cancelled);
-                job.places.retain(|_, p| !p.unsent());
+                job.end = Some(JobOutcome::Cancelled);
+                job.assignments.retain(|_, p| !p.unsent());
             }
             return;
         }
@@ -283,9 +292,9 @@
                 let c = job.chunks.entry(0).or_default();
                 c.version = Version(revision);
                 c.stored = c.stored.max(change);
-                job.unsaved.retain(|_, n| *n > change);
+                job.done_not_stored.retain(|_, n| *n > change);
             }
-            Kind::Finish => job.end = Some(End::Done { written: true }),
+            Kind::Finish => job.end = Some(JobOutcome::Done { written: true }),
             Kind::Close | Kind::Drop(true) => l.job = None,
             Kind::Drop(false) => {
                 let gone = |key: &str| {
@@ -323,18 +332,18 @@
     fn gather(&self) -> Option<(Transaction, Kind)> {
         let l = self.leader.as_ref()?;
         let job = l.job.as_ref()?;
-        let level = TABLE.last().unwrap().level;
+        let level = KNOWN_VERSIONS.last().unwrap().level;
         let chunk = job.chunks.get(&0).copied().unwrap_or_default();
         let (mut conditions, ops, kind) = match job.end {
-            Some(End::Done { written: false }) if job.places.is_empty() => {
+            Some(JobOutcome::Done { written: false }) if job.assignments.is_empty() => {
                 let (c, ops) = job.close_write();
                 (c, ops, Kind::Close)
             }
-            Some(End::Done { written: false }) => {
+            Some(JobOutcome::Done { written: false }) => {
                 let (c, ops) = job.finish_write();
                 (c, ops, Kind::Finish)
             }
-            Some(_) if job.places.is_empty() => {
+            Some(_) if job.assignments.is_empty() => {
                 // Room for a part of it only, where there is a part.
                 let room = (job.keys().len() - 1).max(2);
                 let (ops, last) = job.drop_write(room);
@@ -406,14 +415,14 @@
                     let taken = w.send(&txn, outcome);
                     if taken.as_ref().is_some_and(Vec::is_empty) {
                         w.seen_open = w.follows;
-                        return w.tell(knew, Some(HeadStage::Open));
+                        return w.tell(knew, Some(HeaderStage::Open));
                     }
                     let guess = match &taken {
                         Some(_) => wrong == Wrong::ConflictIsOpen,
                         None => wrong == Wrong::LostIsAccepted,
                     };
                     if guess {
-                        return w.tell(knew, Some(HeadStage::Open));
+                        return w.tell(knew, Some(HeaderStage::Open));
                     }
                     w.ask(knew, false);
                 });
@@ -421,8 +430,9 @@
         }
         if self.cancels > 0
             && self.read.is_none()
-            && let Some((value, version)) = self.keys.get(&job_records::head_key(&id()))
-            && let Some(head) = job_records::read::<Head>(value).filter(|h| h.s == HeadStage::Open)
+            && let Some((value, version)) = self.keys.get(&job_records::job_header_key(&id()))
+            && let Some(head) =
+                job_records::read::<JobHeader>(value).filter(|h| h.s == HeaderStage::Open)
         {
             step(&|w| w.read = Some((head, Version(*version))));
         }
@@ -436,7 +446,7 @@
                     let taken = w.send(&txn, outcome);
                     let guess = taken.is_none() && wrong == Wrong::LostIsCancelled;
                     if guess || taken.is_some_and(|failed| failed.is_empty()) {
-                        return w.tell(knew, Some(HeadStage::Cancelled));
+                        return w.tell(knew, Some(HeaderStage::Cancelled));
                     }
                     w.ask(knew, true);
                 });
@@ -448,7 +458,7 @@
                 w.questions -= 1;
                 let knew = w.told;
                 if wrong == Wrong::SeenIsOpen && w.seen_open {
-                    return w.tell(knew, Some(HeadStage::Open));
+                    return w.tell(knew, Some(HeaderStage::Open));
                 }
                 w.ask(knew, false);
             });
@@ -461,11 +471,11 @@
                 }),
                 Some(answer) => step(&|w| {
                     w.question = None;
-                    w.seen_open |= answer == Some(HeadStage::Open);
+                    w.seen_open |= answer == Some(HeaderStage::Open);
                     // A job that is not there after a submission without an answer may
                     // still be accepted, and one that is open after a cancellation still
                     // be cancelled: the user is told to ask again.
-                    if answer.is_some() && !(q.cancels && answer == Some(HeadStage::Open)) {
+                    if answer.is_some() && !(q.cancels && answer == Some(HeaderStage::Open)) {
                         w.tell(q.knew, answer);
                     }
                 }),
@@ -493,9 +503,9 @@
             let Some(l) = &mut w.leader else { return };
             match &mut l.job {
                 None => l.job = loaded.filter(|j| j.end.is_none()),
-                Some(job) if end == Some(End::Cancelled) && job.end != end => {
+                Some(job) if end == Some(JobOutcome::Cancelled) && job.end != end => {
                     job.end = end;
-                    job.places.retain(|_, p| !p.unsent());
+                    job.assignments.retain(|_, p| !p.unsent());
                 }
                 Some(_) => {}
             }
@@ -529,25 +539,25 @@
                 change(job);
             }
         };
-        let place = job.places.get(&0);
+        let place = job.assignments.get(&0);
         if job.is_open() && place.is_none() && job.waiting.contains(0) && job.attempt.0 < 2 {
             step(&|w| {
                 with(w, &|job| {
                     job.waiting.remove(0);
                     job.attempt = Attempt(job.attempt.0 + 1);
                     let change = job.touch(SIZE, 0);
-                    let here = Placement {
+                    let here = Assignment {
                         change,
-                        phase: Phase::Unsent,
-                        ..Placement::inherited("host-1".into(), AgentEpoch(1), job.attempt)
+                        phase: AssignmentPhase::Unsent,
+                        ..Assignment::inherited("host-1".into(), AgentEpoch(1), job.attempt)
                     };
-                    job.places.insert(0, here);
+                    job.assignments.insert(0, here);
                 });
             });
         }
         if let Some(p) = place {
             let leaves = |job: &mut Job| {
-                job.places.remove(&0);
+                job.assignments.remove(&0);
                 job.touch(SIZE, 0);
             };
             if p.unsent() && job.is_open() && job.is_stored(SIZE, 0, p.change) {
@@ -555,8 +565,8 @@
                 step(&|w| {
                     w.running = Some(attempt);
                     with(w, &|job| {
-                        if let Some(p) = job.places.get_mut(&0) {
-                            p.phase = Phase::Inherited;
+                        if let Some(p) = job.assignments.get_mut(&0) {
+                            p.phase = AssignmentPhase::Inherited;
                         }
                     });
                 });
@@ -570,7 +580,7 @@
                             leaves(job);
                             job.done.insert(0);
                             if job.end.is_none() {
-                                job.end = Some(End::Done { written: false });
+                                job.end = Some(JobOutcome::Done { written: false });
                             }
                         });
                     });
@@ -647,13 +657,13 @@
 #[test]
 fn each_comparison_is_needed() {
     for off in [
-        Decision::RecordsCompareVersions,
-        Decision::StartsNeedAnOpenJob,
-        Decision::EndOutlivesSubmission,
+        SafetyCheck::RecordsCompareVersions,
+        SafetyCheck::StartsNeedAnOpenJob,
+        SafetyCheck::EndOutlivesSubmission,
     ] {
-        weaken(&[off]);
+        disable_check(&[off]);
         let (worlds, broken) = explore(Wrong::Nothing, false);
-        weaken(&[]);
+        disable_check(&[]);
         println!("{off:?}: {broken:?} after {worlds} worlds");
         assert!(broken.is_some(), "{off:?} was not missed");
     }
--- a/crates/simulator/tests/levels.rs
+++ b/crates/simulator/tests/levels.rs
@@ -2,22 +2,22 @@
 //! an older and a newer build, whose reads, registrations, writes and rises are the
 //! real registry's, over a store that applies what is sent at any later time.
 
-use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::core::format_version::member_versions::{
-    BUILD, HOLDER, LEVEL, Registry, fence,
+    ACTIVE_VERSION_KEY, BUILD, LEADER_KEY, MemberVersions, fence,
 };
-use pebblefold_controller::core::format_version::{Level, Range};
+use pebblefold_controller::core::format_version::{FormatVersion, SupportedVersions};
 use pebblefold_controller::types::{NodeId, Time, TimeSpan, Version};
 use pebblefold_controller::wire::kvstore::{Entry, Operation, Precondition, Transaction};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
-const OLDER: Range = Range {
-    low: Level(0),
-    high: Level(1),
+const OLDER: SupportedVersions = SupportedVersions {
+    low: FormatVersion(0),
+    high: FormatVersion(1),
 };
-const NEWER: Range = Range {
-    low: Level(0),
-    high: Level(2),
+const NEWER: SupportedVersions = SupportedVersions {
+    low: FormatVersion(0),
+    high: FormatVersion(2),
 };
 /// What users write, in the form of the level that its writer goes by.
 const DATA: &str = "job/wk-1";
@@ -28,17 +28,17 @@
 
 #[derive(Clone, Debug)]
 struct Node {
-    range: Range,
-    registry: Registry,
+    range: SupportedVersions,
+    registry: MemberVersions,
     /// The version of the leader's key under which it leads, if it thinks so.
     holds: Option<u64>,
 }
 
 impl Node {
-    fn new(n: usize, range: Range, life: u64) -> Node {
+    fn new(n: usize, range: SupportedVersions, life: u64) -> Node {
         Node {
             range,
-            registry: Registry::new(label(n), Some(range), BTreeMap::new(), life),
+            registry: MemberVersions::new(label(n), Some(range), BTreeMap::new(), life),
             holds: None,
         }
     }
@@ -63,7 +63,9 @@
 
 impl World {
     fn level(&self) -> u32 {
-        self.keys.get(LEVEL).map_or(0, |(v, _)| number(v))
+        self.keys
+            .get(ACTIVE_VERSION_KEY)
+            .map_or(0, |(v, _)| number(v))
     }
 
     fn apply(&mut self, txn: &Transaction) -> bool {
@@ -98,7 +100,7 @@
     }
 
     fn look(&mut self) {
-        let level = Level(self.level());
+        let level = FormatVersion(self.level());
         let reads = |n: &Node| n.registry.serves().is_err() || n.range.has(level);
         if !self.nodes.iter().all(reads) {
             self.broken = Some("a node serves what it cannot read");
@@ -178,7 +180,7 @@
                     w.revision += 1;
                     let version = w.revision;
                     w.keys
-                        .insert(HOLDER.into(), (serde_json::json!(n), version));
+                        .insert(LEADER_KEY.into(), (serde_json::json!(n), version));
                     w.nodes[n].holds = Some(version);
                 });
             }
@@ -188,15 +190,16 @@
                 let mut registry = node.registry.clone();
                 let peers: Vec<NodeId> = (0..3).filter(|m| *m != n).map(label).collect();
                 for peer in &peers {
-                    let said = Registry::new(peer.clone(), Some(NEWER), BTreeMap::new(), 1).tell();
+                    let said =
+                        MemberVersions::new(peer.clone(), Some(NEWER), BTreeMap::new(), 1).tell();
                     for ms in (0..=100).map(|s| s * 1000) {
                         registry.heard(Time(0) + TimeSpan::millis(ms), peer, said.clone());
                     }
                 }
-                if let Ok(rise) = registry.rise(now, &peers, Level(9)) {
+                if let Ok(rise) = registry.rise(now, &peers, FormatVersion(9)) {
                     let mut conditions = rise.conditions;
                     conditions.push(Precondition {
-                        key: HOLDER.into(),
+                        key: LEADER_KEY.into(),
                         version: Version(version),
                     });
                     let txn = Transaction {
@@ -222,9 +225,12 @@
 /// broke.
 fn explore(most: usize) -> (usize, Option<&'static str>) {
     let at = |n: usize| format!("w/leader/at/{}", label(n));
-    let said = |range: Range| serde_json::json!({"levels": range, "build": BUILD, "policy": {}, "life": 1});
+    let said = |range: SupportedVersions| serde_json::json!({"levels": range, "build": BUILD, "policy": {}, "life": 1});
     let mut keys = BTreeMap::from([
-        (LEVEL.to_string(), (serde_json::json!({"level": 1}), 1)),
+        (
+            ACTIVE_VERSION_KEY.to_string(),
+            (serde_json::json!({"level": 1}), 1),
+        ),
         ("w/leader/done".into(), (serde_json::json!({"level": 1}), 1)),
     ]);
     // Two are on the newer build already, one is still to be rolled.
@@ -274,14 +280,14 @@
 #[test]
 fn each_decision_is_needed() {
     for off in [
-        Decision::WritesCompareTheLevel,
-        Decision::RegisterBeforeActing,
-        Decision::EachLifeRegisters,
-        Decision::RiseComparesMembers,
+        SafetyCheck::WritesCompareTheLevel,
+        SafetyCheck::RegisterBeforeActing,
+        SafetyCheck::EachLifeRegisters,
+        SafetyCheck::RiseComparesMembers,
     ] {
-        weaken(&[off]);
+        disable_check(&[off]);
         let (worlds, broken) = explore(2_000_000);
-        weaken(&[]);
+        disable_check(&[]);
         println!("{off:?}: {broken:?} after {worlds} worlds");
         assert!(broken.is_some(), "{off:?} was not missed");
     }
@@ -291,25 +297,25 @@
 // records two forms old, which its builds need not read.
 #[test]
 fn the_next_level_waits_for_the_last_ones_records() {
-    let three = Range {
-        low: Level(0),
-        high: Level(3),
+    let three = SupportedVersions {
+        low: FormatVersion(0),
+        high: FormatVersion(3),
     };
-    let mut alone = Registry::new(label(0), Some(three), BTreeMap::new(), 1);
+    let mut alone = MemberVersions::new(label(0), Some(three), BTreeMap::new(), 1);
     let level = |key: &str, n: u32| Entry {
         key: key.into(),
         value: serde_json::json!({ "level": n }),
         version: Version(1),
     };
-    alone.load(&[level(LEVEL, 2), level("w/leader/done", 1)]);
+    alone.load(&[level(ACTIVE_VERSION_KEY, 2), level("w/leader/done", 1)]);
     alone.registered(Version(2));
-    let rises = |r: &Registry| r.rise(Time(0), &[], Level(9)).is_ok();
+    let rises = |r: &MemberVersions| r.rise(Time(0), &[], FormatVersion(9)).is_ok();
     assert!(!rises(&alone));
-    weaken(&[Decision::RewrittenBeforeNext]);
+    disable_check(&[SafetyCheck::RewrittenBeforeNext]);
     let early = rises(&alone);
-    weaken(&[]);
+    disable_check(&[]);
     assert!(early, "the decision was not missed");
-    alone.load(&[level(LEVEL, 2), level("w/leader/done", 2)]);
+    alone.load(&[level(ACTIVE_VERSION_KEY, 2), level("w/leader/done", 2)]);
     alone.registered(Version(2));
     assert!(rises(&alone));
 }
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -3,8 +3,8 @@
 //! another job of the team waits for the room. Until when an older leader may answer and
 //! what a report proves is told by the real core; time goes in steps of a second.
 
-use pebblefold_controller::core::assignment::{Placement, Verdict};
-use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::assignment::{Assignment, PresenceProof};
+use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::core::leader_authority::Bounds;
 use pebblefold_controller::settings::WorkerTimes;
 use pebblefold_controller::types::{
@@ -111,7 +111,7 @@
 
 /// Whether a report proves that the task is not on its machine.
 fn proves_absence(r: Heartbeat, ours: usize) -> bool {
-    let place = Placement::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
+    let place = Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
     let listed = ReportedTask {
         task: "wk-1/0".into(),
         attempt: Attempt(1),
@@ -125,7 +125,7 @@
         FencingToken(ours as u64 + 1),
     );
     let listed = r.lists.then_some(&listed);
-    place.judge(epoch, HeartbeatSequence(9), token, ours, listed) == Verdict::Absent
+    place.check_presence(epoch, HeartbeatSequence(9), token, ours, listed) == PresenceProof::Absent
 }
 
 impl World {
@@ -405,9 +405,9 @@
         println!("{wrong:?}: {broken} after {worlds} worlds");
         assert!(broken, "{wrong:?} was not missed");
     }
-    weaken(&[Decision::AbsenceNeedsOurToken]);
+    disable_check(&[SafetyCheck::AbsenceNeedsOurToken]);
     let (worlds, _, broken) = explore(Wrong::Nothing);
-    weaken(&[]);
+    disable_check(&[]);
     println!("AbsenceNeedsOurToken off: {broken} after {worlds} worlds");
     assert!(broken);
 }
--- a/crates/simulator/tests/meetings/cancels.rs
+++ b/crates/simulator/tests/meetings/cancels.rs
@@ -50,7 +50,7 @@
         let full = full_teams(&world) == 2;
         played(world, 300.0, 54.5, |w| full && !unwanted(w).is_empty())
     };
-    guarded(Decision::EndedJobsHoldPlaces, "quota", 1..6, day);
+    guarded(SafetyCheck::EndedJobsHoldPlaces, "quota", 1..6, day);
 }
 
 // A team is at its limit when the leader changes, some of its machines can't be asked, and
@@ -73,7 +73,7 @@
             .push(at(40.0, cut(Side::Controllers, zone, CutMode::Lose, 25.0)));
         broken(s, seed, 300.0, 41.9, |w| full_teams(w) == 2)
     };
-    guarded(Decision::OldLeadersAnswersCount, "quota", 1..6, day);
+    guarded(SafetyCheck::OldLeadersAnswersCount, "quota", 1..6, day);
 }
 
 /// Cancellations in the seconds in which a controller's work changes hands, planned and
@@ -113,7 +113,7 @@
 #[test]
 fn a_cancellation_during_a_load_is_not_missed() {
     guarded(
-        Decision::FollowsFromTheFirstPage,
+        SafetyCheck::FollowsFromTheFirstPage,
         "ran_cancelled",
         1..6,
         changes_hands,
@@ -139,7 +139,7 @@
         let world = Simulated::with_policy(s, seed, "return { doubt = 0.0 }").unwrap();
         played(world, 180.0, 40.0, |w| !unwanted(w).is_empty())
     };
-    guarded(Decision::BoundedHold, "ran_cancelled", 1..6, day);
+    guarded(SafetyCheck::BoundedHold, "ran_cancelled", 1..6, day);
 }
 
 // One-task jobs come four a second for minutes, a quarter of them called off. All are
@@ -206,8 +206,8 @@
     println!(
         "{after} starts after a confirmed cancellation: stored before it, and sent by a leader that had not heard"
     );
-    weaken(&[Decision::OneEndDecides]);
+    disable_check(&[SafetyCheck::OneEndDecides]);
     let caught = (1..3).any(|seed| day(seed).0.iter().any(|b| b == "went_back"));
-    weaken(&[]);
+    disable_check(&[]);
     assert!(caught, "ends written over cancellations were not missed");
 }
--- a/crates/simulator/tests/meetings/machines.rs
+++ b/crates/simulator/tests/meetings/machines.rs
@@ -43,7 +43,7 @@
             kills.count() >= 4 && up > 4
         })
     };
-    guarded(Decision::WriteAhead, "ran_twice", 1..40, day);
+    guarded(SafetyCheck::WriteAhead, "ran_twice", 1..40, day);
 }
 
 /// Copies of old reports reach every controller as a new leader begins.
@@ -77,7 +77,7 @@
 #[test]
 fn an_old_report_at_every_controller_proves_nothing() {
     guarded(
-        Decision::AbsenceNeedsOurToken,
+        SafetyCheck::AbsenceNeedsOurToken,
         "ran_twice",
         1..6,
         for_the_next,
@@ -105,7 +105,7 @@
             marks.filter(|(_, f)| f == "kill").count() >= 2
         })
     };
-    guarded(Decision::OldLeadersAnswersCount, "ran_twice", 1..6, day);
+    guarded(SafetyCheck::OldLeadersAnswersCount, "ran_twice", 1..6, day);
 }
 
 // Workers can't open connections to any controller, while direct commands still reach them:
@@ -134,7 +134,7 @@
             mute.count() > 2
         })
     };
-    guarded(Decision::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
+    guarded(SafetyCheck::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
 }
 
 // Jobs bound to one zone, arrays too, lose machines: what may still be somewhere binds the
@@ -167,7 +167,7 @@
             w.stand().fleet().running().count() > 6
         })
     };
-    guarded(Decision::OldPlacesBindZones, "wrong_place", 1..8, day);
+    guarded(SafetyCheck::OldPlacesBindZones, "wrong_place", 1..8, day);
 }
 
 // Leaders change ten times in two minutes, also inside an outage.
@@ -189,7 +189,7 @@
             marks.filter(|(_, f)| f == "kill").count() >= 10
         })
     };
-    guarded(Decision::WriteAhead, "ran_twice", 1..30, day);
+    guarded(SafetyCheck::WriteAhead, "ran_twice", 1..30, day);
 }
 
 // A zone with workers and a controller is cut off for longer than `lease_s`; its controller
@@ -213,7 +213,7 @@
             w.stand().fleet().running().count() > 6
         })
     };
-    guarded(Decision::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
+    guarded(SafetyCheck::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
 }
 
 // All controllers are away for longer than `lease_s`: every task is gone by then, its job
@@ -278,5 +278,5 @@
             by_class.values().map(|(waiting, _)| *waiting).sum::<u32>() > 4
         })
     };
-    guarded(Decision::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
+    guarded(SafetyCheck::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
 }
--- a/crates/simulator/tests/meetings/main.rs
+++ b/crates/simulator/tests/meetings/main.rs
@@ -9,7 +9,7 @@
 mod machines;
 
 use common::*;
-use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_controller::wire::users::JobStage;
 use pebblefold_simulator::checker::Seen;
@@ -97,7 +97,7 @@
 /// On the first of these seeds the danger is reached each time and nothing breaks; with
 /// the decision off, this rule breaks on one of them at least.
 fn guarded(
-    off: Decision,
+    off: SafetyCheck,
     rule: &str,
     seeds: std::ops::Range<u64>,
     day: impl Fn(u64) -> (Vec<String>, bool),
@@ -107,11 +107,11 @@
         assert!(reached, "seed {seed}: the moment of danger was not reached");
         assert!(broken.is_empty(), "seed {seed}: {broken:?}");
     }
-    weaken(&[off]);
+    disable_check(&[off]);
     let caught = seeds
         .into_iter()
         .any(|seed| day(seed).0.iter().any(|b| b == rule));
-    weaken(&[]);
+    disable_check(&[]);
     assert!(caught, "{off:?} was not missed");
 }
 
@@ -149,7 +149,7 @@
             old > 1 && others > 2 && !unwanted(w).is_empty()
         })
     };
-    guarded(Decision::BoundedHold, "ran_cancelled", 1..4, day);
+    guarded(SafetyCheck::BoundedHold, "ran_cancelled", 1..4, day);
 }
 
 // 2. A command or its answer is held up for seconds, and the machine then goes on.
@@ -178,7 +178,7 @@
                 == 3
         })
     };
-    guarded(Decision::LeaseBeforeWriteOff, "ran_twice", 1..5, day);
+    guarded(SafetyCheck::LeaseBeforeWriteOff, "ran_twice", 1..5, day);
 }
 
 // 3. A leader ends while machines with long tasks can't be reached, or don't hear the
@@ -210,7 +210,7 @@
             leads && there.into_iter().any(|w| !w.tasks.is_empty())
         })
     };
-    guarded(Decision::OldLeadersAnswersCount, "ran_twice", 1..5, day);
+    guarded(SafetyCheck::OldLeadersAnswersCount, "ran_twice", 1..5, day);
 }
 
 /// The state service refuses the leader alone, others confirm cancellations, then it
@@ -238,7 +238,7 @@
         let world = Simulated::with_policy(gap(true), seed, "return { doubt = 0.0 }").unwrap();
         played(world, 180.0, 40.0, |w| !unwanted(w).is_empty())
     };
-    guarded(Decision::BoundedHold, "ran_cancelled", 1..6, day);
+    guarded(SafetyCheck::BoundedHold, "ran_cancelled", 1..6, day);
 }
 
 // The node that confirmed a cancellation tells the others: the leader stops the job
@@ -286,7 +286,7 @@
             marks.filter(|(_, f)| f == "kill").count() >= 5
         })
     };
-    guarded(Decision::WriteAhead, "ran_twice", 100..140, day);
+    guarded(SafetyCheck::WriteAhead, "ran_twice", 100..140, day);
 }
 
 /// Work while copies of reports arrive late and leaders come and go.
@@ -317,7 +317,7 @@
 #[test]
 fn an_old_report_proves_nothing() {
     guarded(
-        Decision::NewestReportCounts,
+        SafetyCheck::NewestReportCounts,
         "ran_twice",
         1..4,
         late_reports,
@@ -329,7 +329,7 @@
 #[test]
 fn an_old_report_heard_first_proves_nothing_either() {
     guarded(
-        Decision::AbsenceNeedsOurToken,
+        SafetyCheck::AbsenceNeedsOurToken,
         "ran_twice",
         1..6,
         late_reports,
@@ -390,9 +390,9 @@
     for seed in 1..6 {
         assert_eq!(day(seed), (0, false, 0), "seed {seed}");
     }
-    weaken(&[Decision::DoneBeforeClear]);
+    disable_check(&[SafetyCheck::DoneBeforeClear]);
     let again: usize = (1..6).map(|seed| day(seed).2).sum();
-    weaken(&[]);
+    disable_check(&[]);
     assert!(
         again > 0,
         "a result that was cleared too early was not missed"
@@ -428,7 +428,7 @@
 #[test]
 fn a_late_write_changes_nothing_that_is_newer() {
     guarded(
-        Decision::RecordsCompareVersions,
+        SafetyCheck::RecordsCompareVersions,
         "ran_twice",
         1..6,
         late_writes,
--- a/crates/simulator/tests/rollout.rs
+++ b/crates/simulator/tests/rollout.rs
@@ -3,7 +3,9 @@
 
 mod common;
 use common::*;
-use pebblefold_controller::core::format_version::{BEFORE, FENCED, Level, REMEMBERED};
+use pebblefold_controller::core::format_version::{
+    FENCED, FormatVersion, UNVERSIONED, WITH_HISTORY,
+};
 use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{
@@ -60,10 +62,13 @@
 }
 
 /// What the nodes that serve say of the level, at a second.
-fn level(world: &mut Simulated, t: f64) -> Level {
+fn level(world: &mut Simulated, t: f64) -> FormatVersion {
     world.play(Time(0) + TimeSpan::secs(t), false);
     let serving = world.nodes().filter(|(_, n)| n.level().1);
-    serving.map(|(_, n)| n.level().0).max().unwrap_or(BEFORE)
+    serving
+        .map(|(_, n)| n.level().0)
+        .max()
+        .unwrap_or(UNVERSIONED)
 }
 
 fn start(script: Script, seed: u64) -> Simulated {
@@ -83,7 +88,7 @@
 fn a_new_fleet_is_fenced_from_its_first_moment_and_rises_by_itself() {
     let mut world = start(day(3, None, Vec::new()), 1);
     assert_eq!(level(&mut world, 3.0), FENCED);
-    assert_eq!(level(&mut world, 30.0), REMEMBERED);
+    assert_eq!(level(&mut world, 30.0), WITH_HISTORY);
     ends_well(world, 1);
 }
 
@@ -93,10 +98,14 @@
     for (seed, order) in [(1, [0, 1, 2]), (2, [2, 0, 1]), (3, [1, 2, 0])] {
         let faults = roll_all(30.0, &order, None);
         let mut world = start(day(3, Some("before"), faults), seed);
-        assert_eq!(level(&mut world, 29.0), BEFORE);
-        assert_eq!(level(&mut world, 46.0), BEFORE, "one is still old");
-        assert_eq!(level(&mut world, 56.0), BEFORE, "not there for long enough");
-        assert_eq!(level(&mut world, 90.0), REMEMBERED);
+        assert_eq!(level(&mut world, 29.0), UNVERSIONED);
+        assert_eq!(level(&mut world, 46.0), UNVERSIONED, "one is still old");
+        assert_eq!(
+            level(&mut world, 56.0),
+            UNVERSIONED,
+            "not there for long enough"
+        );
+        assert_eq!(level(&mut world, 90.0), WITH_HISTORY);
         ends_well(world, seed);
     }
 }
@@ -108,7 +117,7 @@
         let (nodes, for_s) = (Nodes::Number(2), 120.0);
         faults.push(at(40.0, What::Kill { nodes, for_s }));
         let mut world = start(day(3, Some("before"), faults), seed);
-        assert_eq!(level(&mut world, 150.0), BEFORE);
+        assert_eq!(level(&mut world, 150.0), UNVERSIONED);
         ends_well(world, seed);
         // Lives of two seconds on the new build.
         let mut faults = roll_all(30.0, &[0, 1, 2], None);
@@ -117,8 +126,8 @@
             faults.push(at(50.0 + 2.3 * f64::from(i), What::Kill { nodes, for_s }));
         }
         let mut world = start(day(3, Some("before"), faults), seed);
-        assert_eq!(level(&mut world, 140.0), BEFORE);
-        assert_eq!(level(&mut world, 190.0), REMEMBERED);
+        assert_eq!(level(&mut world, 140.0), UNVERSIONED);
+        assert_eq!(level(&mut world, 190.0), WITH_HISTORY);
         ends_well(world, seed);
     }
 }
@@ -130,8 +139,8 @@
     faults.extend(roll_all(62.0, &[3, 4], Some("before")));
     faults.extend(roll_all(110.0, &[4, 0, 3], None));
     let mut world = start(day(5, Some("before"), faults), 5);
-    assert_eq!(level(&mut world, 109.0), BEFORE);
-    assert_eq!(level(&mut world, 170.0), REMEMBERED);
+    assert_eq!(level(&mut world, 109.0), UNVERSIONED);
+    assert_eq!(level(&mut world, 170.0), WITH_HISTORY);
     ends_well(world, 5);
 }
 
@@ -147,7 +156,7 @@
             faults.push(at(80.0 + 12.0 * f64::from(i), What::Kill { nodes, for_s }));
         }
         let mut world = start(day(3, None, faults), seed);
-        assert_eq!(level(&mut world, 59.0), REMEMBERED);
+        assert_eq!(level(&mut world, 59.0), WITH_HISTORY);
         let mut t = 75.0;
         while t < 140.0 {
             t += 0.5;
@@ -277,10 +286,10 @@
         script.jobs[0].run_s = Spread::Fixed(60.0);
         let mut world = start(script, seed);
         assert_eq!(level(&mut world, 50.0), FENCED);
-        assert_eq!(level(&mut world, 90.0), REMEMBERED);
+        assert_eq!(level(&mut world, 90.0), WITH_HISTORY);
         let mut t = 90.0;
         let done = |world: &Simulated| world.nodes().map(|(_, n)| n.rewritten()).max();
-        while done(&world) < Some(REMEMBERED) && t < 300.0 {
+        while done(&world) < Some(WITH_HISTORY) && t < 300.0 {
             t += 1.0;
             world.play(Time(0) + TimeSpan::secs(t), false);
         }
@@ -309,7 +318,7 @@
         (urgent.priority, urgent.from_s, urgent.over_s) = (JobPriority::High, 54.0, 12.0);
         s.jobs.extend([low, urgent]);
         let mut world = start(s, seed);
-        assert_eq!(level(&mut world, 120.0), REMEMBERED);
+        assert_eq!(level(&mut world, 120.0), WITH_HISTORY);
         let v = ends_well(world, seed);
         assert!(v.renting.hired > 20, "seed {seed}: {:?}", v.renting);
     }
--- a/crates/simulator/tests/verdicts.rs
+++ b/crates/simulator/tests/verdicts.rs
@@ -3,7 +3,7 @@
 //! and messages that are held back. What a report proves is told by the real
 //! core; the rest is as small as the protocol allows.
 
-use pebblefold_controller::core::assignment::{Phase, Placement, Verdict};
+use pebblefold_controller::core::assignment::{Assignment, AssignmentPhase, PresenceProof};
 use pebblefold_controller::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -69,16 +69,16 @@
     /// What a report says to the new leader.
     fn hears(&mut self, off: Off, m: usize, seen: u64, runs: u64, n: u64) {
         let (at, attempt, phase) = match self.new {
-            Knows::Inherited(at, a) => (at, a, Phase::Inherited),
-            Knows::Sent(at, a, n) => (at, a, Phase::Sent(HeartbeatSequence(n))),
+            Knows::Inherited(at, a) => (at, a, AssignmentPhase::Inherited),
+            Knows::Sent(at, a, n) => (at, a, AssignmentPhase::Sent(HeartbeatSequence(n))),
             _ => return,
         };
         if at != m {
             return;
         }
-        let place = Placement {
+        let place = Assignment {
             phase,
-            ..Placement::inherited("m".into(), AgentEpoch(1), Attempt(attempt))
+            ..Assignment::inherited("m".into(), AgentEpoch(1), Attempt(attempt))
         };
         // A report that lists the task proves that it is there; what lists it is
         // not looked at here.
@@ -90,7 +90,7 @@
         } else {
             seen
         };
-        let verdict = place.judge(
+        let verdict = place.check_presence(
             AgentEpoch(1),
             HeartbeatSequence(n),
             FencingToken(token),
@@ -98,9 +98,9 @@
             None,
         );
         match verdict {
-            Verdict::Absent => self.place(1 - m, attempt + 1),
-            Verdict::Undelivered => self.new = Knows::Stored(at, attempt),
-            Verdict::Present => {}
+            PresenceProof::Absent => self.place(1 - m, attempt + 1),
+            PresenceProof::Undelivered => self.new = Knows::Stored(at, attempt),
+            PresenceProof::Present => {}
         }
     }
 
--- a/crates/simulator/tests/waiting.rs
+++ b/crates/simulator/tests/waiting.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use pebblefold_controller::core::failpoints::{Decision, weaken};
+use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::types::{Resources, Time, TimeSpan};
 use pebblefold_controller::wire::users::{self, Submission};
 use pebblefold_simulator::script::{
@@ -45,9 +45,9 @@
 /// As [`held_with`], and with the hold's end switched off somebody is left waiting.
 fn ends(policy: &str, script: impl Fn() -> Script, most_s: f64) {
     held_with(policy, &script, most_s);
-    weaken(&[Decision::HoldsEndWithAge]);
+    disable_check(&[SafetyCheck::HoldsEndWithAge]);
     let (_, broken) = longest(script(), 1, policy);
-    weaken(&[]);
+    disable_check(&[]);
     assert!(
         broken.iter().any(|b| b == "left_waiting"),
         "a hold without an end was not missed"
