--- /dev/null
+++ b/crates/pebblefold/tests/stored_format.rs
@@ -0,0 +1,358 @@
+//! Pins what stands in the state service: every key and every record, as literals. A
+//! store that an older build left behind has to be read by this one.
+
+use pebblefold::core::duty::{aside::Asides, book::Book, intents::Intents};
+use pebblefold::core::keys::{self, Watched};
+use pebblefold::core::ledger::{self, Assembly, Head, HeadStage, LeaderValue, TxnLimits};
+use pebblefold::core::levels::progress::Progress;
+use pebblefold::core::levels::registry::{self, BUILD, Member, Registry};
+use pebblefold::core::levels::{BEFORE, FENCED, Level, REMEMBERED, Range, TABLE};
+use pebblefold::core::teams::memory::{self, Memory};
+use pebblefold::types::{Attempt, Session, Span, Time, Token, Version, Wall};
+use pebblefold::wire::peers::Told;
+use pebblefold::wire::state::{Entry, Txn};
+use pebblefold::wire::users::{Priority, Shape, Submission};
+use serde_json::{Value, json};
+
+/// A transaction as it is sent to the state service.
+fn sent(txn: &Txn) -> Value {
+    serde_json::to_value(txn).expect("a transaction is JSON")
+}
+
+/// What a book holds to be written.
+fn written(book: &mut Book) -> Value {
+    json!(book.take_puts(9))
+}
+
+fn submission() -> Submission {
+    Submission {
+        id: "wk-1".into(),
+        class: "train".into(),
+        team: "red".into(),
+        shape: Shape::Gang,
+        priority: Priority::High,
+        tasks: 2,
+        cpus: 8.0,
+        gpus: 1.0,
+        memory_gb: 64.0,
+        image: "img".into(),
+        image_gb: 6.2,
+        kinds: Some(vec!["g8".into()]),
+        zone: None,
+        one_zone: true,
+        spread: false,
+        spot: true,
+        estimate_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+    }
+}
+
+const SUBMITTED: &str = r#"{"ref":"wk-1","lane":"train","crew":"red","shape":"ensemble","urgency":"urgent","pieces":2,"vcpus":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img","size_gb":6.2,"kinds_of_box":["g8"],"yard":null,"same_place":true,"scatter":false,"borrowed":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0}"#;
+
+#[test]
+fn keys_of_jobs_keep_their_form() {
+    let id = "wk-1".into();
+    assert_eq!(keys::head_key(&id), "job/wk-1");
+    assert_eq!(keys::job_key(&id), "w/j/wk-1");
+    assert_eq!(keys::part_key(&id, 3), "w/p/wk-1/3");
+    assert_eq!(keys::end_key(&id), "w/x/wk-1");
+    assert_eq!(keys::chunk_key(&id, 7), "r/wk-1/7");
+    let prefixes = [
+        keys::WATCHED,
+        keys::RECORDS,
+        keys::TYPES,
+        keys::JOBS,
+        keys::PARTS,
+        keys::ENDS,
+        pebblefold::core::duty::PREFIX,
+        memory::KEY,
+    ];
+    assert_eq!(
+        prefixes,
+        ["w/", "r/", "types", "w/j/", "w/p/", "w/x/", "d/", "d/f"]
+    );
+}
+
+#[test]
+fn watched_keys_are_told_apart() {
+    assert_eq!(keys::watched("w/leader"), Watched::Office);
+    assert_eq!(keys::watched("w/leader/at/node-0"), Watched::Office);
+    assert_eq!(keys::watched("w/j/wk-1"), Watched::Job("wk-1".into()));
+    assert_eq!(keys::watched("w/p/wk-1/3"), Watched::Part("wk-1".into(), 3));
+    assert_eq!(keys::watched("w/x/wk-1"), Watched::End("wk-1".into()));
+    assert_eq!(keys::record("r/wk-1/7"), Some(("wk-1".into(), 7)));
+}
+
+#[test]
+fn job_heads_keep_their_stored_format() {
+    let stages = [
+        (HeadStage::Open, "p"),
+        (HeadStage::Done, "d"),
+        (HeadStage::Cancelled, "c"),
+    ];
+    for (stage, text) in stages {
+        let stored = json!({"s": text, "n": 3});
+        assert_eq!(ledger::head_value(stage, 3), stored);
+        assert_eq!(ledger::read(&stored), Some(Head { s: stage, n: 3 }));
+    }
+    let head = Head {
+        s: HeadStage::Open,
+        n: 3,
+    };
+    assert_eq!(
+        sent(&ledger::cancel_txn(&"wk-1".into(), head, Version(7))),
+        json!({"if": [{"key": "job/wk-1", "touched": 7}], "apply": [
+            {"write": "job/wk-1", "value": {"s": "c", "n": 3}},
+            {"write": "w/x/wk-1", "value": {"s": "c", "n": 3}},
+        ]})
+    );
+}
+
+#[test]
+fn submission_record_keeps_its_stored_format() {
+    let limits = TxnLimits {
+        ops: 48,
+        value_bytes: 8192,
+    };
+    let txn = ledger::accept_txn(&submission(), Wall(5), limits).expect("it fits");
+    assert_eq!(
+        sent(&txn),
+        json!({"if": [{"key": "job/wk-1", "touched": 0}], "apply": [
+            {"write": "job/wk-1", "value": {"s": "p", "n": 2}},
+            {"write": "w/j/wk-1", "value": {"at": 5, "n": 1, "s": SUBMITTED}},
+        ]})
+    );
+    let stored = json!({"at": 5, "n": 1, "s": SUBMITTED});
+    let job = Assembly::default().job(&"wk-1".into(), Version(9), &stored);
+    let job = job.expect("it is read");
+    assert_eq!((job.at, &*job.spec), (Wall(5), &submission()));
+}
+
+#[test]
+fn long_submission_is_stored_in_parts() {
+    let limits = TxnLimits {
+        ops: 48,
+        value_bytes: 420,
+    };
+    let txn = ledger::accept_txn(&submission(), Wall(5), limits).expect("it fits");
+    let (one, rest) = SUBMITTED.split_at(FIRST);
+    let (two, three) = rest.split_at(SECOND);
+    assert_eq!(
+        sent(&txn)["apply"],
+        json!([
+            {"write": "job/wk-1", "value": {"s": "p", "n": 2}},
+            {"write": "w/j/wk-1", "value": {"at": 5, "n": 3, "s": one}},
+            {"write": "w/p/wk-1/1", "value": two}, {"write": "w/p/wk-1/2", "value": three},
+        ])
+    );
+    let mut parts = Assembly::default();
+    parts.part("wk-1".into(), 1, &json!(two));
+    parts.part("wk-1".into(), 2, &json!(three));
+    let stored = json!({"at": 5, "n": 3, "s": one});
+    let job = parts.job(&"wk-1".into(), Version(9), &stored);
+    assert_eq!(*job.expect("it is read").spec, submission());
+}
+/// Where the parts of the sample end.
+const FIRST: usize = 125;
+const SECOND: usize = 132;
+
+#[test]
+fn progress_keeps_its_stored_format_at_every_level() {
+    let place = |i, a, m: &str| (i, Attempt(a), m.into(), Session(1));
+    let full = Progress {
+        attempt: Attempt(3),
+        done: vec![(0, 2), (5, 6)],
+        places: vec![place(2, 3, "host-7"), place(4, 2, "host-8")],
+        stops: vec![(4, 5)],
+    };
+    let empty = Progress::default();
+    let old = json!({"n": 3, "d": [[0, 2], [5, 6]], "x": [[4, 5]],
+        "p": [[2, 3, "host-7", 1], [4, 2, "host-8", 1]]});
+    let new = json!({"n": 3, "d": [0, 2, 5, 6], "x": [4, 5],
+        "m": [["host-7", 1, 0, [2]], ["host-8", 1, 1, [4]]]});
+    let cases = [
+        (BEFORE, old.clone(), json!({"n": 0, "d": [], "p": []})),
+        (FENCED, old, json!({"n": 0, "d": [], "p": []})),
+        (REMEMBERED, new, json!({"n": 0, "m": []})),
+    ];
+    for (level, stored, nothing) in cases {
+        assert_eq!(full.write(level), stored, "{level}");
+        assert_eq!(Progress::read(&stored).as_ref(), Ok(&full), "{level}");
+        assert_eq!(empty.write(level), nothing, "{level}");
+        assert_eq!(Progress::read(&nothing).as_ref(), Ok(&empty), "{level}");
+    }
+}
+
+#[test]
+fn leader_records_keep_their_stored_format() {
+    let stored = json!({"label": "node-1", "nonce": 7});
+    let leader = LeaderValue {
+        label: "node-1".into(),
+        nonce: 7,
+    };
+    assert_eq!(ledger::leader_value(&leader), stored);
+    assert_eq!(ledger::read(&stored), Some(leader));
+    assert_eq!(
+        registry::stone(),
+        json!({"since": 1, "see": "w/leader/holder"})
+    );
+    let all = [
+        registry::PREFIX,
+        registry::STONE,
+        registry::HOLDER,
+        registry::LEVEL,
+        registry::DONE,
+    ];
+    assert_eq!(
+        all,
+        [
+            "w/leader",
+            "w/leader",
+            "w/leader/holder",
+            "w/leader/level",
+            "w/leader/done"
+        ]
+    );
+}
+
+#[test]
+fn levels_keep_their_numbers_and_names() {
+    let table = TABLE.map(|s| (s.level.0, s.name));
+    assert_eq!(table, [(0, "before"), (1, "fenced"), (2, "remembered")]);
+    assert_eq!((Range::OURS.low, Range::OURS.high), (Level(0), Level(2)));
+}
+
+fn own_registry(entries: &[(&str, Value)]) -> Registry {
+    let policy = [("idle_s".to_string(), 5.0)].into();
+    let mut registry = Registry::new("node-0".into(), Some(Range::OURS), policy, 9);
+    let entry = |(i, (key, value)): (usize, &(&str, Value))| Entry {
+        key: (*key).into(),
+        value: value.clone(),
+        version: Version(i as u64 + 1),
+    };
+    let entries: Vec<Entry> = entries.iter().enumerate().map(entry).collect();
+    registry.load(&entries);
+    registry
+}
+
+#[test]
+fn member_record_keeps_its_stored_format() {
+    let registry = own_registry(&[]);
+    let record = json!({"levels": {"low": 0, "high": 2}, "build": BUILD,
+        "policy": {"idle_s": 5.0}, "life": 9});
+    assert_eq!(
+        sent(&registry.registration().expect("it has to register")),
+        json!({
+            "if": [{"key": "w/leader/level", "touched": 0},
+                {"key": "w/leader/at/node-0", "touched": 0}],
+            "apply": [{"write": "w/leader/at/node-0", "value": record}],
+        })
+    );
+    assert_eq!(
+        own_registry(&[("w/leader/at/node-0", record)]).registration(),
+        None
+    );
+    let bare = json!({"levels": {"low": 0, "high": 1}, "build": "0.1"});
+    let member: Member = ledger::read(&bare).expect("it is read");
+    assert!(member.policy.is_empty() && member.life == 0);
+}
+
+#[test]
+fn level_records_keep_their_stored_format() {
+    let begin = own_registry(&[]).begin();
+    assert_eq!(
+        serde_json::to_value(begin).expect("JSON"),
+        json!([
+            {"write": "w/leader", "value": {"since": 1, "see": "w/leader/holder"}},
+            {"write": "w/leader/level", "value": {"level": 1}},
+            {"write": "w/leader/done", "value": {"level": 1}},
+        ])
+    );
+    let member = json!({"levels": {"low": 0, "high": 2}, "build": "b", "policy": {}, "life": 4});
+    let mut registry = own_registry(&[
+        ("w/leader/level", json!({"level": 1})),
+        ("w/leader/done", json!({"level": 1})),
+        ("w/leader/at/node-0", member.clone()),
+        ("w/leader/at/node-1", member),
+    ]);
+    assert_eq!((registry.level(), registry.done()), (FENCED, FENCED));
+    let told = Told {
+        low: 0,
+        high: 2,
+        build: "b".into(),
+        life: 4,
+    };
+    for second in 0..=20 {
+        let now = Time(second * 1_000_000);
+        registry.heard(now, &"node-1".into(), Some(told.clone()));
+    }
+    let rise = registry
+        .rise(Time(20_000_000), &["node-1".into()], Level(9))
+        .expect("all have it");
+    let txn = Txn {
+        conditions: rise.conditions,
+        ops: rise.ops,
+    };
+    assert_eq!(
+        sent(&txn),
+        json!({
+            "if": [{"key": "w/leader/level", "touched": 1},
+                {"key": "w/leader/at/node-1", "touched": 4},
+                {"key": "w/leader/at/node-0", "touched": 3}],
+            "apply": [{"write": "w/leader/level", "value": {"level": 2}}],
+        })
+    );
+    registry.risen(REMEMBERED, Version(8));
+    assert_eq!(
+        sent(&registry.rewritten().expect("it is to be said")),
+        json!({"if": [{"key": "w/leader/level", "touched": 8}],
+            "apply": [{"write": "w/leader/done", "value": {"level": 2}}]})
+    );
+}
+
+#[test]
+fn hire_and_release_intents_keep_their_stored_format() {
+    let new = || Intents::new(Token(9), Span::secs(4.0), 8192);
+    let mut intents = new();
+    intents.hire(("g8".into(), "z0".into(), true), 2, Wall(5));
+    let hire = json!([["d/h/9-1", {"t": 5, "r": {
+        "hire": "9-1", "box_kind": "g8", "yard": "z0", "borrowed": true, "count": 2,
+    }}]]);
+    assert_eq!(written(&mut intents.book), hire);
+    let machines = ["host-1", "host-2"].map(|m| (m.into(), "idle"));
+    intents.release(machines.into_iter(), Wall(5));
+    let release = json!([["d/x/9-2", {"t": 5, "w": {"idle": ["host-1", "host-2"]}}]]);
+    assert_eq!(written(&mut intents.book), release);
+    let mut successor = new();
+    successor.load("d/h/9-1", &hire[0][1], Wall(6));
+    successor.load("d/x/9-2", &release[0][1], Wall(6));
+    assert_eq!(successor.open(), [1, 1, 2]);
+}
+
+#[test]
+fn put_aside_record_keeps_its_stored_format() {
+    let (mut asides, mut book) = (Asides::default(), Book::default());
+    let id = "host-1".into();
+    asides.strike(&mut book, &id, Wall(5));
+    asides.strike(&mut book, &id, Wall(6));
+    let struck = json!([["d/m/host-1", {"n": 2, "t": 6, "d": false}]]);
+    assert_eq!(written(&mut book), struck);
+    asides.drain(&mut book, &id, Wall(7));
+    let drained = json!([["d/m/host-1", {"n": 2, "t": 6, "d": true}]]);
+    assert_eq!(written(&mut book), drained);
+    let old = json!({"n": 2, "t": 6});
+    let read = Asides::default().load("d/m/host-1", &old);
+    assert_eq!(read, Some((id, false)));
+}
+
+#[test]
+fn arrival_memory_keeps_its_stored_format() {
+    let mut memory = Memory::new(Span::secs(600.0));
+    memory.note(Wall(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
+    let stored = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
+    assert_eq!(memory.store(Wall(40_000), 8192), stored);
+    let missing = Memory::new(Span::secs(600.0)).missing(&stored);
+    assert_eq!(missing.map(|m| m.len()), Some(1));
+}
--- /dev/null
+++ b/crates/wire/tests/services_format.rs
@@ -0,0 +1,366 @@
+//! Pins what goes to and from the cloud, the state service and the workers' shared
+//! directory: names, spellings and some exact bytes, all as literals.
+
+use pebblefold_wire::http::{HttpError, Response, write_request, write_response};
+use pebblefold_wire::types::{Amounts, Version, Wall};
+use pebblefold_wire::{cloud, decode, encode, state, steps};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::{Value, json};
+use std::fmt::Debug;
+
+/// The value is written as `expected`, and `expected` is read as the value.
+fn keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: Value) {
+    let written: Value = decode(&encode(value)).expect("MessagePack");
+    assert_eq!(written, expected, "written");
+    reads(value, expected);
+}
+
+/// `stored` is read as the value, in MessagePack and in JSON.
+fn reads<T: DeserializeOwned + PartialEq + Debug>(value: &T, stored: Value) {
+    assert_eq!(decode::<T>(&encode(&stored)).as_ref(), Some(value), "read");
+    assert_eq!(&serde_json::from_value::<T>(stored).expect("JSON"), value);
+}
+
+fn hex<T: Serialize>(value: &T) -> String {
+    encode(value).iter().map(|b| format!("{b:02x}")).collect()
+}
+
+// The cloud.
+
+#[test]
+fn machine_types_keep_their_wire_format() {
+    let kind = cloud::MachineType {
+        name: "g4".into(),
+        cpus: 16.0,
+        gpus: 4.0,
+        memory_gb: 128.0,
+        cache_gb: 40.0,
+        fetch_gb_per_s: 2.0,
+        price: 4.5,
+        spot_price: 1.25,
+        boot_s: 10.0,
+        zones: vec!["z0".into(), "z1".into()],
+    };
+    keeps(
+        &cloud::MachineTypes { kinds: vec![kind] },
+        json!({"kinds_of_box": [{
+            "sku": "g4", "vcpus": 16.0, "accelerators": 4.0, "memory_gb": 128.0,
+            "cache_gb": 40.0, "fetch_gb_per_s": 2.0, "rate": 4.5, "low_price": 1.25,
+            "startup_s": 10.0, "yards": ["z0", "z1"],
+        }]}),
+    );
+    keeps(&cloud::MachineTypes::default(), json!({"kinds_of_box": []}));
+}
+
+#[test]
+fn renting_and_releasing_keep_their_wire_format() {
+    let rent = cloud::Rent {
+        request: "node-0-1".into(),
+        kind: "g4".into(),
+        zone: "z0".into(),
+        spot: true,
+        count: 3,
+    };
+    keeps(
+        &rent,
+        json!({"hire": "node-0-1", "box_kind": "g4", "yard": "z0", "borrowed": true, "count": 3}),
+    );
+    assert_eq!(
+        hex(&rent),
+        "85a468697265a86e6f64652d302d31a8626f785f6b696e64a26734a479617264a27a30a8626f\
+         72726f776564c3a5636f756e7403"
+    );
+    let names = cloud::MachineNames {
+        machines: vec!["host-1".into()],
+    };
+    keeps(&names, json!({"boxes": ["host-1"]}));
+}
+
+#[test]
+fn machine_list_keeps_its_wire_format() {
+    let listed = |stage| cloud::ListedMachine {
+        id: "host-1".into(),
+        addr: "10.1.0.1:9000".into(),
+        kind: "g4".into(),
+        zone: "z0".into(),
+        spot: false,
+        stage,
+        age_s: 12.5,
+    };
+    let stages = [
+        (cloud::MachineStage::Booting, "booting"),
+        (cloud::MachineStage::Running, "running"),
+        (cloud::MachineStage::Failed, "failed"),
+    ];
+    for (stage, text) in stages {
+        keeps(
+            &cloud::MachineList {
+                machines: vec![listed(stage)],
+                more: true,
+            },
+            json!({"boxes": [{
+                "ref": "host-1", "addr": "10.1.0.1:9000", "box_kind": "g4", "yard": "z0",
+                "borrowed": false, "stage": text, "age_s": 12.5,
+            }], "truncated": true}),
+        );
+    }
+    reads(&cloud::MachineList::default(), json!({"boxes": []}));
+}
+
+// The state service.
+
+#[test]
+fn keys_keep_their_wire_format() {
+    let (key, version) = (|| "job/wk-1".to_string(), Version(7));
+    let entry = state::Entry {
+        key: key(),
+        value: json!({"a": 1}),
+        version,
+    };
+    keeps(
+        &entry,
+        json!({"key": "job/wk-1", "value": {"a": 1}, "touched": 7}),
+    );
+    let answer = |lease| state::KeyAnswer {
+        key: key(),
+        value: Value::Null,
+        version,
+        lease,
+    };
+    keeps(
+        &answer(Some(3)),
+        json!({"key": "job/wk-1", "value": null, "touched": 7, "permit": 3}),
+    );
+    keeps(
+        &answer(None),
+        json!({"key": "job/wk-1", "value": null, "touched": 7}),
+    );
+    reads(&answer(None), json!({"key": "job/wk-1", "touched": 7}));
+    let page = |more| state::Entries {
+        items: vec![entry.clone()],
+        more,
+        revision: Version(9),
+    };
+    let items = json!([{"key": "job/wk-1", "value": {"a": 1}, "touched": 7}]);
+    keeps(
+        &page(true),
+        json!({"entries": items, "truncated": true, "ledger_mark": 9}),
+    );
+    reads(&page(false), json!({"entries": items, "ledger_mark": 9}));
+}
+
+#[test]
+fn transactions_keep_their_wire_format() {
+    let put = |lease| state::Op::Put {
+        key: "a".into(),
+        value: json!(1),
+        lease,
+    };
+    let delete = state::Op::Delete { key: "b".into() };
+    let condition = state::Condition {
+        key: "c".into(),
+        version: Version(7),
+    };
+    let txn = state::Txn {
+        conditions: vec![condition],
+        ops: vec![put(Some(3)), put(None), delete],
+    };
+    keeps(
+        &txn,
+        json!({"if": [{"key": "c", "touched": 7}], "apply": [
+            {"write": "a", "value": 1, "permit": 3}, {"write": "a", "value": 1}, {"delete": "b"},
+        ]}),
+    );
+    assert_eq!(
+        hex(&txn),
+        "82a269669182a36b6579a163a7746f756368656407a56170706c799383a57772697465a161a5\
+         76616c756501a67065726d69740382a57772697465a161a576616c75650181a664656c657465\
+         a162"
+    );
+    let revision = state::Revision {
+        revision: Version(9),
+        failed: vec!["c".into()],
+    };
+    keeps(&revision, json!({"ledger_mark": 9, "failed": ["c"]}));
+    reads(&state::Revision::default(), json!({}));
+}
+
+#[test]
+fn leases_and_watches_keep_their_wire_format() {
+    keeps(
+        &state::LeaseRequest { ttl_ms: 3000 },
+        json!({"life_ms": 3000}),
+    );
+    keeps(&state::Lease { lease: 3 }, json!({"permit": 3}));
+    let change = |put: Option<&str>, delete: Option<&str>, value| state::Change {
+        put: put.map(String::from),
+        delete: delete.map(String::from),
+        value,
+        version: Version(7),
+    };
+    let changes = state::Changes {
+        revision: Version(9),
+        events: vec![
+            change(Some("a"), None, json!(1)),
+            change(None, Some("b"), Value::Null),
+        ],
+    };
+    keeps(
+        &changes,
+        json!({"ledger_mark": 9, "news": [
+            {"write": "a", "value": 1, "touched": 7}, {"delete": "b", "value": null, "touched": 7},
+        ]}),
+    );
+    let none = state::Changes {
+        revision: Version(9),
+        events: Vec::new(),
+    };
+    reads(&none, json!({"ledger_mark": 9}));
+    reads(
+        &change(None, Some("b"), Value::Null),
+        json!({"delete": "b", "touched": 7}),
+    );
+}
+
+// Uploaded commands and their marks.
+
+#[test]
+fn uploaded_command_keeps_its_format() {
+    let text = String::from;
+    let bare = steps::Description {
+        argv: vec![text("sh")],
+        dir: text("/d"),
+        ..Default::default()
+    };
+    let full = steps::Description {
+        stdin: Some(text("/in")),
+        stdout: Some(text("out")),
+        stderr: Some(text("err")),
+        env: [(text("HOME"), text("/h"))].into(),
+        again: steps::Again::Never,
+        put: vec![
+            steps::Put::Link {
+                from: text("a"),
+                to: text("b"),
+            },
+            steps::Put::Copy {
+                from: text("a"),
+                to: text("b"),
+            },
+            steps::Put::Text {
+                to: text("b"),
+                text: text("t"),
+            },
+            steps::Put::Directory { to: text("b") },
+        ],
+        limit_s: Some(60.0),
+        ..bare.clone()
+    };
+    keeps(
+        &full,
+        json!({
+            "argv": ["sh"], "dir": "/d", "stdin": "/in", "stdout": "out", "stderr": "err",
+            "env": {"HOME": "/h"}, "again": "never", "put": [
+                {"link": {"from": "a", "to": "b"}}, {"copy": {"from": "a", "to": "b"}},
+                {"text": {"to": "b", "text": "t"}}, {"directory": {"to": "b"}},
+            ], "limit_s": 60.0,
+        }),
+    );
+    keeps(
+        &bare,
+        json!({"argv": ["sh"], "dir": "/d", "stdin": null, "stdout": null, "stderr": null,
+            "env": {}, "again": "yes"}),
+    );
+    reads(&bare, json!({"argv": ["sh"], "dir": "/d"}));
+    assert_eq!(
+        hex(&bare),
+        "87a46172677691a27368a3646972a22f64a5737464696ec0a67374646f7574c0a67374646572\
+         72c0a3656e7680a5616761696ea3796573"
+    );
+}
+
+#[test]
+fn marks_of_an_attempt_keep_their_format() {
+    let bare = steps::Mark {
+        code: 137,
+        dir: "/d/1".into(),
+        machine: "host-1".into(),
+        ..Default::default()
+    };
+    let full = steps::Mark {
+        attempt: 4,
+        began_ms: 1000,
+        ended_ms: 2000,
+        not_started: Some("no program".into()),
+        too_long: true,
+        ..bare.clone()
+    };
+    keeps(
+        &full,
+        json!({"code": 137, "dir": "/d/1", "machine": "host-1", "attempt": 4, "began_ms": 1000,
+            "ended_ms": 2000, "not_started": "no program", "too_long": true}),
+    );
+    keeps(
+        &bare,
+        json!({"code": 137, "dir": "/d/1", "machine": "host-1", "attempt": 0, "began_ms": 0,
+            "ended_ms": 0}),
+    );
+    reads(
+        &bare,
+        json!({"code": 137, "dir": "/d/1", "machine": "host-1"}),
+    );
+    assert_eq!(steps::HERE, "/:pebblefold:here:");
+    assert_eq!(
+        [steps::EXIT, steps::STARTED, steps::REFUSED],
+        ["exit.json", "started.json", "refused.json"]
+    );
+}
+
+// What messages are made of.
+
+#[test]
+fn amounts_and_times_keep_their_format() {
+    let amounts = Amounts {
+        cpus: 4.0,
+        gpus: 1.0,
+        memory_gb: 16.5,
+    };
+    keeps(
+        &amounts,
+        json!({"cpus": 4.0, "gpus": 1.0, "memory_gb": 16.5}),
+    );
+    keeps(&Wall(1234), json!(1234));
+}
+
+#[test]
+fn http_messages_keep_their_bytes() {
+    assert_eq!(
+        write_request("POST", "10.0.0.1:1", "/a?b=1", b"xy"),
+        b"POST /a?b=1 HTTP/1.1\r\nHost: 10.0.0.1:1\r\n\
+          Content-Type: application/msgpack\r\nContent-Length: 2\r\n\r\nxy"
+    );
+    assert_eq!(
+        write_request("GET", "10.0.0.1:1", "/a", b""),
+        b"GET /a HTTP/1.1\r\nHost: 10.0.0.1:1\r\n\r\n"
+    );
+    let response = Response {
+        status: 503,
+        retry_after: Some(2),
+        body: b"xy".to_vec(),
+        close: true,
+    };
+    assert_eq!(
+        write_response(&response),
+        b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/msgpack\r\n\
+          Content-Length: 2\r\nRetry-After: 2\r\nConnection: close\r\n\r\nxy"
+    );
+    let refusals = [
+        (HttpError::Malformed, 400, "malformed message"),
+        (HttpError::HeadTooLarge, 431, "head too large"),
+        (HttpError::BodyTooLarge, 413, "body too large"),
+    ];
+    for (e, status, text) in refusals {
+        assert_eq!((e.status(), e.to_string().as_str()), (status, text));
+    }
+}
--- /dev/null
+++ b/crates/wire/tests/wire_format.rs
@@ -0,0 +1,288 @@
+//! Pins what controllers and workers tell one another: names, spellings and some exact
+//! bytes. Everything expected is a literal; a renamed type or field must not change it.
+
+use pebblefold_wire::types::{Attempt, Session, Tally, Token};
+use pebblefold_wire::{decode, encode, peers, workers};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::{Value, json};
+use std::fmt::Debug;
+
+/// The value is written as `expected`, and `expected` is read as the value.
+fn keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: Value) {
+    let written: Value = decode(&encode(value)).expect("MessagePack");
+    assert_eq!(written, expected, "written");
+    reads(value, expected);
+}
+
+/// `stored` is read as the value, in MessagePack and in JSON.
+fn reads<T: DeserializeOwned + PartialEq + Debug>(value: &T, stored: Value) {
+    assert_eq!(decode::<T>(&encode(&stored)).as_ref(), Some(value), "read");
+    assert_eq!(&serde_json::from_value::<T>(stored).expect("JSON"), value);
+}
+
+/// Each variant has its spelling.
+fn spells<T: Serialize + DeserializeOwned + PartialEq + Debug>(variants: &[(T, &str)]) {
+    for (variant, text) in variants {
+        keeps(variant, json!(text));
+    }
+}
+
+fn hex<T: Serialize>(value: &T) -> String {
+    encode(value).iter().map(|b| format!("{b:02x}")).collect()
+}
+
+// Controllers.
+
+#[test]
+fn leader_heartbeat_keeps_its_wire_format() {
+    let beat = peers::Beat {
+        label: "node-0".into(),
+        token: Token(5),
+        state_ms: 120,
+        late_ms: 7,
+    };
+    keeps(
+        &beat,
+        json!({"label": "node-0", "token": 5, "state_ms": 120, "late_ms": 7}),
+    );
+    assert_eq!(
+        hex(&beat),
+        "84a56c6162656ca66e6f64652d30a5746f6b656e05a873746174655f6d7378a76c6174655f6d\
+         7307"
+    );
+}
+
+#[test]
+fn handover_and_doubt_messages_keep_their_wire_format() {
+    keeps(&peers::Take { token: Token(5) }, json!({"token": 5}));
+    let ask = peers::Ask {
+        token: Token(5),
+        no_state: true,
+    };
+    keeps(&ask, json!({"token": 5, "no_state": true}));
+    let mut opinion = peers::Opinion {
+        label: "node-1".into(),
+        token: Token(5),
+        agrees: true,
+        came: 12,
+    };
+    keeps(
+        &opinion,
+        json!({"label": "node-1", "token": 5, "agrees": true, "came": 12}),
+    );
+    opinion.came = 0;
+    reads(
+        &opinion,
+        json!({"label": "node-1", "token": 5, "agrees": true}),
+    );
+}
+
+fn bare_greeting() -> peers::Greeting {
+    peers::Greeting {
+        label: "node-0".into(),
+        token: Token(5),
+        leads: true,
+        loaded: true,
+        state_ok: false,
+        strained: false,
+        effort_us: 0,
+        levels: None,
+        cancelled: Vec::new(),
+        counts: Vec::new(),
+        caches: Vec::new(),
+        fetches: Vec::new(),
+    }
+}
+
+#[test]
+fn node_greeting_keeps_its_wire_format() {
+    let told = peers::Told {
+        low: 0,
+        high: 2,
+        build: "0.2.0".into(),
+        life: 9,
+    };
+    let full = peers::Greeting {
+        loaded: false,
+        strained: true,
+        effort_us: 350,
+        levels: Some(told),
+        cancelled: vec!["wk-1".into()],
+        counts: vec![("wk-2".into(), 3, 4)],
+        caches: vec![("host-1".into(), vec![("img-0".into(), 6.5)])],
+        fetches: vec![("img-0".into(), 9000)],
+        ..bare_greeting()
+    };
+    keeps(
+        &full,
+        json!({
+            "label": "node-0", "token": 5, "leads": true, "loaded": false, "state_ok": false,
+            "strained": true, "effort_us": 350,
+            "levels": {"low": 0, "high": 2, "build": "0.2.0", "life": 9},
+            "cancelled": ["wk-1"], "counts": [["wk-2", 3, 4]],
+            "caches": [["host-1", [["img-0", 6.5]]]], "fetches": [["img-0", 9000]],
+        }),
+    );
+    keeps(
+        &bare_greeting(),
+        json!({
+            "label": "node-0", "token": 5, "leads": true, "loaded": true, "state_ok": false,
+            "strained": false, "effort_us": 0, "counts": [], "caches": [],
+        }),
+    );
+}
+
+#[test]
+fn node_greeting_of_an_older_build_is_read() {
+    reads(
+        &bare_greeting(),
+        json!({"label": "node-0", "token": 5, "leads": true, "state_ok": false}),
+    );
+}
+
+// Workers.
+
+fn report() -> workers::Report {
+    workers::Report {
+        machine: "host-1".into(),
+        addr: "10.1.0.1:9000".into(),
+        kind: "g4".into(),
+        zone: "z0".into(),
+        spot: true,
+        session: Session(2),
+        tally: Tally(17),
+        token: Token(5),
+        notice_s: None,
+        tasks: Vec::new(),
+    }
+}
+
+fn reported(why: Option<workers::Why>, saved: Option<bool>) -> workers::ReportedTask {
+    workers::ReportedTask {
+        task: "wk-1/3".into(),
+        attempt: Attempt(4),
+        state: workers::TaskState::Exited,
+        why,
+        saved,
+    }
+}
+
+#[test]
+fn worker_report_keeps_its_wire_format() {
+    let full = workers::Report {
+        notice_s: Some(30.5),
+        tasks: vec![reported(Some(workers::Why::Stopped), Some(true))],
+        ..report()
+    };
+    keeps(
+        &full,
+        json!({
+            "box": "host-1", "addr": "10.1.0.1:9000", "box_kind": "g4", "yard": "z0",
+            "borrowed": true, "shift": 2, "tally": 17, "baton": 5, "warning_s": 30.5,
+            "pieces": [
+                {"piece": "wk-1/3", "try": 4, "stage": "ended", "cause": "halted", "saved": true},
+            ],
+        }),
+    );
+    keeps(
+        &report(),
+        json!({
+            "box": "host-1", "addr": "10.1.0.1:9000", "box_kind": "g4", "yard": "z0",
+            "borrowed": true, "shift": 2, "tally": 17, "baton": 5, "warning_s": null,
+            "pieces": [],
+        }),
+    );
+    reads(
+        &report(),
+        json!({
+            "box": "host-1", "addr": "10.1.0.1:9000", "box_kind": "g4", "yard": "z0",
+            "borrowed": true, "shift": 2, "tally": 17, "baton": 5,
+        }),
+    );
+    keeps(
+        &reported(None, None),
+        json!({"piece": "wk-1/3", "try": 4, "stage": "ended"}),
+    );
+    assert_eq!(
+        hex(&full),
+        "8aa3626f78a6686f73742d31a461646472ad31302e312e302e313a39303030a8626f785f6b69\
+         6e64a26734a479617264a27a30a8626f72726f776564c3a5736869667402a574616c6c7911a5\
+         6261746f6e05a97761726e696e675f73cb403e800000000000a67069656365739185a5706965\
+         6365a6776b2d312f33a374727904a57374616765a5656e646564a56361757365a668616c7465\
+         64a57361766564c3"
+    );
+}
+
+#[test]
+fn task_states_and_reasons_keep_their_spelling() {
+    use workers::{TaskState, Why};
+    spells(&[
+        (TaskState::Fetching, "fetching"),
+        (TaskState::Waiting, "waiting"),
+        (TaskState::Running, "running"),
+        (TaskState::Saving, "saving"),
+        (TaskState::Exited, "ended"),
+    ]);
+    spells(&[
+        (Why::Done, "done"),
+        (Why::Stopped, "halted"),
+        (Why::Peers, "peers"),
+        (Why::Alone, "alone"),
+        (Why::Error, "error"),
+        (Why::NoRoom, "no_room"),
+        (Why::Busy, "in_use"),
+        (Why::Unknown, "unknown"),
+    ]);
+    reads(&Why::Unknown, json!("a reason of a later version"));
+}
+
+#[test]
+fn worker_commands_keep_their_wire_format() {
+    let task = || "wk-1/3".to_string();
+    let attempt = Attempt(4);
+    let start = workers::Command::Start {
+        task: task(),
+        attempt,
+    };
+    let stop = workers::Command::Stop {
+        task: task(),
+        attempt,
+        grace_s: 2.5,
+    };
+    let forget = workers::Command::Forget {
+        task: task(),
+        attempt,
+    };
+    let commands = vec![start, stop, forget];
+    let orders = json!([
+        {"verb": "start", "piece": "wk-1/3", "try": 4},
+        {"verb": "halt", "piece": "wk-1/3", "try": 4, "wind_down_s": 2.5},
+        {"verb": "clear", "piece": "wk-1/3", "try": 4},
+    ]);
+    keeps(&commands, orders.clone());
+    let answer = workers::ReportAnswer {
+        token: Token(5),
+        commands: commands.clone(),
+    };
+    keeps(&answer, json!({"baton": 5, "orders": orders}));
+    assert_eq!(
+        hex(&answer),
+        "82a56261746f6e05a66f72646572739383a476657262a57374617274a57069656365a6776b2d\
+         312f33a37472790484a476657262a468616c74a57069656365a6776b2d312f33a374727904ab\
+         77696e645f646f776e5f73cb400400000000000083a476657262a5636c656172a57069656365\
+         a6776b2d312f33a374727904"
+    );
+    let direct = workers::DirectCommands {
+        token: Token(5),
+        session: Session(2),
+        commands,
+    };
+    keeps(&direct, json!({"baton": 5, "shift": 2, "orders": orders}));
+    let elsewhere = |report_to| workers::ReportElsewhere { report_to };
+    keeps(
+        &elsewhere(Some("node-1".into())),
+        json!({"foreman": "node-1"}),
+    );
+    keeps(&elsewhere(None), json!({}));
+}
