--- /dev/null
+++ b/crates/pebblefold/tests/history_format.rs
@@ -0,0 +1,184 @@
+//! Pins what a controller says to the state service, the cloud and a worker over a short
+//! history, as literals.
+
+mod common;
+use common::World;
+use pebblefold::core::Side;
+use pebblefold::core::levels::registry::BUILD;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+
+/// A job runs to its end, another one is cancelled, and the idle machine is released.
+fn history() -> World {
+    let mut w = World::default();
+    w.pass(10_000);
+    w.submit("wk-1", "batch");
+    w.pass(15_000);
+    w.submit("wk-2", "service");
+    w.pass(2_000);
+    w.ask(Side::Api, "POST", "/submissions/wk-2/cancel", Value::Null);
+    w.pass(160_000);
+    w
+}
+
+/// Times and random numbers as 0: they differ from history to history.
+fn without_times(value: &mut Value) {
+    match value {
+        Value::Array(a) => a.iter_mut().for_each(without_times),
+        Value::Object(o) => {
+            for (name, v) in o {
+                match name.as_str() {
+                    "t" | "at" | "nonce" | "life" if v.is_u64() => *v = json!(0),
+                    _ => without_times(v),
+                }
+            }
+        }
+        _ => {}
+    }
+}
+
+/// The different values that each key had, in order; null: it was deleted.
+fn written(w: &World) -> BTreeMap<String, Vec<Value>> {
+    let one = |(key, values): (&String, &Vec<Value>)| {
+        let mut values = values.clone();
+        values.iter_mut().for_each(without_times);
+        values.dedup();
+        (key.clone(), values)
+    };
+    w.written.iter().map(one).collect()
+}
+
+fn submitted(id: &str, shape: &str) -> String {
+    format!(
+        r#"{{"ref":"{id}","lane":"urgent","crew":"red","shape":"{shape}","urgency":"standard","pieces":2,"vcpus":4.0,"accelerators":1.0,"memory_gb":16.0,"bundle":"img-0","size_gb":6.0,"kinds_of_box":null,"yard":null,"same_place":false,"scatter":false,"borrowed":false,"guess_s":30.0,"snapshot_every_s":0.0,"snapshot_s":0.0,"due_s":null}}"#
+    )
+}
+
+#[test]
+fn calls_to_the_services_keep_their_paths() {
+    let w = history();
+    let calls: Vec<&str> = w.calls.iter().map(String::as_str).collect();
+    assert_eq!(
+        calls,
+        [
+            "cloud GET /machine_types",
+            "cloud GET /machines?most=500",
+            "cloud POST /machines",
+            "cloud POST /machines/release",
+            "state GET /changes",
+            "state GET /keys",
+            "state GET /keys/job/wk-2",
+            "state POST /commit",
+            "state POST /leases",
+        ]
+    );
+}
+
+#[test]
+fn records_of_a_history_keep_their_keys_and_values() {
+    let mut written = written(&history());
+    assert!(written.remove("d/f").is_some(), "arrivals are remembered");
+    // How many machines are hired, and so the number in a name, is another matter.
+    let later = |k: &String| k.starts_with("d/h/") && k != "d/h/2-1";
+    written.retain(|k, _| !later(k));
+    let release = written.keys().find(|k| k.starts_with("d/x/2-")).cloned();
+    let release = written.remove(&release.expect("it is released"));
+    assert_eq!(
+        release,
+        Some(vec![
+            json!({"t": 0, "w": {"idle": ["host-1"]}}),
+            Value::Null
+        ])
+    );
+    let types = json!([{"sku": "g4", "vcpus": 16.0, "accelerators": 4.0, "memory_gb": 128.0,
+        "cache_gb": 40.0, "fetch_gb_per_s": 2.0, "rate": 4.0, "low_price": 1.0,
+        "startup_s": 1.0, "yards": ["z0"]}]);
+    let hire = json!({"t": 0, "r": {"hire": "2-1", "box_kind": "g4", "yard": "z0",
+        "borrowed": false, "count": 1}});
+    let places = json!({"n": 1, "m": [["host-1", 1, 0, [0, 1]]]});
+    let member = json!({"levels": {"low": 0, "high": 2}, "build": BUILD, "policy": {}, "life": 0});
+    assert_eq!(
+        json!(written),
+        json!({
+            "d/h/2-1": [hire, null],
+            "job/wk-1": [{"s": "p", "n": 2}, {"s": "d", "n": 2}],
+            "job/wk-2": [{"s": "p", "n": 2}, {"s": "c", "n": 2}],
+            "r/wk-1/0": [places, null],
+            "r/wk-2/0": [places, null],
+            "types/000": [types],
+            "w/j/wk-1": [{"at": 0, "n": 1, "s": submitted("wk-1", "batch")}, null],
+            "w/j/wk-2": [{"at": 0, "n": 1, "s": submitted("wk-2", "service")}, null],
+            "w/leader": [{"since": 1, "see": "w/leader/holder"}],
+            "w/leader/at/node-0": [member],
+            "w/leader/done": [{"level": 1}, {"level": 2}],
+            "w/leader/holder": [{"label": "node-0", "nonce": 0}],
+            "w/leader/level": [{"level": 1}, {"level": 2}],
+            "w/x/wk-2": [{"s": "c", "n": 2}, null],
+        })
+    );
+}
+
+#[test]
+fn the_cloud_and_the_worker_are_asked_as_before() {
+    let w = history();
+    assert_eq!(
+        w.asked["/machines"][0],
+        json!({"hire": "2-1", "box_kind": "g4", "yard": "z0", "borrowed": false, "count": 1})
+    );
+    assert_eq!(w.asked["/machines/release"], [json!({"boxes": ["host-1"]})]);
+    let command = |verb: &str, task: &str| json!({"verb": verb, "piece": task, "try": 1});
+    let halt = |task: &str| json!({"verb": "halt", "piece": task, "try": 1, "wind_down_s": 0.0});
+    assert_eq!(
+        w.commands,
+        [
+            command("start", "wk-1/0"),
+            command("start", "wk-1/1"),
+            command("clear", "wk-1/0"),
+            command("clear", "wk-1/1"),
+            command("start", "wk-2/0"),
+            command("start", "wk-2/1"),
+            halt("wk-2/0"),
+            halt("wk-2/1"),
+            command("clear", "wk-2/0"),
+            command("clear", "wk-2/1"),
+        ]
+    );
+}
+
+/// What a build without levels stored: one task is done, one is placed.
+#[test]
+fn store_of_a_build_without_levels_is_read_and_rewritten() {
+    let mut w = World::default();
+    let text = submitted("wk-1", "batch");
+    let (one, two) = text.split_at(40);
+    w.stored("job/wk-1", json!({"s": "p", "n": 2}));
+    w.stored("w/j/wk-1", json!({"at": 1_000_000, "n": 2, "s": one}));
+    w.stored("w/p/wk-1/1", json!(two));
+    w.stored(
+        "r/wk-1/0",
+        json!({"n": 3, "d": [[0, 1]], "p": [[1, 3, "host-9", 1]]}),
+    );
+    w.stored("d/m/host-9", json!({"n": 2, "t": 1_000_000}));
+    w.stored(
+        "d/x/1-1",
+        json!({"t": 1_000_000, "w": {"idle": ["host-8"]}}),
+    );
+    w.pass(5_000);
+    let (_, told) = w.ask(Side::Internal, "GET", "/inspect", Value::Null);
+    let job = &told["leading"]["jobs"][0];
+    assert_eq!(
+        [&job["job"], &job["tasks"], &job["done"], &job["placed"]],
+        [&json!("wk-1"), &json!(2), &json!(1), &json!(1)]
+    );
+    let duties = &told["leading"]["duties"];
+    // It is asked for again until the list shows that the machine is gone.
+    let mut releases = w.asked["/machines/release"].clone();
+    releases.dedup();
+    assert_eq!(releases, [json!({"boxes": ["host-8"]})]);
+    assert_eq!(duties[2]["open"]["put_aside"], 1);
+    assert_eq!(told["levels"]["rewritten"], 2);
+    assert_eq!(
+        w.written["r/wk-1/0"],
+        [json!({"n": 3, "d": [0, 1], "m": [["host-9", 1, 0, [1]]]})]
+    );
+}
--- /dev/null
+++ b/crates/pebblefold/tests/inspect_format.rs
@@ -0,0 +1,318 @@
+//! Pins what operators read of a controller and the texts that stand for states, as
+//! literals.
+
+mod common;
+use common::{World, running};
+use pebblefold::core::Side;
+use pebblefold::core::election::Standing;
+use pebblefold::core::io::Timed;
+use pebblefold::core::ledger::End;
+use pebblefold::core::presence::Phase;
+use pebblefold::core::suspicion::judge::Doubt;
+use pebblefold::types::{Tally, Version};
+use pebblefold::wire::workers::TaskState;
+use serde_json::{Value, json};
+use std::collections::BTreeSet;
+
+/// Adds the path of each value that has none below it.
+fn paths(value: &Value, path: &str, out: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(o) if !o.is_empty() => {
+            let dot = if path.is_empty() { "" } else { "." };
+            o.iter()
+                .for_each(|(name, v)| paths(v, &format!("{path}{dot}{name}"), out));
+        }
+        Value::Array(a) if !a.is_empty() => {
+            a.iter().for_each(|v| paths(v, &format!("{path}[]"), out));
+        }
+        _ => drop(out.insert(path.to_string())),
+    }
+}
+
+fn inspect(w: &mut World) -> Value {
+    let (status, answer) = w.ask(Side::Internal, "GET", "/inspect", Value::Null);
+    assert_eq!(status, 200);
+    answer
+}
+
+/// Each value that a leader tells, where it has a worker with tasks.
+const LEADING: [&str; 126] = [
+    "effort_us",
+    "late_share",
+    "leader",
+    "leader_seen.agree",
+    "leader_seen.doubt",
+    "leader_seen.its_state_s_ago",
+    "leader_seen.its_work_late_s",
+    "leader_seen.needed",
+    "leader_seen.none_for_s",
+    "leader_seen.of",
+    "leader_seen.refuted",
+    "leader_seen.silent_s",
+    "leader_seen.suspicion",
+    "leader_seen.verdicts",
+    "leading.contact_s_ago",
+    "leading.cycles",
+    "leading.duties[].duty",
+    "leading.duties[].fence",
+    "leading.duties[].held_s",
+    "leading.duties[].open",
+    "leading.duties[].open.by",
+    "leading.duties[].open.hands_changed",
+    "leading.duties[].open.hires",
+    "leading.duties[].open.jobs_to_drop",
+    "leading.duties[].open.machines_going",
+    "leading.duties[].open.orphans_deleted",
+    "leading.duties[].open.orphans_left",
+    "leading.duties[].open.put_aside",
+    "leading.duties[].open.records_to_write",
+    "leading.duties[].open.records_written",
+    "leading.duties[].open.releases",
+    "leading.duties[].open.stopping",
+    "leading.duties[].progress_s_ago",
+    "leading.in_office_s",
+    "leading.jobs[].class",
+    "leading.jobs[].done",
+    "leading.jobs[].end",
+    "leading.jobs[].job",
+    "leading.jobs[].last_stop",
+    "leading.jobs[].owner",
+    "leading.jobs[].placed",
+    "leading.jobs[].priority",
+    "leading.jobs[].tasks",
+    "leading.jobs[].waiting",
+    "leading.jobs[].waits_s",
+    "leading.jobs[].why",
+    "leading.jobs[].within_guarantee",
+    "leading.loaded",
+    "leading.machines[].deaf_s",
+    "leading.machines[].images[]",
+    "leading.machines[].kind",
+    "leading.machines[].leaving",
+    "leading.machines[].lost",
+    "leading.machines[].machine",
+    "leading.machines[].reported_s_ago",
+    "leading.machines[].session",
+    "leading.machines[].spot",
+    "leading.machines[].taken_in_s",
+    "leading.machines[].tasks[].attempt",
+    "leading.machines[].tasks[].owner",
+    "leading.machines[].tasks[].phase",
+    "leading.machines[].tasks[].stopping",
+    "leading.machines[].tasks[].task",
+    "leading.machines[].usable",
+    "leading.machines[].zone",
+    "leading.shares.classes[].class",
+    "leading.shares.classes[].floor_machines",
+    "leading.shares.classes[].served",
+    "leading.shares.teams[].floor_machines",
+    "leading.shares.teams[].guaranteed.cpus",
+    "leading.shares.teams[].guaranteed.gpus",
+    "leading.shares.teams[].lent.cpus",
+    "leading.shares.teams[].lent.gpus",
+    "leading.shares.teams[].limit.cpus",
+    "leading.shares.teams[].limit.gpus",
+    "leading.shares.teams[].served",
+    "leading.shares.teams[].stopping.cpus",
+    "leading.shares.teams[].stopping.gpus",
+    "leading.shares.teams[].team",
+    "leading.shares.teams[].used.cpus",
+    "leading.shares.teams[].used.gpus",
+    "leading.token",
+    "leading.totals.jobs",
+    "leading.totals.machines",
+    "leading.zones[].machines",
+    "leading.zones[].spot",
+    "leading.zones[].tasks",
+    "leading.zones[].usable",
+    "leading.zones[].zone",
+    "leads",
+    "levels.in_force",
+    "levels.name",
+    "levels.nodes[].build",
+    "levels.nodes[].levels[]",
+    "levels.nodes[].node",
+    "levels.nodes[].policy",
+    "levels.nodes[].says",
+    "levels.nodes[].there_s",
+    "levels.one_policy",
+    "levels.rewritten",
+    "levels.serves",
+    "levels.waits_for",
+    "node",
+    "peers",
+    "ready",
+    "slow",
+    "standing",
+    "standing_by",
+    "state_ok",
+    "strained",
+    "times.poll.count",
+    "times.poll.ms_50",
+    "times.poll.ms_95",
+    "times.poll.ms_99",
+    "times.poll.ms_max",
+    "times.report.count",
+    "times.report.ms_50",
+    "times.report.ms_95",
+    "times.report.ms_99",
+    "times.report.ms_max",
+    "times.submit.count",
+    "times.submit.ms_50",
+    "times.submit.ms_95",
+    "times.submit.ms_99",
+    "times.submit.ms_max",
+    "zone",
+];
+
+#[test]
+fn inspection_keeps_its_names() {
+    let told = inspect(&mut running());
+    let mut found = BTreeSet::new();
+    paths(&told, "", &mut found);
+    assert_eq!(found, LEADING.map(String::from).into());
+}
+
+#[test]
+fn inspection_of_a_node_that_does_not_lead_keeps_its_names() {
+    let told = inspect(&mut World::default());
+    let mut found = BTreeSet::new();
+    paths(&told, "", &mut found);
+    let leading = |p: &&str| p.starts_with("leading.") || p.starts_with("times.");
+    let mut wanted: BTreeSet<String> = LEADING
+        .iter()
+        .filter(|p| !leading(p))
+        .map(|p| (*p).to_string())
+        .collect();
+    wanted.extend(["leading", "times", "levels.nodes[].levels"].map(String::from));
+    wanted.remove("levels.nodes[].levels[]");
+    assert_eq!(found, wanted);
+}
+
+#[test]
+fn inspection_keeps_its_texts() {
+    let mut w = World::default();
+    let before = inspect(&mut w);
+    assert_eq!(before["standing"], "Unknown");
+    assert_eq!(before["levels"]["name"], "before");
+    assert_eq!(
+        before["levels"]["serves"],
+        "no: the level in force is not known yet"
+    );
+    assert_eq!(
+        before["levels"]["waits_for"],
+        "node-0 has not said which levels it serves"
+    );
+    let mut w = running();
+    let told = inspect(&mut w);
+    assert_eq!(told["standing"], "Leading");
+    let levels = &told["levels"];
+    assert_eq!(
+        [&levels["name"], &levels["serves"], &levels["waits_for"]],
+        ["remembered", "yes", "level 2 is the newest of this build"]
+    );
+    let duties = told["leading"]["duties"].as_array().expect("duties");
+    let names: Vec<&Value> = duties.iter().map(|d| &d["duty"]).collect();
+    assert_eq!(names, ["placing", "renting", "reclaiming", "cleaning"]);
+    assert_eq!(duties[1]["open"]["by"], "itself");
+    let task = &told["leading"]["machines"][0]["tasks"][0];
+    assert_eq!(
+        *task,
+        json!({"task": "wk-1/0", "owner": "red", "attempt": 1, "phase": "Seen(Running)",
+            "stopping": false})
+    );
+    let job = &told["leading"]["jobs"][0];
+    assert_eq!(
+        (&job["end"], &job["priority"]),
+        (&Value::Null, &json!("standard"))
+    );
+    w.ask(Side::Api, "POST", "/submissions/wk-1/cancel", Value::Null);
+    w.pass(100);
+    let told = inspect(&mut w);
+    assert_eq!(told["leading"]["jobs"][0]["end"], "Cancelled");
+    assert!(told["times"]["cancel"].is_object(), "{}", told["times"]);
+}
+
+#[test]
+fn inspection_shows_what_a_query_names() {
+    let mut w = running();
+    let (_, none) = w.ask(
+        Side::Internal,
+        "GET",
+        "/inspect?machine=x&job=x",
+        Value::Null,
+    );
+    assert_eq!(none["leading"]["machines"], json!([]));
+    assert_eq!(none["leading"]["jobs"], json!([]));
+    let (_, some) = w.ask(
+        Side::Internal,
+        "GET",
+        "/inspect?machine=host&job=wk",
+        Value::Null,
+    );
+    assert_eq!(some["leading"]["machines"][0]["machine"], "host-1");
+    assert_eq!(some["leading"]["jobs"][0]["job"], "wk-1");
+}
+
+/// Operators read these as they are written by `Debug`: their names are no private matter.
+#[test]
+fn states_keep_their_texts() {
+    let phases = [
+        Phase::Unsent,
+        Phase::Sent(Tally(7)),
+        Phase::Inherited,
+        Phase::Kept,
+        Phase::Seen(TaskState::Fetching),
+        Phase::Seen(TaskState::Waiting),
+        Phase::Seen(TaskState::Running),
+        Phase::Seen(TaskState::Saving),
+        Phase::Seen(TaskState::Exited),
+    ];
+    assert_eq!(
+        phases.map(|p| format!("{p:?}")),
+        [
+            "Unsent",
+            "Sent(Tally(7))",
+            "Inherited",
+            "Kept",
+            "Seen(Fetching)",
+            "Seen(Waiting)",
+            "Seen(Running)",
+            "Seen(Saving)",
+            "Seen(Exited)"
+        ]
+    );
+    let ends = [End::Done { written: false }, End::Cancelled];
+    assert_eq!(
+        ends.map(|e| format!("{e:?}")),
+        ["Done { written: false }", "Cancelled"]
+    );
+    let standings = [
+        Standing::Unknown,
+        Standing::Following(Version(7)),
+        Standing::Vacant(Version(7)),
+        Standing::Leasing(Version(7)),
+        Standing::Claiming(7),
+        Standing::Leading,
+        Standing::Rising,
+    ];
+    assert_eq!(
+        standings.map(|s| format!("{s:?}")),
+        [
+            "Unknown",
+            "Following(Version(7))",
+            "Vacant(Version(7))",
+            "Leasing(Version(7))",
+            "Claiming(7)",
+            "Leading",
+            "Rising"
+        ]
+    );
+    let doubts = [Doubt::Silent, Doubt::NoState];
+    assert_eq!(doubts.map(|d| format!("{d:?}")), ["Silent", "NoState"]);
+    let timed = [Timed::Submit, Timed::Poll, Timed::Cancel, Timed::Report];
+    assert_eq!(
+        timed.map(|t| format!("{t:?}")),
+        ["Submit", "Poll", "Cancel", "Report"]
+    );
+}
