--- a/crates/controller/src/core/effects.rs
+++ b/crates/controller/src/core/effects.rs
@@ -12,6 +12,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
+use std::fmt;
 use std::net::SocketAddrV4;
 
 /// The calls that a part waits for, each with what its reply is for. A reply
@@ -50,6 +51,18 @@
     Report,
 }
 
+impl fmt::Display for RequestKind {
+    /// The spelling in `/inspect`, whatever the variants are called.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            RequestKind::Submit => "submit",
+            RequestKind::Poll => "poll",
+            RequestKind::Cancel => "cancel",
+            RequestKind::Report => "report",
+        })
+    }
+}
+
 /// Collects outputs, names calls, and keeps the rates that the parts share.
 #[derive(Debug)]
 pub struct Effects {
@@ -169,9 +182,7 @@
             })
         };
         let times = self.times.iter();
-        times
-            .map(|(k, h)| (format!("{k:?}").to_lowercase(), one(h)))
-            .collect()
+        times.map(|(k, h)| (k.to_string(), one(h))).collect()
     }
 
     /// Answers a request.
--- a/crates/controller/src/core/election.rs
+++ b/crates/controller/src/core/election.rs
@@ -14,6 +14,7 @@
     TransactionResponse, WatchResponse,
 };
 use rand::RngExt;
+use std::fmt;
 
 /// Hold of a follower's watch.
 const HOLD: TimeSpan = TimeSpan::millis(2000);
@@ -46,6 +47,21 @@
     Rising,
 }
 
+impl fmt::Display for ElectionState {
+    /// The spelling in `/inspect`, whatever the variants are called.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ElectionState::Unknown => f.write_str("Unknown"),
+            ElectionState::Following(version) => write!(f, "Following(Version({version}))"),
+            ElectionState::Vacant(version) => write!(f, "Vacant(Version({version}))"),
+            ElectionState::Leasing(version) => write!(f, "Leasing(Version({version}))"),
+            ElectionState::Claiming(lease) => write!(f, "Claiming({lease})"),
+            ElectionState::Leading => f.write_str("Leading"),
+            ElectionState::Rising => f.write_str("Rising"),
+        }
+    }
+}
+
 /// Election's state.
 #[derive(Debug)]
 pub struct Election {
--- a/crates/controller/src/core/failure_detector/detector.rs
+++ b/crates/controller/src/core/failure_detector/detector.rs
@@ -11,6 +11,7 @@
 use crate::types::{FencingToken, MachineId, NodeId, Time, TimeSpan};
 use crate::wire::peers::LeaderHeartbeat;
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// Beats come this often.
 pub const BEAT_EVERY: TimeSpan = TimeSpan::millis(250);
@@ -58,6 +59,16 @@
     NoState,
 }
 
+impl fmt::Display for Suspicion {
+    /// The spelling in `/inspect`, whatever the variants are called.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Suspicion::Silent => "Silent",
+            Suspicion::NoState => "NoState",
+        })
+    }
+}
+
 /// What came of asking the leader directly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
@@ -356,7 +367,7 @@
             "silent_s": self.alive.silence(now).map(TimeSpan::as_secs),
             "suspicion": self.alive.phi(now),
             "its_state_s_ago": self.state_age.as_secs(), "its_work_late_s": self.late.as_secs(),
-            "doubt": self.case.as_ref().map(|c| format!("{:?}", c.doubt)),
+            "doubt": self.case.as_ref().map(|c| c.doubt.to_string()),
             "agree": self.case.as_ref().map_or(0, |c| c.agree.len() + 1), "needed": self.quorum,
             "verdicts": self.verdicts, "refuted": self.refuted,
             "none_for_s": self.not_before.since(now).as_secs(),
--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -16,6 +16,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 use std::rc::Rc;
 
 /// Who leads.
@@ -287,6 +288,16 @@
     Cancelled,
 }
 
+impl fmt::Display for JobOutcome {
+    /// The spelling in `/inspect`, whatever the variants are called.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            JobOutcome::Done { written } => write!(f, "Done {{ written: {written} }}"),
+            JobOutcome::Cancelled => f.write_str("Cancelled"),
+        }
+    }
+}
+
 /// One chunk of a job's tasks as it is stored.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Chunk {
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -213,7 +213,7 @@
                     "placed": j.assignments.len(), "waiting": j.waiting.len(),
                     "waits_s": age(j.notes.waiting_since), "why": j.notes.why,
                     "within_guarantee": j.notes.entitled, "last_stop": j.notes.last_stop,
-                    "end": j.end.map(|e| format!("{e:?}")),
+                    "end": j.end.map(|e| e.to_string()),
                 })
             })
             .collect();
--- a/crates/controller/src/core/node/inspect.rs
+++ b/crates/controller/src/core/node/inspect.rs
@@ -27,7 +27,7 @@
         serde_json::json!({
             "node": self.settings.node_id, "zone": self.settings.zone, "ready": self.is_ready(),
             "state_ok": self.state_ok(), "leads": self.leads(),
-            "standing": format!("{:?}", self.election.standing),
+            "standing": self.election.standing.to_string(),
             "leader": self.election.leader.as_ref().map(|(l, _)| l),
             "late_share": self.self_health.share, "strained": self.self_health.strained,
             "effort_us": self.self_health.effort_us, "slow": self.self_health.slow,
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -2,13 +2,15 @@
 //! literal texts: what the controller says is seen as it travels.
 #![allow(dead_code, reason = "each test program uses a part")]
 
-use pebblefold::core::node::Node;
-use pebblefold::core::{Answer, Call, CallId, Input, Now, Output, Reply, RequestId, Side, Target};
-use pebblefold::http::Request;
-use pebblefold::policy::{DEFAULT_SCRIPT, Policy};
-use pebblefold::settings::Settings;
-use pebblefold::types::{Time, Wall};
-use pebblefold::wire::{decode, encode};
+use pebblefold_controller::core::node::Node;
+use pebblefold_controller::core::{
+    Answer, Call, CallId, Input, Listener, Now, Output, Reply, RequestId, Target,
+};
+use pebblefold_controller::http::Request;
+use pebblefold_controller::policy::{DEFAULT_SCRIPT, Policy};
+use pebblefold_controller::settings::Settings;
+use pebblefold_controller::types::{Time, WallTime};
+use pebblefold_controller::wire::{decode, encode};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +33,7 @@
     /// The worker's tasks: attempt, state, and since when.
     tasks: BTreeMap<String, (u64, &'static str, u64)>,
     token: u64,
-    tally: u64,
+    sequence: u64,
     report_due: u64,
     /// Methods and paths of the calls to the state service and the cloud.
     pub calls: BTreeSet<String>,
@@ -83,7 +85,7 @@
             rented: false,
             tasks: BTreeMap::new(),
             token: 0,
-            tally: 0,
+            sequence: 0,
             report_due: 0,
             calls: BTreeSet::new(),
             written: BTreeMap::new(),
@@ -103,7 +105,7 @@
     fn give(&mut self, input: Input) {
         let now = Now {
             time: Time(self.ms * 1000),
-            wall: Wall(1_000_000 + self.ms),
+            wall: WallTime(1_000_000 + self.ms),
         };
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
@@ -111,7 +113,7 @@
                 match out {
                     Output::Answer(id, answer) => drop(self.answers.insert(id.0, answer)),
                     Output::Call(call) => inputs.extend(self.called(call)),
-                    Output::Keep(_) => {}
+                    Output::LeaseKeepAlive(_) => {}
                 }
             }
         }
@@ -260,7 +262,7 @@
     }
 
     fn report(&mut self) {
-        self.tally += 1;
+        self.sequence += 1;
         let piece = |(task, (attempt, state, _)): (&String, &(u64, &str, u64))| match *state {
             "running" => json!({"piece": task, "try": attempt, "stage": "running"}),
             cause => {
@@ -269,9 +271,9 @@
         };
         let pieces: Vec<Value> = self.tasks.iter().map(piece).collect();
         let report = json!({"box": MACHINE, "addr": ADDRESS, "box_kind": "g4", "yard": "z0",
-            "borrowed": false, "shift": 1, "tally": self.tally, "baton": self.token,
+            "borrowed": false, "shift": 1, "tally": self.sequence, "baton": self.token,
             "pieces": pieces});
-        if let Some((200, answer)) = self.answered(Side::Api, "POST", "/checkin", report) {
+        if let Some((200, answer)) = self.answered(Listener::Api, "POST", "/checkin", report) {
             self.obey(&answer);
         }
     }
@@ -307,7 +309,7 @@
     }
 
     /// Asks the node with JSON as MessagePack; waits for the answer.
-    pub fn ask(&mut self, side: Side, method: &str, target: &str, body: Value) -> (u16, Value) {
+    pub fn ask(&mut self, side: Listener, method: &str, target: &str, body: Value) -> (u16, Value) {
         let answer = self.answered(side, method, target, body);
         answer.unwrap_or_else(|| panic!("{method} {target}: no answer"))
     }
@@ -315,7 +317,7 @@
     /// Likewise, for as long as a worker waits.
     fn answered(
         &mut self,
-        side: Side,
+        side: Listener,
         method: &str,
         target: &str,
         body: Value,
@@ -352,7 +354,7 @@
             "memory_gb": 16.0, "bundle": "img-0", "size_gb": 6.0, "same_place": false,
             "scatter": false, "borrowed": false, "guess_s": 30.0, "snapshot_every_s": 0.0,
             "snapshot_s": 0.0});
-        self.ask(Side::Api, "POST", "/submissions", job)
+        self.ask(Listener::Api, "POST", "/submissions", job)
     }
 }
 
@@ -362,6 +364,6 @@
     w.pass(10_000);
     w.submit("wk-1", "batch");
     w.pass(4_000);
-    w.ask(Side::Api, "GET", "/submissions/wk-1", Value::Null);
+    w.ask(Listener::Api, "GET", "/submissions/wk-1", Value::Null);
     w
 }
--- a/crates/controller/tests/history_format.rs
+++ b/crates/controller/tests/history_format.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::World;
-use pebblefold::core::Side;
-use pebblefold::core::levels::registry::BUILD;
+use pebblefold_controller::core::Listener;
+use pebblefold_controller::core::format_version::member_versions::BUILD;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -16,7 +16,12 @@
     w.pass(15_000);
     w.submit("wk-2", "service");
     w.pass(2_000);
-    w.ask(Side::Api, "POST", "/submissions/wk-2/cancel", Value::Null);
+    w.ask(
+        Listener::Api,
+        "POST",
+        "/submissions/wk-2/cancel",
+        Value::Null,
+    );
     w.pass(160_000);
     w
 }
@@ -93,14 +98,14 @@
     let types = json!([{"sku": "g4", "vcpus": 16.0, "accelerators": 4.0, "memory_gb": 128.0,
         "cache_gb": 40.0, "fetch_gb_per_s": 2.0, "rate": 4.0, "low_price": 1.0,
         "startup_s": 1.0, "yards": ["z0"]}]);
-    let hire = json!({"t": 0, "r": {"hire": "2-1", "box_kind": "g4", "yard": "z0",
+    let provision = json!({"t": 0, "r": {"hire": "2-1", "box_kind": "g4", "yard": "z0",
         "borrowed": false, "count": 1}});
     let places = json!({"n": 1, "m": [["host-1", 1, 0, [0, 1]]]});
     let member = json!({"levels": {"low": 0, "high": 2}, "build": BUILD, "policy": {}, "life": 0});
     assert_eq!(
         json!(written),
         json!({
-            "d/h/2-1": [hire, null],
+            "d/h/2-1": [provision, null],
             "job/wk-1": [{"s": "p", "n": 2}, {"s": "d", "n": 2}],
             "job/wk-2": [{"s": "p", "n": 2}, {"s": "c", "n": 2}],
             "r/wk-1/0": [places, null],
@@ -164,7 +169,7 @@
         json!({"t": 1_000_000, "w": {"idle": ["host-8"]}}),
     );
     w.pass(5_000);
-    let (_, told) = w.ask(Side::Internal, "GET", "/inspect", Value::Null);
+    let (_, told) = w.ask(Listener::Internal, "GET", "/inspect", Value::Null);
     let job = &told["leading"]["jobs"][0];
     assert_eq!(
         [&job["job"], &job["tasks"], &job["done"], &job["placed"]],
--- a/crates/controller/tests/inspect_format.rs
+++ b/crates/controller/tests/inspect_format.rs
@@ -3,14 +3,14 @@
 
 mod common;
 use common::{World, running};
-use pebblefold::core::Side;
-use pebblefold::core::election::Standing;
-use pebblefold::core::io::Timed;
-use pebblefold::core::ledger::End;
-use pebblefold::core::presence::Phase;
-use pebblefold::core::suspicion::judge::Doubt;
-use pebblefold::types::{Tally, Version};
-use pebblefold::wire::workers::TaskState;
+use pebblefold_controller::core::Listener;
+use pebblefold_controller::core::assignment::AssignmentPhase;
+use pebblefold_controller::core::effects::RequestKind;
+use pebblefold_controller::core::election::ElectionState;
+use pebblefold_controller::core::failure_detector::detector::Suspicion;
+use pebblefold_controller::core::job_records::JobOutcome;
+use pebblefold_controller::types::{HeartbeatSequence, Version};
+use pebblefold_controller::wire::workers::TaskState;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
@@ -30,7 +30,7 @@
 }
 
 fn inspect(w: &mut World) -> Value {
-    let (status, answer) = w.ask(Side::Internal, "GET", "/inspect", Value::Null);
+    let (status, answer) = w.ask(Listener::Internal, "GET", "/inspect", Value::Null);
     assert_eq!(status, 200);
     answer
 }
@@ -226,7 +226,12 @@
         (&job["end"], &job["priority"]),
         (&Value::Null, &json!("standard"))
     );
-    w.ask(Side::Api, "POST", "/submissions/wk-1/cancel", Value::Null);
+    w.ask(
+        Listener::Api,
+        "POST",
+        "/submissions/wk-1/cancel",
+        Value::Null,
+    );
     w.pass(100);
     let told = inspect(&mut w);
     assert_eq!(told["leading"]["jobs"][0]["end"], "Cancelled");
@@ -237,7 +242,7 @@
 fn inspection_shows_what_a_query_names() {
     let mut w = running();
     let (_, none) = w.ask(
-        Side::Internal,
+        Listener::Internal,
         "GET",
         "/inspect?machine=x&job=x",
         Value::Null,
@@ -245,7 +250,7 @@
     assert_eq!(none["leading"]["machines"], json!([]));
     assert_eq!(none["leading"]["jobs"], json!([]));
     let (_, some) = w.ask(
-        Side::Internal,
+        Listener::Internal,
         "GET",
         "/inspect?machine=host&job=wk",
         Value::Null,
@@ -258,18 +263,18 @@
 #[test]
 fn states_keep_their_texts() {
     let phases = [
-        Phase::Unsent,
-        Phase::Sent(Tally(7)),
-        Phase::Inherited,
-        Phase::Kept,
-        Phase::Seen(TaskState::Fetching),
-        Phase::Seen(TaskState::Waiting),
-        Phase::Seen(TaskState::Running),
-        Phase::Seen(TaskState::Saving),
-        Phase::Seen(TaskState::Exited),
+        AssignmentPhase::Unsent,
+        AssignmentPhase::Sent(HeartbeatSequence(7)),
+        AssignmentPhase::Inherited,
+        AssignmentPhase::Kept,
+        AssignmentPhase::Seen(TaskState::Fetching),
+        AssignmentPhase::Seen(TaskState::Waiting),
+        AssignmentPhase::Seen(TaskState::Running),
+        AssignmentPhase::Seen(TaskState::Saving),
+        AssignmentPhase::Seen(TaskState::Exited),
     ];
     assert_eq!(
-        phases.map(|p| format!("{p:?}")),
+        phases.map(|p| p.to_string()),
         [
             "Unsent",
             "Sent(Tally(7))",
@@ -282,22 +287,22 @@
             "Seen(Exited)"
         ]
     );
-    let ends = [End::Done { written: false }, End::Cancelled];
+    let ends = [JobOutcome::Done { written: false }, JobOutcome::Cancelled];
     assert_eq!(
-        ends.map(|e| format!("{e:?}")),
+        ends.map(|e| e.to_string()),
         ["Done { written: false }", "Cancelled"]
     );
     let standings = [
-        Standing::Unknown,
-        Standing::Following(Version(7)),
-        Standing::Vacant(Version(7)),
-        Standing::Leasing(Version(7)),
-        Standing::Claiming(7),
-        Standing::Leading,
-        Standing::Rising,
+        ElectionState::Unknown,
+        ElectionState::Following(Version(7)),
+        ElectionState::Vacant(Version(7)),
+        ElectionState::Leasing(Version(7)),
+        ElectionState::Claiming(7),
+        ElectionState::Leading,
+        ElectionState::Rising,
     ];
     assert_eq!(
-        standings.map(|s| format!("{s:?}")),
+        standings.map(|s| s.to_string()),
         [
             "Unknown",
             "Following(Version(7))",
@@ -308,11 +313,16 @@
             "Rising"
         ]
     );
-    let doubts = [Doubt::Silent, Doubt::NoState];
-    assert_eq!(doubts.map(|d| format!("{d:?}")), ["Silent", "NoState"]);
-    let timed = [Timed::Submit, Timed::Poll, Timed::Cancel, Timed::Report];
+    let doubts = [Suspicion::Silent, Suspicion::NoState];
+    assert_eq!(doubts.map(|d| d.to_string()), ["Silent", "NoState"]);
+    let timed = [
+        RequestKind::Submit,
+        RequestKind::Poll,
+        RequestKind::Cancel,
+        RequestKind::Report,
+    ];
     assert_eq!(
-        timed.map(|t| format!("{t:?}")),
-        ["Submit", "Poll", "Cancel", "Report"]
+        timed.map(|t| t.to_string()),
+        ["submit", "poll", "cancel", "report"]
     );
 }
--- a/crates/controller/tests/routes_format.rs
+++ b/crates/controller/tests/routes_format.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::running;
-use pebblefold::core::Side::{Api, Internal};
+use pebblefold_controller::core::Listener::{Api, Internal};
 use serde_json::{Value, json};
 
 #[test]
--- a/crates/controller/tests/settings_format.rs
+++ b/crates/controller/tests/settings_format.rs
@@ -1,9 +1,9 @@
 //! Pins what operators write and read at a node's start: the settings file, the policy
 //! script, the answer of `check`, and what is said of a mistake.
 
-use pebblefold::policy::{DEFAULT_SCRIPT, Policy};
-use pebblefold::settings::{ObjectiveKind, Settings};
-use pebblefold::types::Span;
+use pebblefold_controller::policy::{DEFAULT_SCRIPT, Policy};
+use pebblefold_controller::settings::{ObjectiveKind, Settings};
+use pebblefold_controller::types::TimeSpan;
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -54,7 +54,7 @@
 #[test]
 fn settings_file_keeps_its_names() {
     let s = parse(&file()).expect("it is good");
-    assert_eq!((s.label.as_str(), s.zone.as_str()), ("node-0", "z0"));
+    assert_eq!((s.node_id.as_str(), s.zone.as_str()), ("node-0", "z0"));
     let addresses = [
         s.api_addr,
         s.internal_addr,
@@ -72,14 +72,14 @@
             "10.2.0.1:2379"
         ]
     );
-    let peer = (s.peers[0].label.as_str(), s.peers[0].zone.as_str());
+    let peer = (s.peers[0].node_id.as_str(), s.peers[0].zone.as_str());
     assert_eq!((peer, s.size, s.zones.len()), (("node-1", "z1"), 2, 2));
     let red = s.teams[&"red".into()];
     let shares = [red.cpus, red.cpus_max, red.gpus, red.gpus_max];
     assert_eq!(shares, [8.0, 16.0, 4.0, 6.0].map(Some));
     let w = s.workers;
     assert_eq!(
-        [w.report, w.lease, w.gang_wait, w.gang_peer, w.cancel].map(Span::as_secs),
+        [w.report, w.lease, w.gang_wait, w.gang_peer, w.cancel].map(TimeSpan::as_secs),
         [1.0, 10.0, 30.0, 8.0, 40.0]
     );
     let limits = s.state_limits;
@@ -97,7 +97,7 @@
         .iter()
         .map(|o| {
             let class = o.class.as_ref().map(|c| c.as_str());
-            (o.kind, class, o.within.map(Span::as_secs), o.times)
+            (o.kind, class, o.within.map(TimeSpan::as_secs), o.times)
         })
         .collect();
     assert_eq!(
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -1,27 +1,37 @@
 //! Pins what stands in the state service: every key and every record, as literals. A
 //! store that an older build left behind has to be read by this one.
 
-use pebblefold::core::duty::{aside::Asides, book::Book, intents::Intents};
-use pebblefold::core::keys::{self, Watched};
-use pebblefold::core::ledger::{self, Assembly, Head, HeadStage, LeaderValue, TxnLimits};
-use pebblefold::core::levels::progress::Progress;
-use pebblefold::core::levels::registry::{self, BUILD, Member, Registry};
-use pebblefold::core::levels::{BEFORE, FENCED, Level, REMEMBERED, Range, TABLE};
-use pebblefold::core::teams::memory::{self, Memory};
-use pebblefold::types::{Attempt, Session, Span, Time, Token, Version, Wall};
-use pebblefold::wire::peers::Told;
-use pebblefold::wire::state::{Entry, Txn};
-use pebblefold::wire::users::{Priority, Shape, Submission};
+use pebblefold_controller::core::autoscaler::intents::Intents;
+use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
+use pebblefold_controller::core::format_version::member_versions::{
+    self, BUILD, MemberRecord, MemberVersions,
+};
+use pebblefold_controller::core::format_version::{
+    FENCED, FormatVersion, KNOWN_VERSIONS, SupportedVersions, UNVERSIONED, WITH_HISTORY,
+};
+use pebblefold_controller::core::job_records::{
+    self, HeaderStage, JobHeader, LeaderRecord, SubmissionAssembler, TransactionLimits,
+};
+use pebblefold_controller::core::keys::{self, Watched};
+use pebblefold_controller::core::pending_writes::PendingWrites;
+use pebblefold_controller::core::quarantine::Quarantine;
+use pebblefold_controller::core::quota::arrival_history::{self, ArrivalHistory};
+use pebblefold_controller::types::{
+    AgentEpoch, Attempt, FencingToken, Time, TimeSpan, Version, WallTime,
+};
+use pebblefold_controller::wire::kvstore::{Entry, Transaction};
+use pebblefold_controller::wire::peers::BuildInfo;
+use pebblefold_controller::wire::users::{JobShape, Priority, Submission};
 use serde_json::{Value, json};
 
 /// A transaction as it is sent to the state service.
-fn sent(txn: &Txn) -> Value {
+fn sent(txn: &Transaction) -> Value {
     serde_json::to_value(txn).expect("a transaction is JSON")
 }
 
 /// What a book holds to be written.
-fn written(book: &mut Book) -> Value {
-    json!(book.take_puts(9))
+fn written(pending_writes: &mut PendingWrites) -> Value {
+    json!(pending_writes.take_puts(9))
 }
 
 fn submission() -> Submission {
@@ -29,7 +39,7 @@
         id: "wk-1".into(),
         class: "train".into(),
         team: "red".into(),
-        shape: Shape::Gang,
+        shape: JobShape::Gang,
         priority: Priority::High,
         tasks: 2,
         cpus: 8.0,
@@ -54,20 +64,20 @@
 #[test]
 fn keys_of_jobs_keep_their_form() {
     let id = "wk-1".into();
-    assert_eq!(keys::head_key(&id), "job/wk-1");
-    assert_eq!(keys::job_key(&id), "w/j/wk-1");
-    assert_eq!(keys::part_key(&id, 3), "w/p/wk-1/3");
-    assert_eq!(keys::end_key(&id), "w/x/wk-1");
+    assert_eq!(keys::job_header_key(&id), "job/wk-1");
+    assert_eq!(keys::submission_key(&id), "w/j/wk-1");
+    assert_eq!(keys::submission_part_key(&id, 3), "w/p/wk-1/3");
+    assert_eq!(keys::job_outcome_key(&id), "w/x/wk-1");
     assert_eq!(keys::chunk_key(&id, 7), "r/wk-1/7");
     let prefixes = [
         keys::WATCHED,
-        keys::RECORDS,
-        keys::TYPES,
-        keys::JOBS,
-        keys::PARTS,
-        keys::ENDS,
-        pebblefold::core::duty::PREFIX,
-        memory::KEY,
+        keys::PROGRESS_RECORDS,
+        keys::MACHINE_TYPES,
+        keys::SUBMISSIONS,
+        keys::SUBMISSION_PARTS,
+        keys::JOB_OUTCOMES,
+        keys::LEADER_RECORDS,
+        arrival_history::KEY,
     ];
     assert_eq!(
         prefixes,
@@ -81,28 +91,34 @@
     assert_eq!(keys::watched("w/leader/at/node-0"), Watched::Office);
     assert_eq!(keys::watched("w/j/wk-1"), Watched::Job("wk-1".into()));
     assert_eq!(keys::watched("w/p/wk-1/3"), Watched::Part("wk-1".into(), 3));
-    assert_eq!(keys::watched("w/x/wk-1"), Watched::End("wk-1".into()));
+    assert_eq!(
+        keys::watched("w/x/wk-1"),
+        Watched::JobOutcome("wk-1".into())
+    );
     assert_eq!(keys::record("r/wk-1/7"), Some(("wk-1".into(), 7)));
 }
 
 #[test]
 fn job_heads_keep_their_stored_format() {
     let stages = [
-        (HeadStage::Open, "p"),
-        (HeadStage::Done, "d"),
-        (HeadStage::Cancelled, "c"),
+        (HeaderStage::Open, "p"),
+        (HeaderStage::Done, "d"),
+        (HeaderStage::Cancelled, "c"),
     ];
     for (stage, text) in stages {
         let stored = json!({"s": text, "n": 3});
-        assert_eq!(ledger::head_value(stage, 3), stored);
-        assert_eq!(ledger::read(&stored), Some(Head { s: stage, n: 3 }));
+        assert_eq!(job_records::job_header_value(stage, 3), stored);
+        assert_eq!(
+            job_records::read(&stored),
+            Some(JobHeader { s: stage, n: 3 })
+        );
     }
-    let head = Head {
-        s: HeadStage::Open,
+    let head = JobHeader {
+        s: HeaderStage::Open,
         n: 3,
     };
     assert_eq!(
-        sent(&ledger::cancel_txn(&"wk-1".into(), head, Version(7))),
+        sent(&job_records::cancel_txn(&"wk-1".into(), head, Version(7))),
         json!({"if": [{"key": "job/wk-1", "touched": 7}], "apply": [
             {"write": "job/wk-1", "value": {"s": "c", "n": 3}},
             {"write": "w/x/wk-1", "value": {"s": "c", "n": 3}},
@@ -112,11 +128,11 @@
 
 #[test]
 fn submission_record_keeps_its_stored_format() {
-    let limits = TxnLimits {
+    let limits = TransactionLimits {
         ops: 48,
         value_bytes: 8192,
     };
-    let txn = ledger::accept_txn(&submission(), Wall(5), limits).expect("it fits");
+    let txn = job_records::accept_txn(&submission(), WallTime(5), limits).expect("it fits");
     assert_eq!(
         sent(&txn),
         json!({"if": [{"key": "job/wk-1", "touched": 0}], "apply": [
@@ -125,18 +141,18 @@
         ]})
     );
     let stored = json!({"at": 5, "n": 1, "s": SUBMITTED});
-    let job = Assembly::default().job(&"wk-1".into(), Version(9), &stored);
+    let job = SubmissionAssembler::default().job(&"wk-1".into(), Version(9), &stored);
     let job = job.expect("it is read");
-    assert_eq!((job.at, &*job.spec), (Wall(5), &submission()));
+    assert_eq!((job.at, &*job.spec), (WallTime(5), &submission()));
 }
 
 #[test]
 fn long_submission_is_stored_in_parts() {
-    let limits = TxnLimits {
+    let limits = TransactionLimits {
         ops: 48,
         value_bytes: 420,
     };
-    let txn = ledger::accept_txn(&submission(), Wall(5), limits).expect("it fits");
+    let txn = job_records::accept_txn(&submission(), WallTime(5), limits).expect("it fits");
     let (one, rest) = SUBMITTED.split_at(FIRST);
     let (two, three) = rest.split_at(SECOND);
     assert_eq!(
@@ -147,7 +163,7 @@
             {"write": "w/p/wk-1/1", "value": two}, {"write": "w/p/wk-1/2", "value": three},
         ])
     );
-    let mut parts = Assembly::default();
+    let mut parts = SubmissionAssembler::default();
     parts.part("wk-1".into(), 1, &json!(two));
     parts.part("wk-1".into(), 2, &json!(three));
     let stored = json!({"at": 5, "n": 3, "s": one});
@@ -160,50 +176,54 @@
 
 #[test]
 fn progress_keeps_its_stored_format_at_every_level() {
-    let place = |i, a, m: &str| (i, Attempt(a), m.into(), Session(1));
-    let full = Progress {
+    let place = |i, a, m: &str| (i, Attempt(a), m.into(), AgentEpoch(1));
+    let full = ChunkProgress {
         attempt: Attempt(3),
         done: vec![(0, 2), (5, 6)],
-        places: vec![place(2, 3, "host-7"), place(4, 2, "host-8")],
+        assignments: vec![place(2, 3, "host-7"), place(4, 2, "host-8")],
         stops: vec![(4, 5)],
     };
-    let empty = Progress::default();
+    let empty = ChunkProgress::default();
     let old = json!({"n": 3, "d": [[0, 2], [5, 6]], "x": [[4, 5]],
         "p": [[2, 3, "host-7", 1], [4, 2, "host-8", 1]]});
     let new = json!({"n": 3, "d": [0, 2, 5, 6], "x": [4, 5],
         "m": [["host-7", 1, 0, [2]], ["host-8", 1, 1, [4]]]});
     let cases = [
-        (BEFORE, old.clone(), json!({"n": 0, "d": [], "p": []})),
+        (UNVERSIONED, old.clone(), json!({"n": 0, "d": [], "p": []})),
         (FENCED, old, json!({"n": 0, "d": [], "p": []})),
-        (REMEMBERED, new, json!({"n": 0, "m": []})),
+        (WITH_HISTORY, new, json!({"n": 0, "m": []})),
     ];
     for (level, stored, nothing) in cases {
         assert_eq!(full.write(level), stored, "{level}");
-        assert_eq!(Progress::read(&stored).as_ref(), Ok(&full), "{level}");
+        assert_eq!(ChunkProgress::read(&stored).as_ref(), Ok(&full), "{level}");
         assert_eq!(empty.write(level), nothing, "{level}");
-        assert_eq!(Progress::read(&nothing).as_ref(), Ok(&empty), "{level}");
+        assert_eq!(
+            ChunkProgress::read(&nothing).as_ref(),
+            Ok(&empty),
+            "{level}"
+        );
     }
 }
 
 #[test]
 fn leader_records_keep_their_stored_format() {
     let stored = json!({"label": "node-1", "nonce": 7});
-    let leader = LeaderValue {
-        label: "node-1".into(),
+    let leader = LeaderRecord {
+        node_id: "node-1".into(),
         nonce: 7,
     };
-    assert_eq!(ledger::leader_value(&leader), stored);
-    assert_eq!(ledger::read(&stored), Some(leader));
+    assert_eq!(job_records::leader_record(&leader), stored);
+    assert_eq!(job_records::read(&stored), Some(leader));
     assert_eq!(
-        registry::stone(),
+        member_versions::stone(),
         json!({"since": 1, "see": "w/leader/holder"})
     );
     let all = [
-        registry::PREFIX,
-        registry::STONE,
-        registry::HOLDER,
-        registry::LEVEL,
-        registry::DONE,
+        member_versions::PREFIX,
+        member_versions::LEGACY_LEADER_KEY,
+        member_versions::LEADER_KEY,
+        member_versions::ACTIVE_VERSION_KEY,
+        member_versions::DONE,
     ];
     assert_eq!(
         all,
@@ -219,14 +239,25 @@
 
 #[test]
 fn levels_keep_their_numbers_and_names() {
-    let table = TABLE.map(|s| (s.level.0, s.name));
+    let table = KNOWN_VERSIONS.map(|s| (s.level.0, s.name));
     assert_eq!(table, [(0, "before"), (1, "fenced"), (2, "remembered")]);
-    assert_eq!((Range::OURS.low, Range::OURS.high), (Level(0), Level(2)));
+    assert_eq!(
+        (
+            SupportedVersions::SUPPORTED.low,
+            SupportedVersions::SUPPORTED.high
+        ),
+        (FormatVersion(0), FormatVersion(2))
+    );
 }
 
-fn own_registry(entries: &[(&str, Value)]) -> Registry {
+fn own_registry(entries: &[(&str, Value)]) -> MemberVersions {
     let policy = [("idle_s".to_string(), 5.0)].into();
-    let mut registry = Registry::new("node-0".into(), Some(Range::OURS), policy, 9);
+    let mut registry = MemberVersions::new(
+        "node-0".into(),
+        Some(SupportedVersions::SUPPORTED),
+        policy,
+        9,
+    );
     let entry = |(i, (key, value)): (usize, &(&str, Value))| Entry {
         key: (*key).into(),
         value: value.clone(),
@@ -255,7 +286,7 @@
         None
     );
     let bare = json!({"levels": {"low": 0, "high": 1}, "build": "0.1"});
-    let member: Member = ledger::read(&bare).expect("it is read");
+    let member: MemberRecord = job_records::read(&bare).expect("it is read");
     assert!(member.policy.is_empty() && member.life == 0);
 }
 
@@ -278,7 +309,7 @@
         ("w/leader/at/node-1", member),
     ]);
     assert_eq!((registry.level(), registry.done()), (FENCED, FENCED));
-    let told = Told {
+    let told = BuildInfo {
         low: 0,
         high: 2,
         build: "b".into(),
@@ -289,9 +320,9 @@
         registry.heard(now, &"node-1".into(), Some(told.clone()));
     }
     let rise = registry
-        .rise(Time(20_000_000), &["node-1".into()], Level(9))
+        .rise(Time(20_000_000), &["node-1".into()], FormatVersion(9))
         .expect("all have it");
-    let txn = Txn {
+    let txn = Transaction {
         conditions: rise.conditions,
         ops: rise.ops,
     };
@@ -304,7 +335,7 @@
             "apply": [{"write": "w/leader/level", "value": {"level": 2}}],
         })
     );
-    registry.risen(REMEMBERED, Version(8));
+    registry.risen(WITH_HISTORY, Version(8));
     assert_eq!(
         sent(&registry.rewritten().expect("it is to be said")),
         json!({"if": [{"key": "w/leader/level", "touched": 8}],
@@ -314,45 +345,45 @@
 
 #[test]
 fn hire_and_release_intents_keep_their_stored_format() {
-    let new = || Intents::new(Token(9), Span::secs(4.0), 8192);
+    let new = || Intents::new(FencingToken(9), TimeSpan::secs(4.0), 8192);
     let mut intents = new();
-    intents.hire(("g8".into(), "z0".into(), true), 2, Wall(5));
-    let hire = json!([["d/h/9-1", {"t": 5, "r": {
+    intents.provision(("g8".into(), "z0".into(), true), 2, WallTime(5));
+    let provision = json!([["d/h/9-1", {"t": 5, "r": {
         "hire": "9-1", "box_kind": "g8", "yard": "z0", "borrowed": true, "count": 2,
     }}]]);
-    assert_eq!(written(&mut intents.book), hire);
+    assert_eq!(written(&mut intents.pending_writes), provision);
     let machines = ["host-1", "host-2"].map(|m| (m.into(), "idle"));
-    intents.release(machines.into_iter(), Wall(5));
+    intents.release(machines.into_iter(), WallTime(5));
     let release = json!([["d/x/9-2", {"t": 5, "w": {"idle": ["host-1", "host-2"]}}]]);
-    assert_eq!(written(&mut intents.book), release);
+    assert_eq!(written(&mut intents.pending_writes), release);
     let mut successor = new();
-    successor.load("d/h/9-1", &hire[0][1], Wall(6));
-    successor.load("d/x/9-2", &release[0][1], Wall(6));
+    successor.load("d/h/9-1", &provision[0][1], WallTime(6));
+    successor.load("d/x/9-2", &release[0][1], WallTime(6));
     assert_eq!(successor.open(), [1, 1, 2]);
 }
 
 #[test]
 fn put_aside_record_keeps_its_stored_format() {
-    let (mut asides, mut book) = (Asides::default(), Book::default());
+    let (mut quarantine, mut pending_writes) = (Quarantine::default(), PendingWrites::default());
     let id = "host-1".into();
-    asides.strike(&mut book, &id, Wall(5));
-    asides.strike(&mut book, &id, Wall(6));
+    quarantine.strike(&mut pending_writes, &id, WallTime(5));
+    quarantine.strike(&mut pending_writes, &id, WallTime(6));
     let struck = json!([["d/m/host-1", {"n": 2, "t": 6, "d": false}]]);
-    assert_eq!(written(&mut book), struck);
-    asides.drain(&mut book, &id, Wall(7));
+    assert_eq!(written(&mut pending_writes), struck);
+    quarantine.drain(&mut pending_writes, &id, WallTime(7));
     let drained = json!([["d/m/host-1", {"n": 2, "t": 6, "d": true}]]);
-    assert_eq!(written(&mut book), drained);
+    assert_eq!(written(&mut pending_writes), drained);
     let old = json!({"n": 2, "t": 6});
-    let read = Asides::default().load("d/m/host-1", &old);
+    let read = Quarantine::default().load("d/m/host-1", &old);
     assert_eq!(read, Some((id, false)));
 }
 
 #[test]
 fn arrival_memory_keeps_its_stored_format() {
-    let mut memory = Memory::new(Span::secs(600.0));
-    memory.note(Wall(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
+    let mut memory = ArrivalHistory::new(TimeSpan::secs(600.0));
+    memory.note(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
     let stored = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
-    assert_eq!(memory.store(Wall(40_000), 8192), stored);
-    let missing = Memory::new(Span::secs(600.0)).missing(&stored);
+    assert_eq!(memory.store(WallTime(40_000), 8192), stored);
+    let missing = ArrivalHistory::new(TimeSpan::secs(600.0)).missing(&stored);
     assert_eq!(missing.map(|m| m.len()), Some(1));
 }
--- a/crates/kvstore/tests/stored_format.rs
+++ b/crates/kvstore/tests/stored_format.rs
@@ -3,8 +3,10 @@
 
 mod common;
 use common::{LIMITS, answered, at_ms};
-use pebblefold_state::archive::{self, GAP, Summary};
-use pebblefold_state::{Change, Disk, Image, Key, Marks, Memory, Service, Storage, Value as Kept};
+use pebblefold_kvstore::backup::{self, GAP, Summary};
+use pebblefold_kvstore::{
+    Change, Disk, Image, Key, Marks, Memory, Service, Storage, Value as Kept,
+};
 use pebblefold_wire::types::Version;
 use pebblefold_wire::{decode, encode};
 use serde_json::{Value, json};
@@ -252,7 +254,7 @@
 #[test]
 fn snapshot_keeps_its_parts_and_their_bytes() {
     let path = file("written.snapshot");
-    let summary = archive::save(&image(), &path).expect("it is saved");
+    let summary = backup::save(&image(), &path).expect("it is saved");
     let packed = std::fs::File::open(&path).expect("it is there");
     let mut tar = tar::Archive::new(zstd::Decoder::new(packed).expect("zstd"));
     let mut parts = Vec::new();
@@ -312,14 +314,14 @@
 
 #[test]
 fn snapshot_written_earlier_is_read() {
-    let read = archive::read(&snapshot("earlier.snapshot")).expect("it is whole");
+    let read = backup::read(&snapshot("earlier.snapshot")).expect("it is whole");
     assert_eq!(read, image());
 }
 
 #[test]
 fn snapshot_written_earlier_is_restored_with_versions_moved_on() {
     let store = file("restored.store");
-    let summary = archive::restore(&snapshot("moved.snapshot"), &store).expect("it is whole");
+    let summary = backup::restore(&snapshot("moved.snapshot"), &store).expect("it is whole");
     let revision = 9 + (1 << 32);
     let wanted = Summary {
         revision,
@@ -340,7 +342,7 @@
 fn refused_snapshot_keeps_its_text() {
     let path = file("none.snapshot");
     std::fs::write(&path, b"nothing").expect("it is written");
-    let e = archive::read(&path).expect_err("it is none").to_string();
+    let e = backup::read(&path).expect_err("it is none").to_string();
     assert!(e.starts_with(&format!("{}: ", path.display())), "{e}");
     assert!(
         e.ends_with("; nothing was restored, use another snapshot"),
--- a/crates/wire/tests/services_format.rs
+++ b/crates/wire/tests/services_format.rs
@@ -2,8 +2,8 @@
 //! directory: names, spellings and some exact bytes, all as literals.
 
 use pebblefold_wire::http::{HttpError, Response, write_request, write_response};
-use pebblefold_wire::types::{Amounts, Version, Wall};
-use pebblefold_wire::{cloud, decode, encode, state, steps};
+use pebblefold_wire::types::{Resources, Version, WallTime};
+use pebblefold_wire::{cloud, command, decode, encode, kvstore};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -55,7 +55,7 @@
 
 #[test]
 fn renting_and_releasing_keep_their_wire_format() {
-    let rent = cloud::Rent {
+    let rent = cloud::ProvisionRequest {
         request: "node-0-1".into(),
         kind: "g4".into(),
         zone: "z0".into(),
@@ -113,7 +113,7 @@
 #[test]
 fn keys_keep_their_wire_format() {
     let (key, version) = (|| "job/wk-1".to_string(), Version(7));
-    let entry = state::Entry {
+    let entry = kvstore::Entry {
         key: key(),
         value: json!({"a": 1}),
         version,
@@ -122,7 +122,7 @@
         &entry,
         json!({"key": "job/wk-1", "value": {"a": 1}, "touched": 7}),
     );
-    let answer = |lease| state::KeyAnswer {
+    let answer = |lease| kvstore::KeyResponse {
         key: key(),
         value: Value::Null,
         version,
@@ -137,7 +137,7 @@
         json!({"key": "job/wk-1", "value": null, "touched": 7}),
     );
     reads(&answer(None), json!({"key": "job/wk-1", "touched": 7}));
-    let page = |more| state::Entries {
+    let page = |more| kvstore::EntryPage {
         items: vec![entry.clone()],
         more,
         revision: Version(9),
@@ -152,17 +152,17 @@
 
 #[test]
 fn transactions_keep_their_wire_format() {
-    let put = |lease| state::Op::Put {
+    let put = |lease| kvstore::Operation::Put {
         key: "a".into(),
         value: json!(1),
         lease,
     };
-    let delete = state::Op::Delete { key: "b".into() };
-    let condition = state::Condition {
+    let delete = kvstore::Operation::Delete { key: "b".into() };
+    let condition = kvstore::Precondition {
         key: "c".into(),
         version: Version(7),
     };
-    let txn = state::Txn {
+    let txn = kvstore::Transaction {
         conditions: vec![condition],
         ops: vec![put(Some(3)), put(None), delete],
     };
@@ -178,28 +178,28 @@
          76616c756501a67065726d69740382a57772697465a161a576616c75650181a664656c657465\
          a162"
     );
-    let revision = state::Revision {
+    let revision = kvstore::TransactionResponse {
         revision: Version(9),
         failed: vec!["c".into()],
     };
     keeps(&revision, json!({"ledger_mark": 9, "failed": ["c"]}));
-    reads(&state::Revision::default(), json!({}));
+    reads(&kvstore::TransactionResponse::default(), json!({}));
 }
 
 #[test]
 fn leases_and_watches_keep_their_wire_format() {
     keeps(
-        &state::LeaseRequest { ttl_ms: 3000 },
+        &kvstore::LeaseGrantRequest { ttl_ms: 3000 },
         json!({"life_ms": 3000}),
     );
-    keeps(&state::Lease { lease: 3 }, json!({"permit": 3}));
-    let change = |put: Option<&str>, delete: Option<&str>, value| state::Change {
+    keeps(&kvstore::LeaseGrant { lease: 3 }, json!({"permit": 3}));
+    let change = |put: Option<&str>, delete: Option<&str>, value| kvstore::WatchEvent {
         put: put.map(String::from),
         delete: delete.map(String::from),
         value,
         version: Version(7),
     };
-    let changes = state::Changes {
+    let changes = kvstore::WatchResponse {
         revision: Version(9),
         events: vec![
             change(Some("a"), None, json!(1)),
@@ -212,7 +212,7 @@
             {"write": "a", "value": 1, "touched": 7}, {"delete": "b", "value": null, "touched": 7},
         ]}),
     );
-    let none = state::Changes {
+    let none = kvstore::WatchResponse {
         revision: Version(9),
         events: Vec::new(),
     };
@@ -228,31 +228,31 @@
 #[test]
 fn uploaded_command_keeps_its_format() {
     let text = String::from;
-    let bare = steps::Description {
+    let bare = command::CommandSpec {
         argv: vec![text("sh")],
         dir: text("/d"),
         ..Default::default()
     };
-    let full = steps::Description {
+    let full = command::CommandSpec {
         stdin: Some(text("/in")),
         stdout: Some(text("out")),
         stderr: Some(text("err")),
         env: [(text("HOME"), text("/h"))].into(),
-        again: steps::Again::Never,
+        again: command::RestartPolicy::Never,
         put: vec![
-            steps::Put::Link {
+            command::StagedFile::Link {
                 from: text("a"),
                 to: text("b"),
             },
-            steps::Put::Copy {
+            command::StagedFile::Copy {
                 from: text("a"),
                 to: text("b"),
             },
-            steps::Put::Text {
+            command::StagedFile::Text {
                 to: text("b"),
                 text: text("t"),
             },
-            steps::Put::Directory { to: text("b") },
+            command::StagedFile::Directory { to: text("b") },
         ],
         limit_s: Some(60.0),
         ..bare.clone()
@@ -282,13 +282,13 @@
 
 #[test]
 fn marks_of_an_attempt_keep_their_format() {
-    let bare = steps::Mark {
+    let bare = command::ExitRecord {
         code: 137,
         dir: "/d/1".into(),
         machine: "host-1".into(),
         ..Default::default()
     };
-    let full = steps::Mark {
+    let full = command::ExitRecord {
         attempt: 4,
         began_ms: 1000,
         ended_ms: 2000,
@@ -310,9 +310,13 @@
         &bare,
         json!({"code": 137, "dir": "/d/1", "machine": "host-1"}),
     );
-    assert_eq!(steps::HERE, "/:pebblefold:here:");
+    assert_eq!(command::WORKING_DIR_PLACEHOLDER, "/:pebblefold:here:");
     assert_eq!(
-        [steps::EXIT, steps::STARTED, steps::REFUSED],
+        [
+            command::EXIT_FILE,
+            command::STARTED_FILE,
+            command::REFUSED_FILE
+        ],
         ["exit.json", "started.json", "refused.json"]
     );
 }
@@ -321,7 +325,7 @@
 
 #[test]
 fn amounts_and_times_keep_their_format() {
-    let amounts = Amounts {
+    let amounts = Resources {
         cpus: 4.0,
         gpus: 1.0,
         memory_gb: 16.5,
@@ -330,7 +334,7 @@
         &amounts,
         json!({"cpus": 4.0, "gpus": 1.0, "memory_gb": 16.5}),
     );
-    keeps(&Wall(1234), json!(1234));
+    keeps(&WallTime(1234), json!(1234));
 }
 
 #[test]
--- a/crates/wire/tests/users_format.rs
+++ b/crates/wire/tests/users_format.rs
@@ -35,7 +35,7 @@
         id: "wk-1".into(),
         class: "urgent".into(),
         team: "red".into(),
-        shape: users::Shape::Gang,
+        shape: users::JobShape::Gang,
         priority: users::Priority::High,
         tasks: 8,
         cpus: 4.5,
@@ -99,11 +99,11 @@
 
 #[test]
 fn shapes_priorities_and_stages_keep_their_spelling() {
-    use users::{Priority, Shape, Stage};
+    use users::{JobShape, JobStage, Priority};
     spells(&[
-        (Shape::Array, "batch"),
-        (Shape::Gang, "ensemble"),
-        (Shape::Service, "service"),
+        (JobShape::Array, "batch"),
+        (JobShape::Gang, "ensemble"),
+        (JobShape::Service, "service"),
     ]);
     spells(&[
         (Priority::Low, "low"),
@@ -112,10 +112,10 @@
         (Priority::Production, "production"),
     ]);
     spells(&[
-        (Stage::Queued, "pending"),
-        (Stage::Running, "running"),
-        (Stage::Done, "done"),
-        (Stage::Cancelled, "withdrawn"),
+        (JobStage::Queued, "pending"),
+        (JobStage::Running, "running"),
+        (JobStage::Done, "done"),
+        (JobStage::Cancelled, "withdrawn"),
     ]);
 }
 
@@ -148,9 +148,9 @@
 
 #[test]
 fn answers_to_users_keep_their_wire_format() {
-    let answer = |done, running| users::JobAnswer {
+    let answer = |done, running| users::JobStatus {
         id: "wk-1".into(),
-        stage: users::Stage::Running,
+        stage: users::JobStage::Running,
         done,
         running,
     };
@@ -162,10 +162,10 @@
         &answer(None, None),
         json!({"ref": "wk-1", "stage": "running"}),
     );
-    let refusal = users::Refusal {
+    let refusal = users::ErrorResponse {
         error: "lane".into(),
     };
     assert_eq!(hex(&refusal), "81a56572726f72a46c616e65");
-    let read: users::Refusal = decode(&encode(&json!({"error": "lane"}))).expect("a refusal");
+    let read: users::ErrorResponse = decode(&encode(&json!({"error": "lane"}))).expect("a refusal");
     assert_eq!(read.error, "lane");
 }
--- a/crates/wire/tests/wire_format.rs
+++ b/crates/wire/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! Pins what controllers and workers tell one another: names, spellings and some exact
 //! bytes. Everything expected is a literal; a renamed type or field must not change it.
 
-use pebblefold_wire::types::{Attempt, Session, Tally, Token};
+use pebblefold_wire::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence};
 use pebblefold_wire::{decode, encode, peers, workers};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -36,9 +36,9 @@
 
 #[test]
 fn leader_heartbeat_keeps_its_wire_format() {
-    let beat = peers::Beat {
-        label: "node-0".into(),
-        token: Token(5),
+    let beat = peers::LeaderHeartbeat {
+        node_id: "node-0".into(),
+        token: FencingToken(5),
         state_ms: 120,
         late_ms: 7,
     };
@@ -55,15 +55,20 @@
 
 #[test]
 fn handover_and_doubt_messages_keep_their_wire_format() {
-    keeps(&peers::Take { token: Token(5) }, json!({"token": 5}));
-    let ask = peers::Ask {
-        token: Token(5),
+    keeps(
+        &peers::LeadershipTransfer {
+            token: FencingToken(5),
+        },
+        json!({"token": 5}),
+    );
+    let ask = peers::SuspicionQuery {
+        token: FencingToken(5),
         no_state: true,
     };
     keeps(&ask, json!({"token": 5, "no_state": true}));
-    let mut opinion = peers::Opinion {
-        label: "node-1".into(),
-        token: Token(5),
+    let mut opinion = peers::SuspicionReport {
+        node_id: "node-1".into(),
+        token: FencingToken(5),
         agrees: true,
         came: 12,
     };
@@ -78,10 +83,10 @@
     );
 }
 
-fn bare_greeting() -> peers::Greeting {
-    peers::Greeting {
-        label: "node-0".into(),
-        token: Token(5),
+fn bare_greeting() -> peers::PeerHeartbeat {
+    peers::PeerHeartbeat {
+        node_id: "node-0".into(),
+        token: FencingToken(5),
         leads: true,
         loaded: true,
         state_ok: false,
@@ -97,13 +102,13 @@
 
 #[test]
 fn node_greeting_keeps_its_wire_format() {
-    let told = peers::Told {
+    let told = peers::BuildInfo {
         low: 0,
         high: 2,
         build: "0.2.0".into(),
         life: 9,
     };
-    let full = peers::Greeting {
+    let full = peers::PeerHeartbeat {
         loaded: false,
         strained: true,
         effort_us: 350,
@@ -143,22 +148,22 @@
 
 // Workers.
 
-fn report() -> workers::Report {
-    workers::Report {
+fn report() -> workers::Heartbeat {
+    workers::Heartbeat {
         machine: "host-1".into(),
         addr: "10.1.0.1:9000".into(),
         kind: "g4".into(),
         zone: "z0".into(),
         spot: true,
-        session: Session(2),
-        tally: Tally(17),
-        token: Token(5),
+        epoch: AgentEpoch(2),
+        sequence: HeartbeatSequence(17),
+        token: FencingToken(5),
         notice_s: None,
         tasks: Vec::new(),
     }
 }
 
-fn reported(why: Option<workers::Why>, saved: Option<bool>) -> workers::ReportedTask {
+fn reported(why: Option<workers::StopReason>, saved: Option<bool>) -> workers::ReportedTask {
     workers::ReportedTask {
         task: "wk-1/3".into(),
         attempt: Attempt(4),
@@ -170,9 +175,9 @@
 
 #[test]
 fn worker_report_keeps_its_wire_format() {
-    let full = workers::Report {
+    let full = workers::Heartbeat {
         notice_s: Some(30.5),
-        tasks: vec![reported(Some(workers::Why::Stopped), Some(true))],
+        tasks: vec![reported(Some(workers::StopReason::Stopped), Some(true))],
         ..report()
     };
     keeps(
@@ -216,7 +221,7 @@
 
 #[test]
 fn task_states_and_reasons_keep_their_spelling() {
-    use workers::{TaskState, Why};
+    use workers::{StopReason, TaskState};
     spells(&[
         (TaskState::Fetching, "fetching"),
         (TaskState::Waiting, "waiting"),
@@ -225,16 +230,16 @@
         (TaskState::Exited, "ended"),
     ]);
     spells(&[
-        (Why::Done, "done"),
-        (Why::Stopped, "halted"),
-        (Why::Peers, "peers"),
-        (Why::Alone, "alone"),
-        (Why::Error, "error"),
-        (Why::NoRoom, "no_room"),
-        (Why::Busy, "in_use"),
-        (Why::Unknown, "unknown"),
+        (StopReason::Done, "done"),
+        (StopReason::Stopped, "halted"),
+        (StopReason::Peers, "peers"),
+        (StopReason::Alone, "alone"),
+        (StopReason::Error, "error"),
+        (StopReason::NoRoom, "no_room"),
+        (StopReason::Busy, "in_use"),
+        (StopReason::Unknown, "unknown"),
     ]);
-    reads(&Why::Unknown, json!("a reason of a later version"));
+    reads(&StopReason::Unknown, json!("a reason of a later version"));
 }
 
 #[test]
@@ -261,8 +266,8 @@
         {"verb": "clear", "piece": "wk-1/3", "try": 4},
     ]);
     keeps(&commands, orders.clone());
-    let answer = workers::ReportAnswer {
-        token: Token(5),
+    let answer = workers::HeartbeatResponse {
+        token: FencingToken(5),
         commands: commands.clone(),
     };
     keeps(&answer, json!({"baton": 5, "orders": orders}));
@@ -274,12 +279,12 @@
          a6776b2d312f33a374727904"
     );
     let direct = workers::DirectCommands {
-        token: Token(5),
-        session: Session(2),
+        token: FencingToken(5),
+        epoch: AgentEpoch(2),
         commands,
     };
     keeps(&direct, json!({"baton": 5, "shift": 2, "orders": orders}));
-    let elsewhere = |report_to| workers::ReportElsewhere { report_to };
+    let elsewhere = |report_to| workers::LeaderRedirect { report_to };
     keeps(
         &elsewhere(Some("node-1".into())),
         json!({"foreman": "node-1"}),
