--- a/crates/agent/tests/journal.rs
+++ b/crates/agent/tests/journal.rs
@@ -2,7 +2,7 @@
 
 use pebblefold_agent::attempts::{Key, Record};
 use pebblefold_agent::journal::{Change, Journal, JournalError, Kept};
-use pebblefold_kvstore::faulty_disk::{CutDisk, Left};
+use pebblefold_kvstore::faulty_disk::{FaultyDisk, UnsyncedWrites};
 use pebblefold_wire::types::{AgentEpoch, FencingToken};
 use pebblefold_wire::workers::{StopReason, TaskState};
 
@@ -60,7 +60,7 @@
 }
 
 /// Writes until the power fails; how many were told to be written.
-fn run(disk: &CutDisk) -> usize {
+fn run(disk: &FaultyDisk) -> usize {
     let Ok(journal) = Journal::on(disk.open()) else {
         return 0;
     };
@@ -69,8 +69,8 @@
     written.count()
 }
 
-fn made() -> CutDisk {
-    let disk = CutDisk::default();
+fn made() -> FaultyDisk {
+    let disk = FaultyDisk::default();
     drop(Journal::on(disk.open()).unwrap());
     disk
 }
@@ -85,14 +85,14 @@
     let mut cuts = 0;
     for at in before + 1..=operations {
         let torn = [
-            Left::Nothing,
-            Left::Everything,
-            Left::Torn(at),
-            Left::Torn(7 * at + 1),
+            UnsyncedWrites::Lost,
+            UnsyncedWrites::Kept,
+            UnsyncedWrites::Torn(at),
+            UnsyncedWrites::Torn(7 * at + 1),
         ];
         for left in torn {
             let disk = made();
-            disk.cut_at(at, left);
+            disk.fail_at(at, left);
             let told = run(&disk);
             disk.power_on();
             let kept = Journal::on(disk.open()).unwrap().read().unwrap();
--- a/crates/kvstore/benches/state.rs
+++ b/crates/kvstore/benches/state.rs
@@ -4,9 +4,10 @@
 
 use hdrhistogram::Histogram;
 use pebblefold_kvstore::{
-    Asker, Disk, Image, Key, Limits, Memory, Service, Storage, Ticket, Value,
+    ClientId, Disk, Limits, Memory, PersistedState, RequestId, Service, Storage, StoredKey,
+    StoredValue,
 };
-use pebblefold_kvstore::{Marks, backup};
+use pebblefold_kvstore::{Counters, backup};
 use pebblefold_wire::encode;
 use pebblefold_wire::http::Request;
 use pebblefold_wire::kvstore::{Operation, Transaction};
@@ -63,7 +64,7 @@
         let requests: Vec<Request> = (n..n + group).map(make).collect();
         let t = Instant::now();
         for (i, r) in requests.iter().enumerate() {
-            s.handle(now, Asker(0), Ticket(i as u64), r);
+            s.handle(now, ClientId(0), RequestId(i as u64), r);
         }
         assert_eq!(s.flush(now).len() as u64, group);
         times
@@ -86,25 +87,25 @@
     kb.unwrap_or(0) * 1024
 }
 
-fn image(keys: u64) -> Image {
+fn state(keys: u64) -> PersistedState {
     let key = |n| {
-        let value = Value(encode(&serde_json::json!({"s": "d", "n": n % 100})).into());
+        let value = StoredValue(encode(&serde_json::json!({"s": "d", "n": n % 100})).into());
         (
             format!("job/wk-{n:09}"),
-            Key {
+            StoredKey {
                 value,
                 version: Version(n + 1),
                 lease: None,
             },
         )
     };
-    Image {
-        marks: Marks {
+    PersistedState {
+        counters: Counters {
             revision: keys,
-            ..Marks::default()
+            ..Counters::default()
         },
         keys: (0..keys).map(key).collect(),
-        ..Image::default()
+        ..PersistedState::default()
     }
 }
 
@@ -114,7 +115,7 @@
     let path = dir.join(format!("store-{keys}"));
     let mut disk = Disk::at(&path);
     disk.load().expect("a new store");
-    backup::write_image(&mut disk, &image(keys)).expect("there is room");
+    backup::write_state(&mut disk, &state(keys)).expect("there is room");
     drop(disk);
     let own = std::env::current_exe().expect("this program has a path");
     let status = std::process::Command::new(own)
@@ -133,7 +134,7 @@
     let file = std::fs::metadata(path).map_or(0, |m| m.len()) / keys;
     let t = Instant::now();
     let saved = path.with_extension("snapshot");
-    backup::save(&s.image(), &saved).expect("there is room");
+    backup::save(&s.state(), &saved).expect("there is room");
     let saving = t.elapsed();
     let size = std::fs::metadata(&saved).map_or(0, |m| m.len()) / keys;
     println!(
--- a/crates/kvstore/src/disk.rs
+++ b/crates/kvstore/src/disk.rs
@@ -2,7 +2,7 @@
 //! commit slot with checksums, one sync a batch. A torn or unsynced write is
 //! found by checksum when the file is opened and the commit before it stands.
 
-use crate::persisted_state::{Change, Image, Key, Marks};
+use crate::persisted_state::{ChangeRecord, Counters, PersistedState, StoredKey};
 use crate::storage::{Batch, Storage, StorageError};
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend,
@@ -13,13 +13,13 @@
 use std::fs::File;
 use std::path::{Path, PathBuf};
 
-const MARKS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("marks");
+const COUNTERS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("marks");
 const KEYS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("keys");
 const LEASES: TableDefinition<'_, u64, u64> = TableDefinition::new("leases");
 const CHANGES: TableDefinition<'_, (u64, u32), &[u8]> = TableDefinition::new("changes");
 
 /// Pages that redb may keep; the service holds everything in memory itself.
-const CACHE: usize = 8 * 1024 * 1024;
+const CACHE_BYTES: usize = 8 * 1024 * 1024;
 
 type Open = Box<dyn FnMut() -> Result<Database, DatabaseError>>;
 
@@ -62,7 +62,7 @@
 fn open_file(path: &Path) -> Result<Database, DatabaseError> {
     let builder = || {
         let mut b = Database::builder();
-        b.set_cache_size(CACHE);
+        b.set_cache_size(CACHE_BYTES);
         b
     };
     if !path.exists() {
@@ -101,7 +101,7 @@
             name: "backend".into(),
             open: Box::new(move || {
                 Database::builder()
-                    .set_cache_size(CACHE)
+                    .set_cache_size(CACHE_BYTES)
                     .create_with_backend(backend())
             }),
             database: None,
@@ -122,9 +122,9 @@
     fn try_write(&mut self, batch: &Batch) -> Result<(), StorageError> {
         let txn = self.database()?.begin_write().map_err(store)?;
         {
-            let mut marks = txn.open_table(MARKS).map_err(store)?;
-            marks
-                .insert(0, pack(&batch.marks).as_slice())
+            let mut counters = txn.open_table(COUNTERS).map_err(store)?;
+            counters
+                .insert(0, pack(&batch.counters).as_slice())
                 .map_err(store)?;
             let mut keys = txn.open_table(KEYS).map_err(store)?;
             for (name, key) in &batch.keys {
@@ -153,31 +153,31 @@
         txn.commit().map_err(store)
     }
 
-    fn try_load(&mut self) -> Result<Image, StorageError> {
+    fn try_load(&mut self) -> Result<PersistedState, StorageError> {
         let database = self.database()?;
         // Tables come into being with the first write.
         let txn = database.begin_write().map_err(store)?;
-        txn.open_table(MARKS).map_err(store)?;
+        txn.open_table(COUNTERS).map_err(store)?;
         txn.open_table(KEYS).map_err(store)?;
         txn.open_table(LEASES).map_err(store)?;
         txn.open_table(CHANGES).map_err(store)?;
         txn.commit().map_err(store)?;
         let txn = database.begin_read().map_err(store)?;
-        let mut image = Image::default();
+        let mut state = PersistedState::default();
         if let Some(m) = txn
-            .open_table(MARKS)
+            .open_table(COUNTERS)
             .map_err(store)?
             .get(0)
             .map_err(store)?
         {
-            image.marks = unpack::<Marks>("marks", 0, m.value())?;
+            state.counters = unpack::<Counters>("marks", 0, m.value())?;
         }
         for entry in txn.open_table(KEYS).map_err(store)?.iter().map_err(store)? {
             let (name, key) = entry.map_err(store)?;
             let name = name.value();
-            image
+            state
                 .keys
-                .insert(name.into(), unpack::<Key>("keys", name, key.value())?);
+                .insert(name.into(), unpack::<StoredKey>("keys", name, key.value())?);
         }
         for entry in txn
             .open_table(LEASES)
@@ -186,7 +186,7 @@
             .map_err(store)?
         {
             let (id, life) = entry.map_err(store)?;
-            image.leases.insert(id.value(), life.value());
+            state.leases.insert(id.value(), life.value());
         }
         for entry in txn
             .open_table(CHANGES)
@@ -196,15 +196,15 @@
         {
             let (at, change) = entry.map_err(store)?;
             let at = at.value();
-            let change = unpack::<Change>("changes", at.0, change.value())?;
-            image.changes.push_back((at, change));
+            let change = unpack::<ChangeRecord>("changes", at.0, change.value())?;
+            state.changes.push_back((at, change));
         }
-        Ok(image)
+        Ok(state)
     }
 }
 
 impl Storage for Disk {
-    fn load(&mut self) -> Result<Image, StorageError> {
+    fn load(&mut self) -> Result<PersistedState, StorageError> {
         let loaded = self.try_load();
         if loaded.is_err() {
             self.database = None;
--- a/crates/kvstore/src/driver.rs
+++ b/crates/kvstore/src/driver.rs
@@ -1,7 +1,7 @@
-//! The service on sockets, on the caller's thread. While a batch is stored,
+//! Runs the service on sockets, on the caller's thread; no protocol logic of its own. While a batch is stored,
 //! requests gather for the next: the slower the disk, the larger the groups.
 
-use crate::service::{Answer, Asker, Outcome, Service, Ticket};
+use crate::service::{ClientId, Reply, RequestId, RequestOutcome, Service};
 use crate::storage::Storage;
 use pebblefold_net::answer_connections;
 use pebblefold_wire::http::{Request, Response};
@@ -14,13 +14,13 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Longest time between looks at leases and watches.
-const TICK: Duration = Duration::from_millis(20);
+/// Longest time between two ticks of the service: well below the 50 ms it may take.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Shared<S> {
     service: RefCell<Service<S>>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Outcome>>>,
-    gone: RefCell<BTreeSet<Ticket>>,
+    waiting: RefCell<HashMap<RequestId, oneshot::Sender<RequestOutcome>>>,
+    gone: RefCell<BTreeSet<RequestId>>,
     next: Cell<u64>,
     started: Instant,
     work: Notify,
@@ -38,7 +38,7 @@
 /// Tells the service when nobody waits any more.
 struct Waiting<'a, S> {
     shared: &'a Shared<S>,
-    ticket: Ticket,
+    request_id: RequestId,
 }
 
 impl<S> Drop for Waiting<'_, S> {
@@ -47,10 +47,10 @@
             .shared
             .waiting
             .borrow_mut()
-            .remove(&self.ticket)
+            .remove(&self.request_id)
             .is_some()
         {
-            self.shared.gone.borrow_mut().insert(self.ticket);
+            self.shared.gone.borrow_mut().insert(self.request_id);
         }
     }
 }
@@ -81,31 +81,31 @@
 
     /// Handles a request; `None`: nobody can say what became of it. Dropping
     /// the future does not take a change back.
-    pub async fn ask(&self, asker: Asker, request: Request) -> Option<Answer> {
+    pub async fn ask(&self, client: ClientId, request: Request) -> Option<Reply> {
         let shared = &*self.0;
-        let ticket = Ticket(shared.next.get());
-        shared.next.set(ticket.0 + 1);
+        let request_id = RequestId(shared.next.get());
+        shared.next.set(request_id.0 + 1);
         let (tx, rx) = oneshot::channel();
-        shared.waiting.borrow_mut().insert(ticket, tx);
-        let _waiting = Waiting { shared, ticket };
+        shared.waiting.borrow_mut().insert(request_id, tx);
+        let _waiting = Waiting { shared, request_id };
         let now = shared.now();
         shared
             .service
             .borrow_mut()
-            .handle(now, asker, ticket, &request);
+            .handle(now, client, request_id, &request);
         shared.work.notify_one();
         match rx.await {
-            Ok(Outcome::Answer(a)) => Some(a),
-            Ok(Outcome::Silence) | Err(_) => None,
+            Ok(RequestOutcome::Reply(a)) => Some(a),
+            Ok(RequestOutcome::Unanswered) | Err(_) => None,
         }
     }
 
-    /// Serves a listener's connections for ever, all as one asker.
-    pub async fn listen(self, listener: TcpListener, asker: Asker) {
+    /// Serves a listener's connections for ever, all as one client.
+    pub async fn listen(self, listener: TcpListener, client: ClientId) {
         answer_connections(listener, move |request| {
             let server = self.clone();
             async move {
-                let a = server.ask(asker, request).await?;
+                let a = server.ask(client, request).await?;
                 Some(Response {
                     status: a.status,
                     retry_after: None,
@@ -122,7 +122,7 @@
         let shared = self.0;
         loop {
             // Time for a batch to gather: whoever is ready hands in first.
-            if timeout(TICK, shared.work.notified()).await.is_ok() {
+            if timeout(TICK_INTERVAL, shared.work.notified()).await.is_ok() {
                 sleep(Duration::ZERO).await;
                 tokio::task::yield_now().await;
             }
@@ -136,9 +136,9 @@
                 service.tick(now);
                 service.flush(now)
             };
-            for (ticket, outcome) in answers {
-                if let Some(tx) = shared.waiting.borrow_mut().remove(&ticket) {
-                    // The asker may be gone; nobody misses the answer.
+            for (request_id, outcome) in answers {
+                if let Some(tx) = shared.waiting.borrow_mut().remove(&request_id) {
+                    // The client may be gone; nobody misses the reply.
                     let _ = tx.send(outcome);
                 }
             }
--- a/crates/kvstore/src/faulty_disk.rs
+++ b/crates/kvstore/src/faulty_disk.rs
@@ -8,46 +8,56 @@
 /// Bytes that a disk writes whole or not at all.
 const SECTOR: usize = 512;
 
-/// What is left of writes that were not synced when the power fails.
+/// What becomes of writes that were not synced when the power fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
-    /// Nothing.
-    Nothing,
-    /// Everything.
-    Everything,
-    /// Any of their sectors, chosen by this seed.
+pub enum UnsyncedWrites {
+    /// They are lost.
+    Lost,
+    /// They got there all the same.
+    Kept,
+    /// Some of their sectors got there, chosen by this seed.
     Torn(u64),
 }
 
 #[derive(Debug)]
 enum Pending {
+    /// Bytes at an offset.
     Write(u64, Vec<u8>),
+    /// A new length of the file.
     Length(u64),
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct DiskState {
+    /// What a power failure cannot take back.
     synced: Vec<u8>,
-    seen: Vec<u8>,
+    /// What the process that has it open reads.
+    visible: Vec<u8>,
+    /// Writes since the last sync, in order.
     pending: Vec<Pending>,
+    /// Writes, syncs and changes of length so far.
     operations: u64,
-    cut_at: Option<(u64, Left)>,
-    life: u64,
-    dead: bool,
+    /// The operation at which the power fails.
+    fail_at: Option<(u64, UnsyncedWrites)>,
+    /// Counts openings; an older one is of no use.
+    generation: u64,
+    /// Whether the power failed since it was last opened.
+    failed: bool,
     /// No power: nothing works until it is back.
-    off: bool,
+    power_off: bool,
+    /// Whether writes fail for lack of room.
     full: bool,
 }
 
 /// The disk. Clones are the same disk.
 #[derive(Clone, Debug, Default)]
-pub struct CutDisk(Arc<Mutex<Inner>>);
+pub struct FaultyDisk(Arc<Mutex<DiskState>>);
 
 /// The disk as one process has it open; of no use once the power failed.
 #[derive(Debug)]
-pub struct Opened {
-    disk: CutDisk,
-    life: u64,
+pub struct OpenDisk {
+    disk: FaultyDisk,
+    generation: u64,
 }
 
 fn apply(bytes: &mut Vec<u8>, offset: u64, data: &[u8]) {
@@ -58,18 +68,18 @@
     bytes[offset as usize..end].copy_from_slice(data);
 }
 
-impl Inner {
-    fn cut(&mut self, left: Left) {
-        self.dead = true;
+impl DiskState {
+    fn fail(&mut self, left: UnsyncedWrites) {
+        self.failed = true;
         // A small generator of its own: one seed, one outcome.
         let mut word = match left {
-            Left::Torn(seed) => seed | 1,
+            UnsyncedWrites::Torn(seed) => seed | 1,
             _ => 0,
         };
         let mut survives = || match left {
-            Left::Nothing => false,
-            Left::Everything => true,
-            Left::Torn(_) => {
+            UnsyncedWrites::Lost => false,
+            UnsyncedWrites::Kept => true,
+            UnsyncedWrites::Torn(_) => {
                 word ^= word << 13;
                 word ^= word >> 7;
                 word ^= word << 17;
@@ -92,77 +102,77 @@
     }
 
     /// Counts an operation; an error if it is the one at which power fails.
-    fn step(&mut self, life: u64) -> Result<()> {
-        self.alive(life)?;
+    fn count_operation(&mut self, generation: u64) -> Result<()> {
+        self.check_power(generation)?;
         self.operations += 1;
-        if let Some((at, left)) = self.cut_at
+        if let Some((at, left)) = self.fail_at
             && self.operations >= at
         {
-            self.cut(left);
-            self.off = true;
-            self.cut_at = None;
+            self.fail(left);
+            self.power_off = true;
+            self.fail_at = None;
         }
-        self.alive(life)
+        self.check_power(generation)
     }
 
-    fn alive(&self, life: u64) -> Result<()> {
-        if self.dead || life != self.life {
+    fn check_power(&self, generation: u64) -> Result<()> {
+        if self.failed || generation != self.generation {
             return Err(Error::new(ErrorKind::BrokenPipe, "the power is gone"));
         }
         Ok(())
     }
 }
 
-impl CutDisk {
-    fn inner(&self) -> MutexGuard<'_, Inner> {
+impl FaultyDisk {
+    fn inner(&self) -> MutexGuard<'_, DiskState> {
         // A panicking test must not hide behind a poisoned lock.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Opens the disk; what an earlier life had open is cut off. Without power
-    /// everything fails until [`CutDisk::power_on`].
-    pub fn open(&self) -> Opened {
+    /// everything fails until [`FaultyDisk::power_on`].
+    pub fn open(&self) -> OpenDisk {
         let mut d = self.inner();
-        if d.off {
-            let (disk, life) = (self.clone(), 0);
-            return Opened { disk, life };
+        if d.power_off {
+            let (disk, generation) = (self.clone(), 0);
+            return OpenDisk { disk, generation };
         }
-        if !d.dead {
+        if !d.failed {
             let unsynced = !d.pending.is_empty();
-            d.cut(if unsynced {
-                Left::Everything
+            d.fail(if unsynced {
+                UnsyncedWrites::Kept
             } else {
-                Left::Nothing
+                UnsyncedWrites::Lost
             });
         }
-        d.dead = false;
-        d.life += 1;
-        d.seen = d.synced.clone();
-        Opened {
+        d.failed = false;
+        d.generation += 1;
+        d.visible = d.synced.clone();
+        OpenDisk {
             disk: self.clone(),
-            life: d.life,
+            generation: d.generation,
         }
     }
 
     /// Lets the power fail at the operation of this number (writes, syncs and
     /// changes of length count, from 1 over the disk's life). Until then there
     /// is power.
-    pub fn cut_at(&self, operation: u64, left: Left) {
+    pub fn fail_at(&self, operation: u64, left: UnsyncedWrites) {
         let mut d = self.inner();
-        d.off = false;
-        d.cut_at = Some((operation, left));
+        d.power_off = false;
+        d.fail_at = Some((operation, left));
     }
 
     /// The power is back, and nothing is cut from here on.
     pub fn power_on(&self) {
         let mut d = self.inner();
-        d.off = false;
-        d.cut_at = None;
+        d.power_off = false;
+        d.fail_at = None;
     }
 
     /// Whether the power has failed.
     pub fn is_off(&self) -> bool {
-        self.inner().off
+        self.inner().power_off
     }
 
     /// Operations so far.
@@ -176,19 +186,19 @@
     }
 }
 
-impl redb::StorageBackend for Opened {
+impl redb::StorageBackend for OpenDisk {
     fn len(&self) -> Result<u64> {
         let d = self.disk.inner();
-        d.alive(self.life)?;
-        Ok(d.seen.len() as u64)
+        d.check_power(self.generation)?;
+        Ok(d.visible.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<()> {
         let d = self.disk.inner();
-        d.alive(self.life)?;
+        d.check_power(self.generation)?;
         let from = offset as usize;
         let bytes = d
-            .seen
+            .visible
             .get(from..from + out.len())
             .ok_or(ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
@@ -197,30 +207,30 @@
 
     fn set_len(&self, len: u64) -> Result<()> {
         let mut d = self.disk.inner();
-        d.step(self.life)?;
-        if d.full && len as usize > d.seen.len() {
+        d.count_operation(self.generation)?;
+        if d.full && len as usize > d.visible.len() {
             return Err(ErrorKind::StorageFull.into());
         }
-        d.seen.resize(len as usize, 0);
+        d.visible.resize(len as usize, 0);
         d.pending.push(Pending::Length(len));
         Ok(())
     }
 
     fn sync_data(&self) -> Result<()> {
         let mut d = self.disk.inner();
-        d.step(self.life)?;
+        d.count_operation(self.generation)?;
         d.pending.clear();
-        d.synced = d.seen.clone();
+        d.synced = d.visible.clone();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<()> {
         let mut d = self.disk.inner();
-        d.step(self.life)?;
+        d.count_operation(self.generation)?;
         if d.full {
             return Err(ErrorKind::StorageFull.into());
         }
-        apply(&mut d.seen, offset, data);
+        apply(&mut d.visible, offset, data);
         d.pending.push(Pending::Write(offset, data.to_vec()));
         Ok(())
     }
--- a/crates/kvstore/src/persisted_state.rs
+++ b/crates/kvstore/src/persisted_state.rs
@@ -8,7 +8,7 @@
 /// A value as it is kept: MessagePack, shared between keys and changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Value(#[serde(with = "bytes")] pub Arc<[u8]>);
+pub struct StoredValue(#[serde(with = "bytes")] pub Arc<[u8]>);
 
 mod bytes {
     use serde::{Deserializer, Serializer, de};
@@ -35,9 +35,9 @@
 
 /// A key's value, version and lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Key {
+pub struct StoredKey {
     /// Its value.
-    pub value: Value,
+    pub value: StoredValue,
     /// The revision of its last change.
     pub version: Version,
     /// The lease it hangs on.
@@ -46,16 +46,16 @@
 
 /// A change as watches see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct ChangeRecord {
     /// The key.
     pub key: String,
     /// Its new value; `None`: deleted.
-    pub value: Option<Value>,
+    pub value: Option<StoredValue>,
 }
 
 /// Numbers that only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Marks {
+pub struct Counters {
     /// Number of the last batch written; tells after a failure whether it is there.
     pub batch: u64,
     /// Revision of the store.
@@ -63,20 +63,21 @@
     /// The last lease given out.
     pub lease: u64,
     /// The newest revision of which a change is kept no longer.
-    pub dropped: u64,
+    #[serde(rename = "dropped")]
+    pub compacted_revision: u64,
 }
 
 /// The whole store at one moment. Cloning it is cheap per key: values are
 /// shared.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Image {
-    /// The marks.
-    pub marks: Marks,
+pub struct PersistedState {
+    /// The counters.
+    pub counters: Counters,
     /// All keys.
-    pub keys: BTreeMap<String, Key>,
+    pub keys: BTreeMap<String, StoredKey>,
     /// Lives of the leases, in milliseconds. When they end is not kept: after
     /// an outage each has its full time again.
     pub leases: BTreeMap<u64, u64>,
     /// The last changes, by revision and place within it.
-    pub changes: VecDeque<((u64, u32), Change)>,
+    pub changes: VecDeque<((u64, u32), ChangeRecord)>,
 }
--- /dev/null
+++ b/crates/kvstore/src/service/transaction.rs
@@ -0,0 +1,161 @@
+//! Transactions: preconditions on versions, then puts and deletes, all or nothing.
+
+use super::reply::{Reply, check_key, json_length};
+use super::{RETAINED_CHANGES, Service};
+use crate::persisted_state::{ChangeRecord, StoredKey, StoredValue};
+use crate::storage::Storage;
+use pebblefold_wire::kvstore as wire;
+use pebblefold_wire::types::{Time, Version};
+use pebblefold_wire::{decode, encode};
+
+/// Most JSON bytes in one transaction.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// Preconditions that a transaction may have for each operation it may have.
+const PRECONDITIONS_PER_OPERATION: usize = 4;
+
+fn check_limit(what: &str, found: usize, limit: usize) -> Result<(), Reply> {
+    if found <= limit {
+        return Ok(());
+    }
+    Err(Reply::error(
+        400,
+        format!("{what}: {found}, at most {limit}"),
+    ))
+}
+
+impl<S: Storage> Service<S> {
+    /// Carries a transaction out, or answers 409 with the keys whose version differs.
+    pub(super) fn commit(&mut self, now: Time, body: &[u8]) -> Result<Reply, Reply> {
+        let transaction: wire::Transaction =
+            decode(body).ok_or_else(|| Reply::error(400, "not a transaction in MessagePack"))?;
+        self.check_transaction(&transaction)?;
+        if !self.writes.take(now, transaction.ops.len() as f64) {
+            return Err(Reply::empty(429));
+        }
+        let failed = self.failed_preconditions(&transaction);
+        if !failed.is_empty() {
+            return Ok(Reply::message(409, &self.transaction_response(failed)));
+        }
+        if !transaction.ops.is_empty() {
+            self.begin_revision();
+        }
+        for operation in transaction.ops {
+            match operation {
+                wire::Operation::Put { key, value, lease } => {
+                    self.put(key, StoredValue(encode(&value).into()), lease);
+                }
+                wire::Operation::Delete { key } => self.delete(key),
+            }
+        }
+        Ok(Reply::message(200, &self.transaction_response(Vec::new())))
+    }
+
+    fn check_transaction(&self, transaction: &wire::Transaction) -> Result<(), Reply> {
+        let operations = self.limits.txn_ops;
+        let preconditions = operations * PRECONDITIONS_PER_OPERATION;
+        check_limit("apply", transaction.ops.len(), operations)?;
+        check_limit("if", transaction.conditions.len(), preconditions)?;
+        let bytes = json_length(transaction);
+        check_limit("transaction bytes", bytes, MAX_TRANSACTION_BYTES)?;
+        for precondition in &transaction.conditions {
+            check_key(&precondition.key)?;
+        }
+        for operation in &transaction.ops {
+            self.check_operation(operation)?;
+        }
+        Ok(())
+    }
+
+    fn check_operation(&self, operation: &wire::Operation) -> Result<(), Reply> {
+        check_key(operation.key())?;
+        let wire::Operation::Put { key, value, lease } = operation else {
+            return Ok(());
+        };
+        let what = format!("{key}: value bytes");
+        check_limit(&what, json_length(value), self.limits.value_bytes)?;
+        if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
+            return Err(Reply::error(400, "no such lease"));
+        }
+        Ok(())
+    }
+
+    /// Keys whose version is not the one that the transaction was made for.
+    fn failed_preconditions(&self, transaction: &wire::Transaction) -> Vec<String> {
+        let version = |key: &str| self.state.keys.get(key).map_or(0, |k| k.version.0);
+        transaction
+            .conditions
+            .iter()
+            .filter(|precondition| version(&precondition.key) != precondition.version.0)
+            .map(|precondition| precondition.key.clone())
+            .collect()
+    }
+
+    /// The store's revision, and the keys whose precondition failed.
+    pub(super) fn transaction_response(&self, failed: Vec<String>) -> wire::TransactionResponse {
+        let revision = Version(self.state.counters.revision);
+        wire::TransactionResponse { revision, failed }
+    }
+
+    /// All changes until the next call belong to one new revision.
+    pub(super) fn begin_revision(&mut self) {
+        self.state.counters.revision += 1;
+        self.batch.counters = self.state.counters;
+        self.watches_outdated = true;
+    }
+
+    fn detach_from_lease(&mut self, name: &str) {
+        let lease = self.state.keys.get(name).and_then(|k| k.lease);
+        if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
+            lease.keys.remove(name);
+        }
+    }
+
+    fn put(&mut self, name: String, value: StoredValue, lease: Option<u64>) {
+        self.detach_from_lease(&name);
+        if let Some(lease) = lease.and_then(|id| self.leases.get_mut(&id)) {
+            lease.keys.insert(name.clone());
+        }
+        let key = StoredKey {
+            value: value.clone(),
+            version: Version(self.state.counters.revision),
+            lease,
+        };
+        self.batch.keys.push((name.clone(), Some(key.clone())));
+        self.state.keys.insert(name.clone(), key);
+        self.append_change(ChangeRecord {
+            key: name,
+            value: Some(value),
+        });
+    }
+
+    pub(super) fn delete(&mut self, name: String) {
+        self.detach_from_lease(&name);
+        if self.state.keys.remove(&name).is_none() {
+            return;
+        }
+        self.batch.keys.push((name.clone(), None));
+        self.append_change(ChangeRecord {
+            key: name,
+            value: None,
+        });
+    }
+
+    /// Adds to the log that watches read, and drops its oldest entries.
+    fn append_change(&mut self, change: ChangeRecord) {
+        let revision = self.state.counters.revision;
+        let position = match self.state.changes.back() {
+            Some(((last, position), _)) if *last == revision => position + 1,
+            _ => 0,
+        };
+        let at = (revision, position);
+        self.batch.changes.push((at, change.clone()));
+        self.state.changes.push_back((at, change));
+        while self.state.changes.len() > RETAINED_CHANGES
+            && let Some((oldest, _)) = self.state.changes.pop_front()
+        {
+            self.batch.forgotten.push(oldest);
+            self.state.counters.compacted_revision = oldest.0;
+            self.batch.counters = self.state.counters;
+        }
+    }
+}
--- /dev/null
+++ b/crates/kvstore/src/service/watch.rs
@@ -0,0 +1,121 @@
+//! Watches: long polls that are answered once a key below their prefix changes.
+
+use super::reply::{Reply, number, parse_query};
+use super::{ClientId, RequestId, RequestOutcome, Service, decode_value};
+use crate::persisted_state::ChangeRecord;
+use crate::storage::Storage;
+use pebblefold_wire::kvstore as wire;
+use pebblefold_wire::types::{Time, TimeSpan, Version};
+use std::collections::BTreeSet;
+
+/// Longest wait of a watch, in milliseconds.
+const MAX_WATCH_HOLD_MS: u64 = 60_000;
+
+/// A watch that waits for a change.
+#[derive(Debug)]
+pub(super) struct Watch {
+    request_id: RequestId,
+    client: ClientId,
+    prefix: String,
+    /// Changes after this revision are wanted.
+    since: u64,
+    /// When it is answered even if nothing changed.
+    deadline: Time,
+}
+
+impl Watch {
+    pub(super) fn is_due(&self, now: Time) -> bool {
+        now >= self.deadline
+    }
+}
+
+/// A change as the protocol shows it.
+fn event(revision: u64, change: &ChangeRecord) -> wire::WatchEvent {
+    let (put, delete) = match change.value {
+        Some(_) => (Some(change.key.clone()), None),
+        None => (None, Some(change.key.clone())),
+    };
+    wire::WatchEvent {
+        put,
+        delete,
+        value: change.value.as_ref().map(decode_value).unwrap_or_default(),
+        version: Version(revision),
+    }
+}
+
+impl<S: Storage> Service<S> {
+    /// Opens a watch. `Ok(None)`: it waits, and is answered by a later flush.
+    pub(super) fn open_watch(
+        &mut self,
+        now: Time,
+        client: ClientId,
+        request_id: RequestId,
+        query: &str,
+    ) -> Result<Option<Reply>, Reply> {
+        let params = parse_query(query)?;
+        let since = number(&params, "since", 0)?;
+        let hold_ms = number(&params, "hold_ms", 0)?.min(MAX_WATCH_HOLD_MS);
+        let watch = Watch {
+            request_id,
+            client,
+            prefix: params.get("starts").copied().unwrap_or("").into(),
+            since,
+            deadline: now + TimeSpan::millis(hold_ms),
+        };
+        let reply = self.watch_reply(&watch, now);
+        if reply.is_none() {
+            self.watches.push(watch);
+        }
+        Ok(reply)
+    }
+
+    /// What a watch is answered now, if it is.
+    fn watch_reply(&self, watch: &Watch, now: Time) -> Option<Reply> {
+        if watch.since < self.state.counters.compacted_revision {
+            return Some(Reply::error(410, "changes since then are no longer kept"));
+        }
+        let log = &self.state.changes;
+        let first = log.partition_point(|(at, _)| at.0 <= watch.since);
+        let events: Vec<wire::WatchEvent> = log
+            .range(first..)
+            .filter(|(_, change)| change.key.starts_with(&watch.prefix))
+            .map(|(at, change)| event(at.0, change))
+            .collect();
+        if events.is_empty() && !watch.is_due(now) {
+            return None;
+        }
+        let revision = Version(self.state.counters.revision);
+        Some(Reply::message(
+            200,
+            &wire::WatchResponse { revision, events },
+        ))
+    }
+
+    /// Answers the watches that a change or their deadline makes due.
+    pub(super) fn answer_watches(&mut self, now: Time) {
+        self.watches_outdated = false;
+        if self.outage || self.storage_fault.is_some() {
+            return;
+        }
+        for watch in std::mem::take(&mut self.watches) {
+            // A client that is refused hears nothing, as in an outage.
+            let reply = if self.refused_clients.contains(&watch.client) {
+                None
+            } else {
+                self.watch_reply(&watch, now)
+            };
+            match reply {
+                Some(reply) => {
+                    self.hold(watch.request_id, RequestOutcome::Reply(reply), false);
+                }
+                None => self.watches.push(watch),
+            }
+        }
+    }
+
+    /// Forgets watches whose connection is gone.
+    pub fn forget_watches(&mut self, gone: &BTreeSet<RequestId>) {
+        self.watches
+            .retain(|watch| !gone.contains(&watch.request_id));
+    }
+}
--- a/crates/kvstore/src/storage.rs
+++ b/crates/kvstore/src/storage.rs
@@ -1,6 +1,6 @@
 //! What the service stands on.
 
-use crate::persisted_state::{Change, Image, Key, Marks};
+use crate::persisted_state::{ChangeRecord, Counters, PersistedState, StoredKey};
 
 /// Why storage failed.
 #[derive(Debug, thiserror::Error)]
@@ -26,14 +26,14 @@
 /// Records that are written together or not at all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
-    /// The marks after it.
-    pub marks: Marks,
+    /// The counters after it.
+    pub counters: Counters,
     /// Keys written or, with `None`, deleted; the last word on a key counts.
-    pub keys: Vec<(String, Option<Key>)>,
+    pub keys: Vec<(String, Option<StoredKey>)>,
     /// Leases given or, with `None`, ended.
     pub leases: Vec<(u64, Option<u64>)>,
     /// Changes to keep.
-    pub changes: Vec<((u64, u32), Change)>,
+    pub changes: Vec<((u64, u32), ChangeRecord)>,
     /// Changes to forget.
     pub forgotten: Vec<(u64, u32)>,
 }
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// Nothing can be read, or what is there is damaged.
-    fn load(&mut self) -> Result<Image, StorageError>;
+    fn load(&mut self) -> Result<PersistedState, StorageError>;
 
     /// Writes a batch, whole, and returns once it would survive a power loss.
     ///
@@ -63,17 +63,17 @@
 
 /// Storage that ends with the process.
 #[derive(Debug, Default)]
-pub struct Memory(Image);
+pub struct Memory(PersistedState);
 
 impl Memory {
-    /// Memory that begins with an image.
-    pub fn with(image: Image) -> Memory {
-        Memory(image)
+    /// Memory that begins with a state.
+    pub fn with(state: PersistedState) -> Memory {
+        Memory(state)
     }
 }
 
 impl Storage for Memory {
-    fn load(&mut self) -> Result<Image, StorageError> {
+    fn load(&mut self) -> Result<PersistedState, StorageError> {
         Ok(self.0.clone())
     }
 
--- a/crates/kvstore/tests/common/mod.rs
+++ b/crates/kvstore/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests of the state service share.
 #![allow(dead_code, reason = "each test program uses a part")]
 
-use pebblefold_kvstore::{Answer, Asker, Limits, Outcome, Service, Storage, Ticket};
+use pebblefold_kvstore::{ClientId, Limits, Reply, RequestId, RequestOutcome, Service, Storage};
 use pebblefold_wire::http::Request;
 use pebblefold_wire::kvstore::{
     EntryPage, KeyResponse, LeaseGrant, LeaseGrantRequest, Operation, Precondition, WatchResponse,
@@ -40,13 +40,18 @@
     method: &str,
     target: &str,
     body: Vec<u8>,
-) -> Outcome {
-    let ticket = Ticket(u64::MAX);
-    s.handle(at_ms(ms), Asker(0), ticket, &request(method, target, body));
+) -> RequestOutcome {
+    let request_id = RequestId(u64::MAX);
+    s.handle(
+        at_ms(ms),
+        ClientId(0),
+        request_id,
+        &request(method, target, body),
+    );
     let mut out = s.flush(at_ms(ms));
     let i = out
         .iter()
-        .position(|(t, _)| *t == ticket)
+        .position(|(t, _)| *t == request_id)
         .expect("answered at once");
     out.swap_remove(i).1
 }
@@ -57,10 +62,10 @@
     method: &str,
     target: &str,
     body: Vec<u8>,
-) -> Answer {
+) -> Reply {
     match ask(s, ms, method, target, body) {
-        Outcome::Answer(a) => a,
-        Outcome::Silence => panic!("{method} {target}: no answer"),
+        RequestOutcome::Reply(a) => a,
+        RequestOutcome::Unanswered => panic!("{method} {target}: no answer"),
     }
 }
 
--- a/crates/kvstore/tests/power.rs
+++ b/crates/kvstore/tests/power.rs
@@ -3,18 +3,18 @@
 
 mod common;
 use common::*;
-use pebblefold_kvstore::backup::{self, ArchiveError};
-use pebblefold_kvstore::faulty_disk::{CutDisk, Left};
-use pebblefold_kvstore::{Asker, Disk, Outcome, Service, Ticket};
+use pebblefold_kvstore::backup::{self, BackupError};
+use pebblefold_kvstore::faulty_disk::{FaultyDisk, UnsyncedWrites};
+use pebblefold_kvstore::{ClientId, Disk, RequestId, RequestOutcome, Service};
 
 /// A disk with an empty store: its making is whole before anybody uses it.
-fn made() -> CutDisk {
-    let disk = CutDisk::default();
+fn made() -> FaultyDisk {
+    let disk = FaultyDisk::default();
     drop(Service::open(on(&disk), LIMITS, at_ms(0)).unwrap());
     disk
 }
 
-fn on(disk: &CutDisk) -> Disk {
+fn on(disk: &FaultyDisk) -> Disk {
     let disk = disk.clone();
     Disk::on(move || disk.open())
 }
@@ -30,7 +30,7 @@
 
 /// A fixed run: each commit writes two keys and deletes one of the commit
 /// before; some come in groups, some with leases. Ends when power fails.
-fn run(disk: &CutDisk) -> Acknowledged {
+fn run(disk: &FaultyDisk) -> Acknowledged {
     let mut acked = Acknowledged::default();
     let Ok(mut s) = Service::open(on(disk), LIMITS, at_ms(0)) else {
         return acked;
@@ -40,7 +40,7 @@
             let body = pebblefold_wire::encode(&pebblefold_wire::kvstore::LeaseGrantRequest {
                 ttl_ms: 5000,
             });
-            if let Outcome::Answer(a) = ask(&mut s, group, "POST", "/leases", body)
+            if let RequestOutcome::Reply(a) = ask(&mut s, group, "POST", "/leases", body)
                 && let Some(l) =
                     pebblefold_wire::decode::<pebblefold_wire::kvstore::LeaseGrant>(&a.body)
                 && a.status == 200
@@ -59,15 +59,15 @@
                 ops.push(delete(&format!("b/{}", n - 1)));
             }
             let r = request("POST", "/commit", txn(&[], ops));
-            s.handle(at_ms(group), Asker(0), Ticket(n), &r);
+            s.handle(at_ms(group), ClientId(0), RequestId(n), &r);
         }
-        for (ticket, outcome) in s.flush(at_ms(group)) {
-            if let Outcome::Answer(a) = outcome
+        for (request_id, outcome) in s.flush(at_ms(group)) {
+            if let RequestOutcome::Reply(a) = outcome
                 && a.status == 200
             {
                 let r: pebblefold_wire::kvstore::TransactionResponse =
                     pebblefold_wire::decode(&a.body).unwrap();
-                acked.commits.push((ticket.0, r.revision.0));
+                acked.commits.push((request_id.0, r.revision.0));
             }
         }
     }
@@ -75,7 +75,7 @@
 }
 
 /// What must hold when the power is back.
-fn check(disk: &CutDisk, acked: &Acknowledged, at: &str) {
+fn check(disk: &FaultyDisk, acked: &Acknowledged, at: &str) {
     disk.power_on();
     let mut s = Service::open(on(disk), LIMITS, at_ms(0)).unwrap_or_else(|e| panic!("{at}: {e}"));
     let (revision, _) = s.size();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn power_lost_at_every_write_loses_nothing_acknowledged() {
+fn power_loss_at_any_write_keeps_acknowledged_changes() {
     let whole = made();
     let before = whole.operations();
     let acked = run(&whole);
@@ -138,13 +138,13 @@
     assert!(operations > before + 40, "{operations}");
     for n in before + 1..=operations {
         for left in [
-            Left::Nothing,
-            Left::Everything,
-            Left::Torn(n * 7919),
-            Left::Torn(n * 104_729),
+            UnsyncedWrites::Lost,
+            UnsyncedWrites::Kept,
+            UnsyncedWrites::Torn(n * 7919),
+            UnsyncedWrites::Torn(n * 104_729),
         ] {
             let disk = made();
-            disk.cut_at(n, left);
+            disk.fail_at(n, left);
             let acked = run(&disk);
             check(&disk, &acked, &format!("cut at {n} with {left:?}"));
         }
@@ -153,13 +153,13 @@
 
 // Power fails a second time while the store repairs itself.
 #[test]
-fn power_lost_during_the_repair_loses_nothing_either() {
+fn power_loss_during_repair_keeps_acknowledged_changes() {
     for n in (5..60).step_by(5) {
         let disk = made();
-        disk.cut_at(disk.operations() + n, Left::Torn(n));
+        disk.fail_at(disk.operations() + n, UnsyncedWrites::Torn(n));
         let acked = run(&disk);
         for k in 1..4 {
-            disk.cut_at(disk.operations() + k, Left::Torn(n + k));
+            disk.fail_at(disk.operations() + k, UnsyncedWrites::Torn(n + k));
             drop(Service::open(on(&disk), LIMITS, at_ms(0)));
         }
         check(&disk, &acked, &format!("cut at {n} and in the repair"));
@@ -168,7 +168,7 @@
 
 // A store whose making was cut off was refused for ever.
 #[test]
-fn a_store_whose_making_was_cut_off_is_made_anew() {
+fn store_is_recreated_after_interrupted_creation() {
     let dir = std::env::temp_dir().join(format!("pebblefold-making-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     std::fs::write(dir.join("store.new"), b"redb cut").unwrap();
@@ -181,8 +181,8 @@
 }
 
 #[test]
-fn a_full_disk_refuses_everything_and_goes_on_when_there_is_room() {
-    let disk = CutDisk::default();
+fn full_disk_refuses_requests_until_there_is_room() {
+    let disk = FaultyDisk::default();
     let mut s = Service::open(on(&disk), LIMITS, at_ms(0)).unwrap();
     let id = lease(&mut s, 0, 1000);
     assert_eq!(
@@ -193,7 +193,7 @@
     // Nothing is acknowledged, and nothing of it is there later.
     assert!(
         !matches!(ask(&mut s, 10, "POST", "/commit", txn(&[], vec![put("b", 1, None)])),
-        Outcome::Answer(a) if a.status == 200)
+        RequestOutcome::Reply(a) if a.status == 200)
     );
     for ms in (100..5000).step_by(50) {
         s.tick(at_ms(ms));
@@ -220,15 +220,15 @@
 }
 
 #[test]
-fn snapshots_are_restored_whole_or_refused_by_name() {
+fn damaged_snapshot_is_refused_naming_the_part() {
     let dir = std::env::temp_dir().join(format!("pebblefold-state-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let archive_at = dir.join("snapshot");
-    let disk = CutDisk::default();
+    let disk = FaultyDisk::default();
     run(&disk);
     let mut s = Service::open(on(&disk), LIMITS, at_ms(0)).unwrap();
     let (revision, keys) = s.size();
-    let saved = backup::save(&s.image(), &archive_at).unwrap();
+    let saved = backup::save(&s.state(), &archive_at).unwrap();
     assert_eq!((saved.revision, saved.keys), (revision.0, keys as u64));
     // Saved while it serves: what comes later is not in it.
     commit(&mut s, 0, txn(&[], vec![put("later", 1, None)]));
@@ -243,7 +243,7 @@
     assert!(next.revision > s.size().0);
     assert!(matches!(
         backup::restore(&archive_at, &store),
-        Err(ArchiveError::Exists(_))
+        Err(BackupError::Exists(_))
     ));
 
     let bytes = std::fs::read(&archive_at).unwrap();
@@ -252,7 +252,7 @@
         let step = if n % 3 == 0 { &bytes[..n] } else { continue };
         std::fs::write(&bad, step).unwrap();
         assert!(
-            matches!(backup::read(&bad), Err(ArchiveError::Damaged { .. })),
+            matches!(backup::read(&bad), Err(BackupError::Damaged { .. })),
             "cut at {n}"
         );
     }
--- a/crates/kvstore/tests/protocol.rs
+++ b/crates/kvstore/tests/protocol.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pebblefold_kvstore::{Asker, Limits, Memory, Service, Ticket};
+use pebblefold_kvstore::{ClientId, Limits, Memory, RequestId, Service};
 use pebblefold_wire::encode;
 use pebblefold_wire::kvstore::{LeaseGrantRequest, Operation};
 use proptest::prelude::*;
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn limits_and_errors_are_the_protocols() {
+fn invalid_requests_get_the_protocols_errors() {
     let mut s = service();
     let wide = |n: usize| {
         (0..n)
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn rates_allow_a_seconds_burst_and_count_what_failed() {
+fn rate_limit_allows_one_second_burst_and_counts_failures() {
     let limits = Limits {
         rps: 10.0,
         write_rps: 5.0,
@@ -282,7 +282,7 @@
 // A lease ended early would let two leaders be; one that an outage ate up
 // would take the leader's key from a leader that could not renew it.
 #[test]
-fn leases_end_on_time_and_have_their_full_time_after_an_outage() {
+fn lease_expires_on_time_and_is_renewed_by_outage_end() {
     let mut s = service();
     let (id, other) = (lease(&mut s, 0, 1000), lease(&mut s, 0, 1000));
     commit(
@@ -313,21 +313,21 @@
 }
 
 #[test]
-fn watches_wait_miss_nothing_and_are_told_what_is_too_old() {
+fn watch_sees_every_change_and_reports_compaction() {
     let mut s = service();
-    s.refuse(Asker(2), false);
-    let open = |s: &mut Service<Memory>, ms, asker, ticket| {
+    s.refuse(ClientId(2), false);
+    let open = |s: &mut Service<Memory>, ms, client, request_id| {
         let r = request("GET", "/changes?starts=c/&since=0&hold_ms=1000", Vec::new());
-        s.handle(at_ms(ms), Asker(asker), Ticket(ticket), &r);
+        s.handle(at_ms(ms), ClientId(client), RequestId(request_id), &r);
         s.flush(at_ms(ms)).len()
     };
     assert_eq!((open(&mut s, 0, 1, 1), open(&mut s, 0, 2, 2)), (0, 0));
     commit(&mut s, 10, txn(&[], vec![put("other", 1, None)]));
-    s.refuse(Asker(2), true);
+    s.refuse(ClientId(2), true);
     s.handle(
         at_ms(20),
-        Asker(1),
-        Ticket(9),
+        ClientId(1),
+        RequestId(9),
         &request(
             "POST",
             "/commit",
@@ -336,7 +336,7 @@
     );
     let told: Vec<u64> = s.flush(at_ms(20)).into_iter().map(|(t, _)| t.0).collect();
     assert_eq!(told, [9, 1], "a refused node's watch waits on");
-    s.refuse(Asker(2), false);
+    s.refuse(ClientId(2), false);
     s.tick(at_ms(1500));
     assert_eq!(s.flush(at_ms(1500)).len(), 1);
     for _ in 0..250 {
--- a/crates/kvstore/tests/stored_format.rs
+++ b/crates/kvstore/tests/stored_format.rs
@@ -3,9 +3,10 @@
 
 mod common;
 use common::{LIMITS, answered, at_ms};
-use pebblefold_kvstore::backup::{self, GAP, Summary};
+use pebblefold_kvstore::backup::{self, BackupSummary, RESTORE_GAP};
 use pebblefold_kvstore::{
-    Change, Disk, Image, Key, Marks, Memory, Service, Storage, Value as Kept,
+    ChangeRecord, Counters, Disk, Memory, PersistedState, Service, Storage, StoredKey,
+    StoredValue as Kept,
 };
 use pebblefold_wire::types::Version;
 use pebblefold_wire::{decode, encode};
@@ -206,23 +207,23 @@
     assert_eq!(told(&mut s, "GET", "/keys/a", none.clone()), (503, none));
 }
 
-fn image() -> Image {
+fn state() -> PersistedState {
     let value = |v: Value| Kept(encode(&v).into());
-    let key = |lease| Key {
+    let key = |lease| StoredKey {
         value: value(json!({"s": "p"})),
         version: Version(7),
         lease,
     };
-    let change = |value| Change {
+    let change = |value| ChangeRecord {
         key: "a".into(),
         value,
     };
-    Image {
-        marks: Marks {
+    PersistedState {
+        counters: Counters {
             batch: 4,
             revision: 9,
             lease: 3,
-            dropped: 2,
+            compacted_revision: 2,
         },
         keys: [("a".into(), key(Some(3))), ("b".into(), key(None))].into(),
         leases: [(3, 5000)].into(),
@@ -234,7 +235,7 @@
     }
 }
 
-/// The parts of a snapshot of [`image`], in their order.
+/// The parts of a snapshot of [`state`], in their order.
 const KEYS: &str = "9292a16193c40581a173a170070392a16293c40581a173a17007c0";
 const LEASES: &str = "919203cd1388";
 const CHANGES: &str = "929292070092a161c401019292090192a161c0";
@@ -254,7 +255,7 @@
 #[test]
 fn snapshot_keeps_its_parts_and_their_bytes() {
     let path = file("written.snapshot");
-    let summary = backup::save(&image(), &path).expect("it is saved");
+    let summary = backup::save(&state(), &path).expect("it is saved");
     let packed = std::fs::File::open(&path).expect("it is there");
     let mut tar = tar::Archive::new(zstd::Decoder::new(packed).expect("zstd"));
     let mut parts = Vec::new();
@@ -315,7 +316,7 @@
 #[test]
 fn snapshot_written_earlier_is_read() {
     let read = backup::read(&snapshot("earlier.snapshot")).expect("it is whole");
-    assert_eq!(read, image());
+    assert_eq!(read, state());
 }
 
 #[test]
@@ -323,19 +324,19 @@
     let store = file("restored.store");
     let summary = backup::restore(&snapshot("moved.snapshot"), &store).expect("it is whole");
     let revision = 9 + (1 << 32);
-    let wanted = Summary {
+    let wanted = BackupSummary {
         revision,
         keys: 2,
         leases: 1,
         changes: 0,
     };
-    assert_eq!((summary, GAP), (wanted, 1 << 32));
+    assert_eq!((summary, RESTORE_GAP), (wanted, 1 << 32));
     let restored = Disk::at(&store).load().expect("it is read");
     assert_eq!(
         (restored.keys, restored.leases),
-        (image().keys, image().leases)
+        (state().keys, state().leases)
     );
-    assert_eq!(restored.marks.revision, revision);
+    assert_eq!(restored.counters.revision, revision);
 }
 
 #[test]
--- a/crates/pebblectl/src/state.rs
+++ b/crates/pebblectl/src/state.rs
@@ -3,7 +3,7 @@
 use crate::args::Serve;
 use crate::output::Failure;
 use pebblefold_kvstore::driver::Server;
-use pebblefold_kvstore::{Asker, Disk, Limits, Service, backup};
+use pebblefold_kvstore::{ClientId, Disk, Limits, Service, backup};
 use pebblefold_net::{Client, Sent, answer_connections};
 use pebblefold_wire::http::{Request, Response};
 use pebblefold_wire::users::ErrorResponse;
@@ -40,7 +40,7 @@
         "state service at {}, {keys} keys at version {revision}, store in {dir}",
         s.listen
     );
-    spawn_local(server.clone().listen(listener, Asker(0)));
+    spawn_local(server.clone().listen(listener, ClientId(0)));
     let administered = server.clone();
     spawn_local(answer_connections(admin, move |r| {
         let server = administered.clone();
@@ -69,9 +69,9 @@
     };
     // The image shares its values with the service, which goes on serving while
     // another thread writes it out.
-    let image = server.with(|s, _| s.image());
+    let state = server.with(|s, _| s.state());
     let (tx, rx) = tokio::sync::oneshot::channel();
-    std::thread::spawn(move || tx.send(backup::save(&image, &file)));
+    std::thread::spawn(move || tx.send(backup::save(&state, &file)));
     match rx.await {
         Ok(Ok(summary)) => answer(200, encode(&summary)),
         Ok(Err(e)) => refuse(500, e.to_string()),
@@ -97,13 +97,13 @@
 }
 
 /// Restores a snapshot into a new store.
-pub fn restore(file: &Path, dir: &Path) -> Result<backup::Summary, Failure> {
+pub fn restore(file: &Path, dir: &Path) -> Result<backup::BackupSummary, Failure> {
     std::fs::create_dir_all(dir).map_err(|e| Failure::Input(format!("{}: {e}", dir.display())))?;
     backup::restore(file, &dir.join(STORE)).map_err(Failure::input)
 }
 
 /// Reads a snapshot whole.
-pub fn check(file: &Path) -> Result<backup::Summary, Failure> {
-    let image = backup::read(file).map_err(Failure::input)?;
-    Ok(backup::Summary::of(&image))
+pub fn check(file: &Path) -> Result<backup::BackupSummary, Failure> {
+    let state = backup::read(file).map_err(Failure::input)?;
+    Ok(backup::BackupSummary::of(&state))
 }
--- a/crates/pebblectl/tests/output_format.rs
+++ b/crates/pebblectl/tests/output_format.rs
@@ -1,7 +1,7 @@
 //! Pins what programs read of `pebblectl`: names in its JSON, and its exit statuses, as
 //! literals.
 
-use pebblefold_state::{Image, archive};
+use pebblefold_kvstore::{PersistedState, backup};
 use pebblefold_wire::encode;
 use pebblefold_wire::http::{Response, read_request, write_response};
 use serde_json::{Value, json};
@@ -138,7 +138,7 @@
 #[test]
 fn snapshot_check_keeps_its_names() {
     let path = file("store.snapshot", b"");
-    archive::save(&Image::default(), path.as_ref()).expect("it is saved");
+    backup::save(&PersistedState::default(), path.as_ref()).expect("it is saved");
     let output = pebblectl(&["state", "snapshot", "check", &path]);
     assert_eq!(
         told(&output),
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -17,7 +17,7 @@
 use pebblefold_controller::settings::SettingsError;
 use pebblefold_controller::types::{MachineId, Time, TimeSpan, WallTime};
 use pebblefold_kvstore::StorageError;
-use pebblefold_kvstore::faulty_disk::CutDisk;
+use pebblefold_kvstore::faulty_disk::FaultyDisk;
 use pebblefold_wire::encode;
 use pebblefold_wire::http::Request;
 use rand::rngs::StdRng;
@@ -181,7 +181,7 @@
             port: 9000,
             first: 1,
         };
-        let store = Store::Memory(CutDisk::default());
+        let store = Store::Memory(FaultyDisk::default());
         let mut world = Simulated {
             stand: Stand::new(script, seed, store, addresses, true)?,
             layout,
--- a/crates/simulator/src/stand.rs
+++ b/crates/simulator/src/stand.rs
@@ -22,8 +22,10 @@
 use pebblefold_controller::wire::decode;
 use pebblefold_controller::wire::kvstore::{Operation, Transaction};
 use pebblefold_controller::wire::users::Submission;
-use pebblefold_kvstore::faulty_disk::CutDisk;
-use pebblefold_kvstore::{Asker, Disk, Limits, Outcome, Service, StorageError, Ticket};
+use pebblefold_kvstore::faulty_disk::FaultyDisk;
+use pebblefold_kvstore::{
+    ClientId, Disk, Limits, RequestId, RequestOutcome, Service, StorageError,
+};
 use pebblefold_wire::http::Request;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -48,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub enum Store {
     /// On a disk in memory, whose power can fail.
-    Memory(CutDisk),
+    Memory(FaultyDisk),
     /// In a file.
     File(PathBuf),
 }
@@ -607,7 +609,7 @@
             }
         }
         if let Some(state) = &mut self.state {
-            state.handle(now, Asker(node as u32), Ticket(call), r);
+            state.handle(now, ClientId(node as u32), RequestId(call), r);
         }
         let open = StateCall {
             node,
@@ -671,8 +673,8 @@
                 continue;
             };
             let returned = match outcome {
-                Outcome::Answer(a) => Returned::Answer(a.status, a.body),
-                Outcome::Silence => Returned::Silence,
+                RequestOutcome::Reply(a) => Returned::Answer(a.status, a.body),
+                RequestOutcome::Unanswered => Returned::Silence,
             };
             if matches!(returned, Returned::Answer(200, _)) {
                 if open.leads {
--- a/crates/simulator/src/stand/faults.rs
+++ b/crates/simulator/src/stand/faults.rs
@@ -6,8 +6,8 @@
 use crate::script::{LastWrite, Moment, Nodes, PowerLoss, Side, What};
 use crate::worker::PATIENCE;
 use pebblefold_controller::types::{Time, TimeSpan};
-use pebblefold_kvstore::faulty_disk::Left;
-use pebblefold_kvstore::{Asker, Ticket};
+use pebblefold_kvstore::faulty_disk::UnsyncedWrites;
+use pebblefold_kvstore::{ClientId, RequestId};
 use rand::RngExt;
 
 /// A job with less to go than this is not called off by `cancel_now`.
@@ -271,10 +271,10 @@
                 match (&self.store, last_write) {
                     (Store::Memory(disk), LastWrite::Everything | LastWrite::Torn) => {
                         let left = match last_write {
-                            LastWrite::Torn => Left::Torn(self.rng.random()),
-                            _ => Left::Everything,
+                            LastWrite::Torn => UnsyncedWrites::Torn(self.rng.random()),
+                            _ => UnsyncedWrites::Kept,
                         };
-                        disk.cut_at(disk.operations() + self.rng.random_range(1..6), left);
+                        disk.fail_at(disk.operations() + self.rng.random_range(1..6), left);
                         self.dying = Some(down);
                     }
                     _ => self.end_state(now, down),
@@ -284,7 +284,7 @@
                 let nodes = self.pick_nodes(nodes, about);
                 for n in &nodes {
                     if let Some(s) = &mut self.state {
-                        s.refuse(Asker(*n as u32), true);
+                        s.refuse(ClientId(*n as u32), true);
                     }
                 }
                 self.heal_at(until(*for_s), Heal::StateRefuses(nodes));
@@ -392,16 +392,16 @@
             Heal::StateRefuses(nodes) => {
                 for n in nodes {
                     if let Some(s) = &mut self.state {
-                        s.refuse(Asker(n as u32), false);
+                        s.refuse(ClientId(n as u32), false);
                     }
                 }
             }
             Heal::Write(node, r) => {
                 self.numbers += 1;
                 // Nobody waits for its answer any more.
-                let ticket = Ticket(u64::MAX - self.numbers);
+                let ticket = RequestId(u64::MAX - self.numbers);
                 if let Some(state) = &mut self.state {
-                    state.handle(now, Asker(node as u32), ticket, &r);
+                    state.handle(now, ClientId(node as u32), ticket, &r);
                 }
                 self.flush(now);
             }
