--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -11,11 +11,11 @@
 use tokio::time::timeout;
 
 /// How long connecting may take.
-const CONNECT: Duration = Duration::from_millis(1500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Idle connections kept per target.
-const KEPT: usize = 8;
+const MAX_IDLE_PER_TARGET: usize = 8;
 /// Targets for which idle connections are kept.
-const TARGETS: usize = 32;
+const MAX_TARGETS: usize = 32;
 
 /// Whether a request may have reached the other side: until this is set it
 /// certainly has not.
@@ -34,21 +34,21 @@
 #[derive(Debug)]
 pub struct Client {
     idle: RefCell<HashMap<SocketAddrV4, Vec<TcpStream>>>,
-    kept: usize,
+    max_idle: usize,
 }
 
 impl Default for Client {
     fn default() -> Self {
-        Client::keeping(KEPT)
+        Client::with_idle_limit(MAX_IDLE_PER_TARGET)
     }
 }
 
 impl Client {
     /// A client that keeps so many idle connections to a target. One that asks
     /// a target for many others keeps as many, or it runs out of local ports.
-    pub fn keeping(kept: usize) -> Client {
+    pub fn with_idle_limit(max_idle: usize) -> Client {
         let idle = RefCell::default();
-        Client { idle, kept }
+        Client { idle, max_idle }
     }
 
     /// Sends a request and reads its response. Dropping the future gives the
@@ -65,7 +65,7 @@
         sent: &Sent,
     ) -> Result<Response> {
         let request = http::write_request(method, &addr.to_string(), path, body);
-        if let Some(stream) = self.pooled(addr) {
+        if let Some(stream) = self.take_idle(addr) {
             sent.0.set(true);
             match self.exchange_on(stream, addr, &request).await {
                 Ok(r) => return Ok(r),
@@ -75,7 +75,7 @@
                 Err(_) => sent.0.set(false),
             }
         }
-        let stream = timeout(CONNECT, TcpStream::connect(addr))
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
             .await
             .map_err(|_| ErrorKind::TimedOut)??;
         stream.set_nodelay(true)?;
@@ -85,11 +85,11 @@
 
     /// An idle connection to a target. Targets without any are forgotten, so
     /// that workers that are gone leave nothing behind.
-    fn pooled(&self, addr: SocketAddrV4) -> Option<TcpStream> {
+    fn take_idle(&self, addr: SocketAddrV4) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&addr)?;
-        let stream = kept.pop();
-        if kept.is_empty() {
+        let streams = idle.get_mut(&addr)?;
+        let stream = streams.pop();
+        if streams.is_empty() {
             idle.remove(&addr);
         }
         stream
@@ -110,10 +110,10 @@
             if let Some((r, used)) = parsed {
                 if !r.close && n > 0 && used == data.len() {
                     let mut idle = self.idle.borrow_mut();
-                    if idle.len() < TARGETS || idle.contains_key(&addr) {
-                        let kept = idle.entry(addr).or_default();
-                        if kept.len() < self.kept {
-                            kept.push(stream);
+                    if idle.len() < MAX_TARGETS || idle.contains_key(&addr) {
+                        let streams = idle.entry(addr).or_default();
+                        if streams.len() < self.max_idle {
+                            streams.push(stream);
                         }
                     }
                 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -12,10 +12,10 @@
 use tokio::time::{sleep, timeout};
 
 /// How long a connection may stay silent between requests.
-const IDLE: Duration = Duration::from_secs(75);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 /// How long a request may take to arrive once it has begun, and an answer to
 /// be taken.
-const ARRIVAL: Duration = Duration::from_secs(10);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after accepting failed, for example for lack of sockets.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
@@ -49,7 +49,11 @@
                 return Next::Request(request);
             }
             Ok(None) => {
-                let patience = if data.is_empty() { IDLE } else { ARRIVAL };
+                let patience = if data.is_empty() {
+                    IDLE_TIMEOUT
+                } else {
+                    TRANSFER_TIMEOUT
+                };
                 match timeout(patience, stream.read_buf(data)).await {
                     Ok(Ok(n)) if n > 0 => {}
                     _ => return Next::Closed,
@@ -98,7 +102,7 @@
                     },
                 };
                 let bytes = http::write_response(&response);
-                match timeout(ARRIVAL, stream.write_all(&bytes)).await {
+                match timeout(TRANSFER_TIMEOUT, stream.write_all(&bytes)).await {
                     Ok(Ok(())) if !response.close => {}
                     _ => return,
                 }
--- a/crates/net/src/server/tests.rs
+++ b/crates/net/src/server/tests.rs
@@ -6,7 +6,7 @@
 // Requests whose senders had given up were handled all the same, which kept
 // a server that was behind from ever catching up.
 #[test]
-fn a_sender_that_closed_its_connection_is_gone() {
+fn detects_sender_that_closed_its_connection() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -39,7 +39,7 @@
 // A connection that the server closed between two requests must not make a
 // read fail, and must never send a change twice.
 #[test]
-fn only_reads_are_repeated_on_a_stale_connection() {
+fn retries_only_reads_on_stale_connection() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -705,7 +705,7 @@
         }
         let inner = Rc::new(Inner {
             stand: RefCell::new(Stand::new(script, seed, store, addresses, false)?),
-            client: Client::keeping(CONNECTIONS),
+            client: Client::with_idle_limit(CONNECTIONS),
             started: Instant::now(),
             layout,
             waiting: RefCell::default(),
--- a/crates/wire/src/backoff/tests.rs
+++ b/crates/wire/src/backoff/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn pauses_double_up_to_the_most() {
+fn backoff_doubles_up_to_its_maximum() {
     let mut b = Backoff::default();
     let pause = |b: &mut Backoff| {
         b.failed(TimeSpan::millis(100), TimeSpan::millis(500), 1.0)
--- a/crates/wire/src/http/tests.rs
+++ b/crates/wire/src/http/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn requests_arrive_in_any_pieces() {
+fn parses_request_split_at_any_byte() {
     let whole = b"POST /a?b=1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: u\r\n\r\nGET";
     for cut in 0..whole.len() - 3 {
         assert_eq!(read_request(&whole[..cut]), Ok(None), "cut at {cut}");
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn hostile_requests_are_refused() {
+fn rejects_malformed_requests() {
     let cases: [(&[u8], HttpError); 7] = [
         (b"\x00\x01\x02 garbage\r\n\r\n", HttpError::Malformed),
         (
@@ -55,7 +55,7 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..Default::default()
     })]
     #[test]
-    fn what_is_written_is_read_back(status in 200u16..600, after in proptest::option::of(0u32..99),
+    fn response_round_trips(status in 200u16..600, after in proptest::option::of(0u32..99),
         body in proptest::collection::vec(any::<u8>(), 0..300), close: bool) {
         let r = Response { status, retry_after: after, body, close };
         let bytes = write_response(&r);
@@ -63,7 +63,7 @@
     }
 
     #[test]
-    fn no_input_makes_the_parser_panic(body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn parser_never_panics(body in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = read_request(&body);
         let _ = read_response(&body, true);
         let mut chunked = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
--- a/crates/wire/src/kvstore.rs
+++ b/crates/wire/src/kvstore.rs
@@ -1,4 +1,5 @@
-//! The state service's messages. Values travel as JSON-like data.
+//! Messages of the key-value store: reads, transactions, leases, watches. Values travel
+//! as JSON-like data.
 
 use crate::types::Version;
 use serde::{Deserialize, Serialize};
@@ -17,7 +18,7 @@
     pub version: Version,
 }
 
-/// The answer about one key: as an entry, with its lease.
+/// The response to a read of one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyResponse {
     /// The key.
@@ -28,7 +29,7 @@
     /// Its version.
     #[serde(rename = "touched")]
     pub version: Version,
-    /// The lease it hangs on.
+    /// The lease that it is bound to: it is deleted when that expires.
     #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
@@ -47,7 +48,7 @@
     pub revision: Version,
 }
 
-/// A condition: the key has this version.
+/// A precondition of a transaction: the key has this version; 0 stands for absent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
     /// The key.
@@ -68,7 +69,7 @@
         key: String,
         /// The value.
         value: Value,
-        /// The lease it hangs on.
+        /// The lease that it is bound to: it is deleted when that expires.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -89,10 +90,10 @@
     }
 }
 
-/// A transaction.
+/// A compare-and-swap over several keys: all operations or none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// What must hold, else nothing is carried out.
     #[serde(rename = "if")]
     pub conditions: Vec<Precondition>,
     /// What then happens.
@@ -100,13 +101,13 @@
     pub ops: Vec<Operation>,
 }
 
-/// Answer to a transaction, and of a missing key.
+/// The response to a transaction, and to a read of a missing key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransactionResponse {
     /// Revision of the store.
     #[serde(rename = "ledger_mark", default)]
     pub revision: Version,
-    /// Keys whose condition failed.
+    /// Keys whose precondition failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -114,15 +115,15 @@
 /// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrantRequest {
-    /// Its life.
+    /// Time to live, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// The response to a lease request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Its number.
+    /// The lease's number.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
@@ -144,7 +145,7 @@
     pub version: Version,
 }
 
-/// Answer to a watch.
+/// The response to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
     /// Revision of the store.
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -1,65 +1,67 @@
-//! What the controller nodes tell one another.
+//! Messages between controller nodes: heartbeats, leadership transfer, and the votes
+//! by which a quorum decides that a leader has failed.
 
 use crate::types::{FencingToken, Image, JobId, MachineId, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// A leader's sign of life, sent to each peer a few times a second beside all
-/// that it does.
+/// The leader's heartbeat, sent to each peer a few times a second by a thread of its
+/// own, so that much work does not delay it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderHeartbeat {
-    /// Who leads.
+    /// The leader.
     #[serde(rename = "label")]
     pub node_id: NodeId,
-    /// By which token.
+    /// The fencing token under which it leads.
     pub token: FencingToken,
-    /// How long ago, in milliseconds, the state service last answered it.
+    /// Milliseconds since the key-value store last answered it.
     pub state_ms: u64,
-    /// How long ago it last had time for anything else.
+    /// Milliseconds since its event loop last ran.
     pub late_ms: u64,
 }
 
-/// A leader's word to its successor: take the key from me.
+/// A leader that shuts down asks this peer to take over the leader key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeadershipTransfer {
     /// The leader's token.
     pub token: FencingToken,
 }
 
-/// A node's question to another: does it doubt the leader too?
+/// Asks a peer whether it suspects the leader too.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SuspicionQuery {
     /// The leader's token.
     pub token: FencingToken,
-    /// Whether it is the state service that does not answer the leader, rather
-    /// than the leader that is silent.
+    /// True: the leader is up but the key-value store does not answer it. False: the
+    /// leader itself is silent.
     pub no_state: bool,
 }
 
-/// The answer.
+/// A peer's vote on a suspected leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SuspicionReport {
-    /// Whose.
+    /// Who votes.
     #[serde(rename = "label")]
     pub node_id: NodeId,
-    /// Of the holder of this token.
+    /// The suspected leader's token.
     pub token: FencingToken,
-    /// Whether it does.
+    /// Whether it suspects that leader too.
     pub agrees: bool,
-    /// Workers that have lately come over to it from the leader, as far as that matters.
+    /// Workers that lately switched from that leader to this node; counted only as far as
+    /// the decision needs it.
     #[serde(default)]
     pub came: u32,
 }
 
-/// What a node says of its build.
+/// The build that a node runs and the format versions that it supports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BuildInfo {
-    /// The oldest level that it serves.
+    /// Oldest supported format version.
     pub low: u32,
-    /// The newest.
+    /// Newest supported format version.
     pub high: u32,
-    /// Its build.
+    /// Name of the build.
     pub build: String,
-    /// Tells this life of its process from every other one.
+    /// Random number of this run of the process.
     pub life: u64,
 }
 
@@ -67,43 +69,43 @@
     true
 }
 
-/// A node's word about itself, sent to each peer about once a second and
-/// answered in kind.
+/// A node's heartbeat, sent to each peer about once a second and answered with the
+/// peer's own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Who speaks.
+    /// The sender.
     #[serde(rename = "label")]
     pub node_id: NodeId,
-    /// Highest token it knows of.
+    /// Highest fencing token that it has seen.
     pub token: FencingToken,
-    /// Whether it holds that token itself.
+    /// Whether it leads under that token.
     pub leads: bool,
-    /// Whether it has read everything recorded and answers workers; builds that do
-    /// not say so are taken to.
+    /// Whether it has loaded all records and answers workers. Builds that do not send
+    /// this field are taken to have.
     #[serde(default = "yes")]
     pub loaded: bool,
-    /// Whether the state service answers it.
+    /// Whether the key-value store answers it.
     pub state_ok: bool,
-    /// Whether it has lately had more to do than it could.
+    /// Whether it is overloaded.
     #[serde(default)]
     pub strained: bool,
-    /// What a fixed piece of work takes it, in microseconds; 0: not known.
+    /// Microseconds that a fixed piece of work takes on its processor; 0: not measured.
     #[serde(default)]
     pub effort_us: u64,
-    /// Its build; none from builds that know no levels.
+    /// Its build; absent from builds without format versions.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub levels: Option<BuildInfo>,
-    /// Jobs whose users it lately told that they are cancelled.
+    /// Jobs whose cancellation it lately confirmed to users.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cancelled: Vec<JobId>,
-    /// From the leader: task counts that changed, for display.
+    /// From the leader: (job, tasks done, tasks running) where they changed, for display.
     #[serde(default)]
     pub counts: Vec<(JobId, u32, u32)>,
-    /// From the leader: images and their sizes on machines where they changed,
-    /// so that a successor need not learn them anew. To it: what earlier leaders told.
+    /// From the leader: cached images and their sizes in GB, of machines where they
+    /// changed, as hints for a successor. To the leader: hints from earlier leaders.
     #[serde(default)]
     pub caches: Vec<(MachineId, Vec<(Image, f64)>)>,
-    /// From the leader: what fetching images last took, in milliseconds.
+    /// From the leader: milliseconds that fetching each image last took.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub fetches: Vec<(Image, u64)>,
 }
--- a/crates/wire/src/rate_limit.rs
+++ b/crates/wire/src/rate_limit.rs
@@ -2,7 +2,7 @@
 
 use crate::types::Time;
 
-/// Allows so many things a second, with bursts.
+/// A token bucket: allows `rate` a second on average, and bursts.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
--- a/crates/wire/src/rate_limit/tests.rs
+++ b/crates/wire/src/rate_limit/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_bucket_never_gives_more_than_its_rate_and_burst() {
+fn token_bucket_never_exceeds_rate_and_burst() {
     let mut b = TokenBucket::new(10.0, 20.0);
     let mut given = 0;
     for ms in 0..10_000 {
--- a/crates/wire/src/types.rs
+++ b/crates/wire/src/types.rs
@@ -92,19 +92,20 @@
 );
 
 number!(
-    /// Who is entitled to give commands: the version of the leader's key.
+    /// A fencing token: the version of the leader key. Workers reject commands with a
+    /// token lower than one that they have seen.
     FencingToken(u64)
 );
 number!(
-    /// A key's version in the state service; 0 stands for "no such key".
+    /// A key's version in the key-value store; 0 stands for "no such key".
     Version(u64)
 );
 number!(
-    /// A worker's session; grows whenever its lease runs out.
+    /// A worker's epoch; grows whenever its lease expires.
     AgentEpoch(u64)
 );
 number!(
-    /// A worker's message number; (session, tally) orders its messages.
+    /// The number of a worker's heartbeat; (epoch, sequence) orders its heartbeats.
     HeartbeatSequence(u64)
 );
 number!(
@@ -146,7 +147,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimeSpan(pub u64);
 
-/// A moment on the wall clock, in milliseconds; kept in the state service.
+/// A moment on the wall clock, in milliseconds; kept in the key-value store.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,4 +1,4 @@
-//! Reports of workers and the commands they get.
+//! Heartbeats of workers and the commands that they get.
 
 use crate::types::{
     AgentEpoch, Attempt, FencingToken, HeartbeatSequence, MachineId, MachineTypeName, NodeId, Zone,
@@ -54,7 +54,7 @@
     Unknown,
 }
 
-/// A task in a report.
+/// A task as a heartbeat lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
     /// Job and number, as `wk-000412/3`.
@@ -74,7 +74,7 @@
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat: everything on its machine, each time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The machine.
@@ -147,7 +147,7 @@
     },
 }
 
-/// The answer to a report.
+/// The response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// Who commands.
