--- a/crates/client/src/seen.rs
+++ b/crates/client/src/answer_cache.rs
@@ -1,22 +1,22 @@
-//! What was answered before.
+//! Answers given so far, so that no later one is older.
 
 use pebblefold_wire::types::JobId;
 use pebblefold_wire::users::JobStage;
 use std::collections::{HashMap, VecDeque};
 
-/// Jobs that are remembered.
-const MOST: usize = 20_000;
+/// Jobs that are remembered; the oldest are forgotten first.
+const MAX_JOBS: usize = 20_000;
 
-/// What a client has told of jobs: no later answer may be older. A node that
-/// lags, or one that was told late, is asked again.
+/// The last known stage of jobs: no later answer may be older. A node that lags is
+/// asked again.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct AnswerCache {
     /// Accepted jobs and, once it is known, how they ended.
     jobs: HashMap<JobId, Option<JobStage>>,
     order: VecDeque<JobId>,
 }
 
-impl Seen {
+impl AnswerCache {
     /// Whether an answer may be given after all that was; `None`: no such job.
     pub fn allows(&self, job: &JobId, stage: Option<JobStage>) -> bool {
         match (self.jobs.get(job), stage) {
@@ -37,7 +37,7 @@
                 self.order.push_back(job.clone());
             }
         }
-        while self.order.len() > MOST
+        while self.order.len() > MAX_JOBS
             && let Some(old) = self.order.pop_front()
         {
             self.jobs.remove(&old);
--- a/crates/client/src/attempts.rs
+++ b/crates/client/src/attempts.rs
@@ -1,16 +1,16 @@
-//! The tries of one call: which node, when, and when to stop.
+//! The attempts of one call: which node, when, and when to stop. No I/O, no clock.
 
 use pebblefold_wire::backoff::Backoff;
 use pebblefold_wire::types::{Time, TimeSpan};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Longest pause taken on a node's word.
-const MOST_RETRY_AFTER: u32 = 30;
+/// Longest pause, in seconds, that a node may ask for by Retry-After.
+const MAX_RETRY_AFTER_S: u32 = 30;
 
 /// What is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// `POST /submissions`
     Submit,
     /// `GET /submissions/{id}`
@@ -19,64 +19,64 @@
     Cancel,
 }
 
-/// How calls are tried.
+/// Deadlines, timeouts and backoff of a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Policy {
+pub struct RetryPolicy {
     /// After this a call ends, answered or not.
     pub deadline: TimeSpan,
-    /// How long one try waits for its answer.
-    pub patience: TimeSpan,
+    /// How long one attempt waits for its answer.
+    pub attempt_timeout: TimeSpan,
     /// A poll that is not answered by then is asked of another node as well.
     pub hedge_after: TimeSpan,
     /// Pause after the first failure in a row; it doubles, with jitter.
     pub first_pause: TimeSpan,
     /// Longest pause, unless a node asks for more.
-    pub most_pause: TimeSpan,
+    pub max_pause: TimeSpan,
 }
 
-impl Default for Policy {
+impl Default for RetryPolicy {
     fn default() -> Self {
-        Policy {
+        RetryPolicy {
             deadline: TimeSpan::millis(30_000),
-            patience: TimeSpan::millis(5000),
+            attempt_timeout: TimeSpan::millis(5000),
             hedge_after: TimeSpan::millis(500),
             first_pause: TimeSpan::millis(100),
-            most_pause: TimeSpan::millis(2000),
+            max_pause: TimeSpan::millis(2000),
         }
     }
 }
 
 /// What a node's answer means for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ReplyClass {
     /// It is the answer.
     Final,
     /// Not now: another node, or later.
-    Again {
+    Retry {
         /// The node's word on when, in seconds.
         after: Option<u32>,
     },
 }
 
-impl Verdict {
+impl ReplyClass {
     /// By the users' protocol; everything but an answer or a refusal for good is
     /// tried again.
-    pub fn of(status: u16, after: Option<u32>) -> Verdict {
+    pub fn of(status: u16, after: Option<u32>) -> ReplyClass {
         match status {
-            200 | 201 | 400 | 404 | 422 => Verdict::Final,
-            _ => Verdict::Again { after },
+            200 | 201 | 400 | 404 | 422 => ReplyClass::Final,
+            _ => ReplyClass::Retry { after },
         }
     }
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// Send the request.
     Send {
         /// To this node.
         node: usize,
-        /// Names the try.
+        /// Numbers the attempt.
         attempt: u32,
     },
     /// Nothing before this time, unless an answer comes.
@@ -86,92 +86,98 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Try {
+struct Attempt {
     attempt: u32,
     node: usize,
     sent: Time,
 }
 
-/// The tries of one call.
+/// The attempts of one call, as a state machine.
 #[derive(Debug)]
 pub struct Attempts {
-    kind: Kind,
+    kind: RequestKind,
     nodes: usize,
-    policy: Policy,
-    begun: Time,
+    policy: RetryPolicy,
+    started: Time,
     rng: StdRng,
     backoff: Backoff,
-    /// Tries under way.
-    open: Vec<Try>,
-    tried: u32,
+    /// Attempts under way.
+    in_flight: Vec<Attempt>,
+    attempts_made: u32,
     next_node: usize,
-    /// No further try before this time.
+    /// No further attempt before this time.
     pause_until: Time,
     hedged: bool,
 }
 
 impl Attempts {
     /// A call of this kind at so many nodes that begins now.
-    pub fn new(kind: Kind, nodes: usize, policy: Policy, now: Time, seed: u64) -> Attempts {
+    pub fn new(
+        kind: RequestKind,
+        nodes: usize,
+        policy: RetryPolicy,
+        now: Time,
+        seed: u64,
+    ) -> Attempts {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = nodes.max(1);
         Attempts {
             kind,
             nodes,
             policy,
-            begun: now,
+            started: now,
             // Callers that begin together begin at different nodes.
             next_node: rng.random_range(0..nodes),
             rng,
             backoff: Backoff::default(),
-            open: Vec::new(),
-            tried: 0,
+            in_flight: Vec::new(),
+            attempts_made: 0,
             pause_until: now,
             hedged: false,
         }
     }
 
-    fn send(&mut self, now: Time) -> Step {
-        let (node, attempt) = (self.next_node, self.tried);
+    fn send(&mut self, now: Time) -> Action {
+        let (node, attempt) = (self.next_node, self.attempts_made);
         self.next_node = (node + 1) % self.nodes;
-        self.tried += 1;
-        self.open.push(Try {
+        self.attempts_made += 1;
+        self.in_flight.push(Attempt {
             attempt,
             node,
             sent: now,
         });
-        Step::Send { node, attempt }
+        Action::Send { node, attempt }
     }
 
     /// What to do now. `budget` is asked before each try but the first whether
     /// one more is allowed.
-    pub fn next(&mut self, now: Time, budget: &mut dyn FnMut(Time) -> bool) -> Vec<Step> {
-        let end = self.begun + self.policy.deadline;
+    pub fn next(&mut self, now: Time, budget: &mut dyn FnMut(Time) -> bool) -> Vec<Action> {
+        let end = self.started + self.policy.deadline;
         if now >= end {
-            return vec![Step::GiveUp];
+            return vec![Action::GiveUp];
         }
-        let patience = self.policy.patience;
+        let attempt_timeout = self.policy.attempt_timeout;
         let late: Vec<u32> = self
-            .open
+            .in_flight
             .iter()
-            .filter(|t| now.since(t.sent) >= patience)
+            .filter(|t| now.since(t.sent) >= attempt_timeout)
             .map(|t| t.attempt)
             .collect();
         for attempt in late {
             self.failed(now, attempt, None);
         }
         let mut out = Vec::new();
-        if self.open.is_empty() && now >= self.pause_until {
-            if self.tried > 0 && !budget(now) {
-                return vec![Step::GiveUp];
+        if self.in_flight.is_empty() && now >= self.pause_until {
+            if self.attempts_made > 0 && !budget(now) {
+                return vec![Action::GiveUp];
             }
             self.hedged = false;
             out.push(self.send(now));
         }
         // A second node costs one request and saves the wait for a slow one; it
         // is asked once a try, and only where nothing can be changed by it.
-        if let [only] = self.open.as_slice()
-            && self.kind == Kind::Poll
+        if let [only] = self.in_flight.as_slice()
+            && self.kind == RequestKind::Poll
             && self.nodes > 1
             && !self.hedged
             && now.since(only.sent) >= self.policy.hedge_after
@@ -182,52 +188,55 @@
             }
         }
         if out.is_empty() {
-            out.push(Step::Wait(self.wakes(end)));
+            out.push(Action::Wait(self.next_wakeup(end)));
         }
         out
     }
 
-    fn wakes(&self, end: Time) -> Time {
-        let tries = self.open.iter().map(|t| t.sent + self.policy.patience);
-        let hedge = match self.open.as_slice() {
-            [only] if self.kind == Kind::Poll && self.nodes > 1 && !self.hedged => {
+    fn next_wakeup(&self, end: Time) -> Time {
+        let tries = self
+            .in_flight
+            .iter()
+            .map(|t| t.sent + self.policy.attempt_timeout);
+        let hedge = match self.in_flight.as_slice() {
+            [only] if self.kind == RequestKind::Poll && self.nodes > 1 && !self.hedged => {
                 Some(only.sent + self.policy.hedge_after)
             }
             _ => None,
         };
-        let pause = self.open.is_empty().then_some(self.pause_until);
+        let pause = self.in_flight.is_empty().then_some(self.pause_until);
         let all = tries.chain(hedge).chain(pause);
         all.min().unwrap_or(end).min(end)
     }
 
-    /// A try failed, or was answered with "not now": the next one waits, as long
+    /// An attempt failed, or was answered with "not now": the next one waits, as long
     /// as the node asks or a little, and goes to another node.
     pub fn failed(&mut self, now: Time, attempt: u32, after: Option<u32>) {
-        let Some(i) = self.open.iter().position(|t| t.attempt == attempt) else {
+        let Some(i) = self.in_flight.iter().position(|t| t.attempt == attempt) else {
             return;
         };
-        let node = self.open.remove(i).node;
+        let node = self.in_flight.remove(i).node;
         if self.next_node == node {
             self.next_node = (node + 1) % self.nodes;
         }
         let jitter = self.rng.random();
-        let (first, most) = (self.policy.first_pause, self.policy.most_pause);
+        let (first, most) = (self.policy.first_pause, self.policy.max_pause);
         let own = self.backoff.failed(first, most, jitter);
         // The node's word spreads the return of many: never earlier, and not all
         // at the same moment.
         let asked = after.map_or(TimeSpan::ZERO, |s| {
-            TimeSpan::secs(f64::from(s.min(MOST_RETRY_AFTER)) * (1.0 + jitter / 4.0))
+            TimeSpan::secs(f64::from(s.min(MAX_RETRY_AFTER_S)) * (1.0 + jitter / 4.0))
         });
         self.pause_until = self.pause_until.max(now + TimeSpan(own.0.max(asked.0)));
     }
 
     /// When an ended call may be made again at the earliest, by what nodes said.
-    pub fn earliest(&self) -> Time {
+    pub fn retry_not_before(&self) -> Time {
         self.pause_until
     }
 
-    /// Tries made.
-    pub fn tried(&self) -> u32 {
-        self.tried
+    /// Attempts made.
+    pub fn attempts_made(&self) -> u32 {
+        self.attempts_made
     }
 }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,8 +1,8 @@
 //! Calls on sockets.
 
-use crate::attempts::{Attempts, Kind, Policy, Step, Verdict};
-use crate::seen::Seen;
-use pebblefold_net::{Client as Net, Sent};
+use crate::answer_cache::AnswerCache;
+use crate::attempts::{Action, Attempts, ReplyClass, RequestKind, RetryPolicy};
+use pebblefold_net::{Client as HttpClient, Sent};
 use pebblefold_wire::http::Response;
 use pebblefold_wire::rate_limit::TokenBucket;
 use pebblefold_wire::types::{JobId, Time, TimeSpan};
@@ -16,8 +16,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Retries a second that all calls of a client may make together, and at once.
-const RETRIES: (f64, f64) = (5.0, 25.0);
+/// Retries a second that all calls of a client may make together.
+const RETRIES_PER_S: f64 = 5.0;
+/// Retries that they may make at once.
+const RETRY_BURST: f64 = 25.0;
+/// Spreads the seeds of a client's calls (Knuth's multiplicative constant for 64 bits).
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Why a call has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -35,7 +39,7 @@
     NoSuchJob(JobId),
     /// The id can be none of a job; nothing was sent.
     #[error("job id {0:?}: 1 to 128 letters, digits, '-', '_' or '.' are wanted")]
-    BadId(String),
+    InvalidJobId(String),
     /// No node decided within the deadline, or the retries are used up. May be
     /// repeated, not before the pause: it may have been carried out.
     #[error("{last}; try again in {} s", pause.as_secs().ceil())]
@@ -52,7 +56,7 @@
 
 impl ClientError {
     /// Whether the same call may succeed later.
-    pub fn may_repeat(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         matches!(self, ClientError::Busy { .. })
     }
 }
@@ -64,25 +68,25 @@
 
 #[derive(Debug)]
 struct Shared {
-    net: Net,
+    http: HttpClient,
     nodes: Vec<SocketAddrV4>,
-    policy: Policy,
+    policy: RetryPolicy,
     started: Instant,
     retries: RefCell<TokenBucket>,
-    seen: RefCell<Seen>,
+    answer_cache: RefCell<AnswerCache>,
     seed: Cell<u64>,
 }
 
 impl Client {
     /// A client of these nodes.
-    pub fn new(nodes: Vec<SocketAddrV4>, policy: Policy) -> Client {
+    pub fn new(nodes: Vec<SocketAddrV4>, policy: RetryPolicy) -> Client {
         Client(Rc::new(Shared {
-            net: Net::default(),
+            http: HttpClient::default(),
             nodes,
             policy,
             started: Instant::now(),
-            retries: RefCell::new(TokenBucket::new(RETRIES.0, RETRIES.1)),
-            seen: RefCell::default(),
+            retries: RefCell::new(TokenBucket::new(RETRIES_PER_S, RETRY_BURST)),
+            answer_cache: RefCell::default(),
             seed: Cell::new(rand::random()),
         }))
     }
@@ -93,7 +97,7 @@
     /// See [`ClientError`].
     pub async fn submit(&self, job: &Submission) -> Result<JobStatus, ClientError> {
         let path = "/submissions".into();
-        self.call(Kind::Submit, &job.id, "POST", path, encode(job))
+        self.call(RequestKind::Submit, &job.id, "POST", path, encode(job))
             .await
     }
 
@@ -103,7 +107,8 @@
     /// See [`ClientError`].
     pub async fn status(&self, id: &JobId) -> Result<JobStatus, ClientError> {
         let path = format!("/submissions/{id}");
-        self.call(Kind::Poll, id, "GET", path, Vec::new()).await
+        self.call(RequestKind::Poll, id, "GET", path, Vec::new())
+            .await
     }
 
     /// Cancels a job. Safe to repeat; answers "done" if it was over already.
@@ -112,10 +117,11 @@
     /// See [`ClientError`].
     pub async fn cancel(&self, id: &JobId) -> Result<JobStatus, ClientError> {
         let path = format!("/submissions/{id}/cancel");
-        self.call(Kind::Cancel, id, "POST", path, Vec::new()).await
+        self.call(RequestKind::Cancel, id, "POST", path, Vec::new())
+            .await
     }
 
-    /// Polls until a job is over; `tell` hears of each change. Nodes that cannot
+    /// Polls until a job is over; `on_change` hears of each change. Nodes that cannot
     /// answer for a while are waited for.
     ///
     /// # Errors
@@ -124,7 +130,7 @@
         &self,
         id: &JobId,
         every: Duration,
-        mut tell: impl FnMut(&JobStatus),
+        mut on_change: impl FnMut(&JobStatus),
     ) -> Result<JobStatus, ClientError> {
         let mut last: Option<JobStage> = None;
         loop {
@@ -132,7 +138,7 @@
             match self.status(id).await {
                 Ok(a) => {
                     if last != Some(a.stage) {
-                        tell(&a);
+                        on_change(&a);
                     }
                     last = Some(a.stage);
                     if matches!(a.stage, JobStage::Done | JobStage::Cancelled) {
@@ -148,9 +154,10 @@
         }
     }
 
+    /// Makes a call: attempts until one is answered for good or the deadline is over.
     async fn call(
         &self,
-        kind: Kind,
+        kind: RequestKind,
         id: &JobId,
         method: &'static str,
         path: String,
@@ -161,72 +168,86 @@
             return Err(ClientError::NoNodes);
         }
         // A job without a usable id is refused by the node, with its reason.
-        if kind != Kind::Submit && !valid_id(id.as_str()) {
-            return Err(ClientError::BadId(id.to_string()));
+        if kind != RequestKind::Submit && !valid_id(id.as_str()) {
+            return Err(ClientError::InvalidJobId(id.to_string()));
         }
-        let seed = shared.seed.get().wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-        shared.seed.set(seed);
-        let mut attempts =
-            Attempts::new(kind, shared.nodes.len(), shared.policy, shared.now(), seed);
+        let mut attempts = shared.new_attempts(kind);
         let (tx, mut rx) = mpsc::unbounded_channel();
-        // Tries end with the call: the set aborts them when it is dropped.
-        let mut tries: JoinSet<()> = JoinSet::new();
+        // Attempts end with the call: the set aborts them when it is dropped.
+        let mut tasks: JoinSet<()> = JoinSet::new();
         let mut last = "no answer".to_string();
         loop {
             let now = shared.now();
-            let steps = attempts.next(now, &mut |now| shared.retries.borrow_mut().take(now, 1.0));
-            for step in steps {
-                match step {
-                    Step::Send { node, attempt } => {
+            let actions = attempts.next(now, &mut |now| shared.retries.borrow_mut().take(now, 1.0));
+            for action in actions {
+                match action {
+                    Action::Send { node, attempt } => {
                         let (shared, tx) = (Rc::clone(shared), tx.clone());
                         let (path, body) = (path.clone(), body.clone());
-                        tries.spawn_local(async move {
-                            let got = shared.ask(node, method, &path, &body).await;
-                            // The call may be over; nobody misses it.
-                            let _ = tx.send((attempt, node, got));
+                        tasks.spawn_local(async move {
+                            let result = shared.send_request(node, method, &path, &body).await;
+                            // The call may be over; nobody misses the result.
+                            let _ = tx.send(AttemptResult {
+                                attempt,
+                                node,
+                                result,
+                            });
                         });
                     }
-                    Step::Wait(_) => {}
-                    Step::GiveUp => {
-                        let pause = attempts.earliest().since(now);
-                        let pause = TimeSpan(pause.0.max(TimeSpan::millis(1000).0));
+                    Action::Wait(_) => {}
+                    Action::GiveUp => {
+                        let pause = attempts.retry_not_before().since(now).max(LEAST_PAUSE);
                         return Err(ClientError::Busy { last, pause });
                     }
                 }
             }
-            let wakes = match attempts.next(now, &mut |_| false).as_slice() {
-                [Step::Wait(t)] => t.since(now),
-                _ => TimeSpan::millis(1),
-            };
-            let wakes = Duration::from_micros(wakes.0.max(1000));
-            let Ok(Some((attempt, node, got))) = timeout(wakes, rx.recv()).await else {
+            let wait = next_wait(&mut attempts, now);
+            let Ok(Some(done)) = timeout(wait, rx.recv()).await else {
                 continue;
             };
-            let addr = shared.nodes[node];
-            let after = match got {
-                Err(e) => {
-                    last = format!("{addr}: {e}");
-                    None
+            match shared.classify(id, &done) {
+                Progress::Answered(answer) => return answer,
+                Progress::Retry { reason, after } => {
+                    last = format!("{}: {reason}", shared.nodes[done.node]);
+                    attempts.failed(shared.now(), done.attempt, after);
                 }
-                Ok(r) => match Verdict::of(r.status, r.retry_after) {
-                    Verdict::Final => match shared.read(id, &r) {
-                        Some(answer) => return answer,
-                        None => {
-                            last = format!("{addr}: {}, older than what is known", r.status);
-                            None
-                        }
-                    },
-                    Verdict::Again { after } => {
-                        last = format!("{addr}: {}", reason(&r));
-                        after
-                    }
-                },
-            };
-            attempts.failed(shared.now(), attempt, after);
+            }
         }
     }
 }
 
+/// Least pause that a caller is told to keep after a call without an answer.
+const LEAST_PAUSE: TimeSpan = TimeSpan::millis(1000);
+/// Least wait between two looks at the attempts under way.
+const LEAST_WAIT_US: u64 = 1000;
+
+/// What came of one attempt.
+struct AttemptResult {
+    attempt: u32,
+    node: usize,
+    /// The response, or why there is none.
+    result: Result<Response, String>,
+}
+
+/// What an attempt's result means for its call.
+enum Progress {
+    Answered(Result<JobStatus, ClientError>),
+    Retry {
+        reason: String,
+        /// Seconds that the node asks to wait.
+        after: Option<u32>,
+    },
+}
+
+/// How long nothing is to be done, unless an attempt ends.
+fn next_wait(attempts: &mut Attempts, now: Time) -> Duration {
+    let wait = match attempts.next(now, &mut |_| false).as_slice() {
+        [Action::Wait(until)] => until.since(now),
+        _ => TimeSpan::millis(1),
+    };
+    Duration::from_micros(wait.0.max(LEAST_WAIT_US))
+}
+
 fn reason(r: &Response) -> String {
     match decode::<ErrorResponse>(&r.body) {
         Some(x) => format!("{} {}", r.status, x.error),
@@ -239,7 +260,38 @@
         Time(self.started.elapsed().as_micros() as u64 + 1)
     }
 
-    async fn ask(
+    fn new_attempts(&self, kind: RequestKind) -> Attempts {
+        let seed = self.seed.get().wrapping_mul(SEED_MULTIPLIER) | 1;
+        self.seed.set(seed);
+        Attempts::new(kind, self.nodes.len(), self.policy, self.now(), seed)
+    }
+
+    fn classify(&self, id: &JobId, done: &AttemptResult) -> Progress {
+        let response = match &done.result {
+            Ok(response) => response,
+            Err(e) => {
+                return Progress::Retry {
+                    reason: e.clone(),
+                    after: None,
+                };
+            }
+        };
+        match ReplyClass::of(response.status, response.retry_after) {
+            ReplyClass::Final => match self.read(id, response) {
+                Some(answer) => Progress::Answered(answer),
+                None => Progress::Retry {
+                    reason: format!("{}, older than what is known", response.status),
+                    after: None,
+                },
+            },
+            ReplyClass::Retry { after } => Progress::Retry {
+                reason: reason(response),
+                after,
+            },
+        }
+    }
+
+    async fn send_request(
         &self,
         node: usize,
         method: &str,
@@ -248,9 +300,9 @@
     ) -> Result<Response, String> {
         let sent = Sent::default();
         let asked = self
-            .net
+            .http
             .exchange(self.nodes[node], method, path, body, &sent);
-        let limit = Duration::from_micros(self.policy.patience.0);
+        let limit = Duration::from_micros(self.policy.attempt_timeout.0);
         match timeout(limit, asked).await {
             Ok(Ok(r)) => Ok(r),
             Ok(Err(e)) => Err(e.to_string()),
@@ -260,9 +312,9 @@
 
     /// The answer as it may be given; `None`: it is older than one that was.
     fn read(&self, id: &JobId, r: &Response) -> Option<Result<JobStatus, ClientError>> {
-        let mut seen = self.seen.borrow_mut();
+        let mut answer_cache = self.answer_cache.borrow_mut();
         match r.status {
-            404 if seen.allows(id, None) => Some(Err(ClientError::NoSuchJob(id.clone()))),
+            404 if answer_cache.allows(id, None) => Some(Err(ClientError::NoSuchJob(id.clone()))),
             404 => None,
             400 | 422 => Some(Err(ClientError::Refused {
                 status: r.status,
@@ -270,10 +322,10 @@
             })),
             _ => {
                 let answer: JobStatus = decode(&r.body)?;
-                if answer.id != *id || !seen.allows(id, Some(answer.stage)) {
+                if answer.id != *id || !answer_cache.allows(id, Some(answer.stage)) {
                     return None;
                 }
-                seen.note(id, answer.stage);
+                answer_cache.note(id, answer.stage);
                 Some(Ok(answer))
             }
         }
--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -1,6 +1,8 @@
 //! The client against nodes that lag, refuse, hang and vanish.
 
-use pebblefold_client::{Attempts, Client, ClientError, Kind, Policy, Seen, Step};
+use pebblefold_client::{
+    Action, AnswerCache, Attempts, Client, ClientError, RequestKind, RetryPolicy,
+};
 use pebblefold_net::answer_connections;
 use pebblefold_wire::encode;
 use pebblefold_wire::http::{Request, Response};
@@ -18,7 +20,12 @@
 }
 
 /// Plays a call against nodes that never answer; what is sent when, to whom.
-fn silent(kind: Kind, nodes: usize, policy: Policy, mut budget: u32) -> (Vec<(u64, usize)>, u64) {
+fn silent(
+    kind: RequestKind,
+    nodes: usize,
+    policy: RetryPolicy,
+    mut budget: u32,
+) -> (Vec<(u64, usize)>, u64) {
     let mut a = Attempts::new(kind, nodes, policy, at(0), 3);
     let mut sent = Vec::new();
     for ms in 0..100_000 {
@@ -29,9 +36,9 @@
         };
         for step in a.next(at(ms), &mut allow) {
             match step {
-                Step::Send { node, .. } => sent.push((ms, node)),
-                Step::GiveUp => return (sent, ms),
-                Step::Wait(t) => assert!(t > at(ms)),
+                Action::Send { node, .. } => sent.push((ms, node)),
+                Action::GiveUp => return (sent, ms),
+                Action::Wait(t) => assert!(t > at(ms)),
             }
         }
     }
@@ -39,13 +46,13 @@
 }
 
 #[test]
-fn tries_go_round_wait_longer_and_end_by_the_deadline() {
-    let policy = Policy {
+fn attempts_rotate_nodes_and_back_off_until_deadline() {
+    let policy = RetryPolicy {
         deadline: TimeSpan::millis(20_000),
-        patience: TimeSpan::millis(1000),
-        ..Policy::default()
+        attempt_timeout: TimeSpan::millis(1000),
+        ..RetryPolicy::default()
     };
-    let (sent, end) = silent(Kind::Submit, 3, policy, 100);
+    let (sent, end) = silent(RequestKind::Submit, 3, policy, 100);
     assert_eq!(end, 20_000);
     assert!((8..=14).contains(&sent.len()), "{sent:?}");
     assert!(
@@ -58,33 +65,33 @@
         "{pauses:?}"
     );
     // Without a budget the first try is the last.
-    let (sent, end) = silent(Kind::Submit, 3, policy, 0);
+    let (sent, end) = silent(RequestKind::Submit, 3, policy, 0);
     assert!(sent.len() == 1 && end < 1200, "{sent:?} {end}");
 }
 
 #[test]
-fn polls_are_hedged_and_changes_are_not() {
-    let policy = Policy {
+fn hedges_polls_but_not_writes() {
+    let policy = RetryPolicy {
         deadline: TimeSpan::millis(1500),
-        patience: TimeSpan::millis(2000),
-        ..Policy::default()
+        attempt_timeout: TimeSpan::millis(2000),
+        ..RetryPolicy::default()
     };
-    let (polls, _) = silent(Kind::Poll, 3, policy, 100);
+    let (polls, _) = silent(RequestKind::Poll, 3, policy, 100);
     assert_eq!(polls.iter().map(|s| s.0).collect::<Vec<_>>(), [0, 500]);
     assert_ne!(polls[0].1, polls[1].1);
-    assert_eq!(silent(Kind::Poll, 1, policy, 100).0.len(), 1);
-    assert_eq!(silent(Kind::Cancel, 3, policy, 100).0.len(), 1);
+    assert_eq!(silent(RequestKind::Poll, 1, policy, 100).0.len(), 1);
+    assert_eq!(silent(RequestKind::Cancel, 3, policy, 100).0.len(), 1);
 }
 
 #[test]
-fn a_nodes_retry_after_is_honoured_and_spread() {
+fn honours_retry_after_with_jitter() {
     let mut starts = Vec::new();
     for seed in 0..50 {
-        let mut a = Attempts::new(Kind::Submit, 3, Policy::default(), at(0), seed);
+        let mut a = Attempts::new(RequestKind::Submit, 3, RetryPolicy::default(), at(0), seed);
         a.next(at(0), &mut |_| true);
         a.failed(at(10), 0, Some(4));
         let back = (0..30_000)
-            .find(|ms| matches!(a.next(at(*ms), &mut |_| true)[..], [Step::Send { .. }]))
+            .find(|ms| matches!(a.next(at(*ms), &mut |_| true)[..], [Action::Send { .. }]))
             .unwrap();
         starts.push(back);
     }
@@ -98,23 +105,26 @@
 }
 
 #[test]
-fn no_answer_is_older_than_one_that_was_given() {
-    let mut seen = Seen::default();
+fn rejects_answers_older_than_one_given() {
+    let mut answer_cache = AnswerCache::default();
     let job = "wk-1".into();
-    assert!(seen.allows(&job, None));
-    seen.note(&job, JobStage::Queued);
-    assert!(!seen.allows(&job, None) && seen.allows(&job, Some(JobStage::Running)));
-    seen.note(&job, JobStage::Done);
-    seen.note(&job, JobStage::Running);
-    assert!(seen.allows(&job, Some(JobStage::Done)));
+    assert!(answer_cache.allows(&job, None));
+    answer_cache.note(&job, JobStage::Queued);
+    assert!(!answer_cache.allows(&job, None) && answer_cache.allows(&job, Some(JobStage::Running)));
+    answer_cache.note(&job, JobStage::Done);
+    answer_cache.note(&job, JobStage::Running);
+    assert!(answer_cache.allows(&job, Some(JobStage::Done)));
     assert!(
-        !seen.allows(&job, Some(JobStage::Running))
-            && !seen.allows(&job, Some(JobStage::Cancelled))
+        !answer_cache.allows(&job, Some(JobStage::Running))
+            && !answer_cache.allows(&job, Some(JobStage::Cancelled))
     );
     for i in 0..30_000 {
-        seen.note(&format!("wk-{i}").as_str().into(), JobStage::Queued);
+        answer_cache.note(&format!("wk-{i}").as_str().into(), JobStage::Queued);
     }
-    assert!(seen.allows(&"wk-5".into(), None), "only so many are kept");
+    assert!(
+        answer_cache.allows(&"wk-5".into(), None),
+        "only so many are kept"
+    );
 }
 
 fn submission() -> Submission {
@@ -182,17 +192,17 @@
     LocalSet::new().block_on(&runtime, test());
 }
 
-fn quick() -> Policy {
-    Policy {
+fn quick() -> RetryPolicy {
+    RetryPolicy {
         first_pause: TimeSpan::millis(5),
-        most_pause: TimeSpan::millis(20),
+        max_pause: TimeSpan::millis(20),
         deadline: TimeSpan::millis(8000),
-        ..Policy::default()
+        ..RetryPolicy::default()
     }
 }
 
 #[test]
-fn a_call_is_answered_through_refusals_dropped_connections_and_old_answers() {
+fn call_survives_refusals_dropped_connections_and_stale_answers() {
     on_sockets(async || {
         let q = JobStage::Queued;
         let script = vec![
@@ -220,9 +230,9 @@
 }
 
 #[test]
-fn errors_say_whether_to_repeat() {
+fn errors_say_whether_they_are_retryable() {
     on_sockets(async || {
-        let policy = Policy {
+        let policy = RetryPolicy {
             deadline: TimeSpan::millis(300),
             ..quick()
         };
@@ -239,7 +249,7 @@
         );
         let refused = client.submit(&submission()).await.unwrap_err();
         assert!(
-            matches!(refused, ClientError::Refused { status: 422, .. }) && !refused.may_repeat()
+            matches!(refused, ClientError::Refused { status: 422, .. }) && !refused.is_retryable()
         );
         // The node's word on when to come back is passed on.
         let (addr, _) = node(vec![Some((503, Some(9), JobStage::Queued))]).await;
@@ -247,13 +257,13 @@
             .status(&job)
             .await
             .unwrap_err();
-        assert!(busy.may_repeat());
+        assert!(busy.is_retryable());
         assert!(
             matches!(busy, ClientError::Busy { pause, .. } if pause > TimeSpan::millis(8000)),
             "{busy}"
         );
         let bad = Client::new(vec![addr], policy).status(&"a/b".into()).await;
-        assert!(matches!(bad, Err(ClientError::BadId(_))));
+        assert!(matches!(bad, Err(ClientError::InvalidJobId(_))));
         assert_eq!(
             Client::new(Vec::new(), policy).status(&job).await,
             Err(ClientError::NoNodes)
@@ -262,7 +272,7 @@
 }
 
 #[test]
-fn waiting_tells_each_change_and_ends_with_the_end() {
+fn wait_reports_each_change_until_the_job_ends() {
     on_sockets(async || {
         let stages = [
             JobStage::Cancelled,
--- a/crates/pebblectl/benches/steps.rs
+++ b/crates/pebblectl/benches/steps.rs
@@ -3,7 +3,7 @@
 //! `true` for each step. Run with `cargo bench -p pebblectl`, or with a width:
 //! `cargo bench -p pebblectl -- 2000`. The figures are of the machine at hand.
 
-use pebblefold_client::{Client, Policy};
+use pebblefold_client::{Client, RetryPolicy};
 use pebblefold_net::{Client as Net, Sent};
 use pebblefold_simulator::loopback::{Loopback, Options as Cluster};
 use pebblefold_simulator::script::Script;
@@ -77,7 +77,10 @@
 
 /// Jobs one after the other, as a person's script would submit them.
 async fn by_hand(front: SocketAddrV4, work: &Path) -> Duration {
-    let (client, net) = (Client::new(vec![front], Policy::default()), Net::default());
+    let (client, net) = (
+        Client::new(vec![front], RetryPolicy::default()),
+        Net::default(),
+    );
     let begun = Instant::now();
     for i in 0..LONG {
         let id = format!("wk-hand-{i}");
--- a/crates/pebblectl/src/ask.rs
+++ b/crates/pebblectl/src/ask.rs
@@ -1,7 +1,7 @@
 //! Users' and operators' requests to a cluster.
 
 use crate::output::Failure;
-use pebblefold_client::{Client, ClientError, Policy};
+use pebblefold_client::{Client, ClientError, RetryPolicy};
 use pebblefold_net::{Client as Net, Sent};
 use pebblefold_simulator::loopback::LoopbackError;
 use pebblefold_wire::decode;
@@ -46,9 +46,9 @@
 pub fn client(nodes: Vec<SocketAddrV4>, deadline: TimeSpan) -> Client {
     Client::new(
         nodes,
-        Policy {
+        RetryPolicy {
             deadline,
-            ..Policy::default()
+            ..RetryPolicy::default()
         },
     )
 }
@@ -57,7 +57,7 @@
     fn from(e: ClientError) -> Failure {
         match e {
             ClientError::Refused { .. } | ClientError::NoSuchJob(_) => Failure::failed(e),
-            ClientError::BadId(_) | ClientError::NoNodes => Failure::input(e),
+            ClientError::InvalidJobId(_) | ClientError::NoNodes => Failure::input(e),
             ClientError::Busy { .. } => {
                 Failure::Unreachable(format!("{e}; is the cluster up, and is it this one?"))
             }
--- a/crates/workflow/src/runner.rs
+++ b/crates/workflow/src/runner.rs
@@ -11,7 +11,7 @@
 use crate::plan::{Allowed, Lost, Try, again, job_id};
 use crate::records::{Claim, End, Entry, RecordError, Records};
 use crate::tool::{CommandLine, Ended, command_line, ended, inputs, outputs, reusable};
-use pebblefold_client::{Client, ClientError, Policy};
+use pebblefold_client::{Client, ClientError, RetryPolicy};
 use pebblefold_net::{Client as Net, Sent};
 use pebblefold_wire::command::{
     CommandSpec, EXIT_FILE, ExitRecord, REFUSED_FILE, RestartPolicy, StagedFile,
@@ -204,9 +204,9 @@
 }
 
 fn client(front: SocketAddrV4) -> Client {
-    let policy = Policy {
+    let policy = RetryPolicy {
         deadline: TimeSpan::millis(60_000),
-        ..Policy::default()
+        ..RetryPolicy::default()
     };
     Client::new(vec![front], policy)
 }
@@ -671,7 +671,7 @@
             self.jobs.borrow_mut().insert(task.path.clone(), id.clone());
             match client.submit(job).await {
                 Ok(_) => break,
-                Err(e) if e.may_repeat() => sleep(LOOKS.0).await,
+                Err(e) if e.is_retryable() => sleep(LOOKS.0).await,
                 Err(e) => return Err(told(&e)),
             }
         }
@@ -697,7 +697,7 @@
                     return Err(fatal(format!("job {id} was cancelled")));
                 }
                 Ok(_) => {}
-                Err(e) if e.may_repeat() => {}
+                Err(e) if e.is_retryable() => {}
                 Err(e) => return Err(told(&e)),
             }
             // The job is asked for less and less often, until its command's end is
