--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -1,6 +1,7 @@
-//! Durable records: what stands in the state service and how it is written.
+//! Durable records of jobs and of leadership: what is stored in the key-value store,
+//! and how it is written and read back. Nothing here sends a request.
 //!
-//! Its keys: [`super::keys`].
+//! The keys under which records are stored: [`super::keys`].
 
 mod chunk_size;
 mod dirty_chunks;
@@ -21,5 +22,7 @@
 pub use job::{Chunk, Job, JobNotes};
 pub use leader_record::{LeaderRecord, leader_record};
 pub use submission::{SubmissionAssembler, accept_txn, cancel_txn};
-pub use transaction::{CommitItem, CommitPipeline, TransactionBuilder, TransactionLimits, Write};
+pub use transaction::{
+    CommitItem, CommitPipeline, ConditionalWrite, TransactionBuilder, TransactionLimits, Write,
+};
 pub use value::{json_len, read};
--- a/crates/controller/src/core/job_records/dirty_chunks.rs
+++ b/crates/controller/src/core/job_records/dirty_chunks.rs
@@ -1,46 +1,66 @@
-//! Chunks that differ from what is stored.
+//! The queue of chunks that differ from what is stored. It decides which are written
+//! next, never what is written.
 
 use crate::types::{JobId, Time, TimeSpan};
 use std::collections::BTreeMap;
 
-/// Chunks that differ from what is stored. Those with starts go first, as a
-/// start waits for its record; the others wait a little, since a task's end is
-/// often soon followed by the next, or by its job's, and then needs no write
-/// of its own.
+/// How long a chunk without starts waits for further changes.
+const SETTLE_TIME: TimeSpan = TimeSpan::millis(1000);
+
+/// Names a chunk: its job and its number.
+type ChunkId = (JobId, u32);
+
+/// Why a chunk waits to be written, and since when.
+#[derive(Clone, Copy, Debug)]
+struct DirtyChunk {
+    since: Time,
+    has_starts: bool,
+}
+
+impl DirtyChunk {
+    fn is_due(&self, now: Time) -> bool {
+        self.has_starts || now.since(self.since) >= SETTLE_TIME
+    }
+}
+
+/// Chunks that differ from what is stored. Those with task starts go first, as a
+/// start waits for its record; the others wait a little, since the completion of a
+/// task is often soon followed by the next one, or by its job's, and then needs no
+/// write of its own.
 #[derive(Debug, Default)]
 pub struct DirtyChunks {
-    chunks: BTreeMap<(JobId, u32), (Time, bool)>,
+    chunks: BTreeMap<ChunkId, DirtyChunk>,
 }
 
-/// How long a chunk without starts waits for further changes.
-const SETTLES: TimeSpan = TimeSpan::millis(1000);
-
 impl DirtyChunks {
-    /// Notes a change; `start`: of a task that is to be started.
+    /// Records a change at `now`; `start`: of a task that is to be started.
     pub fn note(&mut self, chunk: (JobId, u32), now: Time, start: bool) {
-        let (_, starts) = self.chunks.entry(chunk).or_insert((now, false));
-        *starts |= start;
+        let dirty = self.chunks.entry(chunk).or_insert(DirtyChunk {
+            since: now,
+            has_starts: false,
+        });
+        dirty.has_starts |= start;
     }
 
-    /// At most so many chunks to write now, most pressing first, oldest first
-    /// among equals. In a rush thousands wait, and this is asked for many times
-    /// a second.
-    pub fn due(&self, now: Time, most: usize) -> Vec<(JobId, u32)> {
+    /// At most `limit` chunks to write now: those with starts first, the oldest first
+    /// among equals. In a rush thousands wait and this is called many times a second,
+    /// so only the chosen ones are sorted.
+    pub fn due(&self, now: Time, limit: usize) -> Vec<(JobId, u32)> {
         let mut due: Vec<_> = self
             .chunks
             .iter()
-            .filter(|(_, (since, start))| *start || now.since(*since) >= SETTLES)
-            .map(|(chunk, (since, start))| (!start, *since, chunk))
+            .filter(|(_, dirty)| dirty.is_due(now))
+            .map(|(chunk, dirty)| (!dirty.has_starts, dirty.since, chunk))
             .collect();
-        if most < due.len() {
-            due.select_nth_unstable(most);
-            due.truncate(most);
+        if limit < due.len() {
+            due.select_nth_unstable(limit);
+            due.truncate(limit);
         }
         due.sort_unstable();
         due.into_iter().map(|(_, _, chunk)| chunk.clone()).collect()
     }
 
-    /// It is being written, or needs no writing.
+    /// Removes a chunk that is being written, or needs no writing.
     pub fn forget(&mut self, chunk: &(JobId, u32)) {
         self.chunks.remove(chunk);
     }
--- a/crates/controller/src/core/job_records/header.rs
+++ b/crates/controller/src/core/job_records/header.rs
@@ -1,14 +1,15 @@
-//! The head of a job, and how a job ended.
+//! The header record of a job: whether it is open, done or cancelled. It stays when
+//! everything else of the job is deleted.
 
-use super::value::value;
+use super::value::to_value;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::fmt;
 
-/// A job's lasting state.
+/// The stored state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeaderStage {
-    /// Accepted and not over.
+    /// Accepted, and neither done nor cancelled.
     #[serde(rename = "p")]
     Open,
     /// Every task is done.
@@ -19,26 +20,26 @@
     Cancelled,
 }
 
-/// A job's head.
+/// A job's header as it is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobHeader {
-    /// Its state.
+    /// The job's state.
     pub s: HeaderStage,
-    /// Number of its tasks.
+    /// Number of the job's tasks.
     pub n: u32,
 }
 
-/// The head of a job, to be written.
-pub fn job_header_value(s: HeaderStage, n: u32) -> Value {
-    value(&JobHeader { s, n })
+/// The header of a job with `tasks` tasks, as a value to be written.
+pub fn job_header_value(stage: HeaderStage, tasks: u32) -> Value {
+    to_value(&JobHeader { s: stage, n: tasks })
 }
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// All tasks done; `written` once the head says so.
+    /// All tasks are done.
     Done {
-        /// Whether the head says so.
+        /// Whether the stored header says so already.
         written: bool,
     },
     /// Cancelled by its user.
--- a/crates/controller/src/core/job_records/index_ranges.rs
+++ b/crates/controller/src/core/job_records/index_ranges.rs
@@ -1,94 +1,98 @@
-//! A set of task numbers.
+//! A set of task numbers stored as ranges: jobs have up to many thousands of tasks,
+//! and most sets of them are a few runs of neighbours.
 
 use std::collections::BTreeMap;
 
-/// A set of task numbers, kept as ranges.
+/// A set of task numbers, kept as disjoint ranges that do not touch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct IndexRanges {
-    spans: BTreeMap<u32, u32>,
+    /// Ranges `[start, end)`: end by start.
+    ranges: BTreeMap<u32, u32>,
+    /// Numbers in all ranges together.
     count: u32,
 }
 
 impl IndexRanges {
-    /// All numbers below `n`.
-    pub fn below(n: u32) -> IndexRanges {
-        let mut r = IndexRanges::default();
-        if n > 0 {
-            r.spans.insert(0, n);
-            r.count = n;
+    /// All numbers below `end`.
+    pub fn below(end: u32) -> IndexRanges {
+        let mut set = IndexRanges::default();
+        if end > 0 {
+            set.ranges.insert(0, end);
+            set.count = end;
         }
-        r
+        set
     }
 
-    fn span_of(&self, i: u32) -> Option<(u32, u32)> {
-        let (&a, &b) = self.spans.range(..=i).next_back()?;
-        (i < b).then_some((a, b))
+    /// The range `[start, end)` that contains `index`, if any.
+    fn range_containing(&self, index: u32) -> Option<(u32, u32)> {
+        let (&start, &end) = self.ranges.range(..=index).next_back()?;
+        (index < end).then_some((start, end))
     }
 
-    /// Whether `i` is in the set.
-    pub fn contains(&self, i: u32) -> bool {
-        self.span_of(i).is_some()
+    /// Whether `index` is in the set.
+    pub fn contains(&self, index: u32) -> bool {
+        self.range_containing(index).is_some()
     }
 
-    /// Adds `i`; false if it was there.
-    pub fn insert(&mut self, i: u32) -> bool {
-        if self.contains(i) {
+    /// Adds `index`, joining it with the ranges it touches; false if it was there.
+    pub fn insert(&mut self, index: u32) -> bool {
+        if self.contains(index) {
             return false;
         }
-        let mut start = i;
-        let mut end = i + 1;
-        if let Some((&a, &b)) = self.spans.range(..i).next_back()
-            && b == i
+        let mut start = index;
+        let mut end = index + 1;
+        if let Some((&left_start, &left_end)) = self.ranges.range(..index).next_back()
+            && left_end == index
         {
-            self.spans.remove(&a);
-            start = a;
+            self.ranges.remove(&left_start);
+            start = left_start;
         }
-        if let Some(b) = self.spans.remove(&end) {
-            end = b;
+        if let Some(right_end) = self.ranges.remove(&end) {
+            end = right_end;
         }
-        self.spans.insert(start, end);
+        self.ranges.insert(start, end);
         self.count += 1;
         true
     }
 
-    /// Takes `i` out; false if it was not there.
-    pub fn remove(&mut self, i: u32) -> bool {
-        let Some((a, b)) = self.span_of(i) else {
+    /// Removes `index`, splitting its range; false if it was not there.
+    pub fn remove(&mut self, index: u32) -> bool {
+        let Some((start, end)) = self.range_containing(index) else {
             return false;
         };
-        self.spans.remove(&a);
-        if a < i {
-            self.spans.insert(a, i);
+        self.ranges.remove(&start);
+        if start < index {
+            self.ranges.insert(start, index);
         }
-        if i + 1 < b {
-            self.spans.insert(i + 1, b);
+        if index + 1 < end {
+            self.ranges.insert(index + 1, end);
         }
         self.count -= 1;
         true
     }
 
-    /// How many there are.
+    /// Number of members.
     pub fn len(&self) -> u32 {
         self.count
     }
 
-    /// Whether there are none.
+    /// Whether the set has no members.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// The numbers in order.
+    /// The members in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.spans.iter().flat_map(|(&a, &b)| a..b)
+        self.ranges.iter().flat_map(|(&start, &end)| start..end)
     }
 
-    /// The ranges `[a, b)` within `[low, high)`.
+    /// The ranges `[start, end)` of members within `[low, high)`.
     pub fn within(&self, low: u32, high: u32) -> Vec<(u32, u32)> {
-        let first = self.span_of(low).map_or(low, |(a, _)| a);
-        self.spans
+        let first = self.range_containing(low).map_or(low, |(start, _)| start);
+        self.ranges
             .range(first..high)
-            .map(|(&a, &b)| (a.max(low), b.min(high)))
-            .filter(|(a, b)| a < b)
+            .map(|(&start, &end)| (start.max(low), end.min(high)))
+            .filter(|(start, end)| start < end)
             .collect()
     }
 }
--- a/crates/controller/src/core/job_records/job.rs
+++ b/crates/controller/src/core/job_records/job.rs
@@ -1,4 +1,5 @@
-//! A job in the leader's memory.
+//! A job in the leader's memory: which of its tasks are done, waiting, or assigned to
+//! machines, and what of that is stored. What is written of it: `job_writes`.
 
 use super::chunk_size::ChunkSize;
 use super::header::JobOutcome;
@@ -12,23 +13,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// One chunk of a job's tasks as it is stored.
+/// What is known of one chunk's stored record.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Chunk {
-    /// Version of the stored record; 0: none.
+    /// Version of the stored record; 0: none is stored.
     pub version: Version,
-    /// Counts changes in memory.
+    /// Number of changes made in memory.
     pub change: u64,
-    /// The last change that is stored.
+    /// The last of these changes that is stored.
     pub stored: u64,
 }
 
-/// Notes on a job that only scheduling needs.
+/// What only scheduling needs to know of a job. Not stored: lost on failover.
 #[derive(Clone, Debug, Default)]
 pub struct JobNotes {
     /// Failures in a row.
     pub failures: u32,
-    /// Not to be placed before this time.
+    /// Not to be placed before this time (backoff after failures).
     pub not_before: Time,
     /// Machines on which it failed.
     pub failed_on: BTreeSet<MachineId>,
@@ -36,7 +37,7 @@
     pub waiting_since: Option<Time>,
     /// Why it waits, for operators.
     pub why: &'static str,
-    /// Whether it counts within its team's guarantee.
+    /// Whether it counts within its team's guaranteed quota.
     pub entitled: bool,
     /// Why its tasks were last stopped, for operators.
     pub last_stop: Option<&'static str>,
@@ -45,36 +46,38 @@
 /// A job in the leader's memory.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// As submitted.
+    /// The job as submitted.
     pub spec: Rc<Submission>,
     /// When it was accepted.
     pub at: WallTime,
-    /// Version of its head while open.
+    /// Version of its header record while the job is open.
     pub version: Version,
-    /// Further keys of its submission.
+    /// Number of parts of its stored submission.
     pub parts: u32,
     /// How it ended, if it has.
     pub end: Option<JobOutcome>,
     /// Tasks that are done.
     pub done: IndexRanges,
-    /// Tasks that are neither done nor placed.
+    /// Tasks that are neither done nor assigned.
     pub waiting: IndexRanges,
-    /// Where tasks are or may be: at most one place each.
+    /// Where tasks are or may be, by task number: at most one machine each.
     pub assignments: BTreeMap<u32, Assignment>,
-    /// Stored chunks.
+    /// Chunks that were changed or are stored, by chunk number.
     pub chunks: BTreeMap<u32, Chunk>,
-    /// Done tasks that are not stored yet, with their chunk's change.
+    /// Done tasks whose completion is not stored yet, with the change of their chunk
+    /// that records it.
     pub done_not_stored: BTreeMap<u32, u64>,
-    /// Highest attempt ever used.
+    /// The highest attempt ever used by any of its tasks.
     pub attempt: Attempt,
-    /// Whether one of its records cannot be read: it is left as it is.
+    /// Whether one of its records cannot be read: the job is then left as it is.
     pub unreadable: bool,
-    /// Scheduling notes, lost with the leader.
+    /// What scheduling notes about it.
     pub notes: JobNotes,
 }
 
 impl Job {
-    /// A job just accepted.
+    /// A job just accepted, with all tasks waiting. `version` is that of its header,
+    /// `parts` the number of parts of its submission.
     pub fn new(spec: Rc<Submission>, at: WallTime, version: Version, parts: u32) -> Job {
         let tasks = spec.tasks;
         Job {
@@ -90,7 +93,7 @@
             done_not_stored: BTreeMap::new(),
             attempt: Attempt(0),
             unreadable: false,
-            notes: Default::default(),
+            notes: JobNotes::default(),
         }
     }
 
@@ -99,7 +102,7 @@
         self.spec.shape == JobShape::Service
     }
 
-    /// Whether it is a gang.
+    /// Whether it is a gang, whose tasks start together or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.shape == JobShape::Gang
     }
@@ -109,79 +112,88 @@
         self.end.is_none()
     }
 
-    /// Notes a change of a task's record; returns the change's number.
+    /// Counts a change of a task's record; returns the change's number.
     pub fn touch(&mut self, size: ChunkSize, task: u32) -> u64 {
         let chunk = self.chunks.entry(size.of(task)).or_default();
         chunk.change += 1;
         chunk.change
     }
 
-    /// Whether change `n` of a task's chunk is stored.
-    pub fn is_stored(&self, size: ChunkSize, task: u32, n: u64) -> bool {
+    /// Whether change number `change` of a task's chunk is stored.
+    pub fn is_stored(&self, size: ChunkSize, task: u32, change: u64) -> bool {
         self.chunks
             .get(&size.of(task))
-            .is_some_and(|c| c.stored >= n)
+            .is_some_and(|chunk| chunk.stored >= change)
     }
 
-    /// Whether a done task may be cleared from its machine: its being done is
-    /// stored. A worker that forgets it earlier would let it run again after
-    /// a change of leader.
+    /// Whether a done task may be cleared from its machine: its completion is stored.
+    /// An agent that forgets it earlier would let it run again after a failover.
     pub fn done_is_stored(&self, task: u32) -> bool {
-        self.done.contains(task)
-            && (self.end == Some(JobOutcome::Done { written: true })
-                || self.end == Some(JobOutcome::Cancelled)
-                || !self.done_not_stored.contains_key(&task))
+        let end_is_stored = matches!(
+            self.end,
+            Some(JobOutcome::Done { written: true } | JobOutcome::Cancelled)
+        );
+        self.done.contains(task) && (end_is_stored || !self.done_not_stored.contains_key(&task))
     }
 
-    /// Takes over a stored record. One that cannot be read keeps the whole job from
-    /// being started or written: what it says would be lost, and its tasks may run.
+    /// Takes over a stored chunk of an earlier leader. One that cannot be read keeps
+    /// the whole job from being started or written: what it says would be lost, and
+    /// its tasks may run.
     ///
     /// # Errors
-    /// It is damaged, or from a later level.
+    /// The record is damaged, or of a later format version.
     pub fn load_chunk(
         &mut self,
         chunk: u32,
         version: Version,
         stored: &Value,
     ) -> Result<(), UnreadableRecord> {
-        let there = Chunk {
+        let loaded = Chunk {
             version,
             ..Chunk::default()
         };
-        self.chunks.insert(chunk, there);
-        let read = ChunkProgress::read(stored);
-        let read = read.and_then(|v| v.check(self.spec.tasks).map(|()| v));
+        self.chunks.insert(chunk, loaded);
+        let progress = self.read_progress(stored);
         self.unreadable |=
-            read.is_err() && failpoints::enforced(SafetyCheck::UnreadableIsLeftAlone);
-        let v = read?;
-        self.attempt = self.attempt.max(v.attempt);
-        for (a, b) in v.done {
-            for i in a..b.min(self.spec.tasks) {
-                self.done.insert(i);
-                self.waiting.remove(i);
+            progress.is_err() && failpoints::enforced(SafetyCheck::UnreadableIsLeftAlone);
+        self.take_over_progress(progress?);
+        Ok(())
+    }
+
+    fn read_progress(&self, stored: &Value) -> Result<ChunkProgress, UnreadableRecord> {
+        let progress = ChunkProgress::read(stored)?;
+        progress.check(self.spec.tasks)?;
+        Ok(progress)
+    }
+
+    fn take_over_progress(&mut self, progress: ChunkProgress) {
+        self.attempt = self.attempt.max(progress.attempt);
+        for (start, end) in progress.done {
+            for task in start..end.min(self.spec.tasks) {
+                self.done.insert(task);
+                self.waiting.remove(task);
             }
         }
-        for (i, attempt, machine, epoch) in v.assignments {
-            self.waiting.remove(i);
+        for (task, attempt, machine, epoch) in progress.assignments {
+            self.waiting.remove(task);
             self.attempt = self.attempt.max(attempt);
             self.assignments
-                .insert(i, Assignment::inherited(machine, epoch, attempt));
+                .insert(task, Assignment::inherited(machine, epoch, attempt));
         }
-        let grace_s = self.spec.save_s;
-        for (a, b) in v.stops {
-            for (_, p) in self.assignments.range_mut(a..b) {
-                p.stop = Some(Stop {
-                    grace_s,
-                    at: Time(0),
-                    change: None,
-                });
+        let stop = Stop {
+            grace_s: self.spec.save_s,
+            at: Time(0),
+            change: None,
+        };
+        for (start, end) in progress.stops {
+            for (_, assignment) in self.assignments.range_mut(start..end) {
+                assignment.stop = Some(stop);
             }
         }
-        Ok(())
     }
 
-    /// Tasks that may be on machines, for what teams hold: of a job with a record
-    /// that cannot be read, all.
+    /// Number of tasks that may be on machines, for its team's quota usage: all, if one
+    /// of its records cannot be read.
     pub fn held(&self) -> usize {
         match self.unreadable {
             true => self.spec.tasks as usize,
@@ -191,9 +203,9 @@
 
     /// Whether a chunk has starts that are neither stored nor sent.
     pub fn starts_in(&self, size: ChunkSize, chunk: u32) -> bool {
-        let stored = self.chunks.get(&chunk).map_or(0, |c| c.stored);
-        let low = chunk * size.0;
-        let mut here = self.assignments.range(low..low + size.0);
-        here.any(|(_, p)| p.unsent() && p.change > stored)
+        let stored = self.chunks.get(&chunk).map_or(0, |chunk| chunk.stored);
+        self.assignments
+            .range(size.tasks_of(chunk))
+            .any(|(_, assignment)| assignment.unsent() && assignment.change > stored)
     }
 }
--- a/crates/controller/src/core/job_records/job_writes.rs
+++ b/crates/controller/src/core/job_records/job_writes.rs
@@ -1,12 +1,12 @@
-//! What is written of a job.
+//! What is written of a job: its chunks, its end, and the deletion of its records.
+//! Only makes up writes; the commit pipeline sends them.
 
 use super::chunk_size::ChunkSize;
 use super::header::{HeaderStage, job_header_value};
 use super::index_ranges::IndexRanges;
 use super::job::Job;
-use super::transaction::Write;
+use super::transaction::{ConditionalWrite, Write};
 use super::value::put;
-use crate::core::assignment::Assignment;
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::format_version::FormatVersion;
 use crate::core::format_version::chunk_progress::ChunkProgress;
@@ -18,113 +18,162 @@
 use serde_json::Value;
 
 impl Job {
-    /// The record of a chunk as it should be stored while this level is in force.
+    /// The record of a chunk as it should be stored in this format version.
     pub fn chunk_value(&self, size: ChunkSize, chunk: u32, level: FormatVersion) -> Value {
-        let low = chunk * size.0;
-        let high = low + size.0;
-        let mut stops = IndexRanges::default();
-        if failpoints::enforced(SafetyCheck::StopsAreStored) {
-            let stopped = self.assignments.range(low..high);
-            let stopped = stopped.filter(|(_, p)| p.stop.is_some());
-            for (&i, _) in stopped {
-                stops.insert(i);
-            }
-        }
-        let place = |(&i, p): (&u32, &Assignment)| (i, p.attempt, p.machine.clone(), p.epoch);
+        let tasks = size.tasks_of(chunk);
+        let assignments = self
+            .assignments
+            .range(tasks.clone())
+            .map(|(&task, a)| (task, a.attempt, a.machine.clone(), a.epoch));
         let progress = ChunkProgress {
             attempt: self.attempt,
-            done: self.done.within(low, high),
-            assignments: self.assignments.range(low..high).map(place).collect(),
-            stops: stops.within(low, high),
+            done: self.done.within(tasks.start, tasks.end),
+            assignments: assignments.collect(),
+            stops: self.stopping(tasks.clone()).within(tasks.start, tasks.end),
         };
         progress.write(level)
     }
 
-    /// Stores a chunk.
+    /// Those of these tasks that are being stopped.
+    fn stopping(&self, tasks: std::ops::Range<u32>) -> IndexRanges {
+        let mut stopping = IndexRanges::default();
+        if failpoints::enforced(SafetyCheck::StopsAreStored) {
+            for (&task, assignment) in self.assignments.range(tasks) {
+                if assignment.stop.is_some() {
+                    stopping.insert(task);
+                }
+            }
+        }
+        stopping
+    }
+
+    /// Stores a chunk, as [`Job::write_chunk`] does.
     pub fn chunk_write(&self, size: ChunkSize, chunk: u32, level: FormatVersion) -> Write {
+        self.write_chunk(size, chunk, level).into()
+    }
+
+    /// Stores a chunk.
+    pub fn write_chunk(
+        &self,
+        size: ChunkSize,
+        chunk: u32,
+        level: FormatVersion,
+    ) -> ConditionalWrite {
         let key = chunk_key(&self.spec.id, chunk);
-        let version = self.chunks.get(&chunk).map_or(Version(0), |c| c.version);
-        let mut conditions = Vec::new();
-        // However late this one is carried out, no newer record is written over.
+        let mut preconditions = Vec::new();
+        // However late this transaction is carried out, it overwrites no newer record.
         if failpoints::enforced(SafetyCheck::RecordsCompareVersions) {
-            let key = key.clone();
-            conditions.push(Precondition { key, version });
+            preconditions.push(Precondition {
+                key: key.clone(),
+                version: self.stored_version(chunk),
+            });
         }
-        // Whatever this node has not heard of yet, and however late it is: no start is
-        // stored once the job's end is.
+        // No start is stored once the job's end is, however late this transaction is
+        // carried out and whatever this node does not know yet.
         if self.starts_in(size, chunk) && failpoints::enforced(SafetyCheck::StartsNeedAnOpenJob) {
-            conditions.push(self.is_still_open());
+            preconditions.push(self.header_is_unchanged());
         }
         let value = self.chunk_value(size, chunk, level);
-        (conditions, vec![put(key, value)])
+        ConditionalWrite {
+            preconditions,
+            operations: vec![put(key, value)],
+        }
     }
 
-    fn is_still_open(&self) -> Precondition {
+    fn stored_version(&self, chunk: u32) -> Version {
+        self.chunks
+            .get(&chunk)
+            .map_or(Version(0), |chunk| chunk.version)
+    }
+
+    /// That the job is neither done nor cancelled: both change its header.
+    fn header_is_unchanged(&self) -> Precondition {
         Precondition {
             key: job_header_key(&self.spec.id),
             version: self.version,
         }
     }
 
-    /// A job ends once: whatever this node has not heard of, done is not written over
-    /// a cancellation.
-    fn ends_once(&self) -> Vec<Precondition> {
+    /// What must hold to mark the job as done. A job ends once: whatever this node
+    /// does not know yet, a cancellation is not overwritten.
+    fn preconditions_of_end(&self) -> Vec<Precondition> {
         match failpoints::enforced(SafetyCheck::OneEndDecides) {
-            true => vec![self.is_still_open()],
+            true => vec![self.header_is_unchanged()],
             false => Vec::new(),
         }
     }
 
-    /// Calls it done; what may run of it stays on record.
+    /// Marks the job as done, as [`Job::write_done`] does.
     pub fn finish_write(&self) -> Write {
+        self.write_done().into()
+    }
+
+    /// Marks the job as done; the records of tasks that may still run are kept.
+    pub fn write_done(&self) -> ConditionalWrite {
         let id = &self.spec.id;
-        let head = job_header_value(HeaderStage::Done, self.spec.tasks);
-        let ops = vec![
-            put(job_header_key(id), head.clone()),
-            put(job_outcome_key(id), head),
-        ];
-        (self.ends_once(), ops)
+        let header = job_header_value(HeaderStage::Done, self.spec.tasks);
+        ConditionalWrite {
+            preconditions: self.preconditions_of_end(),
+            operations: vec![
+                put(job_header_key(id), header.clone()),
+                put(job_outcome_key(id), header),
+            ],
+        }
     }
 
-    /// Calls it done and deletes all else: of a job of which nothing is anywhere, the
-    /// head says all that is still asked for.
+    /// Marks the job as done and deletes its records, as
+    /// [`Job::write_done_and_delete`] does.
     pub fn close_write(&self) -> Write {
+        self.write_done_and_delete().into()
+    }
+
+    /// Marks the job as done and deletes all its other keys: where none of its tasks
+    /// can be on a machine, the header answers all that can still be asked.
+    pub fn write_done_and_delete(&self) -> ConditionalWrite {
         let id = &self.spec.id;
-        let head = job_header_value(HeaderStage::Done, self.spec.tasks);
-        let gone = self
-            .keys()
-            .into_iter()
-            .filter(|k| *k != job_outcome_key(id));
-        let mut ops = vec![put(job_header_key(id), head)];
-        ops.extend(gone.map(|key| Operation::Delete { key }));
-        (self.ends_once(), ops)
+        let header = job_header_value(HeaderStage::Done, self.spec.tasks);
+        let outcome = job_outcome_key(id);
+        let obsolete = self.keys().into_iter().filter(|key| *key != outcome);
+        let mut operations = vec![put(job_header_key(id), header)];
+        operations.extend(obsolete.map(|key| Operation::Delete { key }));
+        ConditionalWrite {
+            preconditions: self.preconditions_of_end(),
+            operations,
+        }
     }
 
-    /// Deletes what is stored of a job that is over, as far as there is room for so many
-    /// changes; whether that is all.
+    /// Deletes the keys of a job that has ended, at most `room` of them in this
+    /// transaction; whether these are the last.
     pub fn drop_write(&self, room: usize) -> (Vec<Operation>, bool) {
         let keys = self.keys();
-        let mut n = keys.len().min(room);
-        let last = n == keys.len();
-        // A submission without its end looks open to a successor, which would start it
-        // anew: they go together or not yet.
-        if n + 1 == keys.len() && failpoints::enforced(SafetyCheck::EndOutlivesSubmission) {
-            n -= 1;
+        let mut count = keys.len().min(room);
+        let is_last = count == keys.len();
+        // A submission without its job's outcome looks open to a successor, which would
+        // start it again: both are deleted together, or neither yet.
+        let would_split_them = count + 1 == keys.len();
+        if would_split_them && failpoints::enforced(SafetyCheck::EndOutlivesSubmission) {
+            count -= 1;
         }
-        let ops = keys.into_iter().take(n);
-        (ops.map(|key| Operation::Delete { key }).collect(), last)
+        let deletes = keys
+            .into_iter()
+            .take(count)
+            .map(|key| Operation::Delete { key });
+        (deletes.collect(), is_last)
     }
 
-    /// All keys to delete once nothing of the job can run any more. The end and
+    /// All keys to delete once nothing of the job can run any more. The outcome and
     /// the submission come last: a successor must find neither records without
-    /// a submission, nor a submission that lost its end.
+    /// a submission, nor a submission without its outcome.
     pub fn keys(&self) -> Vec<String> {
         let id = &self.spec.id;
-        self.chunks
+        let chunks = self
+            .chunks
             .iter()
-            .filter(|(_, c)| c.version != Version(0))
-            .map(|(&c, _)| chunk_key(id, c))
-            .chain((1..self.parts).map(|p| submission_part_key(id, p)))
+            .filter(|(_, chunk)| chunk.version != Version(0))
+            .map(|(&number, _)| chunk_key(id, number));
+        let parts = (1..self.parts).map(|part| submission_part_key(id, part));
+        chunks
+            .chain(parts)
             .chain([job_outcome_key(id), submission_key(id)])
             .collect()
     }
--- a/crates/controller/src/core/job_records/leader_record.rs
+++ b/crates/controller/src/core/job_records/leader_record.rs
@@ -1,21 +1,21 @@
-//! The record of who leads.
+//! The record of who leads. Its version in the key-value store is the fencing token.
 
-use super::value::value;
+use super::value::to_value;
 use crate::types::NodeId;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Who leads.
+/// The stored claim of a leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The node.
+    /// The node that leads.
     #[serde(rename = "label")]
     pub node_id: NodeId,
-    /// Tells this claim from every other one.
+    /// Distinguishes this claim from every other one, also of the same node.
     pub nonce: u64,
 }
 
-/// The leader's value, to be written.
-pub fn leader_record(v: &LeaderRecord) -> Value {
-    value(v)
+/// The record as a value to be written.
+pub fn leader_record(record: &LeaderRecord) -> Value {
+    to_value(record)
 }
--- a/crates/controller/src/core/job_records/submission.rs
+++ b/crates/controller/src/core/job_records/submission.rs
@@ -1,9 +1,10 @@
-//! Submissions as they are stored.
+//! Submissions as they are stored: accepting a job, cancelling it, and reading a
+//! submission back. A submission longer than one value is stored in several parts.
 
 use super::header::{HeaderStage, JobHeader, job_header_value};
 use super::job::Job;
-use super::transaction::{TXN_BYTES, TransactionLimits};
-use super::value::{json_len, put, read, value};
+use super::transaction::{MAX_TRANSACTION_BYTES, TransactionLimits, operation_bytes};
+use super::value::{put, read, to_value};
 use crate::core::keys::{job_header_key, job_outcome_key, submission_key, submission_part_key};
 use crate::types::{JobId, Version, WallTime};
 use crate::wire::kvstore::{Operation, Precondition, Transaction};
@@ -13,70 +14,39 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// Bytes of a value kept free for the fields of [`SubmissionRecord`].
+const RECORD_FIELDS_BYTES: usize = 128;
+/// A part is never shorter than this, however small the limit on values.
+const MIN_PART_BYTES: usize = 64;
+
+/// The first part of a submission. Further parts are stored as plain strings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SubmissionRecord {
-    at: WallTime,
-    n: u32,
-    s: String,
+    /// When the job was accepted.
+    #[serde(rename = "at")]
+    accepted_at: WallTime,
+    /// Number of parts, this one included.
+    #[serde(rename = "n")]
+    parts: u32,
+    /// The first part of the submission's JSON text.
+    #[serde(rename = "s")]
+    text: String,
 }
 
-/// The transaction that accepts a job. `None`: it is too large to be stored.
+/// The transaction that accepts a job, unless a job of its name was accepted before.
+/// `None`: the submission is too large to be stored.
 pub fn accept_txn(
     job: &Submission,
     at: WallTime,
     limits: TransactionLimits,
 ) -> Option<Transaction> {
     let text = serde_json::to_string(job).ok()?;
-    // Quotes grow when JSON text becomes a JSON string; a third is ample for
-    // our field names, and the sum is checked below.
-    let room = (limits.value_bytes * 2 / 3).saturating_sub(128).max(64);
-    let mut pieces: Vec<String> = Vec::new();
-    let mut piece = String::new();
-    let mut length = 0;
-    for c in text.chars() {
-        length += match c {
-            '"' | '\\' => 2,
-            c if (c as u32) < 0x20 => 6,
-            c => c.len_utf8(),
-        };
-        piece.push(c);
-        if length >= room {
-            pieces.push(std::mem::take(&mut piece));
-            length = 0;
-        }
-    }
-    if !piece.is_empty() || pieces.is_empty() {
-        pieces.push(piece);
-    }
-    let mut ops = vec![Operation::Put {
-        key: job_header_key(&job.id),
-        value: job_header_value(HeaderStage::Open, job.tasks),
-        lease: None,
-    }];
-    let count = pieces.len() as u32;
-    for (i, s) in pieces.into_iter().enumerate() {
-        let (key, v) = if i == 0 {
-            (
-                submission_key(&job.id),
-                value(&SubmissionRecord { at, n: count, s }),
-            )
-        } else {
-            (submission_part_key(&job.id, i as u32), Value::String(s))
-        };
-        ops.push(Operation::Put {
-            key,
-            value: v,
-            lease: None,
-        });
-    }
-    let bytes: usize = ops
-        .iter()
-        .map(|op| match op {
-            Operation::Put { key, value, .. } => key.len() + json_len(value) + 40,
-            Operation::Delete { key } => key.len() + 20,
-        })
-        .sum();
-    if ops.len() > limits.ops || bytes > TXN_BYTES {
+    let parts = split_into_parts(&text, max_part_bytes(limits));
+    let header = job_header_value(HeaderStage::Open, job.tasks);
+    let mut operations = vec![put(job_header_key(&job.id), header)];
+    operations.extend(part_writes(&job.id, at, parts));
+    let bytes: usize = operations.iter().map(operation_bytes).sum();
+    if operations.len() > limits.ops || bytes > MAX_TRANSACTION_BYTES {
         return None;
     }
     Some(Transaction {
@@ -84,12 +54,72 @@
             key: job_header_key(&job.id),
             version: Version(0),
         }],
-        ops,
+        ops: operations,
+    })
+}
+
+/// Most bytes of submission text in one part.
+fn max_part_bytes(limits: TransactionLimits) -> usize {
+    // Quotes grow when JSON text becomes a JSON string; a third is ample for
+    // our field names, and the sum is checked by the caller.
+    (limits.value_bytes * 2 / 3)
+        .saturating_sub(RECORD_FIELDS_BYTES)
+        .max(MIN_PART_BYTES)
+}
+
+/// Cuts a text where it reaches `max_bytes` as an escaped JSON string. There is at
+/// least one part, and every part but the last may exceed the limit by one character.
+fn split_into_parts(text: &str, max_bytes: usize) -> Vec<String> {
+    let mut parts = Vec::new();
+    let mut part = String::new();
+    let mut part_bytes = 0;
+    for character in text.chars() {
+        part_bytes += escaped_bytes(character);
+        part.push(character);
+        if part_bytes >= max_bytes {
+            parts.push(std::mem::take(&mut part));
+            part_bytes = 0;
+        }
+    }
+    if !part.is_empty() || parts.is_empty() {
+        parts.push(part);
+    }
+    parts
+}
+
+/// Bytes that a character takes within a JSON string.
+fn escaped_bytes(character: char) -> usize {
+    match character {
+        '"' | '\\' => 2,
+        control if (control as u32) < 0x20 => 6,
+        other => other.len_utf8(),
+    }
+}
+
+/// The operations that store the parts of a submission.
+fn part_writes(
+    id: &JobId,
+    accepted_at: WallTime,
+    parts: Vec<String>,
+) -> impl Iterator<Item = Operation> + '_ {
+    let count = parts.len() as u32;
+    parts.into_iter().enumerate().map(move |(number, text)| {
+        if number > 0 {
+            let key = submission_part_key(id, number as u32);
+            return put(key, Value::String(text));
+        }
+        let record = SubmissionRecord {
+            accepted_at,
+            parts: count,
+            text,
+        };
+        put(submission_key(id), to_value(&record))
     })
 }
 
-/// The transaction that cancels a job whose head was read open at this version: of it
-/// and the one that calls the job done, one comes through.
+/// The transaction that cancels a job whose header was read as open at `version`. The
+/// transaction that marks the job as done compares the same version, so only one of
+/// the two is committed.
 pub fn cancel_txn(id: &JobId, head: JobHeader, version: Version) -> Transaction {
     let value = job_header_value(HeaderStage::Cancelled, head.n);
     let key = job_header_key(id);
@@ -102,29 +132,37 @@
     }
 }
 
-/// Puts submissions back together from their pieces.
+/// Puts submissions back together from their parts.
 #[derive(Debug, Default)]
 pub struct SubmissionAssembler {
+    /// Further parts by job and part number, until their first part is read.
     parts: BTreeMap<(JobId, u32), String>,
 }
 
 impl SubmissionAssembler {
-    /// Keeps a further piece until its submission is read.
-    pub fn part(&mut self, id: JobId, part: u32, v: &Value) {
-        if let Value::String(s) = v {
-            self.parts.insert((id, part), s.clone());
+    /// Keeps a further part until its submission is read. A value that is no text is
+    /// ignored: the submission then stays incomplete.
+    pub fn part(&mut self, id: JobId, part: u32, value: &Value) {
+        if let Value::String(text) = value {
+            self.parts.insert((id, part), text.clone());
         }
     }
 
-    /// The job of a submission, if all its pieces are there.
-    pub fn job(&mut self, id: &JobId, version: Version, v: &Value) -> Option<Job> {
-        let v: SubmissionRecord = read(v)?;
-        let mut text = v.s;
-        for i in 1..v.n {
-            text.push_str(&self.parts.remove(&(id.clone(), i))?);
+    /// The job of a submission whose first part is `value`, stored at `version`;
+    /// `None` if a part is missing or the text is no submission.
+    pub fn job(&mut self, id: &JobId, version: Version, value: &Value) -> Option<Job> {
+        let record: SubmissionRecord = read(value)?;
+        let mut text = record.text;
+        for part in 1..record.parts {
+            text.push_str(&self.parts.remove(&(id.clone(), part))?);
         }
-        let spec: Submission = serde_json::from_str(&text).ok()?;
-        Some(Job::new(Rc::new(spec), v.at, version, v.n))
+        let submission: Submission = serde_json::from_str(&text).ok()?;
+        Some(Job::new(
+            Rc::new(submission),
+            record.accepted_at,
+            version,
+            record.parts,
+        ))
     }
 }
 
--- a/crates/controller/src/core/job_records/submission/tests.rs
+++ b/crates/controller/src/core/job_records/submission/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::core::job_records::json_len;
 use crate::core::keys::{Watched, watched};
 use crate::testing;
 use crate::wire::users::JobShape;
--- a/crates/controller/src/core/job_records/transaction.rs
+++ b/crates/controller/src/core/job_records/transaction.rs
@@ -1,4 +1,5 @@
-//! Transactions within their limits.
+//! Building the leader's transactions: what each carries, and how much fits into one.
+//! Every one of them is conditional on the fencing token. Nothing here sends them.
 
 use super::value::json_len;
 use crate::core::garbage_collection::OrphanedKey;
@@ -6,71 +7,110 @@
 use crate::wire::kvstore::{Operation, Precondition, Transaction};
 use serde_json::Value;
 
-/// Limits of one transaction.
+/// Limits of the key-value store on one transaction.
 #[derive(Clone, Copy, Debug)]
 pub struct TransactionLimits {
-    /// Puts and deletes.
+    /// Most puts and deletes.
     pub ops: usize,
-    /// Bytes of one value.
+    /// Most bytes of one value.
     pub value_bytes: usize,
 }
 
-/// Bytes of one transaction, with room left for conditions and framing.
-pub(super) const TXN_BYTES: usize = 56 * 1024;
+/// Most bytes of one transaction, below what the key-value store accepts: room is
+/// left for preconditions and framing.
+pub(super) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
+/// Bytes of a put besides its key and value.
+const PUT_FRAMING_BYTES: usize = 40;
+/// Bytes of a delete besides its key.
+const DELETE_FRAMING_BYTES: usize = 20;
+/// Bytes of a precondition besides its key.
+const PRECONDITION_FRAMING_BYTES: usize = 40;
 
-/// What a write compares, and what it changes.
+/// An upper estimate of the bytes that an operation takes within a transaction.
+pub(super) fn operation_bytes(operation: &Operation) -> usize {
+    match operation {
+        Operation::Put { key, value, .. } => key.len() + json_len(value) + PUT_FRAMING_BYTES,
+        Operation::Delete { key } => key.len() + DELETE_FRAMING_BYTES,
+    }
+}
+
+fn precondition_bytes(precondition: &Precondition) -> usize {
+    precondition.key.len() + PRECONDITION_FRAMING_BYTES
+}
+
+/// One part of a transaction: what it compares, and what it changes.
+#[derive(Clone, Debug)]
+pub struct ConditionalWrite {
+    /// What must hold for the whole transaction to be committed.
+    pub preconditions: Vec<Precondition>,
+    /// What is changed.
+    pub operations: Vec<Operation>,
+}
+
+/// The parts of a [`ConditionalWrite`], as [`TransactionBuilder::add`] takes them.
 pub type Write = (Vec<Precondition>, Vec<Operation>);
 
-/// What a transaction in flight carries.
+impl From<ConditionalWrite> for Write {
+    fn from(write: ConditionalWrite) -> Write {
+        (write.preconditions, write.operations)
+    }
+}
+
+/// What a transaction in flight carries, to act on once its outcome is known.
 #[derive(Clone, Debug)]
 pub enum CommitItem {
-    /// A chunk as it was at a change.
+    /// A chunk: its job, its number, and the change up to which it is written.
     Chunk(JobId, u32, u64),
-    /// A job's head said to be done.
+    /// A job's header that marks it as done.
     Finish(JobId),
-    /// Likewise, and all else of it deleted.
+    /// A job's header that marks it as done, with all its other keys deleted.
     Close(JobId),
-    /// Keys of an ended job deleted; whether they were the last.
+    /// Keys of an ended job deleted; whether they were the last ones.
     Drop(JobId, bool),
-    /// A duty's record stored, or deleted.
+    /// A record of the leader's stored, or deleted: its key and value.
     Note(String, Option<Value>),
-    /// A key without its job deleted.
+    /// A key whose job is gone, deleted.
     GarbageCollector(OrphanedKey),
 }
 
-/// The leader's only lane of writes: one transaction at a time, so that their
-/// order is never in doubt.
+/// The leader's only way to write: one transaction at a time, so that the order of
+/// writes is always known.
 #[derive(Debug, Default)]
 pub struct CommitPipeline {
-    /// The transaction in flight with what it carries.
+    /// The transaction in flight, with what it carries.
     pub flight: Option<(Transaction, Vec<CommitItem>)>,
-    /// Whether an answer to it was lost, so that it may be applied already.
+    /// Whether an answer to it was lost, so that it may be committed already.
     pub outcome_unknown: bool,
-    /// Whether a call for it is out.
+    /// Whether a call for it is outstanding.
     pub calling: bool,
-    /// Not before this time.
+    /// Earliest time of the next call.
     pub not_before: Time,
-    /// When a transaction last went through.
+    /// When a transaction was last committed.
     pub committed: Option<Time>,
 }
 
 /// Collects changes up to the limits of one transaction.
 #[derive(Debug)]
 pub struct TransactionBuilder {
-    txn: Transaction,
+    transaction: Transaction,
     items: Vec<CommitItem>,
+    /// Estimated bytes of all that was added.
     bytes: usize,
     limits: TransactionLimits,
 }
 
 impl TransactionBuilder {
-    /// A transaction that only the holder of `token`, the version of this key, can
-    /// commit.
-    pub fn new(holder: &str, token: FencingToken, limits: TransactionLimits) -> TransactionBuilder {
+    /// An empty transaction that is only committed while `leader_key` has the version
+    /// `token`, that is, by the leader that holds this fencing token.
+    pub fn new(
+        leader_key: &str,
+        token: FencingToken,
+        limits: TransactionLimits,
+    ) -> TransactionBuilder {
         TransactionBuilder {
-            txn: Transaction {
+            transaction: Transaction {
                 conditions: vec![Precondition {
-                    key: holder.into(),
+                    key: leader_key.into(),
                     version: Version(token.0),
                 }],
                 ops: Vec::new(),
@@ -81,43 +121,39 @@
         }
     }
 
-    /// Whether it has nothing to do yet.
+    /// Whether no operation was added yet.
     pub fn is_empty(&self) -> bool {
-        self.txn.ops.is_empty()
+        self.transaction.ops.is_empty()
     }
 
-    /// How many more changes fit.
+    /// How many more operations fit.
     pub fn room(&self) -> usize {
-        self.limits.ops - self.txn.ops.len()
+        self.limits.ops - self.transaction.ops.len()
     }
 
-    /// Adds an item with its changes and conditions; false if it does not fit.
+    /// Adds an item with its preconditions and operations, all or nothing; false if
+    /// it does not fit.
     pub fn add(
         &mut self,
         item: CommitItem,
         conditions: Vec<Precondition>,
         ops: Vec<Operation>,
     ) -> bool {
-        let bytes: usize = ops
-            .iter()
-            .map(|op| match op {
-                Operation::Put { key, value, .. } => key.len() + json_len(value) + 40,
-                Operation::Delete { key } => key.len() + 20,
-            })
-            .sum::<usize>()
-            + conditions.iter().map(|c| c.key.len() + 40).sum::<usize>();
-        if ops.len() > self.room() || self.bytes + bytes > TXN_BYTES {
+        let operations: usize = ops.iter().map(operation_bytes).sum();
+        let preconditions: usize = conditions.iter().map(precondition_bytes).sum();
+        let bytes = self.bytes + operations + preconditions;
+        if ops.len() > self.room() || bytes > MAX_TRANSACTION_BYTES {
             return false;
         }
-        self.bytes += bytes;
-        self.txn.conditions.extend(conditions);
-        self.txn.ops.extend(ops);
+        self.bytes = bytes;
+        self.transaction.conditions.extend(conditions);
+        self.transaction.ops.extend(ops);
         self.items.push(item);
         true
     }
 
-    /// The transaction, if it has anything to do.
+    /// The transaction and what it carries; `None` if it has no operations.
     pub fn finish(self) -> Option<(Transaction, Vec<CommitItem>)> {
-        (!self.txn.ops.is_empty()).then_some((self.txn, self.items))
+        (!self.transaction.ops.is_empty()).then_some((self.transaction, self.items))
     }
 }
--- a/crates/controller/src/core/job_records/value.rs
+++ b/crates/controller/src/core/job_records/value.rs
@@ -1,24 +1,30 @@
-//! Stored values as JSON.
+//! Conversions between records and the JSON values of the key-value store.
 
 use crate::wire::kvstore::Operation;
 use serde::Serialize;
+use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-pub(super) fn value<T: Serialize>(v: &T) -> Value {
-    serde_json::to_value(v).unwrap_or(Value::Null)
+/// A record as JSON. None of ours can fail to convert: they have string keys only.
+pub(super) fn to_value<T: Serialize>(record: &T) -> Value {
+    serde_json::to_value(record).unwrap_or(Value::Null)
 }
 
-/// Length of a value as the state service counts it.
-pub fn json_len(v: &Value) -> usize {
-    serde_json::to_vec(v).map_or(usize::MAX, |b| b.len())
+/// Length of a value in bytes, as the key-value store counts it.
+pub fn json_len(value: &Value) -> usize {
+    serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-/// Reads any value of ours.
-pub fn read<T: serde::de::DeserializeOwned>(v: &Value) -> Option<T> {
-    T::deserialize(v).ok()
+/// Reads a record of any type; `None` if the value is not one.
+pub fn read<T: DeserializeOwned>(value: &Value) -> Option<T> {
+    T::deserialize(value).ok()
 }
 
+/// The operation that stores `value` under `key`, bound to no lease.
 pub(super) fn put(key: String, value: Value) -> Operation {
-    let lease = None;
-    Operation::Put { key, value, lease }
+    Operation::Put {
+        key,
+        value,
+        lease: None,
+    }
 }
