--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -1,8 +1,8 @@
 //! The cycle against a slow plain model that places one task at a time
 //! and looks at every machine each time.
 
-use super::super::placement_tables::ImageCache;
 use super::*;
+use crate::core::placement_tables::ImageCache;
 use proptest::prelude::*;
 
 const NOW: Time = Time(1_000_000_000);
