--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -1,10 +1,17 @@
-//! One placement cycle, pure: the paper's algorithm over the tables.
+//! One scheduling cycle: decides which waiting tasks start on which machines. Pure: it
+//! works on tables made for this cycle, and neither sends nor stores anything.
 //!
-//! High-priority work first, grouped by image, groups whose image some machine
-//! holds ahead of cold ones, cold ones by estimate. Then, by priority, other
-//! work: first on machines that hold its image, then cold ones, fewest holders
-//! first, but only on machines without high-priority starts for over half the
-//! image's estimate.
+//! The algorithm is that of *A Job Scheduling Design for Visualization Services using
+//! GPU Clusters* (Hsu, Wang, Ma, Yu, Chen), Algorithm 1, with the changes listed in
+//! `docs/design.md`:
+//!
+//! 1. High-priority work first, grouped by image: groups whose image some machine
+//!    holds ahead of cold ones, cold ones by fetch estimate (lines 8 to 15).
+//! 2. Then, priority by priority, other work on machines that hold its image
+//!    (lines 16 to 22).
+//! 3. Then cold images, those with the fewest holders first, but only on machines
+//!    that had no high-priority start for over half the image's estimate
+//!    (lines 23 to 31).
 
 mod candidates;
 mod placement;
@@ -20,9 +27,10 @@
 use crate::wire::users::Priority;
 use candidates::{PlacementScope, RowsWithRoom};
 use reservation::RowsByAvailability;
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A decision.
+/// A decision to start a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartDecision {
     /// The job.
@@ -33,28 +41,29 @@
     pub row: usize,
 }
 
-/// What a team uses.
+/// What a team uses, and may use.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TeamUse {
     /// Everything its tasks take or may take.
     pub used: Resources,
-    /// Its guarantee and limit.
+    /// Its quota: guaranteed and maximum.
     pub share: TeamShare,
 }
 
-/// Fixed facts of a cycle.
+/// What does not change within a cycle.
 #[derive(Clone, Copy, Debug)]
 pub struct CycleParameters {
-    /// Now.
+    /// The time of the cycle.
     pub now: Time,
-    /// Most that the fetches of one gang may differ.
+    /// By how much the fetch times of one gang's machines may differ: its first task
+    /// waits for its last.
     pub most_skew: TimeSpan,
 }
 
-/// A cycle's state.
+/// The state of a cycle.
 #[derive(Debug)]
 pub struct SchedulingCycle<'a> {
-    /// Fixed facts.
+    /// What does not change within the cycle.
     pub pace: CycleParameters,
     /// The machines.
     pub rows: &'a mut [MachineRow],
@@ -64,21 +73,49 @@
     pub estimates: &'a FetchEstimates,
     /// Decisions so far.
     pub starts: Vec<StartDecision>,
-    /// Rows held for a gang that has waited long.
+    /// Rows reserved for a gang that has waited long, with the gang's job.
     pub held: BTreeMap<usize, JobId>,
-    /// Rows that had room for the smallest want when last looked at. Where
-    /// most machines are full, looking at the others is what a cycle costs.
-    open: Vec<usize>,
-    /// Of these, the ones with room for each need that was looked for: rows
-    /// only lose room until the next look, and needs are few.
-    roomy: Vec<RowsWithRoom>,
-    /// Rows by when they should be free, all and of each zone, for holding:
-    /// made when first asked for, void once a row's time changes.
-    soonest: Vec<RowsByAvailability>,
+    /// Rows that had room for the smallest request when last searched. Where most
+    /// machines are full, looking at the others is what a cycle costs.
+    open_rows: Vec<usize>,
+    /// Of these, the ones with room for each need that was searched for: rows only
+    /// lose room until the next search, and there are few different needs.
+    rows_with_room: Vec<RowsWithRoom>,
+    /// Rows by the time they should be free, of each zone and of all, for
+    /// reservations: made when first needed, cleared once a row's time changes.
+    rows_by_availability: Vec<RowsByAvailability>,
     /// Zones with machines.
     zones: BTreeSet<Zone>,
     /// How many rows hold each image, or are fetching it.
-    holders: HashMap<Image, usize>,
+    holder_counts: HashMap<Image, usize>,
+}
+
+/// High-priority requests for one image. Groups are placed in the order of the fields.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ImageGroup {
+    priority: Reverse<Priority>,
+    /// Whether no machine holds the image.
+    is_cold: bool,
+    /// Estimate for a cold image, otherwise zero.
+    fetch_cost: TimeSpan,
+    order: i64,
+    /// Indices of the requests, in their order.
+    members: Vec<usize>,
+}
+
+/// How many rows hold each image, or are fetching it.
+fn count_holders(rows: &[MachineRow]) -> HashMap<Image, usize> {
+    let mut counts: HashMap<Image, usize> = HashMap::new();
+    for image in rows.iter().flat_map(|row| row.cache.known()) {
+        // An image is cloned once, not for each row: there are many rows.
+        match counts.get_mut(image) {
+            Some(count) => *count += 1,
+            None => {
+                counts.insert(image.clone(), 1);
+            }
+        }
+    }
+    counts
 }
 
 impl<'a> SchedulingCycle<'a> {
@@ -89,22 +126,13 @@
         teams: &'a mut BTreeMap<Team, TeamUse>,
         estimates: &'a FetchEstimates,
     ) -> SchedulingCycle<'a> {
-        let mut holders: HashMap<Image, usize> = HashMap::new();
-        for image in rows.iter().flat_map(|r| r.cache.known()) {
-            match holders.get_mut(image) {
-                Some(n) => *n += 1,
-                None => {
-                    holders.insert(image.clone(), 1);
-                }
-            }
-        }
         SchedulingCycle {
             pace,
-            zones: rows.iter().map(|r| r.zone.clone()).collect(),
-            open: Vec::new(),
-            roomy: Vec::new(),
-            soonest: Vec::new(),
-            holders,
+            zones: rows.iter().map(|row| row.zone.clone()).collect(),
+            open_rows: Vec::new(),
+            rows_with_room: Vec::new(),
+            rows_by_availability: Vec::new(),
+            holder_counts: count_holders(rows),
             rows,
             teams,
             estimates,
@@ -118,124 +146,148 @@
         &self.zones
     }
 
-    /// Runs the cycle; what was placed leaves `wants`.
-    pub fn run(&mut self, wants: &mut [PlacementRequest]) {
-        self.run_warm(wants);
-        self.run_rest(wants);
+    /// Runs the whole cycle; tasks that were placed are removed from `requests`.
+    pub fn run(&mut self, requests: &mut [PlacementRequest]) {
+        self.run_warm(requests);
+        self.run_rest(requests);
     }
 
-    /// The cycle's first part: high-priority work where its image is, or
-    /// nearly is. Between the parts room may be made where an image is held,
-    /// which is often sooner than a fetch elsewhere.
-    pub fn run_warm(&mut self, wants: &mut [PlacementRequest]) {
-        wants.sort_by_cached_key(PlacementRequest::rank);
-        self.look(wants);
-        self.high(wants, PlacementScope::Warm);
+    /// The cycle's first part: high-priority work where its image is, or nearly is.
+    /// Between the parts the caller may preempt tasks on machines that hold an image,
+    /// which often lets work start sooner than a fetch elsewhere.
+    pub fn run_warm(&mut self, requests: &mut [PlacementRequest]) {
+        requests.sort_by_cached_key(PlacementRequest::rank);
+        self.find_open_rows(requests);
+        self.place_high_priority(requests, PlacementScope::Warm);
     }
 
-    /// Before the cycle: classes and teams below their floor, up to it.
-    pub fn run_floors(&mut self, wants: &mut [PlacementRequest], floors: &mut MinimumShares) {
-        if floors.is_empty() {
+    /// Before the cycle: places work of classes and teams below their minimum share,
+    /// up to it.
+    pub fn run_floors(&mut self, requests: &mut [PlacementRequest], shares: &mut MinimumShares) {
+        if shares.is_empty() {
             return;
         }
-        wants.sort_by_cached_key(PlacementRequest::rank);
-        self.look(wants);
-        let Some(whole) = self.rows.iter().map(|r| r.whole).reduce(|a, b| a.most(&b)) else {
+        requests.sort_by_cached_key(PlacementRequest::rank);
+        self.find_open_rows(requests);
+        let sizes = self.rows.iter().map(|row| row.whole);
+        let Some(largest_machine) = sizes.reduce(|a, b| a.most(&b)) else {
             return;
         };
-        for want in wants.iter_mut().filter(|w| !w.tasks.is_empty()) {
-            let groups = ShareGroup::both(&want.class, &want.team);
-            let lacks = groups.iter().map(|g| floors.lacks(g)).fold(0.0, f64::max);
-            let each = want.need.share_of(&whole);
-            // The last task may go a little above the floor, a gang whole.
-            let most = if lacks <= 0.0 {
-                continue;
-            } else if want.gang {
-                want.tasks.len()
-            } else {
-                ((lacks / each).ceil() as usize).min(want.tasks.len())
-            };
-            let rest = want.tasks.split_off(most);
-            self.place(want, PlacementScope::Any);
-            let placed = (most - want.tasks.len()) as f64 * each;
-            want.tasks.extend(rest);
-            groups.iter().for_each(|g| floors.gain(g, placed));
+        for request in requests.iter_mut().filter(|r| !r.tasks.is_empty()) {
+            self.place_up_to_minimum_share(request, shares, &largest_machine);
         }
     }
 
-    /// The rest of the cycle.
-    pub fn run_rest(&mut self, wants: &mut [PlacementRequest]) {
-        self.look(wants);
-        self.high(wants, PlacementScope::Any);
-        // Without this a gang that needs several machines at once would wait
-        // for ever behind smaller work that takes each one as it comes free.
-        // What finds too few machines to hold leaves none to a larger one like
-        // it: in a rush there are hundreds.
-        let mut failed: Vec<PlacementRequest> = Vec::new();
-        for want in wants.iter_mut().filter(|w| w.aged) {
-            self.place(want, PlacementScope::Any);
-            let hopeless =
-                |f: &PlacementRequest| want.tasks.len() >= f.tasks.len() && want.is_like(f);
-            if want.gang
-                && !want.tasks.is_empty()
-                && self.held.len() < self.rows.len()
-                && !failed.iter().any(hopeless)
-                && !self.hold(want)
-            {
-                failed.push(want.clone());
-            }
+    fn place_up_to_minimum_share(
+        &mut self,
+        request: &mut PlacementRequest,
+        shares: &mut MinimumShares,
+        largest_machine: &Resources,
+    ) {
+        let groups = ShareGroup::both(&request.class, &request.team);
+        let lacking = groups.iter().map(|g| shares.lacks(g)).fold(0.0, f64::max);
+        if lacking <= 0.0 {
+            return;
         }
-        for level in [Priority::Normal, Priority::Low] {
-            let mut batch: Vec<usize> = (0..wants.len())
-                .filter(|&i| wants[i].priority == level)
-                .collect();
-            for &i in &batch {
-                self.place(&mut wants[i], PlacementScope::Holders);
-            }
-            // Fewest holders first: the rarest image gains most from a fetch.
-            batch.sort_by_cached_key(|&i| {
-                let w = &wants[i];
-                (
-                    std::cmp::Reverse(w.entitled),
-                    self.holders(&w.image),
-                    w.order,
-                )
-            });
-            for &i in &batch {
-                self.place(&mut wants[i], PlacementScope::Gated);
+        let machines_per_task = request.need.share_of(largest_machine);
+        // The last task may exceed the minimum share a little, a gang by its size.
+        let limit = match request.gang {
+            true => request.tasks.len(),
+            false => ((lacking / machines_per_task).ceil() as usize).min(request.tasks.len()),
+        };
+        let beyond_limit = request.tasks.split_off(limit);
+        self.place(request, PlacementScope::Any);
+        let placed = (limit - request.tasks.len()) as f64 * machines_per_task;
+        request.tasks.extend(beyond_limit);
+        groups.iter().for_each(|group| shares.gain(group, placed));
+    }
+
+    /// The cycle's second part: everything that was not placed yet.
+    pub fn run_rest(&mut self, requests: &mut [PlacementRequest]) {
+        self.find_open_rows(requests);
+        self.place_high_priority(requests, PlacementScope::Any);
+        self.place_aged(requests);
+        for priority in [Priority::Normal, Priority::Low] {
+            self.place_of_priority(requests, priority);
+        }
+    }
+
+    /// Places high-priority work, grouped by image (Algorithm 1, lines 8 to 15).
+    fn place_high_priority(&mut self, requests: &mut [PlacementRequest], scope: PlacementScope) {
+        for group in self.groups_by_image(requests) {
+            for member in group.members {
+                self.place(&mut requests[member], scope);
             }
         }
     }
 
-    fn high(&mut self, wants: &mut [PlacementRequest], reach: PlacementScope) {
-        let mut groups: BTreeMap<Image, Vec<usize>> = BTreeMap::new();
-        for (i, w) in wants.iter().enumerate().filter(|(_, w)| w.is_high()) {
-            groups.entry(w.image.clone()).or_default().push(i);
+    /// The high-priority requests by image, in the order in which they are placed.
+    fn groups_by_image(&self, requests: &[PlacementRequest]) -> Vec<ImageGroup> {
+        let mut members_by_image: BTreeMap<Image, Vec<usize>> = BTreeMap::new();
+        for (index, request) in requests.iter().enumerate().filter(|(_, r)| r.is_high()) {
+            let members = members_by_image.entry(request.image.clone()).or_default();
+            members.push(index);
         }
-        let mut order: Vec<_> = groups
+        let mut groups: Vec<ImageGroup> = members_by_image
             .into_iter()
             .map(|(image, members)| {
-                let first = &wants[members[0]];
-                let cold = self.holders(&image) == 0;
-                let cost = if cold {
-                    self.estimates.of(&image, first.image_gb, None)
-                } else {
-                    TimeSpan::ZERO
+                let first = &requests[members[0]];
+                let is_cold = self.holder_count(&image) == 0;
+                let fetch_cost = match is_cold {
+                    true => self.estimates.of(&image, first.image_gb, None),
+                    false => TimeSpan::ZERO,
                 };
-                let key = (std::cmp::Reverse(first.priority), cold, cost, first.order);
-                (key, members)
+                ImageGroup {
+                    priority: Reverse(first.priority),
+                    is_cold,
+                    fetch_cost,
+                    order: first.order,
+                    members,
+                }
             })
             .collect();
-        order.sort();
-        for (_, members) in order {
-            for i in members {
-                self.place(&mut wants[i], reach);
+        groups.sort();
+        groups
+    }
+
+    /// Places work that has waited for long, and reserves machines for gangs that
+    /// still find no room. Otherwise a gang that needs several machines at once would
+    /// wait for ever behind smaller work that takes each one as it comes free.
+    fn place_aged(&mut self, requests: &mut [PlacementRequest]) {
+        // A request that finds too few machines to reserve leaves none to a larger
+        // one like it: in a rush there are hundreds.
+        let mut without_reservation: Vec<PlacementRequest> = Vec::new();
+        for request in requests.iter_mut().filter(|r| r.aged) {
+            self.place(request, PlacementScope::Any);
+            if self.may_reserve(request, &without_reservation) && !self.reserve(request) {
+                without_reservation.push(request.clone());
             }
         }
     }
 
-    fn holders(&self, image: &Image) -> usize {
-        self.holders.get(image).copied().unwrap_or(0)
+    /// Places the work of one priority below high: on holders of its image
+    /// (Algorithm 1, lines 16 to 22), then cold (lines 23 to 31).
+    fn place_of_priority(&mut self, requests: &mut [PlacementRequest], priority: Priority) {
+        let mut batch: Vec<usize> = (0..requests.len())
+            .filter(|&index| requests[index].priority == priority)
+            .collect();
+        for &index in &batch {
+            self.place(&mut requests[index], PlacementScope::Holders);
+        }
+        // Fewest holders first: the rarest image gains most from a fetch.
+        batch.sort_by_cached_key(|&index| {
+            let request = &requests[index];
+            let holders = self.holder_count(&request.image);
+            (Reverse(request.entitled), holders, request.order)
+        });
+        for &index in &batch {
+            self.place(&mut requests[index], PlacementScope::Gated);
+        }
+    }
+
+    /// How many rows hold an image, or are fetching it.
+    fn holder_count(&self, image: &Image) -> usize {
+        self.holder_counts.get(image).copied().unwrap_or(0)
     }
 }
 
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -1,4 +1,5 @@
-//! Machines with room for a task, best first.
+//! Finds machines with room for a task and puts them in order, best first. Assigns
+//! nothing.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
@@ -11,117 +12,155 @@
 pub(super) struct RowsWithRoom {
     pub(super) need: Resources,
     pub(super) rows: Vec<usize>,
-    /// How many tasks they took when they were looked for: no more will fit.
-    pub(super) most: u64,
-    /// And those of the zone that took most.
-    pub(super) most_in_zone: u64,
+    /// How many tasks they could take when they were searched: no more will fit.
+    pub(super) max_tasks: u64,
+    /// How many tasks those of the zone with most room could take.
+    pub(super) max_tasks_in_one_zone: u64,
 }
 
-/// A fetch that is over within this time hardly delays a start.
-const WARM: TimeSpan = TimeSpan::millis(3000);
+/// A fetch that ends within this time hardly delays a start.
+const NEARLY_FETCHED: TimeSpan = TimeSpan::millis(3000);
 
-/// Which machines a pass may use.
+/// Which machines a pass of the cycle may use.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PlacementScope {
-    /// Any, by fetch cost.
+    /// Any machine.
     Any,
-    /// Only where the image is, or will be within moments.
+    /// Machines on which the image is, or will be within moments.
     Warm,
-    /// Only holders of the image.
+    /// Machines that hold the image or are fetching it.
     Holders,
-    /// Holders, and others that pass the idle gate.
+    /// Holders, and machines without recent high-priority starts.
     Gated,
 }
 
+/// A row with room for a task. Candidates are preferred in the order of the fields.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    fetch_time: TimeSpan,
+    /// What stays free, in thousandths of the machine.
+    free_after: i64,
+    /// Spot capacity is preferred: on-demand machines suit all work.
+    is_on_demand: bool,
+    row: usize,
+}
+
 impl SchedulingCycle<'_> {
-    /// Looks anew for rows with room for the smallest of `wants`.
-    pub(super) fn look(&mut self, wants: &[PlacementRequest]) {
-        let least = wants.iter().filter(|w| !w.tasks.is_empty()).map(|w| w.need);
-        let least = least.reduce(|a, b| a.least(&b));
-        self.roomy.clear();
-        self.open = match least {
+    /// Searches all rows for those with room for the smallest of the requests.
+    pub(super) fn find_open_rows(&mut self, requests: &[PlacementRequest]) {
+        let needs = requests
+            .iter()
+            .filter(|request| !request.tasks.is_empty())
+            .map(|request| request.need);
+        let smallest_need = needs.reduce(|a, b| a.least(&b));
+        self.rows_with_room.clear();
+        self.open_rows = match smallest_need {
             Some(need) => (0..self.rows.len())
-                .filter(|&i| need.fits(&self.rows[i].free))
+                .filter(|&row| need.fits(&self.rows[row].free))
                 .collect(),
             None => Vec::new(),
         };
     }
 
-    /// What fetching the image costs on a row.
-    pub fn fetch(&self, want: &PlacementRequest, row: &MachineRow) -> TimeSpan {
+    /// Index into `rows_with_room` of the rows with room for a need, which are
+    /// searched among the open rows if that was not done yet.
+    pub(super) fn find_rows_with_room(&mut self, need: Resources) -> usize {
+        let known = self.rows_with_room.iter().position(|of| of.need == need);
+        if let Some(index) = known {
+            // Rows that have filled up since are not looked at again.
+            let (rows, list) = (&self.rows, &mut self.rows_with_room[index].rows);
+            list.retain(|&row| need.fits(&rows[row].free));
+            return index;
+        }
+        let found = self.search_open_rows(need);
+        self.rows_with_room.push(found);
+        self.rows_with_room.len() - 1
+    }
+
+    fn search_open_rows(&self, need: Resources) -> RowsWithRoom {
+        let open = self.open_rows.iter().copied();
+        let rows: Vec<usize> = open
+            .filter(|&row| need.fits(&self.rows[row].free))
+            .collect();
+        let mut tasks_by_zone: HashMap<&Zone, u64> = HashMap::new();
+        for row in rows.iter().map(|&row| &self.rows[row]) {
+            let tasks = need.count_in(&row.free, u32::MAX);
+            *tasks_by_zone.entry(&row.zone).or_default() += u64::from(tasks);
+        }
+        RowsWithRoom {
+            need,
+            rows,
+            max_tasks: tasks_by_zone.values().sum(),
+            max_tasks_in_one_zone: tasks_by_zone.values().copied().max().unwrap_or(0),
+        }
+    }
+
+    /// How long a task of this request would wait for its image on a row.
+    pub fn fetch(&self, request: &PlacementRequest, row: &MachineRow) -> TimeSpan {
         row.cache
-            .remaining(&want.image, self.pace.now)
+            .remaining(&request.image, self.pace.now)
             .unwrap_or_else(|| {
                 self.estimates
-                    .of(&want.image, want.image_gb, Some(row.fetch_rate))
+                    .of(&request.image, request.image_gb, Some(row.fetch_rate))
             })
     }
 
-    fn reachable(&self, want: &PlacementRequest, row: &MachineRow, reach: PlacementScope) -> bool {
-        let holds = row.cache.remaining(&want.image, self.pace.now).is_some();
-        let idle = || {
-            let cost = self.fetch(want, row);
-            row.last_high
-                .is_none_or(|t| self.pace.now.since(t) > TimeSpan(cost.0 / 2))
-        };
-        match reach {
+    /// Whether a pass of this scope may use a row for this request.
+    fn is_in_scope(
+        &self,
+        request: &PlacementRequest,
+        row: &MachineRow,
+        scope: PlacementScope,
+    ) -> bool {
+        let is_holder = || row.cache.remaining(&request.image, self.pace.now).is_some();
+        match scope {
             PlacementScope::Any => true,
-            PlacementScope::Warm => self.fetch(want, row) <= WARM,
-            PlacementScope::Holders => holds,
-            PlacementScope::Gated => holds || want.overdue || idle(),
+            PlacementScope::Warm => self.fetch(request, row) <= NEARLY_FETCHED,
+            PlacementScope::Holders => is_holder(),
+            PlacementScope::Gated => {
+                is_holder() || request.overdue || self.allows_cold_fetch(request, row)
+            }
         }
     }
 
-    /// Rows with room for a task, best first: the cheapest fetch, then the
-    /// tightest fit, so that whole machines stay free for gangs.
+    /// Whether a row may fetch an image for work below high priority: it had no
+    /// high-priority start for over half the fetch time (Algorithm 1, lines 23 to 31).
+    fn allows_cold_fetch(&self, request: &PlacementRequest, row: &MachineRow) -> bool {
+        let fetch_time = self.fetch(request, row);
+        row.last_high
+            .is_none_or(|last| self.pace.now.since(last) > TimeSpan(fetch_time.0 / 2))
+    }
+
+    /// Rows with room for a task, best first: the shortest fetch, then the tightest
+    /// fit, so that whole machines stay free for gangs (bin packing).
+    ///
+    /// `room` is an index into `rows_with_room`; with `zone`, only rows of this zone.
     pub(super) fn candidates(
         &self,
-        want: &PlacementRequest,
-        roomy: usize,
-        reach: PlacementScope,
+        request: &PlacementRequest,
+        room: usize,
+        scope: PlacementScope,
         zone: Option<&Zone>,
     ) -> Vec<usize> {
-        let mut rows: Vec<(TimeSpan, i64, bool, usize)> = self.roomy[roomy]
+        let mut candidates: Vec<Candidate> = self.rows_with_room[room]
             .rows
             .iter()
-            .map(|&i| (i, &self.rows[i]))
-            .filter(|(_, r)| want.need.fits(&r.free))
-            .filter(|(_, r)| zone.is_none_or(|z| z == &r.zone))
-            .filter(|(i, r)| want.allows(r) && self.may_use(*i, &want.job))
-            .filter(|(_, r)| self.reachable(want, r, reach))
-            .map(|(i, r)| {
-                let left = (r.free - want.need).share_of(&r.whole);
-                (self.fetch(want, r), (left * 1000.0) as i64, !r.spot, i)
+            .map(|&index| (index, &self.rows[index]))
+            .filter(|(_, row)| request.need.fits(&row.free))
+            .filter(|(_, row)| zone.is_none_or(|zone| zone == &row.zone))
+            .filter(|(index, row)| request.allows(row) && self.may_use(*index, &request.job))
+            .filter(|(_, row)| self.is_in_scope(request, row, scope))
+            .map(|(index, row)| {
+                let free_after = (row.free - request.need).share_of(&row.whole);
+                Candidate {
+                    fetch_time: self.fetch(request, row),
+                    free_after: (free_after * 1000.0) as i64,
+                    is_on_demand: !row.spot,
+                    row: index,
+                }
             })
             .collect();
-        rows.sort();
-        rows.into_iter().map(|(_, _, _, i)| i).collect()
-    }
-
-    /// Which list of rows has room for a need.
-    pub(super) fn roomy(&mut self, need: Resources) -> usize {
-        if let Some(n) = self.roomy.iter().position(|of| of.need == need) {
-            // What has filled up since is not looked at again.
-            let (rows, list) = (&self.rows, &mut self.roomy[n].rows);
-            list.retain(|&i| need.fits(&rows[i].free));
-            return n;
-        }
-        let open = self.open.iter().copied();
-        let list: Vec<usize> = open.filter(|&i| need.fits(&self.rows[i].free)).collect();
-        let mut by_zone: HashMap<&Zone, u64> = HashMap::new();
-        for row in list.iter().map(|&i| &self.rows[i]) {
-            *by_zone.entry(&row.zone).or_default() += u64::from(need.count_in(&row.free, u32::MAX));
-        }
-        let (most, most_in_zone) = (
-            by_zone.values().sum(),
-            by_zone.values().copied().max().unwrap_or(0),
-        );
-        self.roomy.push(RowsWithRoom {
-            need,
-            rows: list,
-            most,
-            most_in_zone,
-        });
-        self.roomy.len() - 1
+        candidates.sort();
+        candidates.into_iter().map(|c| c.row).collect()
     }
 }
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -1,145 +1,206 @@
-//! Placing the tasks of one job.
+//! Places the tasks of one request: for an array as many as fit, for a gang all or
+//! none. Which machines come into question is for `candidates` to say.
 
 use super::candidates::{PlacementScope, RowsWithRoom};
 use super::request::PlacementRequest;
 use super::{SchedulingCycle, StartDecision};
 use crate::types::{Resources, TimeSpan, Zone};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Tasks that one row would take.
+struct RowAllocation {
+    row: usize,
+    tasks: u32,
+}
+
+/// What placing a request in one zone would come to. The least in the order of the
+/// fields is chosen: for arrays the zone that takes most tasks, then the zone where
+/// the last image is fetched first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ZoneTrial<'z> {
+    tasks: Reverse<usize>,
+    slowest_fetch: TimeSpan,
+    zone: &'z Zone,
+    candidates: Vec<usize>,
+}
+
 impl SchedulingCycle<'_> {
     /// Places as many tasks as fit, or for a gang all or none.
-    pub(super) fn place(&mut self, want: &mut PlacementRequest, reach: PlacementScope) {
-        if want.tasks.is_empty() {
+    pub(super) fn place(&mut self, request: &mut PlacementRequest, scope: PlacementScope) {
+        if request.tasks.is_empty() {
             return;
         }
-        let roomy = self.roomy(want.need);
-        let RowsWithRoom {
-            most, most_in_zone, ..
-        } = self.roomy[roomy];
-        // Where rooms are few, most gangs need not be tried.
-        let enough = if want.one_zone { most_in_zone } else { most };
-        if self.roomy[roomy].rows.is_empty() || (want.gang && enough < want.tasks.len() as u64) {
+        let room = self.find_rows_with_room(request.need);
+        if !self.rows_with_room[room].may_take(request) {
             return;
         }
-        let allowed = self.team_room(want);
-        if want.gang && (allowed as usize) < want.tasks.len() {
+        let quota_room = self.quota_room(request);
+        if request.gang && (quota_room as usize) < request.tasks.len() {
             return;
         }
-        if !want.one_zone {
-            let rows = self.candidates(want, roomy, reach, None);
-            self.fill(want, &rows, allowed);
-            return;
+        let candidates = if request.one_zone {
+            self.candidates_in_best_zone(request, room, scope, quota_room)
+        } else {
+            Some(self.candidates(request, room, scope, None))
+        };
+        if let Some(candidates) = candidates {
+            self.fill(request, &candidates, quota_room);
         }
-        let taken = want.in_zones.iter().find(|(_, n)| **n > 0);
-        let zones: BTreeSet<Zone> = match taken {
-            Some((z, _)) => BTreeSet::from([z.clone()]),
+    }
+
+    /// The candidates of the zone in which a request is best placed; `None` if it can
+    /// be placed in none.
+    fn candidates_in_best_zone(
+        &self,
+        request: &PlacementRequest,
+        room: usize,
+        scope: PlacementScope,
+        quota_room: u32,
+    ) -> Option<Vec<usize>> {
+        let occupied = request.in_zones.iter().find(|(_, tasks)| **tasks > 0);
+        let zones: BTreeSet<Zone> = match occupied {
+            Some((zone, _)) => BTreeSet::from([zone.clone()]),
             None => self.zones.clone(),
         };
-        // The zone where the last image is there first; for arrays the one
-        // that takes most tasks.
         let best = zones
             .iter()
-            .filter_map(|z| {
-                let rows = self.candidates(want, roomy, reach, Some(z));
-                let (picked, worst) = self.trial(want, &rows, allowed);
-                let enough = !want.gang || picked == want.tasks.len();
-                (picked > 0 && enough).then_some((std::cmp::Reverse(picked), worst, z, rows))
-            })
+            .filter_map(|zone| self.try_zone(request, room, scope, quota_room, zone))
             .min();
-        if let Some((_, _, _, rows)) = best {
-            self.fill(want, &rows, allowed);
+        best.map(|trial| trial.candidates)
+    }
+
+    fn try_zone<'z>(
+        &self,
+        request: &PlacementRequest,
+        room: usize,
+        scope: PlacementScope,
+        quota_room: u32,
+        zone: &'z Zone,
+    ) -> Option<ZoneTrial<'z>> {
+        let candidates = self.candidates(request, room, scope, Some(zone));
+        let allocations = self.allocate(request, &candidates, quota_room);
+        let tasks: usize = allocations.iter().map(|a| a.tasks as usize).sum();
+        let is_enough = !request.gang || tasks == request.tasks.len();
+        if tasks == 0 || !is_enough {
+            return None;
         }
+        let fetch_times = allocations
+            .iter()
+            .map(|a| self.fetch(request, &self.rows[a.row]));
+        Some(ZoneTrial {
+            tasks: Reverse(tasks),
+            slowest_fetch: fetch_times.max().unwrap_or(TimeSpan::ZERO),
+            zone,
+            candidates,
+        })
     }
 
-    /// How many of its tasks the team's limit leaves room for.
-    fn team_room(&self, want: &PlacementRequest) -> u32 {
-        let Some(team) = self.teams.get(&want.team) else {
+    /// How many of its tasks the team's maximum quota leaves room for.
+    fn quota_room(&self, request: &PlacementRequest) -> u32 {
+        let Some(team) = self.teams.get(&request.team) else {
             return 0;
         };
-        let left = |limit: Option<f64>, used: f64| limit.map_or(f64::INFINITY, |m| m - used);
+        let left = |maximum: Option<f64>, used: f64| maximum.map_or(f64::INFINITY, |m| m - used);
         let room = Resources {
             cpus: left(team.share.cpus_max, team.used.cpus),
             gpus: left(team.share.gpus_max, team.used.gpus),
             memory_gb: f64::INFINITY,
         };
-        want.need.count_in(&room, want.tasks.len() as u32)
+        request.need.count_in(&room, request.tasks.len() as u32)
     }
 
-    /// How tasks would be spread over rows: (row, tasks) in order.
-    fn spread(&self, want: &PlacementRequest, rows: &[usize], allowed: u32) -> Vec<(usize, u32)> {
-        let mut left = (want.tasks.len() as u32).min(allowed);
-        let mut zones: BTreeMap<&Zone, u32> = BTreeMap::new();
-        let mut out = Vec::new();
-        let mut fastest: Option<TimeSpan> = None;
-        for &i in rows {
-            if left == 0 {
+    /// How the tasks would be spread over the candidates, at most `limit` of them: each
+    /// row takes as many as fit before the next one.
+    fn allocate(
+        &self,
+        request: &PlacementRequest,
+        candidates: &[usize],
+        limit: u32,
+    ) -> Vec<RowAllocation> {
+        let mut tasks_left = (request.tasks.len() as u32).min(limit);
+        let mut tasks_in_zones: BTreeMap<&Zone, u32> = BTreeMap::new();
+        let mut allocations = Vec::new();
+        let mut shortest_fetch: Option<TimeSpan> = None;
+        for &index in candidates {
+            if tasks_left == 0 {
                 break;
             }
-            let row = &self.rows[i];
+            let row = &self.rows[index];
             // A gang's tasks wait for the slowest fetch, but only so long.
-            if want.gang {
-                let cost = self.fetch(want, row);
-                let first = *fastest.get_or_insert(cost);
-                if cost.0 > first.0 + self.pace.most_skew.0 {
+            if request.gang {
+                let fetch_time = self.fetch(request, row);
+                let shortest = *shortest_fetch.get_or_insert(fetch_time);
+                if fetch_time.0 > shortest.0 + self.pace.most_skew.0 {
                     continue;
                 }
             }
-            let used = zones.entry(&row.zone).or_default();
-            let room = want.zone_room(&row.zone).saturating_sub(*used);
-            let n = want.need.count_in(&row.free, left.min(room));
-            if n > 0 {
-                *used += n;
-                left -= n;
-                out.push((i, n));
+            let in_zone = tasks_in_zones.entry(&row.zone).or_default();
+            let zone_room = request.zone_room(&row.zone).saturating_sub(*in_zone);
+            let tasks = request.need.count_in(&row.free, tasks_left.min(zone_room));
+            if tasks > 0 {
+                *in_zone += tasks;
+                tasks_left -= tasks;
+                allocations.push(RowAllocation { row: index, tasks });
             }
         }
-        out
-    }
-
-    fn trial(&self, want: &PlacementRequest, rows: &[usize], allowed: u32) -> (usize, TimeSpan) {
-        let spread = self.spread(want, rows, allowed);
-        let picked = spread.iter().map(|(_, n)| *n as usize).sum();
-        let worst = spread.iter().map(|&(i, _)| self.fetch(want, &self.rows[i]));
-        (picked, worst.max().unwrap_or(TimeSpan::ZERO))
+        allocations
     }
 
-    fn fill(&mut self, want: &mut PlacementRequest, rows: &[usize], allowed: u32) {
-        let spread = self.spread(want, rows, allowed);
-        let total: u32 = spread.iter().map(|(_, n)| *n).sum();
-        if want.gang && (total as usize) < want.tasks.len() {
+    /// Assigns tasks to the candidates, best first; of a gang all or none.
+    fn fill(&mut self, request: &mut PlacementRequest, candidates: &[usize], limit: u32) {
+        let allocations = self.allocate(request, candidates, limit);
+        let total: u32 = allocations.iter().map(|a| a.tasks).sum();
+        if request.gang && (total as usize) < request.tasks.len() {
             return;
         }
-        for (row, n) in spread {
-            for task in want.tasks.drain(..n as usize).collect::<Vec<_>>() {
-                self.assign(want, task, row);
+        for RowAllocation { row, tasks } in allocations {
+            for task in request.tasks.drain(..tasks as usize).collect::<Vec<_>>() {
+                self.assign(request, task, row);
             }
         }
     }
 
-    /// Records a start in the tables.
-    pub fn assign(&mut self, want: &mut PlacementRequest, task: u32, row: usize) {
-        let cost = self.fetch(want, &self.rows[row]);
-        let r = &mut self.rows[row];
-        r.free -= want.need;
-        let work = want.run.scaled(want.need.share_of(&r.whole).min(1.0));
-        r.available = r.available.max(self.pace.now) + work + cost;
-        self.soonest.clear();
-        if r.cache.remaining(&want.image, self.pace.now).is_none() {
-            *self.holders.entry(want.image.clone()).or_default() += 1;
+    /// Records the start of a task in the tables, so that the rest of the cycle sees
+    /// its room as taken and its image as being fetched.
+    pub fn assign(&mut self, request: &mut PlacementRequest, task: u32, row: usize) {
+        let now = self.pace.now;
+        let fetch_time = self.fetch(request, &self.rows[row]);
+        let machine = &mut self.rows[row];
+        machine.free -= request.need;
+        let share = request.need.share_of(&machine.whole).min(1.0);
+        let work = request.run.scaled(share);
+        machine.available = machine.available.max(now) + work + fetch_time;
+        self.rows_by_availability.clear();
+        if machine.cache.remaining(&request.image, now).is_none() {
+            *self.holder_counts.entry(request.image.clone()).or_default() += 1;
         }
-        r.cache
-            .used(&want.image, want.image_gb, self.pace.now, cost);
-        if want.is_high() {
-            r.last_high = Some(self.pace.now);
+        machine
+            .cache
+            .used(&request.image, request.image_gb, now, fetch_time);
+        if request.is_high() {
+            machine.last_high = Some(now);
         }
-        *want.in_zones.entry(r.zone.clone()).or_default() += 1;
-        if let Some(team) = self.teams.get_mut(&want.team) {
-            team.used += want.need;
+        *request.in_zones.entry(machine.zone.clone()).or_default() += 1;
+        if let Some(team) = self.teams.get_mut(&request.team) {
+            team.used += request.need;
         }
         self.starts.push(StartDecision {
-            job: want.job.clone(),
+            job: request.job.clone(),
             task,
             row,
         });
     }
 }
+
+impl RowsWithRoom {
+    /// Whether these rows may have room for a request. Where there is little room, most
+    /// gangs need not be tried.
+    fn may_take(&self, request: &PlacementRequest) -> bool {
+        let max_tasks = match request.one_zone {
+            true => self.max_tasks_in_one_zone,
+            false => self.max_tasks,
+        };
+        !self.rows.is_empty() && (!request.gang || max_tasks >= request.tasks.len() as u64)
+    }
+}
--- a/crates/controller/src/core/scheduling_cycle/request.rs
+++ b/crates/controller/src/core/scheduling_cycle/request.rs
@@ -1,102 +1,113 @@
-//! What a job wants placed.
+//! What a job wants placed: its waiting tasks, what they need, and where they may go.
+//! Says nothing about which machines have room.
 
 use crate::core::placement_tables::MachineRow;
 use crate::types::{
     Class, Image, JobId, MachineId, MachineTypeName, Resources, Team, Time, TimeSpan, Zone,
 };
 use crate::wire::users::Priority;
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a job wants placed.
+/// The waiting tasks of a job.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
     /// The job.
     pub job: JobId,
-    /// Its team.
+    /// The job's team.
     pub team: Team,
-    /// Its class.
+    /// The job's class.
     pub class: Class,
-    /// Its image.
+    /// The image its tasks run.
     pub image: Image,
-    /// The image's size.
+    /// The image's size in gigabytes.
     pub image_gb: f64,
     /// What each task takes.
     pub need: Resources,
-    /// The tasks that wait.
+    /// The tasks that wait, by number.
     pub tasks: Vec<u32>,
-    /// All of them or none.
+    /// Whether all of them start together or none (gang scheduling).
     pub gang: bool,
-    /// Its priority.
+    /// The job's priority.
     pub priority: Priority,
-    /// Whether it lies within its team's guarantee.
+    /// Whether it lies within its team's guaranteed quota.
     pub entitled: bool,
     /// Smaller goes first among equals.
     pub order: i64,
-    /// Allowed machine types.
+    /// Allowed machine types; `None`: all.
     pub kinds: Option<Vec<MachineTypeName>>,
-    /// The only allowed zone.
+    /// The only allowed zone, if any.
     pub zone: Option<Zone>,
-    /// All tasks in one zone.
+    /// Whether all tasks must be in one zone.
     pub one_zone: bool,
-    /// Most tasks in one zone.
+    /// Most tasks in one zone, if limited.
     pub most_in_zone: Option<u32>,
-    /// Tasks that are or may be in each zone.
+    /// Number of tasks that are or may be in each zone.
     pub in_zones: BTreeMap<Zone, u32>,
-    /// May use spot machines.
+    /// Whether it may use spot capacity.
     pub spot: bool,
     /// Expected run time of a task.
     pub run: TimeSpan,
-    /// When it must run for its next aim about starting to be met.
+    /// Latest start that still meets its next objective, if it has one.
     pub start_by: Option<Time>,
-    /// Whether it has waited so long that machines are held for it.
+    /// Whether it has waited so long that machines are reserved for it.
     pub aged: bool,
-    /// Whether it has waited so long that nothing that only makes work wait for a better
-    /// machine counts for it: not the gate of cold fetches beside high-priority work, nor
-    /// that a machine is put aside.
+    /// Whether it has waited so long that rules which only make work wait for a better
+    /// machine no longer apply: the limit on cold fetches beside high-priority work,
+    /// and the quarantine of machines.
     pub overdue: bool,
-    /// Machines to stay away from.
+    /// Machines to avoid.
     pub avoid: BTreeSet<MachineId>,
 }
 
+/// The order in which requests are placed: that of the fields.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct PlacementRank {
+    priority: Reverse<Priority>,
+    entitled: Reverse<bool>,
+    order: i64,
+    job: JobId,
+}
+
 impl PlacementRequest {
-    /// Whether a task of this job may be on this machine at all.
+    /// Whether a task of this job may be on this machine at all, room apart.
     pub fn allows(&self, row: &MachineRow) -> bool {
         (self.spot || !row.spot)
-            && self.zone.as_ref().is_none_or(|z| z == &row.zone)
-            && self.kinds.as_ref().is_none_or(|k| k.contains(&row.kind))
+            && self.zone.as_ref().is_none_or(|zone| zone == &row.zone)
+            && self
+                .kinds
+                .as_ref()
+                .is_none_or(|kinds| kinds.contains(&row.kind))
             && !self.avoid.contains(&row.id)
             && (self.overdue || !row.aside)
     }
 
     /// How many more tasks may go to a zone.
     pub fn zone_room(&self, zone: &Zone) -> u32 {
-        let there = self.in_zones.get(zone).copied().unwrap_or(0);
-        let elsewhere = self.in_zones.iter().any(|(z, &n)| z != zone && n > 0);
-        if self.one_zone && elsewhere {
+        let in_zone = self.in_zones.get(zone).copied().unwrap_or(0);
+        let is_elsewhere = self
+            .in_zones
+            .iter()
+            .any(|(other, &tasks)| other != zone && tasks > 0);
+        if self.one_zone && is_elsewhere {
             return 0;
         }
         self.most_in_zone
-            .map_or(u32::MAX, |m| m.saturating_sub(there))
+            .map_or(u32::MAX, |most| most.saturating_sub(in_zone))
     }
 
-    pub(super) fn rank(
-        &self,
-    ) -> (
-        std::cmp::Reverse<Priority>,
-        std::cmp::Reverse<bool>,
-        i64,
-        JobId,
-    ) {
-        (
-            std::cmp::Reverse(self.priority),
-            std::cmp::Reverse(self.entitled),
-            self.order,
-            self.job.clone(),
-        )
+    /// The place of this request among all that are placed.
+    pub(super) fn rank(&self) -> PlacementRank {
+        PlacementRank {
+            priority: Reverse(self.priority),
+            entitled: Reverse(self.entitled),
+            order: self.order,
+            job: self.job.clone(),
+        }
     }
 
-    /// Whether what holds for placing this holds for placing `other`, image
-    /// and number of tasks apart.
+    /// Whether a placement that is possible for this request is possible for `other`
+    /// and the reverse, apart from the image and the number of tasks.
     pub fn is_like(&self, other: &PlacementRequest) -> bool {
         self.priority == other.priority
             && self.entitled == other.entitled
@@ -112,6 +123,7 @@
             && self.avoid == other.avoid
     }
 
+    /// Whether it is interactive work in the sense of the paper.
     pub(super) fn is_high(&self) -> bool {
         self.priority >= Priority::High
     }
--- a/crates/controller/src/core/scheduling_cycle/reservation.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation.rs
@@ -1,91 +1,143 @@
-//! Holding machines for gangs that have waited for long.
+//! Reserves machines for gangs that have waited for long: those that should soonest be
+//! free together. A reservation lasts for one cycle and starts nothing.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
 use crate::types::{JobId, Time, Zone};
 use std::collections::BTreeMap;
 
-/// Rows of a zone, or all, that should be free soonest first.
+/// Rows of one zone, or of all, those that should be free soonest first.
 #[derive(Debug)]
 pub(super) struct RowsByAvailability {
+    /// `None`: of all zones.
     zone: Option<Zone>,
     rows: Vec<usize>,
-    /// All before this one are held.
-    from: usize,
+    /// All rows before this position are reserved.
+    first_free: usize,
+}
+
+/// Rows that could be reserved for a gang together.
+struct Reservation {
+    /// When the last of the rows should be free.
+    available_at: Time,
+    rows: Vec<usize>,
 }
 
 impl SchedulingCycle<'_> {
-    /// Whether a row is free of holds for other jobs.
+    /// Whether a row is not reserved for another job.
     pub fn may_use(&self, row: usize, job: &JobId) -> bool {
-        self.held.get(&row).is_none_or(|j| j == job)
+        self.held.get(&row).is_none_or(|holder| holder == job)
     }
 
-    /// Holds the machines that should soonest be free together; false if there
-    /// are not enough.
-    pub(super) fn hold(&mut self, want: &PlacementRequest) -> bool {
-        let mut best: Option<(Time, Vec<usize>)> = None;
-        for list in self.soonest_for(want) {
-            let mut left = want.tasks.len() as u32;
-            let mut picked = Vec::new();
-            let mut last = self.pace.now;
-            let mut in_zones: BTreeMap<&Zone, u32> = BTreeMap::new();
-            let list = &self.soonest[list];
-            for &i in &list.rows[list.from..] {
-                let r = &self.rows[i];
-                if left == 0 {
-                    break;
-                }
-                if !self.may_use(i, &want.job) || !want.allows(r) {
-                    continue;
-                }
-                let used = in_zones.entry(&r.zone).or_default();
-                let room = want.zone_room(&r.zone).saturating_sub(*used);
-                let n = want.need.count_in(&r.whole, left.min(room));
-                if n > 0 {
-                    *used += n;
-                    left -= n;
-                    last = r.available;
-                    picked.push(i);
-                }
-            }
-            if left == 0 && best.as_ref().is_none_or(|(t, _)| last < *t) {
-                best = Some((last, picked));
+    /// Whether a reservation should be tried for a request, given those for which it
+    /// failed in this cycle.
+    pub(super) fn may_reserve(
+        &self,
+        request: &PlacementRequest,
+        without_reservation: &[PlacementRequest],
+    ) -> bool {
+        let needs_no_less = |failed: &PlacementRequest| {
+            request.tasks.len() >= failed.tasks.len() && request.is_like(failed)
+        };
+        request.gang
+            && !request.tasks.is_empty()
+            && self.held.len() < self.rows.len()
+            && !without_reservation.iter().any(needs_no_less)
+    }
+
+    /// Reserves the machines that should soonest be free together; false if there are
+    /// not enough.
+    pub(super) fn reserve(&mut self, request: &PlacementRequest) -> bool {
+        let mut best: Option<Reservation> = None;
+        for list in self.availability_lists_for(request) {
+            let Some(found) = self.find_reservation(request, &self.rows_by_availability[list])
+            else {
+                continue;
+            };
+            let is_sooner = |best: &Reservation| found.available_at < best.available_at;
+            if best.as_ref().is_none_or(is_sooner) {
+                best = Some(found);
             }
         }
-        let found = best.is_some();
-        for i in best.map(|(_, rows)| rows).unwrap_or_default() {
-            self.held.insert(i, want.job.clone());
+        let Some(reservation) = best else {
+            return false;
+        };
+        for row in reservation.rows {
+            self.held.insert(row, request.job.clone());
         }
-        found
+        true
     }
 
-    /// The lists from which rows are held for a want, one a zone if all its
-    /// tasks must be in one. In a rush hundreds of gangs look for rows to hold,
-    /// so the rows are put in order once for all of them.
-    fn soonest_for(&mut self, want: &PlacementRequest) -> Vec<usize> {
-        if self.soonest.is_empty() {
-            let mut all: Vec<usize> = (0..self.rows.len()).collect();
-            all.sort_by_key(|&i| (self.rows[i].available, i));
-            let zones = self.zones.iter().cloned().map(Some);
-            self.soonest = zones
-                .chain([None])
-                .map(|zone| {
-                    let here = |i: &usize| zone.as_ref().is_none_or(|z| *z == self.rows[*i].zone);
-                    let rows = all.iter().copied().filter(here).collect();
-                    let from = 0;
-                    RowsByAvailability { zone, rows, from }
-                })
-                .collect();
+    /// The first rows of a list that are enough for all tasks of a request.
+    fn find_reservation(
+        &self,
+        request: &PlacementRequest,
+        list: &RowsByAvailability,
+    ) -> Option<Reservation> {
+        let mut tasks_left = request.tasks.len() as u32;
+        let mut tasks_in_zones: BTreeMap<&Zone, u32> = BTreeMap::new();
+        let mut reservation = Reservation {
+            available_at: self.pace.now,
+            rows: Vec::new(),
+        };
+        for &index in &list.rows[list.first_free..] {
+            if tasks_left == 0 {
+                break;
+            }
+            let row = &self.rows[index];
+            if !self.may_use(index, &request.job) || !request.allows(row) {
+                continue;
+            }
+            let in_zone = tasks_in_zones.entry(&row.zone).or_default();
+            let zone_room = request.zone_room(&row.zone).saturating_sub(*in_zone);
+            let tasks = request.need.count_in(&row.whole, tasks_left.min(zone_room));
+            if tasks > 0 {
+                *in_zone += tasks;
+                tasks_left -= tasks;
+                reservation.available_at = row.available;
+                reservation.rows.push(index);
+            }
+        }
+        (tasks_left == 0).then_some(reservation)
+    }
+
+    /// Indices of the lists from which rows are reserved for a request: one for each
+    /// zone if all its tasks must be in one, otherwise the list of all rows.
+    fn availability_lists_for(&mut self, request: &PlacementRequest) -> Vec<usize> {
+        // In a rush hundreds of gangs look for rows to reserve, so the rows are put in
+        // order once for all of them.
+        if self.rows_by_availability.is_empty() {
+            self.rows_by_availability = self.sort_by_availability();
         }
         let held = &self.held;
-        let mut of = Vec::new();
-        for (n, list) in self.soonest.iter_mut().enumerate() {
-            if list.zone.is_some() == want.one_zone {
-                let left = &list.rows[list.from..];
-                list.from += left.iter().take_while(|i| held.contains_key(i)).count();
-                of.push(n);
+        let mut selected = Vec::new();
+        for (index, list) in self.rows_by_availability.iter_mut().enumerate() {
+            if list.zone.is_some() == request.one_zone {
+                let rest = &list.rows[list.first_free..];
+                list.first_free += rest.iter().take_while(|row| held.contains_key(row)).count();
+                selected.push(index);
             }
         }
-        of
+        selected
+    }
+
+    /// One list for each zone, and one of all rows.
+    fn sort_by_availability(&self) -> Vec<RowsByAvailability> {
+        let mut all: Vec<usize> = (0..self.rows.len()).collect();
+        all.sort_by_key(|&row| (self.rows[row].available, row));
+        let zones = self.zones.iter().cloned().map(Some);
+        zones
+            .chain([None])
+            .map(|zone| {
+                let is_in_zone =
+                    |row: &usize| zone.as_ref().is_none_or(|z| *z == self.rows[*row].zone);
+                let rows = all.iter().copied().filter(is_in_zone).collect();
+                RowsByAvailability {
+                    zone,
+                    rows,
+                    first_free: 0,
+                }
+            })
+            .collect()
     }
 }
