--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -1,266 +1,400 @@
-//! Making room: which running tasks to stop for work that cannot be placed.
-//! Pure, as the cycle.
+//! Preemption: which running tasks to stop for work that cannot be placed. Pure, as the
+//! scheduling cycle: it chooses, and stops nothing itself.
 
 use super::quota::{Bounds, ReclaimCandidate, ReclaimUsage};
 use super::scheduling_cycle::{PlacementRequest, SchedulingCycle};
-use crate::types::{Class, JobId, Resources, Team};
+use crate::types::{Class, JobId, Resources, Team, Zone};
 use crate::wire::users::Priority;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A task that may be stopped; a gang's tasks only go together.
+/// A running task that may be stopped; a gang's tasks only stop together.
 #[derive(Clone, Debug)]
 pub struct Victim {
-    /// Its job.
+    /// The task's job.
     pub job: JobId,
-    /// Its number.
+    /// The task's number.
     pub task: u32,
-    /// Its team.
+    /// The job's team.
     pub team: Team,
-    /// Its class.
+    /// The job's class.
     pub class: Class,
-    /// The share of its machine that it takes.
+    /// The share of its machine that the task takes, in machines.
     pub machines: f64,
-    /// Its priority.
+    /// The job's priority.
     pub priority: Priority,
-    /// What it takes.
+    /// What the task takes.
     pub need: Resources,
     /// Whether it belongs to a gang.
     pub gang: bool,
     /// Row of its machine.
     pub row: usize,
-    /// Seconds of work lost by stopping it, and what stopping costs.
+    /// What stopping it costs, in machine seconds of lost work.
     pub cost: f64,
-    /// Whether it is settled: stopped not too soon after its start.
+    /// Whether it has run long enough to be stopped for a guarantee.
     pub settled: bool,
 }
 
-/// The tasks that may be stopped, indexed by where they are.
+/// All tasks of a gang that may be stopped.
+#[derive(Debug, Default)]
+struct GangVictims {
+    /// Indices of its tasks.
+    members: Vec<usize>,
+    /// What stopping all of them costs, in machine seconds.
+    cost: f64,
+}
+
+/// The tasks that may be stopped, indexed by machine and by gang.
 #[derive(Debug)]
 pub struct Victims {
     all: Vec<Victim>,
     by_row: Vec<Vec<usize>>,
-    /// A gang's tasks, and what stopping all of them costs.
-    gangs: HashMap<JobId, (Vec<usize>, f64)>,
+    gangs: HashMap<JobId, GangVictims>,
 }
 
 impl Victims {
-    /// Indexes `all`, which lie on some of `rows` rows.
+    /// Indexes `all`, which run on machines of a table with `rows` rows.
     pub fn new(all: Vec<Victim>, rows: usize) -> Victims {
         let mut by_row = vec![Vec::new(); rows];
-        let mut gangs: HashMap<JobId, (Vec<usize>, f64)> = HashMap::new();
-        for (n, v) in all.iter().enumerate() {
-            by_row[v.row].push(n);
-            if v.gang {
-                let gang = gangs.entry(v.job.clone()).or_default();
-                gang.0.push(n);
-                gang.1 += v.cost;
+        let mut gangs: HashMap<JobId, GangVictims> = HashMap::new();
+        for (index, victim) in all.iter().enumerate() {
+            by_row[victim.row].push(index);
+            if victim.gang {
+                let gang = gangs.entry(victim.job.clone()).or_default();
+                gang.members.push(index);
+                gang.cost += victim.cost;
             }
         }
         Victims { all, by_row, gangs }
     }
 
-    /// What is lost with one of them: with a gang's task all the gang.
-    pub fn loss(&self, n: usize, want: &PlacementRequest) -> ReclaimCandidate<'_> {
-        let v = &self.all[n];
-        let tasks = match self.gangs.get(&v.job) {
-            Some((members, _)) if v.gang => members.len() as f64,
-            _ => 1.0,
+    /// The gang that a task belongs to, if it belongs to one.
+    fn gang_of(&self, victim: &Victim) -> Option<&GangVictims> {
+        self.gangs.get(&victim.job).filter(|_| victim.gang)
+    }
+
+    /// What its team and class lose when a task is stopped for `request`: with a gang's
+    /// task the whole gang.
+    pub fn loss(&self, index: usize, request: &PlacementRequest) -> ReclaimCandidate<'_> {
+        let victim = &self.all[index];
+        let tasks = match self.gang_of(victim) {
+            Some(gang) => gang.members.len() as f64,
+            None => 1.0,
         };
         ReclaimCandidate {
-            team: &v.team,
-            class: &v.class,
-            takes: v.need.times(tasks),
-            machines: v.machines * tasks,
-            for_guarantee: v.priority >= want.priority,
+            team: &victim.team,
+            class: &victim.class,
+            takes: victim.need.times(tasks),
+            machines: victim.machines * tasks,
+            for_guarantee: victim.priority >= request.priority,
         }
     }
 
-    /// What stopping one of them costs: with a gang's task all the gang.
-    fn cost(&self, n: usize) -> f64 {
-        let v = &self.all[n];
-        match self.gangs.get(&v.job) {
-            Some((_, cost)) if v.gang => *cost,
-            _ => v.cost,
-        }
+    /// What stopping a task costs, in machine seconds: with a gang's task that of the
+    /// whole gang.
+    fn cost(&self, index: usize) -> f64 {
+        let victim = &self.all[index];
+        self.gang_of(victim).map_or(victim.cost, |gang| gang.cost)
     }
 }
 
 impl std::ops::Index<usize> for Victims {
     type Output = Victim;
-    fn index(&self, n: usize) -> &Victim {
-        &self.all[n]
+    fn index(&self, index: usize) -> &Victim {
+        &self.all[index]
     }
 }
 
-/// What stopping for one want comes to.
+/// The tasks to stop for a request, and where its own tasks go then.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Eviction {
-    /// Indices of victims.
+    /// Indices of the tasks to stop.
     pub victims: BTreeSet<usize>,
-    /// Rows for the want's tasks, one entry a task.
+    /// Rows for the request's tasks, one entry for each task.
     pub rows: Vec<usize>,
 }
 
-/// Whether `want` has a reason to have `v` stopped. Only the two that the
-/// platform names count: a higher priority, or a guarantee against what another
+/// Whether `request` has a reason to have `victim` stopped. Only the two that the
+/// platform names count: a higher priority, or a guaranteed quota against what another
 /// team runs beyond its own. How much may be taken is for [`Bounds`] to say.
-fn has_reason(want: &PlacementRequest, v: &Victim) -> bool {
+fn has_reason(request: &PlacementRequest, victim: &Victim) -> bool {
     // A guarantee could also take from higher priorities; stopping urgent work
     // for work that can wait serves nobody.
-    v.priority < want.priority
-        || (want.entitled && v.team != want.team && v.settled && v.priority == want.priority)
+    victim.priority < request.priority
+        || (request.entitled
+            && victim.team != request.team
+            && victim.settled
+            && victim.priority == request.priority)
 }
 
-/// What a second of fetching weighs against a machine's second of lost work.
-const FETCH_WEIGHT: f64 = 2.0;
+/// Machine seconds of lost work that one second of fetching the image weighs as much
+/// as: the work that room is made for waits meanwhile.
+const COST_PER_FETCH_SECOND: f64 = 2.0;
 
-/// What it costs, in such seconds, if the fetch makes a start miss its aim.
-const MISSED: f64 = 100.0;
+/// Cost for each task, in machine seconds, of a fetch by which its start misses its
+/// objective: running work is rather stopped where the image is.
+const MISSED_OBJECTIVE_COST: f64 = 100.0;
 
+/// What making room on one row would come to.
 struct RowPlan {
     row: usize,
+    /// Tasks of the request that would fit.
     tasks: u32,
+    /// Indices of the tasks to stop.
     victims: Vec<usize>,
+    /// Cost in machine seconds.
     cost: f64,
 }
 
-/// Finds the cheapest set of tasks to stop so that `want` fits: a gang whole,
-/// of others as many tasks as `most`.
+impl RowPlan {
+    fn cost_per_task(&self) -> f64 {
+        self.cost / f64::from(self.tasks)
+    }
+}
+
+/// Finds the cheapest set of tasks to stop so that `request` fits: a gang whole, of
+/// others at most `max_tasks` tasks. `taken` are victims that are being stopped for
+/// another request already.
 pub fn evict(
     cycle: &SchedulingCycle<'_>,
-    want: &PlacementRequest,
+    request: &PlacementRequest,
     victims: &Victims,
     taken: &BTreeSet<usize>,
     bounds: &Bounds,
-    most: u32,
+    max_tasks: u32,
 ) -> Option<Eviction> {
-    let wanted = (want.tasks.len() as u32).min(if want.gang { u32::MAX } else { most });
-    let mut plans: Vec<RowPlan> = Vec::new();
-    for (i, row) in cycle.rows.iter().enumerate() {
-        if (victims.by_row[i].is_empty() && !want.need.fits(&row.free))
-            || !cycle.may_use(i, &want.job)
-            || !want.allows(row)
-            || !want.need.fits(&row.whole)
-            || want.zone_room(&row.zone) == 0
-        {
-            continue;
-        }
-        let mut here: Vec<(f64, usize)> = victims.by_row[i]
-            .iter()
-            .copied()
-            .filter(|n| !taken.contains(n) && has_reason(want, &victims[*n]))
-            .map(|n| (victims.cost(n), n))
+    let limit = if request.gang { u32::MAX } else { max_tasks };
+    let search = EvictionSearch {
+        cycle,
+        request,
+        victims,
+        taken,
+        bounds,
+        wanted_tasks: (request.tasks.len() as u32).min(limit),
+    };
+    let mut eviction = search.cheapest(&search.plan_rows())?;
+    search.include_whole_gangs(&mut eviction);
+    Some(eviction)
+}
+
+/// What one search for tasks to stop works on.
+struct EvictionSearch<'a, 'c> {
+    cycle: &'a SchedulingCycle<'c>,
+    request: &'a PlacementRequest,
+    victims: &'a Victims,
+    taken: &'a BTreeSet<usize>,
+    bounds: &'a Bounds,
+    /// Tasks to make room for.
+    wanted_tasks: u32,
+}
+
+impl<'a> EvictionSearch<'a, '_> {
+    /// Plans for all rows on which room can be made, the cheapest for each task first.
+    fn plan_rows(&self) -> Vec<RowPlan> {
+        let rows = 0..self.cycle.rows.len();
+        let mut plans: Vec<RowPlan> = rows
+            .filter(|&row| self.is_usable(row))
+            .filter_map(|row| self.plan_row(row))
             .collect();
-        here.sort_by(|a, b| a.0.total_cmp(&b.0));
+        plans.sort_by(|a, b| a.cost_per_task().total_cmp(&b.cost_per_task()));
+        plans
+    }
+
+    /// Whether the request could run on a row if enough were stopped there.
+    fn is_usable(&self, index: usize) -> bool {
+        let row = &self.cycle.rows[index];
+        let request = self.request;
+        let has_victims = !self.victims.by_row[index].is_empty();
+        (has_victims || request.need.fits(&row.free))
+            && self.cycle.may_use(index, &request.job)
+            && request.allows(row)
+            && request.need.fits(&row.whole)
+            && request.zone_room(&row.zone) != 0
+    }
+
+    /// What stopping the cheapest tasks of a row comes to; `None` if nothing fits then.
+    fn plan_row(&self, index: usize) -> Option<RowPlan> {
+        let row = &self.cycle.rows[index];
+        let need = &self.request.need;
         let mut free = row.free;
         let mut plan = RowPlan {
-            row: i,
+            row: index,
             tasks: 0,
             victims: Vec::new(),
             cost: 0.0,
         };
         let mut spent = ReclaimUsage::default();
         let mut gangs: BTreeSet<&JobId> = BTreeSet::new();
-        for (cost, n) in here {
-            if want.need.fits(&free) {
+        for (cost, victim_index) in self.victims_by_cost(index) {
+            if need.fits(&free) {
                 break;
             }
-            let v = &victims[n];
-            if !v.gang || gangs.insert(&v.job) {
-                let loss = victims.loss(n, want);
-                if !bounds.allows(&spent, &loss) {
+            let victim = &self.victims[victim_index];
+            // A gang is counted once, with the first of its tasks.
+            if !victim.gang || gangs.insert(&victim.job) {
+                let loss = self.victims.loss(victim_index, self.request);
+                if !self.bounds.allows(&spent, &loss) {
                     continue;
                 }
-                bounds.spend(&mut spent, &loss);
+                self.bounds.spend(&mut spent, &loss);
             }
-            free += victims[n].need;
-            plan.victims.push(n);
+            free += victim.need;
+            plan.victims.push(victim_index);
             plan.cost += cost;
         }
-        plan.tasks = want
-            .need
-            .count_in(&free, wanted.min(want.zone_room(&row.zone)));
-        if plan.tasks > 0 {
-            // The work that is made room for also waits for its image.
-            let fetch = cycle.fetch(want, row);
-            plan.cost += fetch.as_secs() * FETCH_WEIGHT;
-            if want.start_by.is_some_and(|t| cycle.pace.now + fetch > t) {
-                plan.cost += MISSED * f64::from(plan.tasks);
+        let limit = self.wanted_tasks.min(self.request.zone_room(&row.zone));
+        plan.tasks = need.count_in(&free, limit);
+        if plan.tasks == 0 {
+            return None;
+        }
+        self.add_fetch_cost(&mut plan);
+        Some(plan)
+    }
+
+    /// The tasks on a row that may be stopped for the request, with their cost in
+    /// machine seconds, the cheapest first.
+    fn victims_by_cost(&self, row: usize) -> Vec<(f64, usize)> {
+        let mut victims: Vec<(f64, usize)> = self.victims.by_row[row]
+            .iter()
+            .copied()
+            .filter(|index| !self.taken.contains(index))
+            .filter(|index| has_reason(self.request, &self.victims[*index]))
+            .map(|index| (self.victims.cost(index), index))
+            .collect();
+        victims.sort_by(|a, b| a.0.total_cmp(&b.0));
+        victims
+    }
+
+    /// The work that room is made for also waits for its image.
+    fn add_fetch_cost(&self, plan: &mut RowPlan) {
+        let fetch = self.cycle.fetch(self.request, &self.cycle.rows[plan.row]);
+        plan.cost += fetch.as_secs() * COST_PER_FETCH_SECOND;
+        let starts_at = self.cycle.pace.now + fetch;
+        if self
+            .request
+            .start_by
+            .is_some_and(|latest| starts_at > latest)
+        {
+            plan.cost += MISSED_OBJECTIVE_COST * f64::from(plan.tasks);
+        }
+    }
+
+    /// The cheapest combination of plans that makes room for enough tasks: within one
+    /// zone, if the request needs that.
+    fn cheapest(&self, plans: &[RowPlan]) -> Option<Eviction> {
+        let zones: Vec<Option<&Zone>> = if self.request.one_zone {
+            self.cycle.zones().iter().map(Some).collect()
+        } else {
+            vec![None]
+        };
+        let mut best: Option<CombinedPlan<'_>> = None;
+        for zone in zones {
+            let combined = self.combine(plans, zone);
+            let is_enough = match self.request.gang {
+                true => combined.tasks_left == 0,
+                false => combined.tasks_left < self.wanted_tasks,
+            };
+            if is_enough && best.as_ref().is_none_or(|best| combined.cost < best.cost) {
+                best = Some(combined);
             }
-            plans.push(plan);
         }
+        best.map(|combined| combined.eviction)
     }
-    plans.sort_by(|a, b| (a.cost / f64::from(a.tasks)).total_cmp(&(b.cost / f64::from(b.tasks))));
-    let zones: Vec<Option<_>> = if want.one_zone {
-        cycle.zones().iter().cloned().map(Some).collect()
-    } else {
-        vec![None]
-    };
-    let mut best: Option<(f64, Eviction)> = None;
-    for zone in zones {
-        let mut e = Eviction::default();
-        let mut cost = 0.0;
-        let mut left = wanted;
-        let mut in_zone: BTreeMap<_, u32> = BTreeMap::new();
-        // What each machine's plan may take alone, all may not take together.
-        let mut spent = ReclaimUsage::default();
-        let mut gangs: BTreeSet<&JobId> = BTreeSet::new();
-        for p in &plans {
-            let row = &cycle.rows[p.row];
-            if left == 0 || zone.as_ref().is_some_and(|z| z != &row.zone) {
+
+    /// Takes plans in their order until there is room for all wanted tasks. With
+    /// `zone`, only plans for rows of this zone.
+    fn combine(&self, plans: &[RowPlan], zone: Option<&Zone>) -> CombinedPlan<'a> {
+        let mut combined = CombinedPlan::new(self.wanted_tasks);
+        let mut tasks_in_zones: BTreeMap<&Zone, u32> = BTreeMap::new();
+        for plan in plans {
+            let row = &self.cycle.rows[plan.row];
+            if combined.tasks_left == 0 || zone.is_some_and(|zone| zone != &row.zone) {
                 continue;
             }
-            let used = in_zone.entry(&row.zone).or_default();
-            let n = p
-                .tasks
-                .min(left)
-                .min(want.zone_room(&row.zone).saturating_sub(*used));
-            if n == 0 {
+            let in_zone = tasks_in_zones.entry(&row.zone).or_default();
+            let zone_room = self.request.zone_room(&row.zone).saturating_sub(*in_zone);
+            let tasks = plan.tasks.min(combined.tasks_left).min(zone_room);
+            if tasks == 0 || !self.charge(&mut combined, plan) {
                 continue;
             }
-            let mut after = spent.clone();
-            let mut more: BTreeSet<&JobId> = BTreeSet::new();
-            let covered = p.victims.iter().all(|&n| {
-                let v = &victims[n];
-                if v.gang && (gangs.contains(&v.job) || !more.insert(&v.job)) {
-                    return true;
-                }
-                let loss = victims.loss(n, want);
-                let covered = bounds.allows(&after, &loss);
-                bounds.spend(&mut after, &loss);
-                covered
-            });
-            if !covered {
+            *in_zone += tasks;
+            combined.add(plan, tasks);
+        }
+        combined
+    }
+
+    /// Counts what a plan takes against the bounds; false, with nothing counted, if it
+    /// is too much: what each row's plan may take alone, all may not take together.
+    fn charge(&self, combined: &mut CombinedPlan<'a>, plan: &RowPlan) -> bool {
+        let mut spent = combined.spent.clone();
+        let mut new_gangs: BTreeSet<&JobId> = BTreeSet::new();
+        for &index in &plan.victims {
+            let victim = &self.victims[index];
+            let is_counted = victim.gang
+                && (combined.gangs.contains(&victim.job) || !new_gangs.insert(&victim.job));
+            if is_counted {
                 continue;
             }
-            spent = after;
-            gangs.extend(more);
-            *used += n;
-            left -= n;
-            cost += p.cost;
-            e.victims.extend(&p.victims);
-            e.rows.extend(std::iter::repeat_n(p.row, n as usize));
+            let loss = self.victims.loss(index, self.request);
+            if !self.bounds.allows(&spent, &loss) {
+                return false;
+            }
+            self.bounds.spend(&mut spent, &loss);
         }
-        let enough = if want.gang { left == 0 } else { left < wanted };
-        if enough && best.as_ref().is_none_or(|(c, _)| cost < *c) {
-            best = Some((cost, e));
+        combined.spent = spent;
+        combined.gangs.extend(new_gangs);
+        true
+    }
+
+    /// Adds all other tasks of the gangs of which some are stopped: a gang stops whole.
+    fn include_whole_gangs(&self, eviction: &mut Eviction) {
+        let gangs: BTreeSet<&JobId> = eviction
+            .victims
+            .iter()
+            .map(|&index| &self.victims[index])
+            .filter(|victim| victim.gang)
+            .map(|victim| &victim.job)
+            .collect();
+        let members = gangs
+            .iter()
+            .filter_map(|job| self.victims.gangs.get(job))
+            .flat_map(|gang| &gang.members)
+            .filter(|index| !self.taken.contains(index));
+        eviction.victims.extend(members);
+    }
+}
+
+/// Row plans that are carried out together.
+struct CombinedPlan<'a> {
+    eviction: Eviction,
+    /// Cost in machine seconds.
+    cost: f64,
+    /// Wanted tasks without room yet.
+    tasks_left: u32,
+    /// What all these plans take from teams and classes.
+    spent: ReclaimUsage,
+    /// Gangs that are counted in `spent`.
+    gangs: BTreeSet<&'a JobId>,
+}
+
+impl CombinedPlan<'_> {
+    fn new(wanted_tasks: u32) -> Self {
+        CombinedPlan {
+            eviction: Eviction::default(),
+            cost: 0.0,
+            tasks_left: wanted_tasks,
+            spent: ReclaimUsage::default(),
+            gangs: BTreeSet::new(),
         }
     }
-    let mut eviction = best?.1;
-    // A gang stops whole.
-    let gangs: BTreeSet<&JobId> = eviction
-        .victims
-        .iter()
-        .filter(|&&n| victims[n].gang)
-        .map(|&n| &victims[n].job)
-        .collect();
-    let rest = gangs
-        .iter()
-        .filter_map(|job| victims.gangs.get(job))
-        .flat_map(|(members, _)| members)
-        .filter(|n| !taken.contains(n));
-    eviction.victims.extend(rest.collect::<Vec<_>>());
-    Some(eviction)
+
+    /// Adds a row's plan, with room for `tasks` of the request's tasks.
+    fn add(&mut self, plan: &RowPlan, tasks: u32) {
+        self.tasks_left -= tasks;
+        self.cost += plan.cost;
+        self.eviction.victims.extend(&plan.victims);
+        let rows = std::iter::repeat_n(plan.row, tasks as usize);
+        self.eviction.rows.extend(rows);
+    }
 }
 
 #[cfg(test)]
