--- a/crates/controller/src/core/placement_tables.rs
+++ b/crates/controller/src/core/placement_tables.rs
@@ -1,6 +1,6 @@
-//! The paper's three tables as one cycle sees them: which machines hold an
-//! image, when each machine is predicted to be free, and what fetching an
-//! image costs.
+//! The paper's three tables as one scheduling cycle sees them: which machines hold an
+//! image (*Cache*), when each machine is predicted to be free (*Available*), and what
+//! fetching an image costs (*Estimate*). Tables only: decisions are the cycle's.
 
 mod fetch_estimates;
 mod image_cache;
--- a/crates/controller/src/core/placement_tables/fetch_estimates.rs
+++ b/crates/controller/src/core/placement_tables/fetch_estimates.rs
@@ -1,56 +1,60 @@
-//! What fetching costs.
+//! What fetching an image costs, learned from completed fetches.
 
 use crate::types::{Image, TimeSpan};
 use std::collections::BTreeMap;
 
-/// What fetching costs, learned from finished fetches.
+/// Fetch times of images.
 #[derive(Clone, Debug)]
 pub struct FetchEstimates {
+    /// The latest fetch time of each image.
     latest: BTreeMap<Image, TimeSpan>,
-    first: TimeSpan,
+    /// What an image costs while nothing is known.
+    default: TimeSpan,
 }
 
-/// Most images whose fetch time is remembered.
-const MOST_ESTIMATES: usize = 4096;
+/// Most images whose fetch time is remembered, to bound memory.
+const MAX_ESTIMATES: usize = 4096;
 
 impl FetchEstimates {
-    /// Nothing known; `first` is what an image costs until then.
-    pub fn new(first: TimeSpan) -> FetchEstimates {
+    /// Nothing known; `default` is what an image costs until then.
+    pub fn new(default: TimeSpan) -> FetchEstimates {
         FetchEstimates {
             latest: BTreeMap::new(),
-            first,
+            default,
         }
     }
 
-    /// Notes the latest fetch time of an image.
+    /// Records the latest fetch time of an image.
     pub fn note(&mut self, image: &Image, took: TimeSpan) {
-        if self.latest.len() >= MOST_ESTIMATES && !self.latest.contains_key(image) {
+        if self.latest.len() >= MAX_ESTIMATES && !self.latest.contains_key(image) {
             self.latest.pop_first();
         }
         self.latest.insert(image.clone(), took);
     }
 
-    /// Takes over what an earlier leader saw, where this one saw nothing yet.
+    /// Takes over the fetch time that an earlier leader saw, unless this one saw the
+    /// image fetched already.
     pub fn learn(&mut self, image: &Image, took: TimeSpan) {
         if !self.latest.contains_key(image) {
             self.note(image, took);
         }
     }
 
-    /// All that is known.
+    /// All images with a known fetch time.
     pub fn all(&self) -> impl Iterator<Item = (&Image, TimeSpan)> {
-        self.latest.iter().map(|(i, t)| (i, *t))
+        self.latest.iter().map(|(image, took)| (image, *took))
     }
 
-    /// What fetching an image should take: its latest time; for one not seen
-    /// yet, its size over the type's rate, if known; else the largest known.
-    pub fn of(&self, image: &Image, gb: f64, rate: Option<f64>) -> TimeSpan {
-        if let Some(t) = self.latest.get(image) {
-            return *t;
+    /// What fetching an image should take: its latest time; for one not seen yet, its
+    /// size over the machine type's `rate` in gigabytes per second, if known; otherwise
+    /// the largest time known of any image, as in the paper.
+    pub fn of(&self, image: &Image, size_gb: f64, rate: Option<f64>) -> TimeSpan {
+        if let Some(took) = self.latest.get(image) {
+            return *took;
         }
         match rate {
-            Some(r) if r > 0.0 => TimeSpan::secs(gb / r),
-            _ => self.latest.values().max().copied().unwrap_or(self.first),
+            Some(rate) if rate > 0.0 => TimeSpan::secs(size_gb / rate),
+            _ => self.latest.values().max().copied().unwrap_or(self.default),
         }
     }
 }
--- a/crates/controller/src/core/placement_tables/image_cache.rs
+++ b/crates/controller/src/core/placement_tables/image_cache.rs
@@ -1,10 +1,11 @@
-//! Images on a machine.
+//! The images on one machine, as far as they can be inferred: agents do not report
+//! their caches.
 
 use crate::types::{Image, Time, TimeSpan};
+use std::cmp::Reverse;
 
-/// Images on a machine, as far as can be told. Workers do not report their
-/// caches, so this follows starts and finished fetches, and drops the least
-/// recently used where the machine's room runs out, as workers do.
+/// The images on a machine, inferred from starts and completed fetches. The least
+/// recently used are dropped where the machine's room runs out, as agents do.
 #[derive(Clone, Debug, Default)]
 pub struct ImageCache {
     entries: Vec<CachedImage>,
@@ -13,78 +14,87 @@
 #[derive(Clone, Debug)]
 struct CachedImage {
     image: Image,
-    gb: f64,
-    used: Time,
-    /// When a fetch under way should end; `None`: it is there.
-    coming: Option<Time>,
+    size_gb: f64,
+    last_used: Time,
+    /// When a fetch in progress should end; `None`: the image is there.
+    fetched_at: Option<Time>,
 }
 
+/// What is left at least of a fetch that takes longer than expected: it never counts
+/// as complete before it is, or work would be sent there as if the image were there.
+const MIN_REMAINING_FETCH: TimeSpan = TimeSpan::millis(1000);
+
 impl ImageCache {
-    /// Remaining fetch time: zero for an image that is there, `None` for one
-    /// that is not. A fetch that takes longer than expected is never counted
-    /// as over until it is.
+    fn find(&self, image: &Image) -> Option<&CachedImage> {
+        self.entries.iter().find(|entry| &entry.image == image)
+    }
+
+    /// Remaining fetch time: zero for an image that is there, `None` for one that is
+    /// neither there nor being fetched.
     pub fn remaining(&self, image: &Image, now: Time) -> Option<TimeSpan> {
-        let e = self.entries.iter().find(|e| &e.image == image)?;
-        Some(
-            e.coming
-                .map_or(TimeSpan::ZERO, |t| t.since(now).max(TimeSpan::secs(1.0))),
-        )
+        let remaining = match self.find(image)?.fetched_at {
+            Some(at) => at.since(now).max(MIN_REMAINING_FETCH),
+            None => TimeSpan::ZERO,
+        };
+        Some(remaining)
     }
 
-    /// Notes that a task needing `image` was placed; a fetch, if there must be
-    /// one, should take `fetch`.
-    pub fn used(&mut self, image: &Image, gb: f64, now: Time, fetch: TimeSpan) {
-        match self.entries.iter_mut().find(|e| &e.image == image) {
-            Some(e) => e.used = now,
+    /// Records that a task needing `image` was placed; a fetch, if there must be one,
+    /// should take `fetch`.
+    pub fn used(&mut self, image: &Image, size_gb: f64, now: Time, fetch: TimeSpan) {
+        let known = self.entries.iter_mut().find(|entry| &entry.image == image);
+        match known {
+            Some(entry) => entry.last_used = now,
             None => self.entries.push(CachedImage {
                 image: image.clone(),
-                gb,
-                used: now,
-                coming: Some(now + fetch),
+                size_gb,
+                last_used: now,
+                fetched_at: Some(now + fetch),
             }),
         }
     }
 
-    /// Notes that the image is there; older ones make room for it.
-    pub fn fetched(&mut self, image: &Image, gb: f64, now: Time, room_gb: f64) {
-        self.entries.retain(|e| &e.image != image);
+    /// Records that the image is there; the least recently used ones make room for it
+    /// within the `room_gb` gigabytes of the machine's cache.
+    pub fn fetched(&mut self, image: &Image, size_gb: f64, now: Time, room_gb: f64) {
+        self.entries.retain(|entry| &entry.image != image);
         self.entries.push(CachedImage {
             image: image.clone(),
-            gb,
-            used: now,
-            coming: None,
+            size_gb,
+            last_used: now,
+            fetched_at: None,
         });
-        self.entries.sort_by_key(|e| std::cmp::Reverse(e.used));
-        let mut sum = 0.0;
-        self.entries.retain(|e| {
-            sum += e.gb;
-            sum <= room_gb || &e.image == image
+        self.entries.sort_by_key(|entry| Reverse(entry.last_used));
+        let mut total_gb = 0.0;
+        self.entries.retain(|entry| {
+            total_gb += entry.size_gb;
+            total_gb <= room_gb || &entry.image == image
         });
     }
 
-    /// Drops fetches under way for which `wanted` says that no task waits any
-    /// more: workers give them up.
-    pub fn give_up(&mut self, wanted: impl Fn(&Image) -> bool) {
+    /// Drops fetches in progress of images that `is_wanted` says no task waits for any
+    /// more: agents abandon them.
+    pub fn give_up(&mut self, is_wanted: impl Fn(&Image) -> bool) {
         self.entries
-            .retain(|e| e.coming.is_none() || wanted(&e.image));
+            .retain(|entry| entry.fetched_at.is_none() || is_wanted(&entry.image));
     }
 
-    /// Forgets everything.
+    /// Forgets all images.
     pub fn clear(&mut self) {
         self.entries.clear();
     }
 
     /// The images that are there or being fetched.
     pub fn known(&self) -> impl Iterator<Item = &Image> {
-        self.entries.iter().map(|e| &e.image)
+        self.entries.iter().map(|entry| &entry.image)
     }
 
-    /// The images that are there, with their sizes.
+    /// The images that are there, with their sizes in gigabytes.
     pub fn images(&self) -> impl Iterator<Item = (&Image, f64)> {
         self.entries
             .iter()
-            .filter(|e| e.coming.is_none())
-            .map(|e| (&e.image, e.gb))
+            .filter(|entry| entry.fetched_at.is_none())
+            .map(|entry| (&entry.image, entry.size_gb))
     }
 }
 
--- a/crates/controller/src/core/quota/minimum_share.rs
+++ b/crates/controller/src/core/quota/minimum_share.rs
@@ -1,17 +1,16 @@
-//! A floor for every class and team: while more urgent work takes all there
-//! is, one that is served less than it should be goes first for a part of the
-//! machines, and what it has of that part is not stopped for priority.
+//! Minimum shares of the fleet for classes and teams: while more urgent work takes all
+//! there is, a group that is served less than it should be goes first for a part of the
+//! machines, and what it has of that part is not preempted.
 
 use crate::types::{Class, Team};
 use crate::wire::users::Priority;
 use std::collections::BTreeMap;
 
-/// Floors together never take more of the fleet than this.
-const MOST_OF_FLEET: f64 = 0.5;
-/// Served less than this much above the share asked for, a floor begins.
-const BEGINS_ABOVE: f64 = 0.0;
+/// Part of the fleet that the minimum shares of all classes, or of all teams, together
+/// never exceed: more urgent work keeps the rest.
+const MAX_PART_OF_FLEET: f64 = 0.5;
 
-/// Whom a floor is for.
+/// Whom a minimum share is for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShareGroup {
     /// A class of jobs.
@@ -28,16 +27,20 @@
             ShareGroup::Team(team.clone()),
         ]
     }
+
+    fn is_team(&self) -> bool {
+        matches!(self, ShareGroup::Team(_))
+    }
 }
 
-/// What is known of a group's service.
+/// How a group is served.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Service {
-    /// Work that came within the window, in machine seconds.
+    /// Work that arrived within the window, in machine seconds.
     pub arrived: f64,
     /// Work that has waited too long, in machine seconds.
     pub overdue: f64,
-    /// Machines that it has.
+    /// Machines that it uses.
     pub used: f64,
     /// The highest priority among what is overdue.
     pub priority: Option<Priority>,
@@ -52,7 +55,8 @@
         self.priority = self.priority.max(part.priority);
     }
 
-    /// The share of the window's work that was served, as far as can be told.
+    /// The share, from 0 to 1, of the window's work that was served, as far as can be
+    /// told from what is overdue.
     pub fn share(&self) -> f64 {
         if self.overdue <= 0.0 {
             return 1.0;
@@ -61,106 +65,118 @@
     }
 }
 
+/// A minimum share in force, in machines.
 #[derive(Clone, Copy, Debug)]
 struct MinimumShare {
+    /// Machines that the group should have.
     least: f64,
+    /// Machines that it has.
     used: f64,
 }
 
-/// The floors in force.
+/// The minimum shares in force.
 #[derive(Clone, Debug, Default)]
 pub struct MinimumShares {
     groups: BTreeMap<ShareGroup, MinimumShare>,
 }
 
-/// Divides `total` so that nobody gets more than asked for, and who gets less
-/// gets no less than anybody else.
-fn divide(mut total: f64, asked: &mut [(f64, f64)]) {
-    asked.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let n = asked.len();
-    for (i, (want, gets)) in asked.iter_mut().enumerate() {
-        *gets = want.min(total / (n - i) as f64);
-        total -= *gets;
+/// The largest amount that anyone gets when `total` is divided by max-min fairness:
+/// nobody gets more than requested, and who gets less gets no less than anybody else.
+fn largest_fair_amount(mut total: f64, mut requested: Vec<f64>) -> f64 {
+    requested.sort_by(f64::total_cmp);
+    let count = requested.len();
+    let mut largest: f64 = 0.0;
+    for (index, amount) in requested.into_iter().enumerate() {
+        let granted = amount.min(total / (count - index) as f64);
+        total -= granted;
+        largest = largest.max(granted);
     }
+    largest
 }
 
 impl MinimumShares {
-    /// The floors that a fleet of so many machines gives, where a `share` of
-    /// what came within `window_s` seconds is to be served.
+    /// The minimum shares in a fleet of `fleet` machines, where a `share` (0 to 1) of
+    /// the work that arrived within `window_s` seconds is to be served.
     pub fn new(
         services: &BTreeMap<ShareGroup, Service>,
         fleet: f64,
         share: f64,
         window_s: f64,
     ) -> MinimumShares {
-        let mut floors = MinimumShares::default();
+        let mut shares = MinimumShares::default();
         if share <= 0.0 {
-            return floors;
+            return shares;
         }
-        for of_teams in [false, true] {
-            let of: Vec<_> = services
-                .iter()
-                .filter(|(g, _)| matches!(g, ShareGroup::Team(_)) == of_teams)
-                .filter(|(_, s)| s.overdue > 0.0)
-                .collect();
-            // What goes first anyway needs no floor, unless all are alike.
-            let top = of.iter().filter_map(|(_, s)| s.priority).max();
-            let alike = of.iter().all(|(_, s)| s.priority == top);
-            let starved: Vec<_> = of
-                .into_iter()
-                .filter(|(_, s)| alike || s.priority < top)
-                .filter(|(_, s)| s.share() < share + BEGINS_ABOVE)
-                .collect();
-            let need = |s: &Service| share * (s.arrived + s.overdue) / window_s;
-            let mut asked: Vec<(f64, f64)> = starved.iter().map(|(_, s)| (need(s), 0.0)).collect();
-            divide(fleet * MOST_OF_FLEET, &mut asked);
-            // The largest that anybody gets bounds those who asked for more.
-            let most = asked.iter().map(|(_, gets)| *gets).fold(0.0, f64::max);
-            for (group, s) in starved {
-                let floor = MinimumShare {
-                    least: need(s).min(most),
-                    used: s.used,
+        let (teams, classes): (Vec<_>, Vec<_>) = services
+            .iter()
+            .filter(|(_, service)| service.overdue > 0.0)
+            .partition(|(group, _)| group.is_team());
+        for overdue in [classes, teams] {
+            let starved = starved_groups(overdue, share);
+            let needed = |s: &Service| share * (s.arrived + s.overdue) / window_s;
+            let requested = starved.iter().map(|(_, s)| needed(s)).collect();
+            let largest = largest_fair_amount(fleet * MAX_PART_OF_FLEET, requested);
+            for (group, service) in starved {
+                let minimum = MinimumShare {
+                    // The largest that anybody gets bounds those who requested more.
+                    least: needed(service).min(largest),
+                    used: service.used,
                 };
-                floors.groups.insert(group.clone(), floor);
+                shares.groups.insert(group.clone(), minimum);
             }
         }
-        floors
+        shares
     }
 
-    /// Machines that a group lacks to its floor.
+    /// Machines that a group lacks to its minimum share.
     pub fn lacks(&self, group: &ShareGroup) -> f64 {
-        let floor = self.groups.get(group);
-        floor.map_or(0.0, |f| (f.least - f.used).max(0.0))
+        let minimum = self.groups.get(group);
+        minimum.map_or(0.0, |share| (share.least - share.used).max(0.0))
     }
 
-    /// Whether a group keeps its floor when it loses so many machines.
+    /// Whether a group keeps its minimum share when it loses so many machines.
     pub fn spares(&self, group: &ShareGroup, machines: f64) -> bool {
-        let floor = self.groups.get(group);
-        floor.is_none_or(|f| f.used - machines >= f.least)
+        let minimum = self.groups.get(group);
+        minimum.is_none_or(|share| share.used - machines >= share.least)
     }
 
-    /// Work of a group was placed.
+    /// Counts work of a group that was placed, in machines.
     pub fn gain(&mut self, group: &ShareGroup, machines: f64) {
-        if let Some(f) = self.groups.get_mut(group) {
-            f.used += machines;
+        if let Some(share) = self.groups.get_mut(group) {
+            share.used += machines;
         }
     }
 
-    /// Work of a group is stopped.
+    /// Counts work of a group that is stopped, in machines.
     pub fn lose(&mut self, group: &ShareGroup, machines: f64) {
         self.gain(group, -machines);
     }
 
-    /// Whether none is in force.
+    /// Whether no minimum share is in force.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
 
-    /// A group's floor in machines, if one is in force.
+    /// A group's minimum share in machines, if one is in force.
     pub fn of(&self, group: &ShareGroup) -> Option<f64> {
-        self.groups.get(group).map(|f| f.least)
+        self.groups.get(group).map(|share| share.least)
     }
 }
 
+/// Of groups with overdue work, those that are served less than `share`.
+fn starved_groups<'a>(
+    overdue: Vec<(&'a ShareGroup, &'a Service)>,
+    share: f64,
+) -> Vec<(&'a ShareGroup, &'a Service)> {
+    // What goes first anyway needs no minimum share, unless all are of one priority.
+    let highest = overdue.iter().filter_map(|(_, s)| s.priority).max();
+    let all_alike = overdue.iter().all(|(_, s)| s.priority == highest);
+    overdue
+        .into_iter()
+        .filter(|(_, s)| all_alike || s.priority < highest)
+        .filter(|(_, s)| s.share() < share)
+        .collect()
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/core/quota/mod.rs
+++ b/crates/controller/src/core/quota/mod.rs
@@ -1,5 +1,6 @@
-//! What teams and classes hold, are owed, and may lose. Plain values: the
-//! leader tells what is so, and asks what may be stopped.
+//! Quotas of teams and minimum shares of classes and teams: what they use, are
+//! guaranteed, and may lose. Plain values: the leader passes in what it knows, and asks
+//! what may be stopped.
 
 pub mod arrival_history;
 pub mod minimum_share;
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -1,4 +1,5 @@
-//! What may be stopped.
+//! Limits on reclaiming: how much of the work of a team or class may be stopped for
+//! other work. Does not choose what is stopped.
 
 use super::minimum_share::{MinimumShares, ShareGroup};
 use super::usage::{QuotaUnits, QuotaUsage};
@@ -6,7 +7,7 @@
 use crate::types::{Class, Resources, Team};
 use std::collections::BTreeMap;
 
-/// Work that may be stopped: a task, or a gang whole.
+/// Work that may be stopped: a task, or a whole gang.
 #[derive(Clone, Copy, Debug)]
 pub struct ReclaimCandidate<'a> {
     /// Its team.
@@ -15,60 +16,66 @@
     pub class: &'a Class,
     /// What it takes altogether.
     pub takes: Resources,
-    /// The machines that makes.
+    /// The same as a number of machines.
     pub machines: f64,
-    /// Whether only a guarantee is a reason to stop it, not its priority.
+    /// Whether only a guaranteed quota is a reason to stop it, not a higher priority.
     pub for_guarantee: bool,
 }
 
-/// What one claim has taken so far, before it is known whether it is made.
+/// What one search has chosen to stop so far, before it is known whether it succeeds.
 #[derive(Clone, Debug, Default)]
 pub struct ReclaimUsage {
     teams: BTreeMap<Team, QuotaUnits>,
+    /// Machines of each class and team.
     groups: BTreeMap<ShareGroup, f64>,
 }
 
-/// What claims may take, all of them together.
+/// What all reclaims of a cycle together may take.
 #[derive(Clone, Debug, Default)]
 pub struct Bounds {
-    /// What teams hold.
+    /// What teams use.
     pub account: QuotaUsage,
     /// What classes and teams must be left.
     pub floors: MinimumShares,
 }
 
 impl Bounds {
-    /// Whether this may be stopped too, after all that was taken and spent.
+    /// Whether this work may be stopped too, after all that was taken and `spent`: its
+    /// team keeps its guaranteed quota, its class and team their minimum shares.
     pub fn allows(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
-        if loss.for_guarantee && failpoints::enforced(SafetyCheck::ClaimsAreBounded) {
-            let before = spent.teams.get(loss.team).copied().unwrap_or_default();
-            if !self
-                .account
-                .covers(loss.team, before + QuotaUnits::of(&loss.takes))
-            {
-                return false;
-            }
+        if loss.for_guarantee
+            && failpoints::enforced(SafetyCheck::ClaimsAreBounded)
+            && !self.keeps_guarantee(spent, loss)
+        {
+            return false;
         }
-        ShareGroup::both(loss.class, loss.team).iter().all(|g| {
-            let before = spent.groups.get(g).copied().unwrap_or(0.0);
-            self.floors.spares(g, before + loss.machines)
+        let groups = ShareGroup::both(loss.class, loss.team);
+        groups.iter().all(|group| {
+            let before = spent.groups.get(group).copied().unwrap_or(0.0);
+            self.floors.spares(group, before + loss.machines)
         })
     }
 
-    /// Notes it as spent by a claim that may yet come to nothing.
+    fn keeps_guarantee(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
+        let before = spent.teams.get(loss.team).copied().unwrap_or_default();
+        let after = before + QuotaUnits::of(&loss.takes);
+        self.account.covers(loss.team, after)
+    }
+
+    /// Counts work as chosen by a search that may yet fail.
     pub fn spend(&self, spent: &mut ReclaimUsage, loss: &ReclaimCandidate<'_>) {
         let team = spent.teams.entry(loss.team.clone()).or_default();
         *team = *team + QuotaUnits::of(&loss.takes);
-        for g in ShareGroup::both(loss.class, loss.team) {
-            *spent.groups.entry(g).or_default() += loss.machines;
+        for group in ShareGroup::both(loss.class, loss.team) {
+            *spent.groups.entry(group).or_default() += loss.machines;
         }
     }
 
-    /// It is stopped: a later claim sees that.
+    /// Counts work as stopped: later searches see that.
     pub fn take(&mut self, loss: &ReclaimCandidate<'_>) {
         self.account.take(loss.team, QuotaUnits::of(&loss.takes));
-        for g in ShareGroup::both(loss.class, loss.team) {
-            self.floors.lose(&g, loss.machines);
+        for group in ShareGroup::both(loss.class, loss.team) {
+            self.floors.lose(&group, loss.machines);
         }
     }
 }
--- a/crates/controller/src/core/quota/usage.rs
+++ b/crates/controller/src/core/quota/usage.rs
@@ -1,67 +1,72 @@
-//! One account of what teams hold, in exact units: what their tasks take or
-//! may take, and what of that is being stopped. What a guarantee may take back
-//! from a team is read from here and from nowhere else.
+//! What teams use of their quotas, in exact units: what their tasks take or may take,
+//! and what of that is being stopped. What may be reclaimed from a team for another
+//! team's guaranteed quota is computed from this and from nothing else.
 
 use crate::settings::TeamShare;
 use crate::types::{Resources, Team};
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
 
-/// Processors and graphics processors in thousandths, so that sums are exact.
+/// CPUs and GPUs in thousandths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QuotaUnits {
-    /// Thousandths of processors.
+    /// Thousandths of a CPU.
     pub cpus: i64,
-    /// Thousandths of graphics processors.
+    /// Thousandths of a GPU.
     pub gpus: i64,
 }
 
+/// Bound on an amount in thousandths, so that sums of amounts can't overflow.
+const MAX_THOUSANDTHS: f64 = 1e15;
+
 fn thousandths(amount: f64) -> i64 {
-    (amount * 1000.0).round().clamp(-1e15, 1e15) as i64
+    (amount * 1000.0)
+        .round()
+        .clamp(-MAX_THOUSANDTHS, MAX_THOUSANDTHS) as i64
 }
 
 impl QuotaUnits {
-    /// Amounts in units.
-    pub fn of(a: &Resources) -> QuotaUnits {
+    /// Amounts in units; memory is not under quota.
+    pub fn of(amounts: &Resources) -> QuotaUnits {
         QuotaUnits {
-            cpus: thousandths(a.cpus),
-            gpus: thousandths(a.gpus),
+            cpus: thousandths(amounts.cpus),
+            gpus: thousandths(amounts.gpus),
         }
     }
 
-    /// These units `n` times.
-    pub fn times(self, n: usize) -> QuotaUnits {
+    /// These units `count` times.
+    pub fn times(self, count: usize) -> QuotaUnits {
         QuotaUnits {
-            cpus: self.cpus * n as i64,
-            gpus: self.gpus * n as i64,
+            cpus: self.cpus * count as i64,
+            gpus: self.gpus * count as i64,
         }
     }
 }
 
 impl Add for QuotaUnits {
     type Output = QuotaUnits;
-    fn add(self, o: QuotaUnits) -> QuotaUnits {
+    fn add(self, other: QuotaUnits) -> QuotaUnits {
         QuotaUnits {
-            cpus: self.cpus + o.cpus,
-            gpus: self.gpus + o.gpus,
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
         }
     }
 }
 
 impl Sub for QuotaUnits {
     type Output = QuotaUnits;
-    fn sub(self, o: QuotaUnits) -> QuotaUnits {
+    fn sub(self, other: QuotaUnits) -> QuotaUnits {
         QuotaUnits {
-            cpus: self.cpus - o.cpus,
-            gpus: self.gpus - o.gpus,
+            cpus: self.cpus - other.cpus,
+            gpus: self.gpus - other.gpus,
         }
     }
 }
 
-/// What one team holds.
+/// What one team uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TeamUsage {
-    /// Its guarantee and limit.
+    /// Its quota: guaranteed and maximum.
     pub share: TeamShare,
     /// What its tasks take or may take.
     pub used: QuotaUnits,
@@ -70,15 +75,15 @@
 }
 
 impl TeamUsage {
-    /// What is left when all that is being stopped is gone.
+    /// What it uses once all that is being stopped has ended.
     pub fn stays(&self) -> QuotaUnits {
         self.used - self.stopping
     }
 
-    /// What it runs beyond its guarantee, of each that is guaranteed.
+    /// What it uses beyond its guaranteed quota; zero of a resource without one.
     pub fn lent(&self) -> QuotaUnits {
         let beyond = |guarantee: Option<f64>, stays: i64| {
-            guarantee.map_or(0, |g| (stays - thousandths(g)).max(0))
+            guarantee.map_or(0, |amount| (stays - thousandths(amount)).max(0))
         };
         let stays = self.stays();
         QuotaUnits {
@@ -86,58 +91,64 @@
             gpus: beyond(self.share.gpus, stays.gpus),
         }
     }
+
+    /// Whether it keeps its guaranteed quota when it loses `units`, besides what is
+    /// being stopped already.
+    fn covers(&self, units: QuotaUnits) -> bool {
+        let rest = self.stays() - units;
+        let kept = |guarantee: Option<f64>, rest: i64| {
+            guarantee.is_none_or(|amount| rest >= thousandths(amount))
+        };
+        kept(self.share.cpus, rest.cpus) && kept(self.share.gpus, rest.gpus)
+    }
 }
 
-/// What all teams hold.
+/// What all teams use.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaUsage {
     teams: BTreeMap<Team, TeamUsage>,
 }
 
 impl QuotaUsage {
-    /// Nothing held yet by these teams.
+    /// These teams, with nothing used yet.
     pub fn new(shares: &BTreeMap<Team, TeamShare>) -> QuotaUsage {
-        let one = |(team, share): (&Team, &TeamShare)| {
-            let holding = TeamUsage {
+        let unused = |(team, share): (&Team, &TeamShare)| {
+            let usage = TeamUsage {
                 share: *share,
                 ..TeamUsage::default()
             };
-            (team.clone(), holding)
+            (team.clone(), usage)
         };
         QuotaUsage {
-            teams: shares.iter().map(one).collect(),
+            teams: shares.iter().map(unused).collect(),
         }
     }
 
-    /// A team holds `tasks` tasks that take so much each, `stopping` of them
-    /// on their way out.
+    /// Adds `tasks` tasks of a team that take `each`, of which `stopping` are being
+    /// stopped. Teams that this was not made for are not counted.
     pub fn hold(&mut self, team: &Team, each: QuotaUnits, tasks: usize, stopping: usize) {
-        if let Some(t) = self.teams.get_mut(team) {
-            t.used = t.used + each.times(tasks);
-            t.stopping = t.stopping + each.times(stopping);
+        if let Some(usage) = self.teams.get_mut(team) {
+            usage.used = usage.used + each.times(tasks);
+            usage.stopping = usage.stopping + each.times(stopping);
         }
     }
 
-    /// So much more of a team is being stopped.
+    /// Counts `units` more of a team as being stopped.
     pub fn take(&mut self, team: &Team, units: QuotaUnits) {
-        if let Some(t) = self.teams.get_mut(team) {
-            t.stopping = t.stopping + units;
+        if let Some(usage) = self.teams.get_mut(team) {
+            usage.stopping = usage.stopping + units;
         }
     }
 
-    /// Whether a team that loses so much, beside what it is losing already,
-    /// keeps its guarantee.
+    /// Whether a team keeps its guaranteed quota when it loses `units`, besides what is
+    /// being stopped already. False for a team that is not counted.
     pub fn covers(&self, team: &Team, units: QuotaUnits) -> bool {
-        self.teams.get(team).is_some_and(|t| {
-            let rest = t.stays() - units;
-            let kept = |guarantee: Option<f64>, rest: i64| {
-                guarantee.is_none_or(|g| rest >= thousandths(g))
-            };
-            kept(t.share.cpus, rest.cpus) && kept(t.share.gpus, rest.gpus)
-        })
+        self.teams
+            .get(team)
+            .is_some_and(|usage| usage.covers(units))
     }
 
-    /// The teams.
+    /// The teams with what they use.
     pub fn teams(&self) -> impl Iterator<Item = (&Team, &TeamUsage)> {
         self.teams.iter()
     }
