--- /dev/null
+++ b/crates/controller/src/core/job_records/value.rs
@@ -0,0 +1,30 @@
+//! Conversions between records and the JSON values of the key-value store.
+
+use crate::wire::kvstore::Operation;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+
+/// A record as JSON. None of ours can fail to convert: they have string keys only.
+pub(super) fn to_value<T: Serialize>(record: &T) -> Value {
+    serde_json::to_value(record).unwrap_or(Value::Null)
+}
+
+/// Length of a value in bytes, as the key-value store counts it.
+pub fn json_len(value: &Value) -> usize {
+    serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len())
+}
+
+/// Reads a record of any type; `None` if the value is not one.
+pub fn read<T: DeserializeOwned>(value: &Value) -> Option<T> {
+    T::deserialize(value).ok()
+}
+
+/// The operation that stores `value` under `key`, bound to no lease.
+pub(super) fn put(key: String, value: Value) -> Operation {
+    Operation::Put {
+        key,
+        value,
+        lease: None,
+    }
+}
