--- /dev/null
+++ b/crates/controller/src/core/outputs.rs
@@ -0,0 +1,57 @@
+//! What comes out of the state machine: calls to make, answers to send, and the
+//! lease to keep alive. Never does I/O itself.
+
+use super::inputs::{CallId, RequestId};
+use super::lease_keep_alive::LeaseKeepAlive;
+use crate::types::TimeSpan;
+use std::net::SocketAddrV4;
+
+/// The service a call goes to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Target {
+    /// The key-value store.
+    State,
+    /// The cloud provider's API.
+    Cloud,
+    /// Another controller or an agent.
+    Host(SocketAddrV4),
+}
+
+/// A call to make.
+#[derive(Clone, Debug)]
+pub struct Call {
+    /// Identifies its reply.
+    pub id: CallId,
+    /// The service it goes to.
+    pub target: Target,
+    /// The HTTP method.
+    pub method: &'static str,
+    /// Path and query.
+    pub path: String,
+    /// The body.
+    pub body: Vec<u8>,
+    /// How long to wait for the reply.
+    pub timeout: TimeSpan,
+}
+
+/// An answer to a request.
+#[derive(Clone, Debug, Default)]
+pub struct Answer {
+    /// The HTTP status.
+    pub status: u16,
+    /// The `Retry-After` header, in seconds.
+    pub retry_after: Option<u32>,
+    /// The body.
+    pub body: Vec<u8>,
+}
+
+/// One output of the state machine.
+#[derive(Debug)]
+pub enum Output {
+    /// Answer a request.
+    Answer(RequestId, Answer),
+    /// Make a call.
+    Call(Call),
+    /// Keep a lease of the key-value store alive, in place of any before it.
+    LeaseKeepAlive(LeaseKeepAlive),
+}
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -313,7 +313,7 @@
                 continue;
             };
             let ticked = Time(self.ticked.load(Ordering::Relaxed));
-            let beat = keep.beat(&self.node_id, now.since(renewed), now.since(ticked));
+            let beat = keep.leader_heartbeat(&self.node_id, now.since(renewed), now.since(ticked));
             let body = encode(&beat);
             for (&peer, busy) in self.peers.iter().zip(&busy) {
                 if busy.replace(true) {
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -417,7 +417,7 @@
             return;
         };
         let label = self.stand.label(n);
-        let beat = keep.beat(&label, now.since(slot.renewed), now.since(slot.ticked));
+        let beat = keep.leader_heartbeat(&label, now.since(slot.renewed), now.since(slot.ticked));
         let body = encode(&beat);
         for to in (0..self.slots.len()).filter(|&to| to != n) {
             let message = Message::Call {
