--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -1,7 +1,12 @@
+use super::super::format_version::{FENCED, member_versions};
 use super::super::format_version::{SupportedVersions, UNVERSIONED};
 use super::super::{Call, Output};
 use super::*;
 use crate::testing::effects_at;
+use crate::wire;
+use crate::wire::kvstore::{
+    Entry, EntryPage, LeaseGrant, Operation, Precondition, Transaction, TransactionResponse,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -46,7 +51,7 @@
     e.tick(effects);
     let (_, what) = called(&mut e, effects);
     // Something else was stored before: this store is not a new one.
-    e.on_reply(effects, what, page(Vec::new(), 9));
+    e.handle_reply(effects, what, page(Vec::new(), 9));
     e.tick(effects);
     let (call, what) = called(&mut e, effects);
     assert_eq!(
@@ -57,7 +62,7 @@
         revision: Version(10),
         failed: Vec::new(),
     };
-    e.on_reply(effects, what, Reply::Answer(200, wire::encode(&stored)));
+    e.handle_reply(effects, what, Reply::Answer(200, wire::encode(&stored)));
     for (path, answer) in [
         ("/leases", wire::encode(&LeaseGrant { lease: 7 })),
         ("/commit", wire::encode(&stored)),
@@ -65,19 +70,19 @@
         e.tick(effects);
         let (call, what) = called(&mut e, effects);
         assert_eq!(call.path, path);
-        e.on_reply(effects, what, Reply::Answer(200, answer));
+        e.handle_reply(effects, what, Reply::Answer(200, answer));
     }
     assert_eq!(
-        (e.standing, e.holder_key()),
+        (e.state, e.holder_key()),
         (ElectionState::Leading, member_versions::LEGACY_LEADER_KEY)
     );
     let rise = e
-        .registry
+        .member_versions
         .rise(effects.now.time, &[], FormatVersion(9))
         .expect("alone");
-    e.rise(effects, FencingToken(10), rise);
+    e.activate_as_leader(effects, FencingToken(10), rise);
     let (_, what) = called(&mut e, effects);
-    e.on_reply(
+    e.handle_reply(
         effects,
         what,
         Reply::Answer(200, wire::encode(&LeaseGrant { lease: 8 })),
@@ -102,7 +107,7 @@
     for applied in [true, false] {
         let mut effects = effects_at(5.0);
         let (mut e, what, written) = rising(&mut effects);
-        e.on_reply(&mut effects, what, Reply::Lost);
+        e.handle_reply(&mut effects, what, Reply::Lost);
         let (_, what) = called(&mut e, &mut effects);
         let keys = match applied {
             true => written.into_iter().map(|(k, v)| entry(&k, v, 11)).collect(),
@@ -112,18 +117,24 @@
                 10,
             )],
         };
-        let outcome = e.on_reply(&mut effects, what, page(keys, 11));
-        assert_eq!(e.standing, ElectionState::Leading);
+        let outcome = e.handle_reply(&mut effects, what, page(keys, 11));
+        assert_eq!(e.state, ElectionState::Leading);
         if applied {
-            assert_eq!(outcome, ElectionOutcome::Elected(FencingToken(11), 8));
             assert_eq!(
-                (e.registry.level(), e.holder_key()),
+                outcome,
+                ElectionOutcome::Elected {
+                    token: FencingToken(11),
+                    lease: 8
+                }
+            );
+            assert_eq!(
+                (e.member_versions.level(), e.holder_key()),
                 (FENCED, member_versions::LEADER_KEY)
             );
         } else {
             assert_eq!(outcome, ElectionOutcome::None);
             assert_eq!(
-                (e.registry.level(), e.holder_key()),
+                (e.member_versions.level(), e.holder_key()),
                 (UNVERSIONED, member_versions::LEGACY_LEADER_KEY)
             );
         }
@@ -135,14 +146,14 @@
     let mut effects = effects_at(5.0);
     let (mut e, what, _) = rising(&mut effects);
     let refused = TransactionResponse::default();
-    let outcome = e.on_reply(
+    let outcome = e.handle_reply(
         &mut effects,
         what,
         Reply::Answer(409, wire::encode(&refused)),
     );
     assert_eq!(
-        (outcome, e.standing),
+        (outcome, e.state),
         (ElectionOutcome::None, ElectionState::Leading)
     );
-    assert_eq!(e.registry.level(), UNVERSIONED);
+    assert_eq!(e.member_versions.level(), UNVERSIONED);
 }
--- a/crates/controller/src/core/inputs.rs
+++ b/crates/controller/src/core/inputs.rs
@@ -3,6 +3,8 @@
 //! anything.
 
 use crate::types::{Time, TimeSpan, WallTime};
+use crate::wire;
+use serde::de::DeserializeOwned;
 
 /// The moment at which an input arrives, on both clocks.
 #[derive(Clone, Copy, Debug)]
@@ -57,3 +59,13 @@
     /// Its outcome is unknown: it may have been carried out, or may yet be.
     Lost,
 }
+
+impl Reply {
+    /// The message in a reply with status 200, if there is one.
+    pub fn decode_success<T: DeserializeOwned>(&self) -> Option<T> {
+        match self {
+            Reply::Answer(200, body) => wire::decode(body),
+            _ => None,
+        }
+    }
+}
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -207,7 +207,7 @@
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
         self.effects.now = now;
         self.state_spoke.get_or_insert(now.time);
-        self.effects.level = self.election.registry.fence();
+        self.effects.level = self.election.member_versions.fence();
         match input {
             Input::Tick => self.tick(),
             Input::Request(id, side, request) => self.request(id, side, request),
@@ -242,12 +242,15 @@
 
     /// The level in force as this node knows it, and whether it serves it.
     pub fn level(&self) -> (FormatVersion, bool) {
-        (self.election.registry.level(), self.refused().is_none())
+        (
+            self.election.member_versions.level(),
+            self.refused().is_none(),
+        )
     }
 
     /// Up to which level everything stored has its form, as this node knows.
     pub fn rewritten(&self) -> FormatVersion {
-        self.election.registry.done()
+        self.election.member_versions.done()
     }
 
     /// Whether a process that is to end may: it leads no more, and users had time to
@@ -277,7 +280,7 @@
         self.election.tick(&mut self.effects);
         if let Some(leader) = &mut self.leader {
             self.election
-                .keep(&mut self.effects, leader.lease, leader.token);
+                .keep_lease_alive(&mut self.effects, leader.lease, leader.token);
             leader.tick(&mut self.effects);
         }
         self.job_api.compare(&mut self.effects);
@@ -389,7 +392,7 @@
         }
         if let Some(what) = self.election.pending_calls.take(id) {
             self.state_spoke = self.state_spoke.max(spoke);
-            let outcome = self.election.on_reply(&mut self.effects, what, reply);
+            let outcome = self.election.handle_reply(&mut self.effects, what, reply);
             self.stand(outcome);
         } else if let Some(what) = self.job_api.pending_calls.take(id) {
             self.job_api.on_reply(&mut self.effects, what, reply);
@@ -417,21 +420,21 @@
         let now = self.effects.now.time;
         match outcome {
             ElectionOutcome::None => {}
-            ElectionOutcome::Elected(token, lease) => {
+            ElectionOutcome::Elected { token, lease } => {
                 tracing::info!(%token, "elected");
                 // A leader that raised the level holds the key anew.
                 if let Some(mut before) = self.leader.take() {
                     before.drop_held(&mut self.effects);
                     self.election
-                        .give_up(&mut self.effects, before.lease, before.token);
-                    self.election.keep_anew();
+                        .release_lease(&mut self.effects, before.lease, before.token);
+                    self.election.restart_keep_alive();
                 }
                 let none = MachineTypes::default();
                 let mut leader = Leader::new(
                     Rc::clone(&self.settings),
                     Rc::clone(&self.policy),
                     (self.election.holder_key(), token, lease),
-                    self.election.registry.level(),
+                    self.election.member_versions.level(),
                     now,
                     self.types.as_ref().unwrap_or(&none),
                 );
@@ -442,7 +445,8 @@
                 for (image, took) in kept.fetches {
                     leader.estimates.note(&image, took);
                 }
-                self.election.keep(&mut self.effects, lease, token);
+                self.election
+                    .keep_lease_alive(&mut self.effects, lease, token);
                 leader.tick(&mut self.effects);
                 self.leader = Some(leader);
                 self.greet_due = now;
@@ -461,7 +465,7 @@
             self.greet_due = self.effects.now.time;
         }
         for change in leader.news.drain(..) {
-            self.election.registry.apply(&change);
+            self.election.member_versions.apply(&change);
         }
         if fate != LeadershipOutcome::Continue {
             self.end_leadership(fate);
@@ -487,7 +491,7 @@
             LeadershipOutcome::Continue => {}
         }
         self.election
-            .give_up(&mut self.effects, leader.lease, leader.token);
+            .release_lease(&mut self.effects, leader.lease, leader.token);
         self.election.reset(now);
     }
 }
--- a/crates/controller/src/core/node/format_version.rs
+++ b/crates/controller/src/core/node/format_version.rs
@@ -14,7 +14,7 @@
 impl Node {
     /// Why this node does nothing for users, workers and peers, if so.
     pub(super) fn refused(&self) -> Option<NotServing> {
-        self.election.registry.serves().err()
+        self.election.member_versions.serves().err()
     }
 
     fn labels(&self) -> Vec<NodeId> {
@@ -36,7 +36,7 @@
             }
             self.refusing = refused;
         }
-        let other = self.election.registry.other_policy();
+        let other = self.election.member_versions.other_policy();
         if other.is_some() != std::mem::replace(&mut self.policies, other.is_some()) {
             match other {
                 Some((node, policy)) => tracing::warn!(%node, ?policy, "runs under another policy"),
@@ -48,17 +48,19 @@
             self.raising = false;
             return;
         };
-        leader.level = self.election.registry.level();
+        leader.level = self.election.member_versions.level();
         if self.raising {
             return;
         }
         let (holder, token) = (leader.holder, leader.token);
         let now = self.effects.now.time;
-        let registry = &self.election.registry;
+        let registry = &self.election.member_versions;
         let (txn, to) = match registry.rise(now, &peers, highest) {
             Ok(rise) if rise.to == FENCED => {
                 tracing::info!(to = %rise.to, "all have it: raises the level");
-                return self.election.rise(&mut self.effects, token, rise);
+                return self
+                    .election
+                    .activate_as_leader(&mut self.effects, token, rise);
             }
             Ok(rise) => {
                 tracing::info!(to = %rise.to, "all have it: raises the level");
@@ -91,7 +93,7 @@
             && let Some(r) = wire::decode::<TransactionResponse>(body)
             && let Some(to) = to
         {
-            self.election.registry.risen(to, r.revision);
+            self.election.member_versions.risen(to, r.revision);
             if let Some(leader) = &mut self.leader {
                 leader.level = to;
             }
@@ -100,7 +102,7 @@
 
     pub(super) fn inspect_levels(&self) -> serde_json::Value {
         let now = self.effects.now.time;
-        let registry = &self.election.registry;
+        let registry = &self.election.member_versions;
         registry.inspect(now, &self.labels(), self.highest())
     }
 }
--- a/crates/controller/src/core/node/inspect.rs
+++ b/crates/controller/src/core/node/inspect.rs
@@ -27,7 +27,7 @@
         serde_json::json!({
             "node": self.settings.node_id, "zone": self.settings.zone, "ready": self.is_ready(),
             "state_ok": self.state_ok(), "leads": self.leads(),
-            "standing": self.election.standing.to_string(),
+            "standing": self.election.state.to_string(),
             "leader": self.election.leader.as_ref().map(|(l, _)| l),
             "late_share": self.self_health.share, "strained": self.self_health.strained,
             "effort_us": self.self_health.effort_us, "slow": self.self_health.slow,
@@ -35,7 +35,7 @@
             "leader_seen": self.failure_detector.inspect(now),
             "peers": peers, "times": times,
             "leading": self.leader.as_ref().map(|l| l.inspect(self.effects.now, machine, job)),
-            "standing_by": matches!(self.election.standing, ElectionState::Following(_)),
+            "standing_by": matches!(self.election.state, ElectionState::Following(_)),
         })
     }
 }
--- a/crates/controller/src/core/node/leader_replacement.rs
+++ b/crates/controller/src/core/node/leader_replacement.rs
@@ -31,7 +31,7 @@
             Step::Probe(doubt) => self.look_into(&leader, token, doubt),
             Step::Depose(token, doubt) => {
                 tracing::info!(leader = %leader, %token, ?doubt, "doubted by most; to be replaced");
-                self.election.depose(Version(token.0));
+                self.election.challenge(Version(token.0));
             }
         }
     }
@@ -77,7 +77,7 @@
                 None => "out of processor time",
             };
             self.end_leadership(LeadershipOutcome::StepDown(why));
-            return self.election.let_others_go_first(now);
+            return self.election.yield_to_peers(now);
         }
         let best = self.fit(&self.settings.node_id).first().map(|(_, l)| *l);
         let to = best.and_then(|l| self.settings.peers.iter().find(|p| p.node_id == *l));
@@ -101,7 +101,7 @@
         let Some(LeadershipTransfer { token }) = wire::decode(body) else {
             return self.effects.answer_status(id, 400);
         };
-        self.election.depose(Version(token.0));
+        self.election.challenge(Version(token.0));
         self.election.tick(&mut self.effects);
         self.effects.answer_status(id, 200);
     }
@@ -146,7 +146,7 @@
             return self.effects.answer_status(id, 400);
         };
         let now = self.effects.now.time;
-        let contact = self.election.contact;
+        let contact = self.election.last_contact;
         let state = contact.is_some_and(|t| now.since(t) < STATE_LATELY);
         let doubt = match ask.no_state {
             true => Suspicion::NoState,
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -20,7 +20,7 @@
             .filter(|l| l.is_loaded())
             .map(|l| l.authority.shown());
         leading
-            .max(self.election.contact)
+            .max(self.election.last_contact)
             .is_some_and(|t| now.since(t) < STATE_FRESH)
     }
 
@@ -75,7 +75,7 @@
             state_ok: self.state_ok(),
             strained: self.self_health.strained || self.stopping.is_some(),
             effort_us: self.self_health.effort_us,
-            levels: self.election.registry.tell(),
+            levels: self.election.member_versions.tell(),
             counts,
             caches: Vec::new(),
             fetches: Vec::new(),
@@ -176,7 +176,9 @@
         }
         self.job_api.note_counts(g.counts);
         let now = self.effects.now.time;
-        self.election.registry.heard(now, &g.node_id, g.levels);
+        self.election
+            .member_versions
+            .heard(now, &g.node_id, g.levels);
         if let Some(leader) = &mut self.leader {
             for (image, ms) in &g.fetches {
                 leader.estimates.learn(image, TimeSpan::millis(*ms));
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -30,7 +30,7 @@
     assert!(node.is_ready(), "the outage is everybody's");
     node.heard(peer(true));
     assert!(!node.is_ready(), "a peer has the state service");
-    node.election.contact = Some(Time(0));
+    node.election.last_contact = Some(Time(0));
     assert!(node.is_ready());
     node.self_health.strained = true;
     assert!(node.is_ready(), "a follower stays");
@@ -63,7 +63,10 @@
         takes.count()
     };
     at(&mut node, 5.0, Input::Tick);
-    node.stand(ElectionOutcome::Elected(FencingToken(5), 3));
+    node.stand(ElectionOutcome::Elected {
+        token: FencingToken(5),
+        lease: 3,
+    });
     let fit = || PeerView {
         heard: Time(5_000_000),
         token: FencingToken(5),
@@ -100,7 +103,10 @@
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
     node.effects.now.time = Time(5_000_000);
-    node.stand(ElectionOutcome::Elected(FencingToken(5), 3));
+    node.stand(ElectionOutcome::Elected {
+        token: FencingToken(5),
+        lease: 3,
+    });
     let kept = |node: &mut Node| {
         let out = node.effects.take_outputs().into_iter();
         out.filter_map(|o| match o {
--- a/crates/controller/tests/inspect_format.rs
+++ b/crates/controller/tests/inspect_format.rs
@@ -299,7 +299,7 @@
         ElectionState::Leasing(Version(7)),
         ElectionState::Claiming(7),
         ElectionState::Leading,
-        ElectionState::Rising,
+        ElectionState::Activating,
     ];
     assert_eq!(
         standings.map(|s| s.to_string()),
