--- a/crates/controller/src/core/failure_detector/accrual/tests.rs
+++ b/crates/controller/src/core/failure_detector/accrual/tests.rs
@@ -2,10 +2,10 @@
 
 fn after(intervals: impl IntoIterator<Item = f64>) -> (Accrual, f64) {
     let (mut a, mut t) = (Accrual::default(), 1.0);
-    a.heard(Time(0) + TimeSpan::secs(t));
+    a.record_heartbeat(Time(0) + TimeSpan::secs(t));
     for i in intervals {
         t += i;
-        a.heard(Time(0) + TimeSpan::secs(t));
+        a.record_heartbeat(Time(0) + TimeSpan::secs(t));
     }
     (a, t)
 }
@@ -31,7 +31,7 @@
     let (young, t) = after([0.25, 0.25]);
     assert_eq!(phi(&young, t + 60.0), 0.0);
     let (mut a, t) = after([0.25; 40]);
-    a.excuse(Time(0) + TimeSpan::secs(t + 60.0));
+    a.exclude_until(Time(0) + TimeSpan::secs(t + 60.0));
     assert!(phi(&a, t + 60.3) < 1.0);
 }
 
@@ -41,8 +41,8 @@
     let (mut a, t) = after([0.0, 0.0, 1e6, 0.0, 0.25, 3e5]);
     for later in [0.0, 1e-6, 1.0, 1e9] {
         let p = phi(&a, t + later);
-        assert!((0.0..=MOST).contains(&p), "{p}");
+        assert!((0.0..=MAX_PHI).contains(&p), "{p}");
     }
-    a.heard(Time(0));
+    a.record_heartbeat(Time(0));
     assert!(phi(&a, 0.0).is_finite());
 }
--- a/crates/controller/src/core/failure_detector/detector/tests.rs
+++ b/crates/controller/src/core/failure_detector/detector/tests.rs
@@ -17,27 +17,32 @@
 
 /// A judge among five that has heard beats for ten seconds.
 fn failure_detector() -> FailureDetector {
-    let mut j = FailureDetector::new(5, 8.0);
-    j.follow(Some(&("a".into(), TOKEN)));
+    let mut detector = FailureDetector::new(5, 8.0);
+    detector.observe(Some(&("a".into(), TOKEN)));
     for n in 0..200 {
         let now = at(f64::from(n) * 0.05);
-        j.tick(now);
+        detector.tick(now);
         if n % 5 == 0 {
-            j.heard(now, &beat(200));
+            detector.record_heartbeat(now, &beat(200));
         }
-        assert_eq!(j.step(now, 0), Step::None);
+        assert_eq!(detector.next_action(now, 0), Action::None);
     }
-    j
+    detector
 }
 
 /// Ticks on without beats until there is something to do.
-fn until_step(j: &mut FailureDetector, from: f64, to: f64, rank: u32) -> Option<(f64, Step)> {
+fn until_step(
+    detector: &mut FailureDetector,
+    from: f64,
+    to: f64,
+    rank: u32,
+) -> Option<(f64, Action)> {
     let mut t = from;
     while t < to {
         t += 0.05;
-        j.tick(at(t));
-        let step = j.step(at(t), rank);
-        if step != Step::None {
+        detector.tick(at(t));
+        let step = detector.next_action(at(t), rank);
+        if step != Action::None {
             return Some((t, step));
         }
     }
@@ -46,20 +51,20 @@
 
 #[test]
 fn a_silent_leader_is_replaced_once_it_was_asked_and_others_agree() {
-    let mut j = failure_detector();
-    let (t, step) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
-    assert_eq!(step, Step::Probe(Suspicion::Silent));
+    let mut detector = failure_detector();
+    let (t, step) = until_step(&mut detector, 9.95, 12.0, 0).unwrap();
+    assert_eq!(step, Action::Investigate(Suspicion::Silent));
     assert!(t < 10.65, "{t}");
-    j.reached_state();
-    j.told("b".into(), TOKEN, true, 0);
-    j.probed(at(t), TOKEN, ProbeOutcome::Silent);
+    detector.record_store_reachable();
+    detector.record_peer_report("b".into(), TOKEN, true, 0);
+    detector.record_probe(at(t), TOKEN, ProbeOutcome::TimedOut);
     // Two of four are no majority.
-    let (t, step) = until_step(&mut j, t, 12.0, 0).unwrap();
-    assert_eq!(step, Step::Probe(Suspicion::Silent));
-    j.told("c".into(), TOKEN, true, 0);
-    let mut other = j.clone();
-    let (t, step) = until_step(&mut j, t, 12.0, 0).unwrap();
-    assert_eq!(step, Step::Depose(TOKEN, Suspicion::Silent));
+    let (t, step) = until_step(&mut detector, t, 12.0, 0).unwrap();
+    assert_eq!(step, Action::Investigate(Suspicion::Silent));
+    detector.record_peer_report("c".into(), TOKEN, true, 0);
+    let mut other = detector.clone();
+    let (t, step) = until_step(&mut detector, t, 12.0, 0).unwrap();
+    assert_eq!(step, Action::ReplaceLeader(TOKEN, Suspicion::Silent));
     assert!(t < 11.2, "{t}");
     // One that comes later in rank leaves it to the first.
     let (later, _) = until_step(&mut other, t, 12.0, 2).unwrap();
@@ -70,39 +75,39 @@
 #[test]
 fn a_doubt_can_be_refuted() {
     let ripe = || {
-        let mut j = failure_detector();
-        let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
-        j.reached_state();
+        let mut detector = failure_detector();
+        let (t, _) = until_step(&mut detector, 9.95, 12.0, 0).unwrap();
+        detector.record_store_reachable();
         for l in ["b", "c", "d"] {
-            j.told(l.into(), TOKEN, true, 0);
+            detector.record_peer_report(l.into(), TOKEN, true, 0);
         }
-        j.probed(at(t), TOKEN, ProbeOutcome::Silent);
-        (j, t)
+        detector.record_probe(at(t), TOKEN, ProbeOutcome::TimedOut);
+        (detector, t)
     };
-    let deposes = |mut j: FailureDetector, t: f64| {
+    let deposes = |mut detector: FailureDetector, t: f64| {
         matches!(
-            until_step(&mut j, t, t + 0.15, 0),
-            Some((_, Step::Depose(..)))
+            until_step(&mut detector, t, t + 0.15, 0),
+            Some((_, Action::ReplaceLeader(..)))
         )
     };
-    let (j, t) = ripe();
-    assert!(deposes(j, t));
-    let (mut j, t) = ripe();
-    j.heard(at(t), &beat(0));
-    assert!(!deposes(j, t), "a beat came after all");
-    for probe in [ProbeOutcome::Answered, ProbeOutcome::NotServing] {
-        let (mut j, t) = ripe();
-        j.probed(at(t), TOKEN, probe);
-        assert!(!deposes(j, t), "{probe:?}");
+    let (detector, t) = ripe();
+    assert!(deposes(detector, t));
+    let (mut detector, t) = ripe();
+    detector.record_heartbeat(at(t), &beat(0));
+    assert!(!deposes(detector, t), "a beat came after all");
+    for probe in [ProbeOutcome::Answered, ProbeOutcome::ConnectionRefused] {
+        let (mut detector, t) = ripe();
+        detector.record_probe(at(t), TOKEN, probe);
+        assert!(!deposes(detector, t), "{probe:?}");
     }
-    let (mut j, t) = ripe();
+    let (mut detector, t) = ripe();
     for l in ["c", "d"] {
-        j.told(l.into(), TOKEN, false, 0);
+        detector.record_peer_report(l.into(), TOKEN, false, 0);
     }
-    assert!(!deposes(j, t), "others hear it");
-    let (mut j, t) = ripe();
-    j.follow(Some(&("b".into(), FencingToken(9))));
-    assert!(!deposes(j, t), "another leads by now");
+    assert!(!deposes(detector, t), "others hear it");
+    let (mut detector, t) = ripe();
+    detector.observe(Some(&("b".into(), FencingToken(9))));
+    assert!(!deposes(detector, t), "another leads by now");
 }
 
 // A leader that ended for good with its port refused kept its place until its
@@ -110,20 +115,20 @@
 #[test]
 fn a_refusal_counts_once_workers_come_over() {
     let deposed = |came: &[(usize, f64)], told: u32| {
-        let mut j = failure_detector();
-        let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
-        j.reached_state();
+        let mut detector = failure_detector();
+        let (t, _) = until_step(&mut detector, 9.95, 12.0, 0).unwrap();
+        detector.record_store_reachable();
         for l in ["b", "c"] {
-            j.told(l.into(), TOKEN, true, told);
+            detector.record_peer_report(l.into(), TOKEN, true, told);
         }
-        j.probed(at(t), TOKEN, ProbeOutcome::NotServing);
+        detector.record_probe(at(t), TOKEN, ProbeOutcome::ConnectionRefused);
         for (i, ago) in came {
             let machine = format!("host-{i}").as_str().into();
-            j.came_over(at(t - ago), TOKEN, &machine);
-            j.came_over(at(t - ago), FencingToken(3), &"old".into());
+            detector.record_agent_migration(at(t - ago), TOKEN, &machine);
+            detector.record_agent_migration(at(t - ago), FencingToken(3), &"old".into());
         }
-        let step = until_step(&mut j, t, t + 0.4, 0);
-        matches!(step, Some((_, Step::Depose(..))))
+        let step = until_step(&mut detector, t, t + 0.4, 0);
+        matches!(step, Some((_, Action::ReplaceLeader(..))))
     };
     assert!(!deposed(&[], 0));
     assert!(!deposed(&[(1, 0.1), (2, 0.1), (2, 0.0)], 0), "two did");
@@ -138,42 +143,42 @@
 // A judge that was frozen, or is behind, misses what waits for it unread.
 #[test]
 fn who_was_not_there_doubts_nobody() {
-    let mut j = failure_detector();
-    j.tick(at(70.0));
-    assert_eq!(j.step(at(70.0), 0), Step::None);
-    assert!(!j.agrees(at(70.0), TOKEN, Suspicion::Silent, true));
-    let (t, _) = until_step(&mut j, 70.0, 75.0, 0).unwrap();
+    let mut detector = failure_detector();
+    detector.tick(at(70.0));
+    assert_eq!(detector.next_action(at(70.0), 0), Action::None);
+    assert!(!detector.confirms(at(70.0), TOKEN, Suspicion::Silent, true));
+    let (t, _) = until_step(&mut detector, 70.0, 75.0, 0).unwrap();
     assert!(t > 71.0, "{t}");
 }
 
 #[test]
 fn a_leader_without_the_state_service_is_replaced_by_one_that_has_it() {
-    let mut j = failure_detector();
+    let mut detector = failure_detector();
     let mut t = 10.0;
     let mut deposed = None;
     for n in 0..60 {
         t += 0.05;
-        j.tick(at(t));
+        detector.tick(at(t));
         if n % 5 == 0 {
-            j.heard(at(t), &beat(50 * n));
+            detector.record_heartbeat(at(t), &beat(50 * n));
         }
-        match j.step(at(t), 0) {
-            Step::Probe(doubt) => {
-                assert_eq!(doubt, Suspicion::NoState);
-                j.probed(at(t), TOKEN, ProbeOutcome::Answered);
+        match detector.next_action(at(t), 0) {
+            Action::Investigate(doubt) => {
+                assert_eq!(doubt, Suspicion::StoreUnreachable);
+                detector.record_probe(at(t), TOKEN, ProbeOutcome::Answered);
                 for l in ["b", "c"] {
-                    j.told(l.into(), TOKEN, true, 0);
+                    detector.record_peer_report(l.into(), TOKEN, true, 0);
                 }
                 // In an outage nobody is answered, and nothing follows.
                 if n > 40 {
-                    j.reached_state();
+                    detector.record_store_reachable();
                 }
             }
-            Step::Depose(..) => {
+            Action::ReplaceLeader(..) => {
                 deposed = Some(n);
                 break;
             }
-            Step::None => {}
+            Action::None => {}
         }
     }
     assert!(deposed.is_some_and(|n| n > 40), "{deposed:?}");
@@ -182,22 +187,22 @@
 // Two that suspect one another in turn must not pass the key to and fro.
 #[test]
 fn verdicts_get_rarer() {
-    let mut j = failure_detector();
+    let mut detector = failure_detector();
     let mut verdicts = Vec::new();
     let mut t = 10.0;
     while t < 200.0 {
         t += 0.05;
-        j.tick(at(t));
-        match j.step(at(t), 0) {
-            Step::Probe(_) => {
-                j.reached_state();
-                j.probed(at(t), TOKEN, ProbeOutcome::Silent);
+        detector.tick(at(t));
+        match detector.next_action(at(t), 0) {
+            Action::Investigate(_) => {
+                detector.record_store_reachable();
+                detector.record_probe(at(t), TOKEN, ProbeOutcome::TimedOut);
                 for l in ["b", "c"] {
-                    j.told(l.into(), TOKEN, true, 0);
+                    detector.record_peer_report(l.into(), TOKEN, true, 0);
                 }
             }
-            Step::Depose(..) => verdicts.push(t),
-            Step::None => {}
+            Action::ReplaceLeader(..) => verdicts.push(t),
+            Action::None => {}
         }
     }
     let gaps: Vec<f64> = verdicts.windows(2).map(|w| w[1] - w[0]).collect();
@@ -207,11 +212,11 @@
 
 #[test]
 fn two_nodes_have_the_lease_alone() {
-    let mut j = failure_detector();
-    j.quorum = FailureDetector::new(2, 8.0).quorum;
-    let (t, _) = until_step(&mut j, 9.95, 12.0, 0).unwrap();
-    j.reached_state();
-    j.probed(at(t), TOKEN, ProbeOutcome::Silent);
-    let depose = |s| matches!(s, Some((_, Step::Depose(..))));
-    assert!(!depose(until_step(&mut j, t, t + 0.15, 0)));
+    let mut detector = failure_detector();
+    detector.quorum = FailureDetector::new(2, 8.0).quorum;
+    let (t, _) = until_step(&mut detector, 9.95, 12.0, 0).unwrap();
+    detector.record_store_reachable();
+    detector.record_probe(at(t), TOKEN, ProbeOutcome::TimedOut);
+    let depose = |s| matches!(s, Some((_, Action::ReplaceLeader(..))));
+    assert!(!depose(until_step(&mut detector, t, t + 0.15, 0)));
 }
--- a/crates/controller/src/core/node/heartbeat_forwarding.rs
+++ b/crates/controller/src/core/node/heartbeat_forwarding.rs
@@ -18,7 +18,7 @@
         let foreman = self.foreman();
         let now = self.effects.now.time;
         self.failure_detector
-            .came_over(now, report.token, &report.machine);
+            .record_agent_migration(now, report.token, &report.machine);
         // The answer is the leader's wherever it is heard: where the leader is
         // out of a worker's reach, its lease need not run out.
         if let Some((node_id, token)) = &foreman
--- a/crates/controller/src/core/node/leader_replacement.rs
+++ b/crates/controller/src/core/node/leader_replacement.rs
@@ -1,7 +1,7 @@
 //! Doubting the leader with the others, and replacing it.
 
 use super::{Node, PEER_FRESH, PendingCall};
-use crate::core::failure_detector::detector::{LOOKED_INTO, ProbeOutcome, Step, Suspicion};
+use crate::core::failure_detector::detector::{Action, PROBE_TIMEOUT, ProbeOutcome, Suspicion};
 use crate::core::leader::LeadershipOutcome;
 use crate::core::{Reply, RequestId, Target};
 use crate::types::{FencingToken, NodeId, Time, TimeSpan, Version};
@@ -21,15 +21,15 @@
         let now = self.effects.now.time;
         let leader = self.election.leader.as_ref();
         let other = leader.filter(|(l, _)| self.leader.is_none() && *l != self.settings.node_id);
-        self.failure_detector.follow(other);
+        self.failure_detector.observe(other);
         self.failure_detector.tick(now);
         let Some((leader, token)) = other.cloned() else {
             return;
         };
-        match self.failure_detector.step(now, self.rank(&leader)) {
-            Step::None => {}
-            Step::Probe(doubt) => self.look_into(&leader, token, doubt),
-            Step::Depose(token, doubt) => {
+        match self.failure_detector.next_action(now, self.rank(&leader)) {
+            Action::None => {}
+            Action::Investigate(doubt) => self.look_into(&leader, token, doubt),
+            Action::ReplaceLeader(token, doubt) => {
                 tracing::info!(leader = %leader, %token, ?doubt, "doubted by most; to be replaced");
                 self.election.challenge(Version(token.0));
             }
@@ -109,7 +109,7 @@
     fn look_into(&mut self, leader: &NodeId, token: FencingToken, doubt: Suspicion) {
         tracing::debug!(leader = %leader, ?doubt, "looked into");
         let greeting = wire::encode(&self.greeting(Vec::new()));
-        let no_state = doubt == Suspicion::NoState;
+        let no_state = doubt == Suspicion::StoreUnreachable;
         let ask = wire::encode(&SuspicionQuery { token, no_state });
         let sent = self.effects.now.time;
         for p in &self.settings.peers {
@@ -122,13 +122,13 @@
             let target = Target::Host(p.addr);
             let id = self
                 .effects
-                .call(target, "POST", path.into(), body, LOOKED_INTO);
+                .call(target, "POST", path.into(), body, PROBE_TIMEOUT);
             self.pending_calls.add(id, what);
         }
         let path = format!("/keys/{}", self.election.holder_key());
         let call = self
             .effects
-            .call(Target::State, "GET", path, Vec::new(), LOOKED_INTO);
+            .call(Target::State, "GET", path, Vec::new(), PROBE_TIMEOUT);
         self.pending_calls.add(call, PendingCall::Key);
     }
 
@@ -136,7 +136,8 @@
         let Some(beat) = wire::decode::<LeaderHeartbeat>(body) else {
             return self.effects.answer_status(id, 400);
         };
-        self.failure_detector.heard(self.effects.now.time, &beat);
+        self.failure_detector
+            .record_heartbeat(self.effects.now.time, &beat);
         self.effects.answer_status(id, 200);
     }
 
@@ -149,15 +150,15 @@
         let contact = self.election.last_contact;
         let state = contact.is_some_and(|t| now.since(t) < STATE_LATELY);
         let doubt = match ask.no_state {
-            true => Suspicion::NoState,
+            true => Suspicion::StoreUnreachable,
             false => Suspicion::Silent,
         };
         let opinion = SuspicionReport {
             node_id: self.settings.node_id.clone(),
             token: ask.token,
             agrees: self.refused().is_none()
-                && self.failure_detector.agrees(now, ask.token, doubt, state),
-            came: self.failure_detector.came_lately(now),
+                && self.failure_detector.confirms(now, ask.token, doubt, state),
+            came: self.failure_detector.recent_agent_migrations(now),
         };
         self.effects.answer_body(id, wire::encode(&opinion));
     }
@@ -174,12 +175,12 @@
                 ProbeOutcome::Answered
             }
             Reply::Answer(..) => ProbeOutcome::Answered,
-            Reply::NotSent | Reply::Lost if now.since(sent) >= LOOKED_INTO.scaled(0.9) => {
-                ProbeOutcome::Silent
+            Reply::NotSent | Reply::Lost if now.since(sent) >= PROBE_TIMEOUT.scaled(0.9) => {
+                ProbeOutcome::TimedOut
             }
-            Reply::NotSent | Reply::Lost => ProbeOutcome::NotServing,
+            Reply::NotSent | Reply::Lost => ProbeOutcome::ConnectionRefused,
         };
-        self.failure_detector.probed(now, token, probe);
+        self.failure_detector.record_probe(now, token, probe);
     }
 
     pub(super) fn on_opinion(&mut self, reply: &Reply) {
@@ -188,13 +189,13 @@
             && self.settings.peers.iter().any(|p| p.node_id == o.node_id)
         {
             self.failure_detector
-                .told(o.node_id, o.token, o.agrees, o.came);
+                .record_peer_report(o.node_id, o.token, o.agrees, o.came);
         }
     }
 
     pub(super) fn on_key(&mut self, reply: &Reply) {
         if matches!(reply, Reply::Answer(200 | 404, _)) {
-            self.failure_detector.reached_state();
+            self.failure_detector.record_store_reachable();
         }
     }
 }
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -1,6 +1,6 @@
 //! Sockets and timers around the core, on one thread.
 
-use crate::core::failure_detector::detector::BEAT_EVERY;
+use crate::core::failure_detector::detector::HEARTBEAT_PERIOD;
 use crate::core::node::Node;
 use crate::core::{
     Call, CallId, Input, LeaseKeepAlive, Listener, Now, Output, Reply, RequestId, Target,
@@ -307,7 +307,7 @@
     ) {
         let busy: Vec<Rc<Cell<bool>>> = self.peers.iter().map(|_| Rc::default()).collect();
         loop {
-            sleep(Duration::from_micros(BEAT_EVERY.0)).await;
+            sleep(Duration::from_micros(HEARTBEAT_PERIOD.0)).await;
             let now = steady(self.started);
             let Some((keep, renewed)) = of.get().filter(|(k, _)| now < k.until) else {
                 continue;
--- a/crates/controller/tests/inspect_format.rs
+++ b/crates/controller/tests/inspect_format.rs
@@ -313,7 +313,7 @@
             "Rising"
         ]
     );
-    let doubts = [Suspicion::Silent, Suspicion::NoState];
+    let doubts = [Suspicion::Silent, Suspicion::StoreUnreachable];
     assert_eq!(doubts.map(|d| d.to_string()), ["Silent", "NoState"]);
     let timed = [
         RequestKind::Submit,
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -256,7 +256,7 @@
         let mut doubts = 0;
         for w in arrivals.windows(2) {
             let t = |s: f64| Time(0) + TimeSpan::secs(s + 1.0);
-            accrual.heard(t(w[0]));
+            accrual.record_heartbeat(t(w[0]));
             let silent = w[1] - w[0] >= 0.5;
             doubts += usize::from(silent && accrual.phi(t(w[1])) >= 8.0);
         }
@@ -330,17 +330,17 @@
         encode(&opinion).len(),
     ];
     println!("\nbytes of a beat, a question, an opinion, without headers: {bytes:?}");
-    let mut judge = FailureDetector::new(5, 8.0);
-    judge.follow(Some(&(label, token)));
+    let mut detector = FailureDetector::new(5, 8.0);
+    detector.observe(Some(&(label, token)));
     let n = 1_000_000u64;
     let begun = Instant::now();
     for i in 0..n {
         let now = Time(0) + TimeSpan::millis(50 * i);
-        judge.tick(now);
+        detector.tick(now);
         if i % 5 == 0 {
-            judge.heard(now, &beat);
+            detector.record_heartbeat(now, &beat);
         }
-        std::hint::black_box(judge.step(now, 0));
+        let _ = std::hint::black_box(detector.next_action(now, 0));
     }
     println!(
         "a tick of a judge: {:.0} ns",
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -7,7 +7,7 @@
 use crate::report::Verdict;
 use crate::script::Script;
 use crate::stand::{NodeAction, Out, Returned, Stand, Store};
-use pebblefold_controller::core::failure_detector::detector::BEAT_EVERY;
+use pebblefold_controller::core::failure_detector::detector::HEARTBEAT_PERIOD;
 use pebblefold_controller::core::format_version::{FormatVersion, SupportedVersions};
 use pebblefold_controller::core::node::Node;
 use pebblefold_controller::core::{
@@ -344,7 +344,7 @@
                         slot.renewed = now.time;
                         self.at(self.now, Event::LeaseKeepAlive(n, life));
                         if !std::mem::replace(&mut self.slots[n].beating, true) {
-                            self.at(self.now + BEAT_EVERY, Event::LeaderHeartbeat(n, life));
+                            self.at(self.now + HEARTBEAT_PERIOD, Event::LeaderHeartbeat(n, life));
                         }
                     }
                 }
@@ -411,7 +411,7 @@
         if !slot.keeping {
             return;
         }
-        self.at(self.now + BEAT_EVERY, Event::LeaderHeartbeat(n, life));
+        self.at(self.now + HEARTBEAT_PERIOD, Event::LeaderHeartbeat(n, life));
         let slot = &self.slots[n];
         let Some(keep) = slot.keep.filter(|k| now < k.until && !slot.paused) else {
             return;
