--- a/crates/controller/src/core/election.rs
+++ b/crates/controller/src/core/election.rs
@@ -205,7 +205,7 @@
             return self.register(effects, &registration);
         }
         match self.state {
-            ElectionState::Vacant(version) if self.member_versions.serves().is_ok() => {
+            ElectionState::Vacant(version) if self.member_versions.check_serving().is_ok() => {
                 self.request_lease(effects, version);
             }
             // A controller that does not support the active format version follows
--- a/crates/controller/src/core/election/claim.rs
+++ b/crates/controller/src/core/election/claim.rs
@@ -72,7 +72,7 @@
             txn.ops = activation.ops;
             txn.ops.push(Operation::Put {
                 key: member_versions::LEGACY_LEADER_KEY.into(),
-                value: member_versions::stone(),
+                value: member_versions::legacy_leader_tombstone(),
                 lease: None,
             });
         } else {
@@ -81,7 +81,7 @@
             if self.store_is_empty {
                 new_holder_key = member_versions::LEADER_KEY;
                 self.claimed_version = Some(FENCED);
-                txn.ops = self.member_versions.begin();
+                txn.ops = self.member_versions.initial_operations();
             }
         }
         txn.ops.push(self.put_leader_record(new_holder_key, lease));
@@ -170,7 +170,7 @@
         self.resume_leading();
         self.store_is_empty = false;
         if let Some(version) = self.claimed_version.take() {
-            self.member_versions.risen(version, Version(token.0));
+            self.member_versions.activated(version, Version(token.0));
         }
         self.leader = Some((self.node_id.clone(), token));
         self.keep_alive_due = effects.now.time;
--- a/crates/controller/src/core/election/leader_key.rs
+++ b/crates/controller/src/core/election/leader_key.rs
@@ -77,7 +77,7 @@
         self.store_is_empty = self.max_version >= FENCED
             && self
                 .member_versions
-                .is_virgin(page.revision, page.items.len());
+                .store_is_empty(page.revision, page.items.len());
         let holder_key = self.holder_key();
         let entry = page.items.into_iter().find(|e| e.key == holder_key);
         let leader_key = entry.map(|e| LeaderKey {
--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -76,11 +76,11 @@
         (e.state, e.holder_key()),
         (ElectionState::Leading, member_versions::LEGACY_LEADER_KEY)
     );
-    let rise = e
+    let activation = e
         .member_versions
-        .rise(effects.now.time, &[], FormatVersion(9))
+        .next_activation(effects.now.time, &[], FormatVersion(9))
         .expect("alone");
-    e.activate_as_leader(effects, FencingToken(10), rise);
+    e.activate_as_leader(effects, FencingToken(10), activation);
     let (_, what) = called(&mut e, effects);
     e.handle_reply(
         effects,
@@ -128,13 +128,13 @@
                 }
             );
             assert_eq!(
-                (e.member_versions.level(), e.holder_key()),
+                (e.member_versions.active_version(), e.holder_key()),
                 (FENCED, member_versions::LEADER_KEY)
             );
         } else {
             assert_eq!(outcome, ElectionOutcome::None);
             assert_eq!(
-                (e.member_versions.level(), e.holder_key()),
+                (e.member_versions.active_version(), e.holder_key()),
                 (UNVERSIONED, member_versions::LEGACY_LEADER_KEY)
             );
         }
@@ -155,5 +155,5 @@
         (outcome, e.state),
         (ElectionOutcome::None, ElectionState::Leading)
     );
-    assert_eq!(e.member_versions.level(), UNVERSIONED);
+    assert_eq!(e.member_versions.active_version(), UNVERSIONED);
 }
--- /dev/null
+++ b/crates/controller/src/core/format_version/member_versions/records.rs
@@ -0,0 +1,95 @@
+//! The stored records of format versions, and the keys they stand under.
+
+use crate::core::format_version::{FENCED, FormatVersion, SupportedVersions};
+use crate::types::{NodeId, Version};
+use crate::wire::kvstore::{Operation, Precondition};
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+/// The prefix of all of these keys.
+pub const PREFIX: &str = "w/leader";
+/// The leader's key before [`FENCED`]; since then a tombstone stands there.
+pub const LEGACY_LEADER_KEY: &str = "w/leader";
+/// The leader's key from [`FENCED`] on.
+pub const LEADER_KEY: &str = "w/leader/holder";
+/// The key of the active format version.
+pub const ACTIVE_VERSION_KEY: &str = "w/leader/level";
+/// The key of the version up to which all stored records were rewritten.
+pub const REWRITTEN_VERSION_KEY: &str = "w/leader/done";
+pub(super) const MEMBER_PREFIX: &str = "w/leader/at/";
+
+/// The build of this program.
+pub const BUILD: &str = match option_env!("PEBBLEFOLD_BUILD") {
+    Some(build) => build,
+    None => env!("CARGO_PKG_VERSION"),
+};
+
+/// The value under [`ACTIVE_VERSION_KEY`] and [`REWRITTEN_VERSION_KEY`].
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+struct VersionRecord {
+    #[serde(rename = "level")]
+    version: FormatVersion,
+}
+
+/// What a controller stored about itself.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct MemberRecord {
+    /// The format versions that it supports.
+    pub levels: SupportedVersions,
+    /// Its build.
+    pub build: String,
+    /// Where its policy differs from the default.
+    #[serde(default)]
+    pub policy: BTreeMap<String, f64>,
+    /// Identifies this life of its process. Each life stores a record of its own: one
+    /// that took an equal record of an earlier life for its own could have it
+    /// overwritten by what that life sent last, and be passed over by an activation.
+    #[serde(default)]
+    pub life: u64,
+}
+
+/// The key of a controller's member record.
+pub(super) fn member_key(node_id: &NodeId) -> String {
+    format!("{MEMBER_PREFIX}{node_id}")
+}
+
+/// A record as it is stored.
+pub(super) fn to_value<T: Serialize>(record: &T) -> Value {
+    serde_json::to_value(record).unwrap_or(Value::Null)
+}
+
+/// The version in a stored record, if it can be read.
+pub(super) fn decode_version(value: &Value) -> Option<FormatVersion> {
+    let record = VersionRecord::deserialize(value).ok()?;
+    Some(record.version)
+}
+
+/// Writes a permanent key.
+pub(super) fn put(key: String, value: Value) -> Operation {
+    Operation::Put {
+        key,
+        value,
+        lease: None,
+    }
+}
+
+/// Writes a version record.
+pub(super) fn put_version(key: &str, version: FormatVersion) -> Operation {
+    put(key.into(), to_value(&VersionRecord { version }))
+}
+
+/// The precondition that the active format version is unchanged since its key had
+/// this version.
+pub fn fence(version: Version) -> Precondition {
+    Precondition {
+        key: ACTIVE_VERSION_KEY.into(),
+        version,
+    }
+}
+
+/// What stands under [`LEGACY_LEADER_KEY`] from [`FENCED`] on. Builds without format
+/// versions find a key that names nobody, and follow it for ever.
+pub fn legacy_leader_tombstone() -> Value {
+    serde_json::json!({ "since": FENCED, "see": LEADER_KEY })
+}
--- a/crates/controller/src/core/format_version/member_versions/tests.rs
+++ b/crates/controller/src/core/format_version/member_versions/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::types::TimeSpan;
 
 const TWO: SupportedVersions = SupportedVersions {
     low: FormatVersion(0),
@@ -23,8 +24,8 @@
     let mut r = MemberVersions::new("a".into(), Some(TWO), BTreeMap::new(), 1);
     let mut all = vec![
         entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": 1}), 1),
-        entry(DONE, serde_json::json!({"level": 1}), 1),
-        entry(&format!("{MEMBER_PREFIX}a"), value(&r.record), 2),
+        entry(REWRITTEN_VERSION_KEY, serde_json::json!({"level": 1}), 1),
+        entry(&format!("{MEMBER_PREFIX}a"), to_value(&r.own_record), 2),
         member("b", 2, 3),
         member("c", 2, 4),
     ];
@@ -60,11 +61,13 @@
             }
         };
         for l in ["b", "c"] {
-            r.heard(at(f64::from(s)), &l.into(), say(l));
+            r.record_peer_build(at(f64::from(s)), &l.into(), say(l));
         }
     }
     let peers = ["b".into(), "c".into()];
-    r.rise(at(f64::from(secs)), &peers, FormatVersion(9)).err()
+    r.next_activation(at(f64::from(secs)), &peers, FormatVersion(9))
+        .err()
+        .map(|why| why.to_string())
 }
 
 #[test]
@@ -82,16 +85,19 @@
     assert!(text(older, 15, told(2, 1)).starts_with("c runs b (up to 1)"));
     let rewriting = vec![
         entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": 2}), 9),
-        entry(DONE, serde_json::json!({"level": 1}), 1),
+        entry(REWRITTEN_VERSION_KEY, serde_json::json!({"level": 1}), 1),
     ];
     let mut r = registry(rewriting);
-    r.range = Some(SupportedVersions {
+    r.supported = Some(SupportedVersions {
         low: FormatVersion(0),
         high: FormatVersion(3),
     });
     assert!(text(r, 15, told(2, 1)).starts_with("stored records get"));
     let peers = ["b".into(), "c".into()];
-    let held = good().rise(at(0.0), &peers, FormatVersion(1)).unwrap_err();
+    let held = good()
+        .next_activation(at(0.0), &peers, FormatVersion(1))
+        .unwrap_err()
+        .to_string();
     assert!(held.contains("highest_level"), "{held}");
 }
 
@@ -101,15 +107,19 @@
 fn damaged_keys_are_named_and_nothing_is_lost() {
     let bad = || entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": "two"}), 9);
     let starting = registry(vec![bad()]);
-    assert_eq!(starting.serves(), Err(NotServing::Damaged));
+    assert_eq!(starting.check_serving(), Err(NotServing::UnreadableVersion));
     assert!(starting.registration().is_none());
     let mut running = registry(Vec::new());
     running.load(&[
         bad(),
-        entry(&format!("{MEMBER_PREFIX}a"), value(&running.record), 2),
+        entry(
+            &format!("{MEMBER_PREFIX}a"),
+            to_value(&running.own_record),
+            2,
+        ),
     ]);
     assert_eq!(
-        (running.serves(), running.level()),
+        (running.check_serving(), running.active_version()),
         (Ok(()), FormatVersion(1))
     );
     // It falls neither by a late word nor by a key that is gone.
@@ -123,9 +133,12 @@
     r.apply(&change(Some(ACTIVE_VERSION_KEY), 2));
     r.apply(&change(Some(ACTIVE_VERSION_KEY), 1));
     r.apply(&change(None, 0));
-    assert_eq!((r.level(), r.fence()), (FormatVersion(2), Some(Version(0))));
+    assert_eq!(
+        (r.active_version(), r.fence()),
+        (FormatVersion(2), Some(Version(0)))
+    );
     let odd = registry(vec![entry(&format!("{MEMBER_PREFIX}c"), Value::Null, 9)]);
-    assert_eq!(odd.serves(), Ok(()));
+    assert_eq!(odd.check_serving(), Ok(()));
     assert!(
         waits(odd, 15, told(2, 1))
             .unwrap()
@@ -135,11 +148,11 @@
 
 #[test]
 fn another_policy_is_named() {
-    assert_eq!(registry(Vec::new()).other_policy(), None);
+    assert_eq!(registry(Vec::new()).differing_policy(), None);
     let mut said = member("c", 2, 4);
     said.value["policy"] = serde_json::json!({"doubt": 0.0});
     let r = registry(vec![said]);
-    let (node_id, policy) = r.other_policy().unwrap();
+    let (node_id, policy) = r.differing_policy().unwrap();
     assert_eq!((node_id.as_str(), policy["doubt"]), ("c", 0.0));
     assert_eq!(
         r.inspect(at(1.0), &["c".into()], FormatVersion(9))["one_policy"],
@@ -155,7 +168,7 @@
         serde_json::json!({"level": 7}),
         9,
     )]);
-    let why = r.serves().unwrap_err().to_string();
+    let why = r.check_serving().unwrap_err().to_string();
     assert_eq!(
         why,
         "level 7 is in force and this build serves 0 to 2: start a newer one"
@@ -170,14 +183,14 @@
     let mut r = MemberVersions::new("a".into(), Some(TWO), BTreeMap::new(), 1);
     let all = [member("b", 2, 1), member("c", 2, 2)];
     r.load(&all);
-    assert!(r.is_virgin(Version(2), 2));
+    assert!(r.store_is_empty(Version(2), 2));
     assert!(
-        !r.is_virgin(Version(3), 2),
+        !r.store_is_empty(Version(3), 2),
         "something was written and is gone"
     );
     r.load(&[
         member("b", 2, 1),
         entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": 1}), 2),
     ]);
-    assert!(!r.is_virgin(Version(2), 2));
+    assert!(!r.store_is_empty(Version(2), 2));
 }
--- a/crates/controller/src/core/format_version/mod.rs
+++ b/crates/controller/src/core/format_version/mod.rs
@@ -1,18 +1,19 @@
-//! Levels: what may be stored and told, so that controllers of several builds can
-//! run side by side, as plain values. Nothing here knows the leader.
+//! Format versions: which forms of stored records and messages may be written, so
+//! that controllers of several builds can run side by side. Plain values only;
+//! nothing here knows the leader.
 //!
-//! Every build serves a range of levels and reads all forms of its range. The level
-//! in force says what may be written. It rises by one step, once every controller
-//! has been there for a while with a build that serves the next one, in a commit
-//! that compares what each of them wrote about itself; it never falls.
-//! `docs/notes/levels.md` says why.
+//! Every build supports a range of versions and reads all forms of its range. The
+//! active version says what may be written. It advances by one step, once every
+//! controller has run a build that supports the next one for a while, in a
+//! transaction that compares what each of them stored about itself; it never
+//! decreases. `docs/notes/levels.md` gives the reasons.
 
 pub mod chunk_progress;
 pub mod member_versions;
 
 use serde::{Deserialize, Serialize};
 
-/// A level.
+/// A format version.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -26,39 +27,39 @@
 }
 
 impl FormatVersion {
-    /// The one above.
+    /// The next version.
     pub fn next(self) -> FormatVersion {
         FormatVersion(self.0 + 1)
     }
 
-    /// Its name, if this build knows it.
+    /// Its name, if this build knows it, or a text that says that it does not.
     pub fn name(self) -> &'static str {
         let mut known = KNOWN_VERSIONS.iter().filter(|s| s.level == self);
         known.next().map_or("not known to this build", |s| s.name)
     }
 }
 
-/// A level's line in the table.
+/// A format version's line in the table of all known ones.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
-    /// The level.
+    /// The format version.
     pub level: FormatVersion,
     /// Its name.
     pub name: &'static str,
-    /// What is stored or told differently since.
+    /// What is stored or sent differently since.
     pub since: &'static str,
     /// What still reads the form before it.
     pub older: &'static str,
 }
 
-/// Before there were levels.
+/// Records as builds stored them that knew no format versions.
 pub const UNVERSIONED: FormatVersion = FormatVersion(0);
-/// Builds that know no levels are fenced.
+/// From here on builds without format versions are fenced off: they never lead.
 pub const FENCED: FormatVersion = FormatVersion(1);
-/// What a leader remembers is stored, and progress in a smaller form.
+/// From here on the arrival history is stored, and task progress in a smaller form.
 pub const WITH_HISTORY: FormatVersion = FormatVersion(2);
 
-/// All levels that this build knows, in order.
+/// All format versions that this build knows, in order.
 pub const KNOWN_VERSIONS: [Step; 3] = [
     Step {
         level: UNVERSIONED,
@@ -80,23 +81,23 @@
     },
 ];
 
-/// The levels that a build serves.
+/// The range of format versions that a build supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SupportedVersions {
-    /// The oldest whose forms it reads.
+    /// The oldest one, whose forms it reads.
     pub low: FormatVersion,
-    /// The newest that it can write.
+    /// The newest one, which it can write.
     pub high: FormatVersion,
 }
 
 impl SupportedVersions {
-    /// That of this build.
+    /// The range of this build.
     pub const SUPPORTED: SupportedVersions = SupportedVersions {
         low: KNOWN_VERSIONS[0].level,
         high: KNOWN_VERSIONS[KNOWN_VERSIONS.len() - 1].level,
     };
 
-    /// Whether a level is in it.
+    /// Whether a version is in the range.
     pub fn has(self, level: FormatVersion) -> bool {
         (self.low..=self.high).contains(&level)
     }
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -21,7 +21,9 @@
     let leader = json!({"label": "node-1", "nonce": 7});
     let read = job_records::read::<LeaderRecord>(&leader).unwrap();
     assert_eq!(job_records::leader_record(&read), leader);
-    assert!(job_records::read::<LeaderRecord>(&member_versions::stone()).is_none());
+    assert!(
+        job_records::read::<LeaderRecord>(&member_versions::legacy_leader_tombstone()).is_none()
+    );
     let text = r#"{"ref":"wk-1","lane":"train","crew":"red","shape":"ensemble","urgency":"urgent","pieces":2,"vcpus":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img","size_gb":6.2,"kinds_of_box":["g8"],"yard":null,"same_place":true,"scatter":false,"borrowed":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0}"#;
     let (one, two) = text.split_at(40);
     let mut parts = SubmissionAssembler::default();
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -243,14 +243,14 @@
     /// The level in force as this node knows it, and whether it serves it.
     pub fn level(&self) -> (FormatVersion, bool) {
         (
-            self.election.member_versions.level(),
+            self.election.member_versions.active_version(),
             self.refused().is_none(),
         )
     }
 
     /// Up to which level everything stored has its form, as this node knows.
     pub fn rewritten(&self) -> FormatVersion {
-        self.election.member_versions.done()
+        self.election.member_versions.rewritten_version()
     }
 
     /// Whether a process that is to end may: it leads no more, and users had time to
@@ -434,7 +434,7 @@
                     Rc::clone(&self.settings),
                     Rc::clone(&self.policy),
                     (self.election.holder_key(), token, lease),
-                    self.election.member_versions.level(),
+                    self.election.member_versions.active_version(),
                     now,
                     self.types.as_ref().unwrap_or(&none),
                 );
--- a/crates/controller/src/core/node/format_version.rs
+++ b/crates/controller/src/core/node/format_version.rs
@@ -14,7 +14,7 @@
 impl Node {
     /// Why this node does nothing for users, workers and peers, if so.
     pub(super) fn refused(&self) -> Option<NotServing> {
-        self.election.member_versions.serves().err()
+        self.election.member_versions.check_serving().err()
     }
 
     fn labels(&self) -> Vec<NodeId> {
@@ -31,12 +31,15 @@
     pub(super) fn see_to_levels(&mut self) {
         let refused = self.refused();
         if refused != self.refusing {
-            if let Some(why @ (NotServing::Beyond(..) | NotServing::Damaged)) = &refused {
+            if let Some(
+                why @ (NotServing::UnsupportedVersion(..) | NotServing::UnreadableVersion),
+            ) = &refused
+            {
                 tracing::error!(%why, "does not serve");
             }
             self.refusing = refused;
         }
-        let other = self.election.member_versions.other_policy();
+        let other = self.election.member_versions.differing_policy();
         if other.is_some() != std::mem::replace(&mut self.policies, other.is_some()) {
             match other {
                 Some((node, policy)) => tracing::warn!(%node, ?policy, "runs under another policy"),
@@ -48,14 +51,14 @@
             self.raising = false;
             return;
         };
-        leader.level = self.election.member_versions.level();
+        leader.level = self.election.member_versions.active_version();
         if self.raising {
             return;
         }
         let (holder, token) = (leader.holder, leader.token);
         let now = self.effects.now.time;
         let registry = &self.election.member_versions;
-        let (txn, to) = match registry.rise(now, &peers, highest) {
+        let (txn, to) = match registry.next_activation(now, &peers, highest) {
             Ok(rise) if rise.to == FENCED => {
                 tracing::info!(to = %rise.to, "all have it: raises the level");
                 return self
@@ -67,7 +70,7 @@
                 let (conditions, ops) = (rise.conditions, rise.ops);
                 (Transaction { conditions, ops }, Some(rise.to))
             }
-            Err(_) if leader.is_rewritten() => match registry.rewritten() {
+            Err(_) if leader.is_rewritten() => match registry.rewrite_completion() {
                 Some(txn) => (txn, None),
                 None => return,
             },
@@ -93,7 +96,7 @@
             && let Some(r) = wire::decode::<TransactionResponse>(body)
             && let Some(to) = to
         {
-            self.election.member_versions.risen(to, r.revision);
+            self.election.member_versions.activated(to, r.revision);
             if let Some(leader) = &mut self.leader {
                 leader.level = to;
             }
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -31,7 +31,12 @@
     /// nodes up comes back to them late, and a refusal costs users less.
     pub(super) fn is_ready(&self) -> bool {
         // What it cannot read it must not answer for, whoever else is there.
-        let beyond = |why: &NotServing| matches!(why, NotServing::Beyond(..) | NotServing::Damaged);
+        let beyond = |why: &NotServing| {
+            matches!(
+                why,
+                NotServing::UnsupportedVersion(..) | NotServing::UnreadableVersion
+            )
+        };
         if self.refused().as_ref().is_some_and(beyond) {
             return false;
         }
@@ -75,7 +80,7 @@
             state_ok: self.state_ok(),
             strained: self.self_health.strained || self.stopping.is_some(),
             effort_us: self.self_health.effort_us,
-            levels: self.election.member_versions.tell(),
+            levels: self.election.member_versions.own_build(),
             counts,
             caches: Vec::new(),
             fetches: Vec::new(),
@@ -178,7 +183,7 @@
         let now = self.effects.now.time;
         self.election
             .member_versions
-            .heard(now, &g.node_id, g.levels);
+            .record_peer_build(now, &g.node_id, g.levels);
         if let Some(leader) = &mut self.leader {
             for (image, ms) in &g.fetches {
                 leader.estimates.learn(image, TimeSpan::millis(*ms));
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -215,7 +215,7 @@
     assert_eq!(job_records::leader_record(&leader), stored);
     assert_eq!(job_records::read(&stored), Some(leader));
     assert_eq!(
-        member_versions::stone(),
+        member_versions::legacy_leader_tombstone(),
         json!({"since": 1, "see": "w/leader/holder"})
     );
     let all = [
@@ -223,7 +223,7 @@
         member_versions::LEGACY_LEADER_KEY,
         member_versions::LEADER_KEY,
         member_versions::ACTIVE_VERSION_KEY,
-        member_versions::DONE,
+        member_versions::REWRITTEN_VERSION_KEY,
     ];
     assert_eq!(
         all,
@@ -292,7 +292,7 @@
 
 #[test]
 fn level_records_keep_their_stored_format() {
-    let begin = own_registry(&[]).begin();
+    let begin = own_registry(&[]).initial_operations();
     assert_eq!(
         serde_json::to_value(begin).expect("JSON"),
         json!([
@@ -308,7 +308,10 @@
         ("w/leader/at/node-0", member.clone()),
         ("w/leader/at/node-1", member),
     ]);
-    assert_eq!((registry.level(), registry.done()), (FENCED, FENCED));
+    assert_eq!(
+        (registry.active_version(), registry.rewritten_version()),
+        (FENCED, FENCED)
+    );
     let told = BuildInfo {
         low: 0,
         high: 2,
@@ -317,10 +320,10 @@
     };
     for second in 0..=20 {
         let now = Time(second * 1_000_000);
-        registry.heard(now, &"node-1".into(), Some(told.clone()));
+        registry.record_peer_build(now, &"node-1".into(), Some(told.clone()));
     }
     let rise = registry
-        .rise(Time(20_000_000), &["node-1".into()], FormatVersion(9))
+        .next_activation(Time(20_000_000), &["node-1".into()], FormatVersion(9))
         .expect("all have it");
     let txn = Transaction {
         conditions: rise.conditions,
@@ -335,9 +338,9 @@
             "apply": [{"write": "w/leader/level", "value": {"level": 2}}],
         })
     );
-    registry.risen(WITH_HISTORY, Version(8));
+    registry.activated(WITH_HISTORY, Version(8));
     assert_eq!(
-        sent(&registry.rewritten().expect("it is to be said")),
+        sent(&registry.rewrite_completion().expect("it is to be said")),
         json!({"if": [{"key": "w/leader/level", "touched": 8}],
             "apply": [{"write": "w/leader/done", "value": {"level": 2}}]})
     );
--- a/crates/simulator/tests/levels.rs
+++ b/crates/simulator/tests/levels.rs
@@ -101,7 +101,7 @@
 
     fn look(&mut self) {
         let level = FormatVersion(self.level());
-        let reads = |n: &Node| n.registry.serves().is_err() || n.range.has(level);
+        let reads = |n: &Node| n.registry.check_serving().is_err() || n.range.has(level);
         if !self.nodes.iter().all(reads) {
             self.broken = Some("a node serves what it cannot read");
         }
@@ -155,7 +155,7 @@
             if let Some(txn) = node.registry.registration() {
                 step(&|w| w.send(n, &txn));
             }
-            if node.registry.serves().is_err() {
+            if node.registry.check_serving().is_err() {
                 continue;
             }
             if self.writes > 0 && n > 0 {
@@ -166,7 +166,7 @@
                         conditions: compared.map(fence).into_iter().collect(),
                         ops: vec![Operation::Put {
                             key: DATA.into(),
-                            value: serde_json::json!({ "level": node.registry.level() }),
+                            value: serde_json::json!({ "level": node.registry.active_version() }),
                             lease: None,
                         }],
                     };
@@ -190,13 +190,17 @@
                 let mut registry = node.registry.clone();
                 let peers: Vec<NodeId> = (0..3).filter(|m| *m != n).map(label).collect();
                 for peer in &peers {
-                    let said =
-                        MemberVersions::new(peer.clone(), Some(NEWER), BTreeMap::new(), 1).tell();
+                    let said = MemberVersions::new(peer.clone(), Some(NEWER), BTreeMap::new(), 1)
+                        .own_build();
                     for ms in (0..=100).map(|s| s * 1000) {
-                        registry.heard(Time(0) + TimeSpan::millis(ms), peer, said.clone());
+                        registry.record_peer_build(
+                            Time(0) + TimeSpan::millis(ms),
+                            peer,
+                            said.clone(),
+                        );
                     }
                 }
-                if let Ok(rise) = registry.rise(now, &peers, FormatVersion(9)) {
+                if let Ok(rise) = registry.next_activation(now, &peers, FormatVersion(9)) {
                     let mut conditions = rise.conditions;
                     conditions.push(Precondition {
                         key: LEADER_KEY.into(),
@@ -309,7 +313,7 @@
     };
     alone.load(&[level(ACTIVE_VERSION_KEY, 2), level("w/leader/done", 1)]);
     alone.registered(Version(2));
-    let rises = |r: &MemberVersions| r.rise(Time(0), &[], FormatVersion(9)).is_ok();
+    let rises = |r: &MemberVersions| r.next_activation(Time(0), &[], FormatVersion(9)).is_ok();
     assert!(!rises(&alone));
     disable_check(&[SafetyCheck::RewrittenBeforeNext]);
     let early = rises(&alone);
