--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -285,7 +285,7 @@
         let mut told = Vec::new();
         let end = client
             .wait(&"wk-1".into(), Duration::from_millis(1), |a| {
-                told.push(a.stage)
+                told.push(a.stage);
             })
             .await;
         assert_eq!(end.unwrap().stage, JobStage::Cancelled);
--- a/crates/kvstore/src/persisted_state.rs
+++ b/crates/kvstore/src/persisted_state.rs
@@ -14,11 +14,11 @@
     use serde::{Deserializer, Serializer, de};
     use std::sync::Arc;
 
-    pub fn serialize<S: Serializer>(v: &Arc<[u8]>, s: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(v: &Arc<[u8]>, s: S) -> Result<S::Ok, S::Error> {
         s.serialize_bytes(v)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Arc<[u8]>, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Arc<[u8]>, D::Error> {
         struct Bytes;
         impl de::Visitor<'_> for Bytes {
             type Value = Arc<[u8]>;
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -184,6 +184,9 @@
 
 /// Reads a request from the start of `data`. `None`: more is needed.
 /// Otherwise the request and how many bytes it took.
+///
+/// # Errors
+/// The message is malformed or over a limit; the connection cannot be used further.
 pub fn read_request(data: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut head = httparse::Request::new(&mut headers);
@@ -225,6 +228,9 @@
 }
 
 /// Reads a response from the start of `data`; `ended`: the sender has closed.
+///
+/// # Errors
+/// The message is malformed or over a limit; the connection cannot be used further.
 pub fn read_response(data: &[u8], ended: bool) -> Result<Option<(Response, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut head = httparse::Response::new(&mut headers);
--- a/crates/wire/src/types.rs
+++ b/crates/wire/src/types.rs
@@ -175,6 +175,7 @@
         self.0 / 1000
     }
     /// This span times `f`.
+    #[must_use]
     pub fn scaled(self, f: f64) -> TimeSpan {
         TimeSpan::secs(self.as_secs() * f)
     }
@@ -235,6 +236,7 @@
             .max(part(self.memory_gb, whole.memory_gb))
     }
     /// These amounts `n` times.
+    #[must_use]
     pub fn times(&self, n: f64) -> Resources {
         Resources {
             cpus: self.cpus * n,
@@ -243,6 +245,7 @@
         }
     }
     /// The larger of both, amount by amount.
+    #[must_use]
     pub fn most(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.max(other.cpus),
@@ -251,6 +254,7 @@
         }
     }
     /// The smaller of both, amount by amount.
+    #[must_use]
     pub fn least(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
--- a/test.sh
+++ b/test.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Everything that has to hold before a change lands: format, lints, build, tests. Tests named
+# Everything that has to hold before a change lands: format, lints, documentation, build, tests. Tests named
 # in KNOWN-RED.txt (target::name: cause; issue) fail for a real fault that is not mended yet:
 # they are run by themselves and printed, and decide nothing, unless they pass.
 set -euo pipefail
 cd "$(dirname "$0")"
 cargo fmt --check
 cargo clippy --locked --workspace --all-targets --quiet -- -D warnings
+RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps --quiet
 cargo build --locked --release --quiet
 skip=() red=()
 if [ -f KNOWN-RED.txt ]; then
