--- a/crates/controller/src/core/autoscaler/cloud_proxy.rs
+++ b/crates/controller/src/core/autoscaler/cloud_proxy.rs
@@ -1,92 +1,108 @@
-//! Who carries out what the holder of a duty means to have done. Holding a
-//! duty and being able to do it differ: a holder that alone does not reach the
-//! cloud asks a peer to call it. Intents make that safe: whoever carries one
-//! out, and however often, it is the same hire or release.
+//! Who calls the cloud for the leader. Holding leadership and reaching the cloud
+//! differ: a leader that alone does not reach the cloud has a peer call it. Intents
+//! make that safe: whoever carries one out, and however often, it is the same
+//! provision or termination. Nothing here sends a call.
 
 use crate::types::{NodeId, Time, TimeSpan};
 
-/// Calls of our own in a row that were not answered before a peer is asked.
-const PATIENCE: u32 = 2;
-/// How long a peer is asked before our own way is tried again, at first.
-const PAUSE: TimeSpan = TimeSpan::millis(10_000);
-/// The longest such time. It doubles each time our own way still fails.
-const LONGEST: TimeSpan = TimeSpan::millis(160_000);
+/// Direct calls in a row without an answer before a peer is used.
+const MAX_DIRECT_FAILURES: u32 = 2;
+/// How long a peer is used before a direct call is tried again, at first.
+const INITIAL_BACKOFF: TimeSpan = TimeSpan::millis(10_000);
+/// The longest such time. It doubles each time the direct call still fails.
+const MAX_BACKOFF: TimeSpan = TimeSpan::millis(160_000);
+/// Direct calls that have worked for this many backoffs since the last one ended the
+/// backoff: the next failure is a new one.
+const BACKOFFS_TO_RESET: u64 = 4;
 
-/// The hands of a duty.
+/// Chooses between direct calls and calls through a peer.
 #[derive(Clone, Debug)]
 pub struct CloudProxy {
     peers: Vec<NodeId>,
-    /// The peer that is asked.
+    /// Index of the peer in use; `None`: calls are direct.
     peer: Option<usize>,
+    /// Direct calls in a row without an answer.
     failures: u32,
-    pause: TimeSpan,
-    /// When our own way is tried again.
-    again: Time,
+    backoff: TimeSpan,
+    /// When a direct call is tried again.
+    retry_direct_at: Time,
     /// When a call was last answered.
     pub progress: Option<Time>,
-    /// How often the hands changed.
+    /// How often the way of calling changed.
     pub changes: u64,
 }
 
 impl CloudProxy {
-    /// Our own, with these peers to fall back on.
+    /// Direct calls, with these peers to fall back on.
     pub fn new(peers: Vec<NodeId>) -> CloudProxy {
         CloudProxy {
             peers,
             peer: None,
             failures: 0,
-            pause: PAUSE,
-            again: Time(0),
+            backoff: INITIAL_BACKOFF,
+            retry_direct_at: Time(0),
             progress: None,
             changes: 0,
         }
     }
 
-    /// Whom to ask now; `None`: nobody, we call ourselves.
+    /// The peer to call through now; `None`: call directly.
     pub fn peer(&self, now: Time) -> Option<&NodeId> {
         self.peer
-            .filter(|_| now < self.again)
-            .and_then(|i| self.peers.get(i))
+            .filter(|_| now < self.retry_direct_at)
+            .and_then(|index| self.peers.get(index))
     }
 
-    /// A call was answered, whatever the answer.
+    /// Records that a call was answered, whatever the answer. `by`: the peer that made
+    /// it; `None`: it was direct.
     pub fn answered(&mut self, now: Time, by: Option<&NodeId>) {
         self.progress = Some(now);
         self.failures = 0;
-        if by.is_none() {
-            if self.peer.take().is_some() {
-                self.changes += 1;
-            } else if now.since(self.again) > TimeSpan(self.pause.0 * 4) {
-                // Our own way has held for long: the next failure is a new one.
-                self.pause = PAUSE;
-            }
+        if by.is_some() {
+            return;
+        }
+        let reset_after = TimeSpan(self.backoff.0 * BACKOFFS_TO_RESET);
+        if self.peer.take().is_some() {
+            self.changes += 1;
+        } else if now.since(self.retry_direct_at) > reset_after {
+            self.backoff = INITIAL_BACKOFF;
         }
     }
 
-    /// A call was not answered.
+    /// Records that a call was not answered. `by`: as for [`CloudProxy::answered`].
     pub fn unanswered(&mut self, now: Time, by: Option<&NodeId>) {
-        if by.is_some() {
-            // The next peer; after the last one our own way.
-            let next = self.peer.map_or(0, |i| i + 1);
-            self.changes += 1;
-            if next < self.peers.len() {
-                self.peer = Some(next);
-            } else {
-                self.peer = None;
-                self.failures = 0;
-            }
-            return;
+        match by {
+            Some(_) => self.use_next_peer(),
+            None => self.count_direct_failure(now),
         }
+    }
+
+    /// Goes on to the next peer; after the last one to direct calls.
+    fn use_next_peer(&mut self) {
+        let next = self.peer.map_or(0, |index| index + 1);
+        self.changes += 1;
+        if next < self.peers.len() {
+            self.peer = Some(next);
+        } else {
+            self.peer = None;
+            self.failures = 0;
+        }
+    }
+
+    fn count_direct_failure(&mut self, now: Time) {
         self.failures += 1;
-        // Once our own way has failed, one more failure is enough.
-        if !self.peers.is_empty() && (self.failures >= PATIENCE || self.peer.is_some()) {
-            if self.peer.is_some() {
-                self.pause = TimeSpan(self.pause.0 * 2).min(LONGEST);
-            }
-            self.peer.get_or_insert(0);
-            self.again = now + self.pause;
-            self.changes += 1;
+        // Once direct calls have failed, one more failure is enough.
+        let has_failed_before = self.peer.is_some();
+        let is_failing = self.failures >= MAX_DIRECT_FAILURES || has_failed_before;
+        if self.peers.is_empty() || !is_failing {
+            return;
+        }
+        if has_failed_before {
+            self.backoff = TimeSpan(self.backoff.0 * 2).min(MAX_BACKOFF);
         }
+        self.peer.get_or_insert(0);
+        self.retry_direct_at = now + self.backoff;
+        self.changes += 1;
     }
 }
 
--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -1,435 +1,511 @@
-//! Intents: what the cloud is to do. The cloud knows no token and may carry a
-//! request out minutes late, so each hire and release stands in the state
-//! service before it is asked for. A successor reads them and finishes them.
+//! Write-ahead intents for the cloud. The cloud checks no fencing token and may carry a
+//! request out minutes late, so each provision and termination is stored in the
+//! key-value store before it is requested. A successor reads them and completes them.
+//! Nothing here calls the cloud.
 //!
-//! A hire keeps its name until its answer is known and all its machines were
-//! heard of; whoever repeats it gets the same machines. A release can't be
-//! taken back: whoever reads it starts nothing on its machines.
+//! A provision intent keeps its name until its answer is known and all its machines
+//! were seen; whoever repeats it gets the same machines, as requests are idempotent by
+//! name. A termination can't be taken back: whoever reads it starts nothing on its
+//! machines.
+
+mod records;
 
 use crate::core::failpoints::{self, SafetyCheck};
-use crate::core::keys::LEADER_RECORDS;
 use crate::core::pending_writes::PendingWrites;
 use crate::types::{FencingToken, MachineId, MachineTypeName, Time, TimeSpan, WallTime, Zone};
 use crate::wire::cloud::ProvisionRequest;
-use serde::{Deserialize, Serialize};
+use records::{IntentKey, ProvisionRecord, TerminationRecord, to_value};
+use serde::Deserialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines of one type, zone and kind (spot or not).
+/// Machines of one type and zone, either spot (true) or on-demand capacity.
 pub type CapacityPool = (MachineTypeName, Zone, bool);
 
-/// Most machines of one hire.
+/// Most machines of one provision request.
 pub const MOST_RENTED: u32 = 50;
-/// Most machines named in one call to release.
+/// Most machines named in one call to terminate.
 pub const MOST_RELEASED: usize = 100;
-/// How long settled intents are kept, beyond what lists lag.
-const KEPT: TimeSpan = TimeSpan::millis(60_000);
-/// Hires older than this are not repeated: what they brought is listed.
-const STALE: TimeSpan = TimeSpan::millis(120_000);
-/// Releases decided and not yet asked for that may stand beside one another
-/// where work waits for the proof that it is gone.
-const MOST_UNASKED: usize = 4;
-
-/// How far a hire has come.
+/// How long settled terminations are kept, beyond the lag of lists: an old list or
+/// heartbeat may still name their machines.
+const TERMINATION_KEPT: TimeSpan = TimeSpan::millis(60_000);
+/// Provision intents older than this are not repeated: what they brought is listed.
+const PROVISION_STALE_AFTER: TimeSpan = TimeSpan::millis(120_000);
+/// The same as a multiple of the lag of lists, where that is longer.
+const STALE_LIST_LAGS: u64 = 4;
+/// After how many times the lag of lists a new machine is listed.
+const LISTED_AFTER_LAGS: u64 = 3;
+/// Terminations decided and not yet requested that may exist at once where work waits
+/// for the proof that its machine is gone.
+const MAX_UNREQUESTED_URGENT: usize = 4;
+/// The same where no work waits.
+const MAX_UNREQUESTED: usize = 1;
+/// Bytes of a termination record besides its reasons and machines.
+const RECORD_FRAMING_BYTES: usize = 64;
+/// Bytes of a reason in a termination record besides its text.
+const REASON_FRAMING_BYTES: usize = 8;
+/// Bytes of a machine in a termination record besides its name.
+const MACHINE_FRAMING_BYTES: usize = 4;
+
+/// How far a provision intent has come.
 #[derive(Clone, Debug, PartialEq)]
-enum Stage {
+enum ProvisionStage {
     /// Decided; not stored yet.
     Decided,
-    /// Stored; nobody can have asked for it yet.
+    /// Stored; nobody can have requested it yet.
     Stored,
-    /// Asked for, for the first time.
-    Asked,
-    /// It may have been asked for: only its own name may ask again.
-    Doubtful,
-    /// Answered; these machines were not heard of yet.
-    Filled(Time, BTreeSet<MachineId>),
+    /// Requested for the first time; no answer yet.
+    Requested,
+    /// It may have been requested: only under its own name may it be repeated.
+    Uncertain,
+    /// Answered with machines.
+    Fulfilled {
+        /// When the answer came.
+        at: Time,
+        /// Those of its machines that no list or heartbeat has shown yet.
+        unseen: BTreeSet<MachineId>,
+    },
 }
 
 #[derive(Clone, Debug)]
 struct ProvisionIntent {
-    rent: ProvisionRequest,
-    stage: Stage,
+    request: ProvisionRequest,
+    stage: ProvisionStage,
 }
 
-#[derive(Clone, Debug)]
-struct Release {
-    machines: Vec<MachineId>,
-    stored: bool,
-    asked: bool,
-    answered: Option<Time>,
-}
+impl ProvisionIntent {
+    fn is_fulfilled(&self) -> bool {
+        matches!(self.stage, ProvisionStage::Fulfilled { .. })
+    }
+
+    /// Whether nobody can have requested it yet.
+    fn is_unrequested(&self) -> bool {
+        matches!(self.stage, ProvisionStage::Decided | ProvisionStage::Stored)
+    }
+
+    /// Whether it is stored, so that it may be requested.
+    fn may_be_requested(&self) -> bool {
+        self.stage != ProvisionStage::Decided || !failpoints::enforced(SafetyCheck::IntentBeforeAct)
+    }
 
-#[derive(Serialize, Deserialize)]
-struct ProvisionRecord {
-    r: ProvisionRequest,
-    t: WallTime,
+    fn is_same_pool(&self, other: &ProvisionRequest) -> bool {
+        let request = &self.request;
+        (&request.kind, &request.zone, request.spot) == (&other.kind, &other.zone, other.spot)
+    }
 }
 
-#[derive(Serialize, Deserialize)]
-struct TerminationRecord {
-    t: WallTime,
-    /// The machines, by why they go.
-    w: BTreeMap<String, Vec<MachineId>>,
+#[derive(Clone, Debug)]
+struct TerminationIntent {
+    machines: Vec<MachineId>,
+    stored: bool,
+    requested: bool,
+    /// When all its machines were confirmed to be gone.
+    confirmed_at: Option<Time>,
 }
 
-/// All intents of the renting duty.
+/// All intents of the autoscaler.
 #[derive(Clone, Debug)]
 pub struct Intents {
     token: FencingToken,
-    next: u64,
-    /// How long lists lag, and what one record may hold.
+    /// Number of the next intent.
+    next_number: u64,
+    /// How long the cloud's lists lag behind.
     list_lag: TimeSpan,
+    /// Most bytes of one record.
     value_bytes: usize,
     provisions: BTreeMap<String, ProvisionIntent>,
-    releases: BTreeMap<String, Release>,
-    /// Machines that are to go, and since when they are gone.
-    going: BTreeMap<MachineId, Option<Time>>,
+    terminations: BTreeMap<String, TerminationIntent>,
+    /// Machines to be terminated, and since when they are gone; `None`: not yet.
+    terminating: BTreeMap<MachineId, Option<Time>>,
     /// Records to be written.
     pub pending_writes: PendingWrites,
 }
 
-fn value<T: Serialize>(v: &T) -> Value {
-    serde_json::to_value(v).unwrap_or(Value::Null)
-}
-
-fn provision_key(name: &str) -> String {
-    format!("{LEADER_RECORDS}h/{name}")
-}
-
-fn release_key(name: &str) -> String {
-    format!("{LEADER_RECORDS}x/{name}")
-}
-
 impl Intents {
-    /// Nothing meant yet, by the holder of this token.
+    /// No intents yet, of the leader with this fencing token. `list_lag`: how long the
+    /// cloud's lists lag behind; `value_bytes`: most bytes of one record.
     pub fn new(token: FencingToken, list_lag: TimeSpan, value_bytes: usize) -> Intents {
         Intents {
             token,
-            next: 1,
+            next_number: 1,
             list_lag,
             value_bytes,
             provisions: BTreeMap::new(),
-            releases: BTreeMap::new(),
-            going: BTreeMap::new(),
+            terminations: BTreeMap::new(),
+            terminating: BTreeMap::new(),
             pending_writes: PendingWrites::default(),
         }
     }
 
-    /// The token makes the name unique among all holders, so a late request
-    /// can never be taken for another one.
-    fn name(&mut self) -> String {
-        let name = format!("{}-{}", self.token, self.next);
-        self.next += 1;
+    /// A name for a new intent. The token makes it unique among all leaders, so a late
+    /// request can never be taken for another one.
+    fn next_name(&mut self) -> String {
+        let name = format!("{}-{}", self.token, self.next_number);
+        self.next_number += 1;
         name
     }
 
-    /// Takes over a stored intent of an earlier holder, who may have asked for
-    /// it or may yet. Returns the machines that are to go. A record that
+    /// Takes over a stored intent of an earlier leader, who may have requested it or
+    /// may do so yet. Returns the machines that are to be terminated. A record that
     /// cannot be read is left where it is.
     pub fn load(&mut self, key: &str, stored: &Value, wall: WallTime) -> Vec<MachineId> {
-        let rest = key
-            .strip_prefix(LEADER_RECORDS)
-            .and_then(|k| k.split_once('/'));
-        match rest {
-            Some(("h", name)) if failpoints::enforced(SafetyCheck::HiresAreRepeated) => {
-                if let Ok(record) = ProvisionRecord::deserialize(stored) {
-                    let age = TimeSpan::millis(wall.0.saturating_sub(record.t.0));
-                    if age > STALE.max(TimeSpan(self.list_lag.0 * 4)) {
-                        self.pending_writes.delete(key.into());
-                    } else {
-                        let (rent, stage) = (record.r, Stage::Doubtful);
-                        self.provisions
-                            .insert(name.into(), ProvisionIntent { rent, stage });
-                    }
-                }
+        match IntentKey::parse(key) {
+            Some(IntentKey::Provision(name))
+                if failpoints::enforced(SafetyCheck::HiresAreRepeated) =>
+            {
+                self.load_provision(key, name, stored, wall);
                 Vec::new()
             }
-            Some(("x", name)) if failpoints::enforced(SafetyCheck::ReleasesStand) => {
-                let Ok(record) = TerminationRecord::deserialize(stored) else {
-                    return Vec::new();
-                };
-                let machines: Vec<MachineId> = record.w.into_values().flatten().collect();
-                for m in &machines {
-                    self.going.insert(m.clone(), None);
-                }
-                let release = Release {
-                    machines: machines.clone(),
-                    stored: true,
-                    asked: true,
-                    answered: None,
-                };
-                self.releases.insert(name.into(), release);
-                machines
+            Some(IntentKey::Termination(name))
+                if failpoints::enforced(SafetyCheck::ReleasesStand) =>
+            {
+                self.load_termination(name, stored)
             }
             _ => Vec::new(),
         }
     }
 
-    /// An intent is stored: it may be acted on.
+    fn load_provision(&mut self, key: &str, name: &str, stored: &Value, wall: WallTime) {
+        let Ok(record) = ProvisionRecord::deserialize(stored) else {
+            return;
+        };
+        let age = TimeSpan::millis(wall.0.saturating_sub(record.decided_at.0));
+        let certainly_listed = TimeSpan(self.list_lag.0 * STALE_LIST_LAGS);
+        if age > PROVISION_STALE_AFTER.max(certainly_listed) {
+            self.pending_writes.delete(key.into());
+            return;
+        }
+        let intent = ProvisionIntent {
+            request: record.request,
+            stage: ProvisionStage::Uncertain,
+        };
+        self.provisions.insert(name.into(), intent);
+    }
+
+    fn load_termination(&mut self, name: &str, stored: &Value) -> Vec<MachineId> {
+        let Ok(record) = TerminationRecord::deserialize(stored) else {
+            return Vec::new();
+        };
+        let by_reason = record.machines_by_reason.into_values();
+        let machines: Vec<MachineId> = by_reason.flatten().collect();
+        for machine in &machines {
+            self.terminating.insert(machine.clone(), None);
+        }
+        let intent = TerminationIntent {
+            machines: machines.clone(),
+            stored: true,
+            requested: true,
+            confirmed_at: None,
+        };
+        self.terminations.insert(name.into(), intent);
+        machines
+    }
+
+    /// The record under `key` is stored: if it is an intent, it may be acted on.
     pub fn stored(&mut self, key: &str) {
-        let rest = key
-            .strip_prefix(LEADER_RECORDS)
-            .and_then(|k| k.split_once('/'));
-        match rest {
-            Some(("h", name)) => {
-                if let Some(h) = self.provisions.get_mut(name)
-                    && h.stage == Stage::Decided
+        match IntentKey::parse(key) {
+            Some(IntentKey::Provision(name)) => {
+                if let Some(intent) = self.provisions.get_mut(name)
+                    && intent.stage == ProvisionStage::Decided
                 {
-                    h.stage = Stage::Stored;
+                    intent.stage = ProvisionStage::Stored;
                 }
             }
-            Some(("x", name)) => {
-                if let Some(r) = self.releases.get_mut(name) {
-                    r.stored = true;
+            Some(IntentKey::Termination(name)) => {
+                if let Some(intent) = self.terminations.get_mut(name) {
+                    intent.stored = true;
                 }
             }
-            _ => {}
+            None => {}
         }
     }
 
-    /// Decides to hire machines, at most [`MOST_RENTED`].
+    /// Decides to provision `count` machines, at most [`MOST_RENTED`].
     pub fn provision(&mut self, (kind, zone, spot): CapacityPool, count: u32, wall: WallTime) {
-        let name = self.name();
-        let rent = ProvisionRequest {
+        let name = self.next_name();
+        let request = ProvisionRequest {
             request: name.clone(),
             kind,
             zone,
             spot,
             count: count.clamp(1, MOST_RENTED),
         };
-        let r = rent.clone();
-        self.pending_writes
-            .put(provision_key(&name), value(&ProvisionRecord { r, t: wall }));
-        let stage = Stage::Decided;
-        self.provisions
-            .insert(name, ProvisionIntent { rent, stage });
+        let record = ProvisionRecord {
+            request: request.clone(),
+            decided_at: wall,
+        };
+        let key = IntentKey::Provision(&name).to_key();
+        self.pending_writes.put(key, to_value(&record));
+        let intent = ProvisionIntent {
+            request,
+            stage: ProvisionStage::Decided,
+        };
+        self.provisions.insert(name, intent);
     }
 
-    fn unfilled(&self) -> impl Iterator<Item = &ProvisionIntent> {
-        let all = self.provisions.values();
-        all.filter(|h| !matches!(h.stage, Stage::Filled(..)))
+    fn unfulfilled(&self) -> impl Iterator<Item = &ProvisionIntent> {
+        self.provisions.values().filter(|i| !i.is_fulfilled())
     }
 
-    /// Whether the answer to a hire is still to come.
+    /// Whether the answer to a provision request is still to come.
     pub fn is_provisioning(&self) -> bool {
-        self.unfilled().next().is_some()
+        self.unfulfilled().next().is_some()
     }
 
-    /// Whether more hires may be decided: once all there are have been asked
-    /// for. Calls to the cloud are scarce; what is wanted meanwhile is grouped.
+    /// Whether more provisions may be decided: once all there are have been requested.
+    /// Calls to the cloud are scarce; what is needed meanwhile is grouped.
     pub fn may_provision(&self) -> bool {
-        let unasked = |h: &ProvisionIntent| matches!(h.stage, Stage::Decided | Stage::Stored);
-        !self.unfilled().any(unasked)
+        !self.unfulfilled().any(ProvisionIntent::is_unrequested)
     }
 
-    /// A hire is being asked for.
+    /// A provision is being requested.
     pub fn provision_asked(&mut self, name: &str) {
-        if let Some(h) = self.provisions.get_mut(name)
-            && matches!(h.stage, Stage::Decided | Stage::Stored)
+        if let Some(intent) = self.provisions.get_mut(name)
+            && intent.is_unrequested()
         {
-            h.stage = Stage::Asked;
+            intent.stage = ProvisionStage::Requested;
         }
     }
 
-    /// The hires whose answer is still to come.
+    /// The provision requests whose answer is still to come.
     pub fn coming(&self) -> impl Iterator<Item = &ProvisionRequest> {
-        self.unfilled().map(|h| &h.rent)
+        self.unfulfilled().map(|intent| &intent.request)
     }
 
-    /// The next hire to ask for, those that may have been asked for first.
+    /// The next provision to request, those that may have been requested before first.
     pub fn next_provision(&self) -> Option<ProvisionRequest> {
-        let ready = |h: &&ProvisionIntent| {
-            h.stage != Stage::Decided || !failpoints::enforced(SafetyCheck::IntentBeforeAct)
-        };
-        let next = self.unfilled().filter(ready);
-        next.min_by_key(|h| h.stage != Stage::Doubtful)
-            .map(|h| h.rent.clone())
+        self.unfulfilled()
+            .filter(|intent| intent.may_be_requested())
+            .min_by_key(|intent| intent.stage != ProvisionStage::Uncertain)
+            .map(|intent| intent.request.clone())
     }
 
-    /// A hire was asked for and not answered.
+    /// A provision was requested and the answer lost.
     pub fn provision_lost(&mut self, name: &str) {
-        if let Some(h) = self.provisions.get_mut(name) {
-            h.stage = Stage::Doubtful;
+        if let Some(intent) = self.provisions.get_mut(name) {
+            intent.stage = ProvisionStage::Uncertain;
         }
     }
 
-    fn settle(&mut self, name: &str) {
+    /// Removes a provision intent, also from the key-value store.
+    fn settle_provision(&mut self, name: &str) {
         if self.provisions.remove(name).is_some() {
-            self.pending_writes.delete(provision_key(name));
+            let key = IntentKey::Provision(name).to_key();
+            self.pending_writes.delete(key);
         }
     }
 
-    /// A hire was refused and not carried out. One that may have been asked
-    /// for before keeps its name.
+    /// A provision was refused and not carried out. One that may have been requested
+    /// before keeps its name.
     pub fn provision_refused(&mut self, name: &str) {
-        if self
-            .provisions
-            .get(name)
-            .is_some_and(|h| h.stage != Stage::Doubtful)
-        {
-            self.settle(name);
+        let intent = self.provisions.get(name);
+        if intent.is_some_and(|intent| intent.stage != ProvisionStage::Uncertain) {
+            self.settle_provision(name);
         }
     }
 
-    /// There is no room for a hire, nor for others of its market that nobody
-    /// has asked for.
+    /// The cloud has no capacity for a provision. Settles it, and others of its pool
+    /// that nobody has requested.
     pub fn no_room(&mut self, name: &str) {
-        let Some(ProvisionRequest {
-            kind, zone, spot, ..
-        }) = self.provisions.get(name).map(|h| h.rent.clone())
-        else {
+        let Some(refused) = self.provisions.get(name).map(|i| i.request.clone()) else {
             return;
         };
-        let alike = |h: &ProvisionIntent| {
-            let r = &h.rent;
-            (&r.kind, &r.zone, r.spot) == (&kind, &zone, spot)
-                && matches!(h.stage, Stage::Decided | Stage::Stored)
-        };
-        let all = self.provisions.iter().filter(|(_, h)| alike(h));
-        let others: Vec<String> = all.map(|(n, _)| n.clone()).collect();
-        others.iter().for_each(|n| self.settle(n));
-        self.settle(name);
+        let others: Vec<String> = self
+            .provisions
+            .iter()
+            .filter(|(_, intent)| intent.is_same_pool(&refused) && intent.is_unrequested())
+            .map(|(name, _)| name.clone())
+            .collect();
+        for other in &others {
+            self.settle_provision(other);
+        }
+        self.settle_provision(name);
     }
 
-    /// A hire was answered with these machines. Its name is kept until all of
-    /// them were heard of, so that a successor can ask for them.
+    /// A provision was answered with these machines. Its name is kept until all of them
+    /// were seen, so that a successor can request them again.
     pub fn filled(&mut self, name: &str, machines: &[MachineId], now: Time) {
-        if let Some(h) = self.provisions.get_mut(name) {
-            h.stage = Stage::Filled(now, machines.iter().cloned().collect());
+        if let Some(intent) = self.provisions.get_mut(name) {
+            intent.stage = ProvisionStage::Fulfilled {
+                at: now,
+                unseen: machines.iter().cloned().collect(),
+            };
         }
     }
 
-    /// Whether one more release may be decided: once all there are have been
-    /// asked for. What is to go meanwhile is grouped, as calls and writes are
-    /// scarce; work that waits for the proof is not kept waiting so long.
+    /// Whether one more termination may be decided: once all there are have been
+    /// requested. What is to go meanwhile is grouped, as calls and writes are scarce;
+    /// where work waits for the proof (`presses`) a few more may be decided.
     pub fn may_release(&self, presses: bool) -> bool {
-        let unasked = self.releases.values().filter(|r| !r.asked);
-        unasked.count() < if presses { MOST_UNASKED } else { 1 }
+        let unrequested = self.terminations.values().filter(|i| !i.requested);
+        let limit = match presses {
+            true => MAX_UNREQUESTED_URGENT,
+            false => MAX_UNREQUESTED,
+        };
+        unrequested.count() < limit
     }
 
-    /// The release of these machines is being asked for.
+    /// The termination of these machines is being requested.
     pub fn release_asked(&mut self, machines: &[MachineId]) {
-        for r in self.releases.values_mut() {
-            r.asked |= r.machines.iter().any(|m| machines.contains(m));
+        for intent in self.terminations.values_mut() {
+            intent.requested |= intent.machines.iter().any(|m| machines.contains(m));
         }
     }
 
-    /// Decides to release machines, each with why, as many as one record
-    /// holds. There is no way back.
+    /// Decides to terminate machines, each with the reason, as many as fit into one
+    /// record. There is no way back.
     pub fn release(
         &mut self,
         machines: impl Iterator<Item = (MachineId, &'static str)>,
         wall: WallTime,
     ) {
-        let mut w: BTreeMap<String, Vec<MachineId>> = BTreeMap::new();
-        let (mut names, mut bytes) = (Vec::new(), 64);
-        for (m, why) in machines {
-            bytes += m.as_str().len() + 4;
-            if !w.contains_key(why) {
-                bytes += why.len() + 8;
+        let mut machines_by_reason: BTreeMap<String, Vec<MachineId>> = BTreeMap::new();
+        let mut chosen = Vec::new();
+        let mut bytes = RECORD_FRAMING_BYTES;
+        for (machine, reason) in machines {
+            bytes += machine.as_str().len() + MACHINE_FRAMING_BYTES;
+            if !machines_by_reason.contains_key(reason) {
+                bytes += reason.len() + REASON_FRAMING_BYTES;
             }
-            if names.len() >= MOST_RELEASED || bytes > self.value_bytes {
+            if chosen.len() >= MOST_RELEASED || bytes > self.value_bytes {
                 break;
             }
-            w.entry(why.into()).or_default().push(m.clone());
-            self.going.insert(m.clone(), None);
-            names.push(m);
+            let of_reason = machines_by_reason.entry(reason.into()).or_default();
+            of_reason.push(machine.clone());
+            self.terminating.insert(machine.clone(), None);
+            chosen.push(machine);
         }
-        if names.is_empty() {
+        if chosen.is_empty() {
             return;
         }
-        let name = self.name();
-        self.pending_writes
-            .put(release_key(&name), value(&TerminationRecord { t: wall, w }));
-        let release = Release {
-            machines: names,
+        let name = self.next_name();
+        let record = TerminationRecord {
+            decided_at: wall,
+            machines_by_reason,
+        };
+        let key = IntentKey::Termination(&name).to_key();
+        self.pending_writes.put(key, to_value(&record));
+        let intent = TerminationIntent {
+            machines: chosen,
             stored: false,
-            asked: false,
-            answered: None,
+            requested: false,
+            confirmed_at: None,
         };
-        self.releases.insert(name, release);
+        self.terminations.insert(name, intent);
     }
 
-    /// Machines to ask the release of next.
+    /// The machines whose termination to request next.
     pub fn next_release(&self) -> Vec<MachineId> {
-        let ready = |r: &&Release| {
-            r.answered.is_none()
-                && (r.stored || !failpoints::enforced(SafetyCheck::IntentBeforeAct))
+        let is_ready = |intent: &&TerminationIntent| {
+            intent.confirmed_at.is_none()
+                && (intent.stored || !failpoints::enforced(SafetyCheck::IntentBeforeAct))
         };
-        let open = self.releases.values().filter(ready);
-        let names = open.flat_map(|r| &r.machines).filter(|m| !self.is_gone(m));
-        names.take(MOST_RELEASED).cloned().collect()
+        self.terminations
+            .values()
+            .filter(is_ready)
+            .flat_map(|intent| &intent.machines)
+            .filter(|machine| !self.is_gone(machine))
+            .take(MOST_RELEASED)
+            .cloned()
+            .collect()
     }
 
-    /// A release was answered: these machines are gone.
+    /// A termination was answered: these machines are gone.
     pub fn released(&mut self, machines: &[MachineId], now: Time) {
-        for m in machines {
-            self.going.insert(m.clone(), Some(now));
+        for machine in machines {
+            self.terminating.insert(machine.clone(), Some(now));
         }
-        let going = &self.going;
-        let gone = |m: &MachineId| matches!(going.get(m), Some(Some(_)));
-        for r in self.releases.values_mut() {
-            if r.answered.is_none() && r.machines.iter().all(gone) {
-                r.answered = Some(now);
+        let terminating = &self.terminating;
+        let is_gone = |machine: &MachineId| matches!(terminating.get(machine), Some(Some(_)));
+        for intent in self.terminations.values_mut() {
+            if intent.confirmed_at.is_none() && intent.machines.iter().all(is_gone) {
+                intent.confirmed_at = Some(now);
             }
         }
     }
 
-    /// Whether a machine is to go, whoever decided it.
-    pub fn is_leaving(&self, m: &MachineId) -> bool {
-        self.going.contains_key(m)
+    /// Whether a machine is to be terminated or was, whoever decided it.
+    pub fn is_leaving(&self, machine: &MachineId) -> bool {
+        self.terminating.contains_key(machine)
+    }
+
+    /// Whether a machine was terminated not long ago, so that a list or heartbeat that
+    /// names it is old.
+    pub fn is_gone(&self, machine: &MachineId) -> bool {
+        matches!(self.terminating.get(machine), Some(Some(_)))
     }
 
-    /// Whether a machine was released not long ago, so that a list or report
-    /// that has it is old.
-    pub fn is_gone(&self, m: &MachineId) -> bool {
-        matches!(self.going.get(m), Some(Some(_)))
+    /// Settles intents that nobody needs any more. `is_seen`: whether a list or
+    /// heartbeat has shown a machine.
+    pub fn tend(&mut self, now: Time, is_seen: impl Fn(&MachineId) -> bool) {
+        let listed_after = TimeSpan(self.list_lag.0 * LISTED_AFTER_LAGS);
+        self.settle_provisions(now, listed_after, is_seen);
+        self.settle_terminations(now, listed_after + TERMINATION_KEPT);
     }
 
-    /// Settles what nobody needs any more: hires whose machines were all heard
-    /// of, by list or report, and releases that no list can contradict.
-    pub fn tend(&mut self, now: Time, heard: impl Fn(&MachineId) -> bool) {
-        let listed = TimeSpan(self.list_lag.0 * 3);
-        let going = &self.going;
-        let mut over = Vec::new();
-        for (name, h) in &mut self.provisions {
-            if let Stage::Filled(at, missing) = &mut h.stage {
-                missing.retain(|m| !heard(m) && !going.contains_key(m));
-                if missing.is_empty() || now.since(*at) > listed {
-                    over.push(name.clone());
+    /// Settles provisions whose machines were all seen, or must be listed by now.
+    fn settle_provisions(
+        &mut self,
+        now: Time,
+        listed_after: TimeSpan,
+        is_seen: impl Fn(&MachineId) -> bool,
+    ) {
+        let terminating = &self.terminating;
+        let mut settled = Vec::new();
+        for (name, intent) in &mut self.provisions {
+            if let ProvisionStage::Fulfilled { at, unseen } = &mut intent.stage {
+                unseen.retain(|machine| !is_seen(machine) && !terminating.contains_key(machine));
+                if unseen.is_empty() || now.since(*at) > listed_after {
+                    settled.push(name.clone());
                 }
             }
         }
-        over.iter().for_each(|n| self.settle(n));
-        let old = |t: Time| now.since(t) > listed + KEPT;
-        let over: Vec<String> = self
-            .releases
+        for name in &settled {
+            self.settle_provision(name);
+        }
+    }
+
+    /// Settles terminations that no list can contradict any more.
+    fn settle_terminations(&mut self, now: Time, kept: TimeSpan) {
+        let is_old = |confirmed_at: Time| now.since(confirmed_at) > kept;
+        let settled: Vec<String> = self
+            .terminations
             .iter()
-            .filter(|(_, r)| r.answered.is_some_and(old))
-            .map(|(n, _)| n.clone())
+            .filter(|(_, intent)| intent.confirmed_at.is_some_and(is_old))
+            .map(|(name, _)| name.clone())
             .collect();
-        for name in over {
-            let machines = self.releases.remove(&name).map(|r| r.machines);
-            for m in machines.into_iter().flatten() {
-                self.going.remove(&m);
+        for name in settled {
+            let intent = self.terminations.remove(&name);
+            for machine in intent.into_iter().flat_map(|intent| intent.machines) {
+                self.terminating.remove(&machine);
             }
-            self.pending_writes.delete(release_key(&name));
+            let key = IntentKey::Termination(&name).to_key();
+            self.pending_writes.delete(key);
         }
     }
 
-    /// Open hires, open releases and machines to go, for operators.
+    /// Numbers of unanswered provisions, of unconfirmed terminations, and of machines
+    /// still to be terminated, for operators.
     pub fn open(&self) -> [usize; 3] {
-        let releases = self.releases.values().filter(|r| r.answered.is_none());
-        let going = self.going.values().filter(|t| t.is_none());
-        [self.unfilled().count(), releases.count(), going.count()]
+        let terminations = self.terminations.values();
+        let unconfirmed = terminations.filter(|intent| intent.confirmed_at.is_none());
+        let remaining = self.terminating.values().filter(|gone| gone.is_none());
+        [
+            self.unfulfilled().count(),
+            unconfirmed.count(),
+            remaining.count(),
+        ]
     }
 
-    /// Machines hired that were not heard of yet, for tests.
+    /// Machines provisioned that were not seen yet, for tests.
     pub fn unheard(&self) -> BTreeSet<MachineId> {
-        let all = self.provisions.values().filter_map(|h| match &h.stage {
-            Stage::Filled(_, missing) => Some(missing),
-            _ => None,
-        });
-        all.flatten().cloned().collect()
+        let unseen = self
+            .provisions
+            .values()
+            .filter_map(|intent| match &intent.stage {
+                ProvisionStage::Fulfilled { unseen, .. } => Some(unseen),
+                _ => None,
+            });
+        unseen.flatten().cloned().collect()
     }
 }
