--- a/crates/controller/src/core/garbage_collection.rs
+++ b/crates/controller/src/core/garbage_collection.rs
@@ -1,7 +1,7 @@
-//! Keys that belong to no job any more. They are found when a leader loads,
-//! and deleted one small transaction at a time when nothing else is to be
-//! written. Each goes only if it is as it was seen and its job's submission is
-//! not there, so that nothing a live job needs is ever removed.
+//! Garbage collection of keys whose job is gone. They are found when a leader loads,
+//! and deleted one small transaction at a time when nothing else is to be written. Each
+//! is deleted only if it is unchanged and its job's submission does not exist, so that
+//! nothing a live job needs is ever removed.
 
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::keys;
@@ -9,18 +9,38 @@
 use crate::wire::kvstore::{Operation, Precondition};
 use std::collections::VecDeque;
 
-/// Keys deleted in one transaction; each has two conditions.
-const MOST: usize = 8;
+/// Most keys deleted in one transaction; each has two preconditions.
+const MAX_KEYS_PER_TRANSACTION: usize = 8;
 
-/// A key without its job.
+/// A key whose job is gone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrphanedKey {
     key: String,
+    /// The version at which it was found.
     version: Version,
+    /// The job that it belonged to.
     job: JobId,
 }
 
-/// Orphans found and not yet deleted.
+impl OrphanedKey {
+    /// What must hold to delete it: it is unchanged, and its job does not exist.
+    fn preconditions(&self) -> Vec<Precondition> {
+        if !failpoints::enforced(SafetyCheck::OrphansOnly) {
+            return Vec::new();
+        }
+        let is_unchanged = Precondition {
+            key: self.key.clone(),
+            version: self.version,
+        };
+        let job_is_gone = Precondition {
+            key: keys::submission_key(&self.job),
+            version: Version(0),
+        };
+        vec![is_unchanged, job_is_gone]
+    }
+}
+
+/// Orphaned keys found and not yet deleted.
 #[derive(Clone, Debug, Default)]
 pub struct GarbageCollector {
     found: VecDeque<OrphanedKey>,
@@ -28,7 +48,7 @@
     pub deleted: u64,
 }
 
-/// The job that a key is about, if it is one that must not outlive its job.
+/// The job that a key belongs to, if it is one that must not outlive its job.
 fn owner(key: &str) -> Option<JobId> {
     if let Some((job, _)) = keys::record(key) {
         return Some(job);
@@ -40,47 +60,37 @@
 }
 
 impl GarbageCollector {
-    /// Looks at a key that was read; `there`: whether its job's submission
-    /// was read too, whether or not it could be understood.
-    pub fn look(&mut self, key: &str, version: Version, there: impl Fn(&JobId) -> bool) {
+    /// Checks a key that was read. `has_submission`: whether a job's submission was read
+    /// too, whether or not it could be understood.
+    pub fn look(&mut self, key: &str, version: Version, has_submission: impl Fn(&JobId) -> bool) {
         if let Some(job) = owner(key)
-            && (!there(&job) || !failpoints::enforced(SafetyCheck::OrphansOnly))
+            && (!has_submission(&job) || !failpoints::enforced(SafetyCheck::OrphansOnly))
         {
             let key = key.into();
             self.found.push_back(OrphanedKey { key, version, job });
         }
     }
 
-    /// How many are left.
+    /// How many keys are left to delete.
     pub fn left(&self) -> usize {
         self.found.len()
     }
 
-    /// The next ones to delete, with what has to hold.
+    /// Takes out the next keys to delete, at most `room`, each with its preconditions
+    /// and the deletion.
     pub fn next(&mut self, room: usize) -> Vec<(OrphanedKey, Vec<Precondition>, Operation)> {
-        let n = room.min(MOST).min(self.found.len());
-        let next = self.found.drain(..n);
-        next.map(|o| {
-            let seen = Precondition {
-                key: o.key.clone(),
-                version: o.version,
-            };
-            let gone = Precondition {
-                key: keys::submission_key(&o.job),
-                version: Version(0),
-            };
-            let key = o.key.clone();
-            let conditions = if failpoints::enforced(SafetyCheck::OrphansOnly) {
-                vec![seen, gone]
-            } else {
-                Vec::new()
-            };
-            (o, conditions, Operation::Delete { key })
-        })
-        .collect()
+        let count = room.min(MAX_KEYS_PER_TRANSACTION).min(self.found.len());
+        self.found
+            .drain(..count)
+            .map(|orphan| {
+                let preconditions = orphan.preconditions();
+                let key = orphan.key.clone();
+                (orphan, preconditions, Operation::Delete { key })
+            })
+            .collect()
     }
 
-    /// One could not be written; it is tried again.
+    /// Puts back a key that could not be deleted; it is tried again later.
     pub fn again(&mut self, orphan: OrphanedKey) {
         self.found.push_back(orphan);
     }
--- a/crates/controller/src/core/quarantine/tests.rs
+++ b/crates/controller/src/core/quarantine/tests.rs
@@ -7,9 +7,12 @@
     let wall = |s: u64| WallTime(s * 1000);
     assert_eq!(a.strike(&mut pending_writes, &m, wall(0)), None);
     assert!(pending_writes.is_empty() && !a.is_quarantined(&m, wall(1)));
-    assert_eq!(a.strike(&mut pending_writes, &m, wall(100)), Some(PAUSE));
+    assert_eq!(
+        a.strike(&mut pending_writes, &m, wall(100)),
+        Some(INITIAL_PAUSE)
+    );
     let twice = a.strike(&mut pending_writes, &m, wall(300));
-    assert_eq!(twice, Some(TimeSpan(PAUSE.0 * 2)));
+    assert_eq!(twice, Some(TimeSpan(INITIAL_PAUSE.0 * 2)));
     let mut next = Quarantine::default();
     for (key, value) in pending_writes.take_puts(9) {
         assert_eq!(next.load(&key, &value), Some((m.clone(), false)));
