--- a/crates/controller/src/core/assignment.rs
+++ b/crates/controller/src/core/assignment.rs
@@ -1,5 +1,6 @@
-//! Where a task may be. A placement stands from the moment it is to be
-//! recorded until there is proof that the task is not on its machine.
+//! Where a task may be. An assignment stands from the moment it is decided until there
+//! is proof that the task is not on its machine. What counts as proof is decided here;
+//! nothing here changes an assignment.
 
 use super::failpoints::{self, SafetyCheck};
 use crate::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence, MachineId, Time};
@@ -9,11 +10,11 @@
 /// A stop that was ordered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stop {
-    /// Time the task gets to save, in seconds.
+    /// Time the task gets to save its work (checkpoint), in seconds.
     pub grace_s: f64,
     /// When it was ordered.
     pub at: Time,
-    /// The change of its chunk that records it, if it is told only once that is
+    /// The change of its chunk that records it, if it is sent only once that is
     /// stored: a successor then knows what was stopped, and for what.
     pub change: Option<u64>,
 }
@@ -21,17 +22,17 @@
 /// How far a start has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AssignmentPhase {
-    /// Not sent by us, and nobody else can: it was decided in this term.
+    /// Not sent by us, and nobody else can: it was decided in this leader's term.
     Unsent,
-    /// Sent in the answer to this report. Whether it arrived shows in the
-    /// next report: a worker has one report in flight and drops late answers.
+    /// Sent in the answer to this heartbeat. Whether it arrived shows in the next
+    /// heartbeat: an agent has one heartbeat in flight and drops late answers.
     Sent(HeartbeatSequence),
-    /// Recorded by an earlier leader, which may or may not have sent it.
+    /// Stored by an earlier leader, which may or may not have sent it.
     Inherited,
-    /// Recorded by an earlier leader and proved not to be there: its room is
+    /// Stored by an earlier leader and proved not to be there: its room is
     /// kept until the rest of its gang is known about.
     Kept,
-    /// Seen in a report.
+    /// Seen in a heartbeat.
     Seen(TaskState),
 }
 
@@ -48,12 +49,12 @@
     }
 }
 
-/// A task's place.
+/// A task's assignment to a machine.
 #[derive(Clone, Debug)]
 pub struct Assignment {
     /// The machine.
     pub machine: MachineId,
-    /// The session of its worker that is meant.
+    /// The epoch of its agent that the start is meant for.
     pub epoch: AgentEpoch,
     /// The attempt.
     pub attempt: Attempt,
@@ -61,17 +62,17 @@
     pub change: u64,
     /// How far the start has come.
     pub phase: AssignmentPhase,
-    /// When it was placed.
+    /// When it was decided.
     pub placed: Time,
-    /// Since when it runs.
+    /// Since when the task runs.
     pub running: Option<Time>,
-    /// Whether the machine has to fetch the image first, and since when it does.
+    /// Since when the machine fetches the image for it; `None`: it need not.
     pub cold: Option<Time>,
     /// A stop, if ordered.
     pub stop: Option<Stop>,
 }
 
-/// What a report says about a placement on its machine.
+/// What a heartbeat says about an assignment to its machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PresenceProof {
     /// The task is on the machine, or may be.
@@ -83,7 +84,7 @@
 }
 
 impl Assignment {
-    /// One found in the records of an earlier leader.
+    /// An assignment found in the records of an earlier leader.
     pub fn inherited(machine: MachineId, epoch: AgentEpoch, attempt: Attempt) -> Assignment {
         Assignment {
             machine,
@@ -98,18 +99,19 @@
         }
     }
 
-    /// Whether the start was never sent, so that dropping the placement is
+    /// Whether the start was never sent, so that dropping the assignment is
     /// proof enough of absence.
     pub fn unsent(&self) -> bool {
         self.phase == AssignmentPhase::Unsent
     }
 
-    /// Judges a report that is newer than all before it from this machine.
+    /// Judges a heartbeat that is newer than all before it from this machine. `token`
+    /// is the fencing token it carries, `listed` the task in it, if it is listed.
     ///
-    /// - A higher session: the worker has killed and forgotten everything.
+    /// - A higher agent epoch: the agent has killed and forgotten everything.
     /// - Listed: present (the caller looks at its state).
-    /// - Not listed, in a report that carries our token: starts of older
-    ///   leaders can no longer be executed, and ours is settled if this report
+    /// - Not listed, in a heartbeat that carries our token: starts of older
+    ///   leaders can no longer be executed, and ours is settled if this heartbeat
     ///   was made after its answer.
     /// - Not listed, with an older token: nothing is proved, since an older
     ///   leader's start may still be on its way.
@@ -118,15 +120,15 @@
         epoch: AgentEpoch,
         sequence: HeartbeatSequence,
         token: FencingToken,
-        has_our_token: FencingToken,
+        our_token: FencingToken,
         listed: Option<&ReportedTask>,
     ) -> PresenceProof {
         if epoch > self.epoch {
             return PresenceProof::Absent;
         }
-        let theirs =
-            token != has_our_token && failpoints::enforced(SafetyCheck::AbsenceNeedsOurToken);
-        if listed.is_some() || theirs {
+        let has_other_token =
+            token != our_token && failpoints::enforced(SafetyCheck::AbsenceNeedsOurToken);
+        if listed.is_some() || has_other_token {
             return PresenceProof::Present;
         }
         match self.phase {
--- a/crates/controller/src/core/failpoints.rs
+++ b/crates/controller/src/core/failpoints.rs
@@ -1,94 +1,125 @@
-//! Safety decisions that tests can switch off one by one, to see that the
-//! checker of the rules notices. Without the feature `failpoints`, which no daemon
-//! is built with, all of them always hold.
+//! Safety checks that tests can switch off one by one, to see that the checker of the
+//! rules notices. Without the feature `failpoints`, which no daemon is built with, all
+//! of them are always enforced.
 
-/// A safety decision.
+/// A safety check. Each says what goes wrong without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SafetyCheck {
-    /// A start is sent only once it is stored.
+    /// A start is sent only once it is stored. Otherwise a successor would not know of
+    /// the task and start it a second time.
     WriteAhead,
-    /// A silent machine's tasks are written off only once its lease is over.
+    /// The tasks of a silent machine are given up only once its lease has expired.
+    /// Until then the agent may still run them.
     LeaseBeforeWriteOff,
-    /// Without contact, reports are answered only for a bounded time.
+    /// Without contact to the key-value store, heartbeats are answered only for a
+    /// bounded time. Otherwise cancelled tasks would be kept alive.
     BoundedHold,
-    /// The cloud is asked only for what is stored.
+    /// The cloud is asked only for what is stored as an intent. Otherwise machines
+    /// could be provisioned of which no successor knows.
     IntentBeforeAct,
-    /// A successor repeats its predecessors' hires under their names.
+    /// A successor repeats its predecessors' provision requests under their names.
+    /// Under new names the same machines would be provisioned twice.
     HiresAreRepeated,
-    /// A successor starts nothing on machines that a predecessor released.
+    /// A successor starts nothing on machines that a predecessor decided to terminate:
+    /// they may go at any time.
     ReleasesStand,
-    /// What is stopped for other work is recorded before it is told.
+    /// A preemption is stored before it is sent, so that a successor completes it and
+    /// does not preempt other tasks for the same work.
     StopsAreStored,
-    /// All claims of guarantees together take no more than was lent.
+    /// All reclaims for guaranteed quotas together take no more than a team uses beyond
+    /// its own guarantee.
     ClaimsAreBounded,
-    /// A key is swept only while its job's submission is not there.
+    /// A key is garbage-collected only while its job's submission does not exist.
+    /// Otherwise records of a live job would be lost.
     OrphansOnly,
-    /// A job's end is deleted only with its submission.
+    /// A job's outcome is deleted only together with its submission. A submission
+    /// without an outcome looks like an open job and would run again.
     EndOutlivesSubmission,
-    /// A start is stored only while its job's head is as it was accepted.
+    /// A start is stored only while its job's header is as it was accepted, so that no
+    /// task starts after the job was done or cancelled.
     StartsNeedAnOpenJob,
-    /// Contact counts from the first read of a load.
+    /// The age of what a new leader knows counts from the first read of its load: what
+    /// changed since may not be in the pages read later.
     LoadIsAsOldAsItsFirstRead,
-    /// A write whose form the level decides compares it.
+    /// A write whose format depends on the format version in force has that version as
+    /// a precondition. Otherwise a late write could use a format no longer in force.
     WritesCompareTheLevel,
-    /// A node writes down which levels it serves before it does anything.
+    /// A node stores which format versions it supports before it does anything else, so
+    /// that no version is activated that it cannot read.
     RegisterBeforeActing,
-    /// Each life of a node writes that down anew.
+    /// Each process of a node stores that anew: an older build may have been started
+    /// since the last time.
     EachLifeRegisters,
-    /// A rise compares what every node wrote of itself.
+    /// Activating a format version has what every node stored about itself as a
+    /// precondition, so that none changes its build meanwhile.
     RiseComparesMembers,
-    /// A job with a record that cannot be read is neither run nor written.
+    /// A job with a record that cannot be read is neither run nor written: what the
+    /// record says would be lost, and its tasks may run.
     UnreadableIsLeftAlone,
-    /// What a silent machine had from an earlier leader stands for as long as that one
-    /// may have answered it, and for a lease.
+    /// What a silent machine was assigned by an earlier leader is kept for as long as
+    /// that leader may have answered it, and for a lease after that.
     OldLeadersAnswersCount,
-    /// A report proves absence only under our own token.
+    /// A heartbeat proves a task's absence only if it carries our own fencing token.
+    /// Otherwise a start of an older leader may still be on its way.
     AbsenceNeedsOurToken,
-    /// A report older than one that was heard proves nothing.
+    /// A heartbeat older than one that was processed proves nothing.
     NewestReportCounts,
-    /// A result is stored before its worker may forget it.
+    /// A task's result is stored before its agent may forget it. Otherwise a failover
+    /// would lose the result and run the task again.
     DoneBeforeClear,
-    /// A record is written only over the version that was read or written last.
+    /// A record is overwritten only in the version that was last read or written
+    /// (compare-and-swap), so that a late write replaces no newer record.
     RecordsCompareVersions,
-    /// An answer that is not final rests on a read sent after the question came.
+    /// An answer that is not final rests on a read sent after the question arrived.
+    /// Otherwise users could read a state older than one they saw before.
     AnswersAreFresh,
-    /// What a submission that finds its job there already is answered is read.
+    /// A submission whose job exists already is answered from what is stored of it, not
+    /// from what the caller sent.
     ConflictIsRead,
-    /// A transaction without an answer is neither carried out nor refused, for its writer.
+    /// A transaction without an answer counts as neither committed nor refused, until
+    /// its writer has found out which.
     LostIsUnknown,
-    /// What a team enforced counts also the places of jobs that are over.
+    /// A team's quota usage includes the tasks of ended jobs that may still be on
+    /// machines.
     EndedJobsHoldPlaces,
-    /// A new leader follows changes from the first page of its load on.
+    /// A new leader follows changes from the first page of its load on. Otherwise it
+    /// would miss changes made while it loads.
     FollowsFromTheFirstPage,
-    /// Of the end of a job that is done and its cancellation one comes through.
+    /// Of a job's completion and its cancellation only one is committed.
     OneEndDecides,
-    /// What only makes work wait for a better machine counts no more once it has waited
-    /// for long.
+    /// A rule that only makes work wait for a better machine no longer applies to work
+    /// that has waited for long. Otherwise it could wait for ever.
     HoldsEndWithAge,
-    /// Zones of tasks that may still be somewhere bind a job's others.
+    /// Tasks that may still be on machines restrict the zones of their job's other
+    /// tasks, so that a job bound to one zone is never in two.
     OldPlacesBindZones,
-    /// The next level waits until all that is stored has the form of this one.
+    /// The next format version is activated only once everything stored has the format
+    /// of the present one, so that formats older than that are never met.
     RewrittenBeforeNext,
 }
 
 #[cfg(any(test, feature = "failpoints"))]
 thread_local! {
-    static WEAKENED: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
+    /// The checks that are switched off, one bit for each variant.
+    static DISABLED: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
 }
 
-/// Switches decisions off on this thread, and all others on.
+/// Switches these checks off on this thread, and all others on.
 #[cfg(any(test, feature = "failpoints"))]
-pub fn disable_check(off: &[SafetyCheck]) {
-    WEAKENED.set(off.iter().fold(0, |all, d| all | 1 << *d as u64));
+pub fn disable_check(checks: &[SafetyCheck]) {
+    let bits = checks
+        .iter()
+        .fold(0, |bits, check| bits | 1 << *check as u64);
+    DISABLED.set(bits);
 }
 
-/// Whether a decision enforced.
+/// Whether a check is enforced.
 #[cfg(any(test, feature = "failpoints"))]
-pub fn enforced(d: SafetyCheck) -> bool {
-    WEAKENED.get() & (1 << d as u64) == 0
+pub fn enforced(check: SafetyCheck) -> bool {
+    DISABLED.get() & (1 << check as u64) == 0
 }
 
-/// Whether a decision enforced.
+/// Whether a check is enforced: always.
 #[cfg(not(any(test, feature = "failpoints")))]
 pub const fn enforced(_: SafetyCheck) -> bool {
     true
--- a/crates/controller/src/core/keys.rs
+++ b/crates/controller/src/core/keys.rs
@@ -1,52 +1,58 @@
-//! The keys of durable records.
+//! The keys under which records are stored in the key-value store. Their values:
+//! `job_records`, `format_version`, `autoscaler::intents`, `quarantine`, `quota`.
 //!
-//! | key | value | life |
+//! | key | value | kept |
 //! | --- | --- | --- |
-//! | `w/leader`, `w/leader/...` | who leads, bound to a lease, its version is the token; levels: `levels/registry.rs` | |
-//! | `job/REF` | stage and task count; done and cancel race on its version | for ever |
-//! | `w/j/REF`, `w/p/REF/N` | when accepted, and the submission in pieces | until nothing of the job can run |
+//! | `w/leader`, `w/leader/...` | who leads, bound to a lease, its version is the fencing token; format versions: `format_version/member_versions.rs` | |
+//! | `job/REF` | the job's header: stage and task count; done and cancel compare its version | for ever |
+//! | `w/j/REF`, `w/p/REF/N` | when accepted, and the submission in parts | until nothing of the job can run |
 //! | `w/x/REF` | how the job ended | likewise |
-//! | `r/REF/C` | tasks of chunk C: highest attempt, done ranges, placements | likewise |
+//! | `r/REF/C` | tasks of chunk C: highest attempt, done ranges, assignments | likewise |
 //! | `types` | the machine types last read from the cloud | |
-//! | `d/h/NAME`, `d/x/NAME` | a hire, a release: meant, maybe asked for | until settled |
-//! | `d/m/MACHINE` | why a machine gets no work for a while | while it is there |
+//! | `d/h/NAME`, `d/x/NAME` | an intent to provision, to terminate: possibly requested | until settled |
+//! | `d/m/MACHINE` | why a machine is in quarantine or drained | while it exists |
+//! | `d/f` | recent arrivals by class and team | overwritten |
 //!
 //! Everything below `w/` is watched by the leader.
 
 use super::format_version::member_versions;
 use crate::types::JobId;
 
-/// What the leader watches.
+/// Prefix of what the leader watches.
 pub const WATCHED: &str = "w/";
-/// What a leader means to do, and what it remembers for a successor.
+/// Prefix of what a leader intends to do, and what it remembers for a successor.
 pub const LEADER_RECORDS: &str = "d/";
-/// Progress records.
+/// Prefix of the records of chunks of tasks.
 pub const PROGRESS_RECORDS: &str = "r/";
 /// The machine types.
 pub const MACHINE_TYPES: &str = "types";
-/// Submissions.
+/// Prefix of submissions.
 pub const SUBMISSIONS: &str = "w/j/";
-/// Further pieces of long submissions.
+/// Prefix of the further parts of long submissions.
 pub const SUBMISSION_PARTS: &str = "w/p/";
-/// Ends of jobs that still have records.
+/// Prefix of the outcomes of jobs that still have records.
 pub const JOB_OUTCOMES: &str = "w/x/";
 
-/// The key of a job's head.
+/// The key of a job's header.
 pub fn job_header_key(id: &JobId) -> String {
     format!("job/{id}")
 }
+
 /// The key of a job's submission.
 pub fn submission_key(id: &JobId) -> String {
     format!("{SUBMISSIONS}{id}")
 }
-/// The key of a job's end.
+
+/// The key of a job's outcome.
 pub fn job_outcome_key(id: &JobId) -> String {
     format!("{JOB_OUTCOMES}{id}")
 }
-/// The key of a further piece of a submission.
+
+/// The key of a further part of a submission.
 pub fn submission_part_key(id: &JobId, part: u32) -> String {
     format!("{SUBMISSION_PARTS}{id}/{part}")
 }
+
 /// The key of a chunk of tasks.
 pub fn chunk_key(id: &JobId, chunk: u32) -> String {
     format!("{PROGRESS_RECORDS}{id}/{chunk}")
@@ -55,38 +61,39 @@
 /// What a watched key is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Watched {
-    /// The leader's key, the level in force, or what a node says of itself.
+    /// The leader's key, the format version in force, or the formats that a node
+    /// supports.
     Office,
     /// A submission.
     Job(JobId),
-    /// A further piece of one.
+    /// A further part of a submission, with its number.
     Part(JobId, u32),
-    /// A job's end.
+    /// A job's outcome.
     JobOutcome(JobId),
     /// Something else.
     Other,
 }
 
-/// Tells what a key below `w/` is about.
+/// Parses a key below `w/`.
 pub fn watched(key: &str) -> Watched {
     if key.starts_with(member_versions::PREFIX) {
-        Watched::Office
-    } else if let Some(id) = key.strip_prefix(SUBMISSIONS) {
-        Watched::Job(id.into())
-    } else if let Some(id) = key.strip_prefix(JOB_OUTCOMES) {
-        Watched::JobOutcome(id.into())
-    } else if let Some((id, part)) = key
-        .strip_prefix(SUBMISSION_PARTS)
-        .and_then(|k| k.rsplit_once('/'))
-    {
-        part.parse()
-            .map_or(Watched::Other, |p| Watched::Part(id.into(), p))
-    } else {
-        Watched::Other
+        return Watched::Office;
     }
+    if let Some(id) = key.strip_prefix(SUBMISSIONS) {
+        return Watched::Job(id.into());
+    }
+    if let Some(id) = key.strip_prefix(JOB_OUTCOMES) {
+        return Watched::JobOutcome(id.into());
+    }
+    submission_part(key).unwrap_or(Watched::Other)
+}
+
+fn submission_part(key: &str) -> Option<Watched> {
+    let (id, part) = key.strip_prefix(SUBMISSION_PARTS)?.rsplit_once('/')?;
+    Some(Watched::Part(id.into(), part.parse().ok()?))
 }
 
-/// Tells which job and chunk a key below `r/` is about.
+/// Parses the key of a chunk of tasks into its job and its number.
 pub fn record(key: &str) -> Option<(JobId, u32)> {
     let (id, chunk) = key.strip_prefix(PROGRESS_RECORDS)?.rsplit_once('/')?;
     Some((id.into(), chunk.parse().ok()?))
--- a/crates/controller/src/core/leader_authority.rs
+++ b/crates/controller/src/core/leader_authority.rs
@@ -1,58 +1,63 @@
-//! Until when a leader's word about what runs counts, in one place: how old what it
-//! knows of cancellations and of later leaders is, and until when it may answer
-//! reports and start tasks on it. `docs/design.md`, "The gap", argues it step by step.
+//! Until when a leader may act on what it knows: how old its knowledge of cancellations
+//! and of later leaders is, and until when it may answer heartbeats and start tasks on
+//! it. `docs/design.md`, "The gap", derives the rules step by step.
 //!
-//! The bound: a cancellation that this node cannot know of was told to its user after
-//! `shown`; until `shown + H` reports are answered; a worker's lease counts from the
-//! sending of a report answered by then. So what runs of that job is gone by
-//! `shown + H + lease`, which is no later than `cancel` after its user was told.
+//! The bound: a cancellation that this node cannot know of was confirmed to its user
+//! after `shown`; until `shown + H` heartbeats are answered; an agent's lease counts
+//! from the sending of a heartbeat answered by then. So what runs of that job has ended
+//! by `shown + H + lease`, which is no later than `cancel` after the confirmation.
 
 use super::failpoints::{self, SafetyCheck};
 use crate::settings::WorkerTimes;
 use crate::types::{JobId, Time, TimeSpan};
 use std::collections::BTreeMap;
 
-/// For the clocks' drift, and for a worker to end its tasks.
+/// Allowance for the clocks' drift, and for an agent to end its tasks.
 const MARGIN: TimeSpan = TimeSpan::millis(2000);
-/// A shorter H than this is none: by the time that one read is answered it is over.
-const SHORTEST: TimeSpan = TimeSpan::millis(500);
-/// How long reports are answered without contact where the settings leave no H.
-const WITHOUT: TimeSpan = TimeSpan::millis(1500);
-/// Longest hold of the leader's watch.
-const LONGEST_WATCH: TimeSpan = TimeSpan::millis(1000);
-/// Without contact for this long, nothing is started.
-const START: TimeSpan = TimeSpan::millis(4000);
-/// Cancellations that peers told and no read has shown yet.
+/// By how much an agent's clock may run slow: its lease may last that much longer.
+const CLOCK_DRIFT: f64 = 1.001;
+/// A shorter H than this is of no use: it is over by the time that one read is answered.
+const MIN_HOLD: TimeSpan = TimeSpan::millis(500);
+/// How long heartbeats are answered without contact where the settings leave no H.
+const HOLD_WITHOUT_BOUND: TimeSpan = TimeSpan::millis(1500);
+/// The longest time that the leader's watch is held.
+const MAX_WATCH: TimeSpan = TimeSpan::millis(1000);
+/// Part of H for which the leader's watch may be held.
+const WATCH_PART_OF_HOLD: f64 = 0.25;
+/// Without contact for this long, no task is started.
+const MAX_AGE_TO_START: TimeSpan = TimeSpan::millis(4000);
+/// Most cancellations reported by peers, and not confirmed by a read, that are kept.
 const MOST_TOLD: usize = 1000;
 
-fn less(a: TimeSpan, b: TimeSpan) -> TimeSpan {
+fn saturating_difference(a: TimeSpan, b: TimeSpan) -> TimeSpan {
     TimeSpan(a.0.saturating_sub(b.0))
 }
 
-/// What the settings leave a leader without contact.
+/// The bounds that the settings give a leader without contact to the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     hold: TimeSpan,
+    /// The longest that an agent's lease may last, by our clock.
     lease: TimeSpan,
     /// By how much a cancelled task may outlive `cancel`.
     over: TimeSpan,
 }
 
 impl Bounds {
-    /// Of workers with these times.
+    /// The bounds for agents with these times.
     pub fn new(times: &WorkerTimes) -> Bounds {
-        let lease = times.lease.scaled(1.001) + MARGIN;
-        let hold = less(times.cancel, lease);
-        if hold >= SHORTEST {
+        let lease = times.lease.scaled(CLOCK_DRIFT) + MARGIN;
+        let hold = saturating_difference(times.cancel, lease);
+        if hold >= MIN_HOLD {
             let over = TimeSpan::ZERO;
             return Bounds { hold, lease, over };
         }
-        let over = less(WITHOUT + lease, times.cancel);
-        let hold = WITHOUT;
+        let hold = HOLD_WITHOUT_BOUND;
+        let over = saturating_difference(hold + lease, times.cancel);
         Bounds { hold, lease, over }
     }
 
-    /// H: for how long after contact reports may be answered.
+    /// H: for how long after contact heartbeats may be answered.
     pub fn hold(&self) -> TimeSpan {
         self.hold
     }
@@ -63,8 +68,8 @@
         self.over
     }
 
-    /// For how long after a leader took office an earlier one's answers may keep
-    /// alive what runs on a machine that is silent.
+    /// For how long after a failover the answers of an earlier leader may keep alive
+    /// what runs on a machine that is silent.
     pub fn inherited(&self) -> TimeSpan {
         match failpoints::enforced(SafetyCheck::OldLeadersAnswersCount) {
             true => self.hold + self.lease,
@@ -73,89 +78,89 @@
     }
 
     /// How long the leader's watch may be held: contact has to be younger than H for
-    /// most of the time, or reports are refused with the state service well.
+    /// most of the time, or heartbeats are refused while the key-value store is well.
     pub fn watch(&self) -> TimeSpan {
-        self.hold.scaled(0.25).min(LONGEST_WATCH)
+        self.hold.scaled(WATCH_PART_OF_HOLD).min(MAX_WATCH)
     }
 }
 
-/// What a leader's word rests on.
+/// How recent a leader's knowledge is, and what it may therefore do.
 #[derive(Clone, Debug)]
 pub struct LeaderAuthority {
     bounds: Bounds,
-    /// When the first page of the load was asked for.
-    began: Option<Time>,
+    /// When the first page of the load was requested.
+    load_began: Option<Time>,
     loaded: bool,
     /// When the last read was sent that would have shown whatever was stored before
-    /// it, and whose answer was taken in.
+    /// it, and whose answer was processed.
     shown: Time,
-    /// Jobs that peers say are cancelled, by when they said so.
-    told: BTreeMap<JobId, Time>,
+    /// Jobs that peers report as cancelled, by when they did.
+    reported_cancelled: BTreeMap<JobId, Time>,
 }
 
 impl LeaderAuthority {
-    /// Of a leader that has read nothing yet.
+    /// The authority of a leader that has read nothing yet.
     pub fn new(bounds: Bounds, now: Time) -> LeaderAuthority {
         LeaderAuthority {
             bounds,
-            began: None,
+            load_began: None,
             loaded: false,
             shown: now,
-            told: BTreeMap::new(),
+            reported_cancelled: BTreeMap::new(),
         }
     }
 
-    /// A page of the load was answered. It is no contact: what the pages to come
-    /// hold is not known yet.
+    /// Records that a page of the load, requested at `sent`, was answered. It is no
+    /// contact: what the pages to come hold is not known yet.
     pub fn page(&mut self, sent: Time) {
-        self.began.get_or_insert(sent);
+        self.load_began.get_or_insert(sent);
     }
 
-    /// The last page was taken in. A cancellation, or another leader, since the
-    /// first page may not have been seen, however new the last one is.
+    /// Records that the last page was processed. A cancellation, or another leader,
+    /// since the first page may not have been seen, however new the last one is.
     pub fn loaded(&mut self, sent: Time) {
         self.loaded = true;
         self.shown = match failpoints::enforced(SafetyCheck::LoadIsAsOldAsItsFirstRead) {
-            true => self.began.unwrap_or(sent),
+            true => self.load_began.unwrap_or(sent),
             false => sent,
         };
     }
 
-    /// A read of all changes since the last one was answered and taken in. Nothing
-    /// else is contact: a lease renewed, a commit accepted and a comparison of other
-    /// keys show no cancellation, an open watch has shown none yet, and a peer's word
-    /// is about the peer.
+    /// Records that a read, sent at `sent`, of all changes since the last one was
+    /// answered and processed. Nothing else is contact: a lease renewed, a commit
+    /// accepted and a comparison of other keys show no cancellation, an open watch has
+    /// shown none yet, and a peer's report is about the peer.
     pub fn showed(&mut self, sent: Time) {
         if self.loaded {
             self.shown = self.shown.max(sent);
         }
     }
 
-    /// Whether everything recorded was read.
+    /// Whether everything stored was read.
     pub fn is_loaded(&self) -> bool {
         self.loaded
     }
 
-    /// When the last read that counts was sent.
+    /// When the last read that counts as contact was sent.
     pub fn shown(&self) -> Time {
         self.shown
     }
 
-    /// How old what is known is.
+    /// How old the leader's knowledge is.
     pub fn age(&self, now: Time) -> TimeSpan {
         now.since(self.shown)
     }
 
-    /// Whether reports may be answered.
+    /// Whether heartbeats may be answered.
     pub fn may_answer(&self, now: Time) -> bool {
-        let held =
+        let within_hold =
             self.age(now) < self.bounds.hold || !failpoints::enforced(SafetyCheck::BoundedHold);
-        self.loaded && held
+        self.loaded && within_hold
     }
 
     /// Whether tasks may be started.
     pub fn may_start(&self, now: Time) -> bool {
-        self.loaded && self.age(now) < START
+        self.loaded && self.age(now) < MAX_AGE_TO_START
     }
 
     /// How long the next read may be held. Without contact, what has changed is
@@ -167,37 +172,42 @@
         }
     }
 
-    /// For how long after taking office older leaders' answers count.
+    /// For how long after a failover the answers of earlier leaders count.
     pub fn inherited(&self) -> TimeSpan {
         self.bounds.inherited()
     }
 
-    /// A peer says that a job's user was told that it is cancelled; true if that is
-    /// news. Its tasks may be stopped on it, which is help: the word may come late or
-    /// never, so nothing that is not said is known, and nothing is deleted on it.
+    /// Records that a peer reports a job as cancelled; true if that is news. Its tasks
+    /// may be stopped on that, which only helps: reports may be late or never come, so
+    /// nothing follows from there being none, and nothing is deleted on one.
     pub fn told(&mut self, now: Time, job: &JobId) -> bool {
-        let news = self.told.len() < MOST_TOLD && !self.told.contains_key(job);
-        if news {
-            self.told.insert(job.clone(), now);
+        let reported = &mut self.reported_cancelled;
+        let is_news = reported.len() < MOST_TOLD && !reported.contains_key(job);
+        if is_news {
+            reported.insert(job.clone(), now);
         }
-        news
+        is_news
     }
 
-    /// Whether a peer says that a job is cancelled.
+    /// Whether a peer reports that a job is cancelled.
     pub fn is_told(&self, job: &JobId) -> bool {
-        self.told.contains_key(job)
+        self.reported_cancelled.contains_key(job)
     }
 
-    /// Jobs of which peers said more than reads sent since have shown. What is true
-    /// of it has been taken in by now.
+    /// Removes the reports that are older than the last read, and returns their jobs.
+    /// What is true of them has been read by now.
     pub fn refuted(&mut self) -> Vec<JobId> {
         let shown = self.shown;
-        let over = self.told.iter().filter(|(_, at)| **at < shown);
-        let over: Vec<JobId> = over.map(|(id, _)| id.clone()).collect();
-        for id in &over {
-            self.told.remove(id);
+        let outdated: Vec<JobId> = self
+            .reported_cancelled
+            .iter()
+            .filter(|(_, reported_at)| **reported_at < shown)
+            .map(|(job, _)| job.clone())
+            .collect();
+        for job in &outdated {
+            self.reported_cancelled.remove(job);
         }
-        over
+        outdated
     }
 }
 
--- a/crates/controller/src/core/leader_authority/tests.rs
+++ b/crates/controller/src/core/leader_authority/tests.rs
@@ -119,5 +119,5 @@
     for n in 0..2 * MOST_TOLD {
         c.told(at(5.0), &format!("wk-{n}").as_str().into());
     }
-    assert_eq!(c.told.len(), MOST_TOLD);
+    assert_eq!(c.reported_cancelled.len(), MOST_TOLD);
 }
