--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -1,21 +1,23 @@
-//! Claims against a slow plain model: whatever is stopped is added up task
-//! by task afterwards.
+//! Reclaiming for guaranteed quotas against a slow plain model: whatever is stopped is
+//! added up task by task afterwards.
 
-use super::super::placement_tables::{FetchEstimates, ImageCache, MachineRow};
-use super::super::quota::usage::{QuotaUnits, QuotaUsage};
-use super::super::scheduling_cycle::{CycleParameters, TeamUse};
 use super::*;
+use crate::core::placement_tables::{FetchEstimates, ImageCache, MachineRow};
+use crate::core::quota::usage::{QuotaUnits, QuotaUsage};
+use crate::core::scheduling_cycle::{CycleParameters, TeamUse};
 use crate::settings::TeamShare;
 use crate::types::{Time, TimeSpan};
 use crate::wire::users::Priority;
 use proptest::prelude::*;
 
 const NOW: Time = Time(1_000_000_000);
-const WHOLE: Resources = Resources {
+const MACHINE: Resources = Resources {
     cpus: 8.0,
     gpus: 4.0,
     memory_gb: 8.0,
 };
+/// Most tasks that one request of the model makes room for.
+const MAX_TASKS: u32 = 16;
 
 fn amounts(gpus: f64) -> Resources {
     Resources {
@@ -25,9 +27,15 @@
     }
 }
 
-fn want(n: usize, tasks: u32, gpus: f64) -> PlacementRequest {
+/// The lender: the team that runs all tasks.
+fn lender() -> Team {
+    Team::from("lender")
+}
+
+/// A gang of another team, within its guaranteed quota.
+fn request(number: usize, tasks: u32, gpus: f64) -> PlacementRequest {
     PlacementRequest {
-        job: format!("want-{n}").into(),
+        job: format!("want-{number}").into(),
         team: "owner".into(),
         class: "any".into(),
         image: "i".into(),
@@ -37,7 +45,7 @@
         gang: true,
         priority: Priority::Normal,
         entitled: true,
-        order: n as i64,
+        order: number as i64,
         kinds: None,
         zone: None,
         one_zone: false,
@@ -52,98 +60,175 @@
     }
 }
 
-/// A task of the lender's: (machine, job, gpus); a job of several is a gang.
-type Task = (usize, u8, u32);
-
-/// Lets each want claim in turn, as a cycle does, against a lender with this
-/// guarantee that already loses `losing` GPUs. Returns what it is left.
-fn claims(guarantee: f64, losing: f64, tasks: &[Task], wants: &[PlacementRequest]) -> (f64, usize) {
-    let machines = tasks.iter().map(|t| t.0).max().map_or(0, |m| m + 1);
-    let mut rows: Vec<MachineRow> = (0..machines)
-        .map(|i| MachineRow {
-            id: format!("m{i}").into(),
-            kind: "k".into(),
-            zone: "z".into(),
-            spot: false,
-            whole: WHOLE,
-            free: WHOLE,
-            available: NOW,
-            last_high: None,
-            cache: ImageCache::default(),
-            fetch_rate: 1.0,
-            aside: false,
-        })
-        .collect();
-    let share = TeamShare {
-        cpus: None,
-        gpus: Some(guarantee),
-        cpus_max: None,
-        gpus_max: None,
-    };
-    let lender = Team::from("lender");
-    let mut account = QuotaUsage::new(&BTreeMap::from([(lender.clone(), share)]));
-    account.hold(&lender, QuotaUnits::of(&amounts(losing)), 1, 1);
-    let mut held = 0.0;
-    let mut all = Vec::new();
-    for (n, &(row, job, gpus)) in tasks.iter().enumerate() {
-        let need = amounts(f64::from(gpus));
-        if !need.fits(&rows[row].free) {
-            continue;
-        }
-        rows[row].free -= need;
-        held += f64::from(gpus);
-        account.hold(&lender, QuotaUnits::of(&need), 1, 0);
-        let of_job = tasks.iter().filter(|t| t.1 == job && t.2 == gpus);
-        all.push(Victim {
-            job: format!("job-{job}-{gpus}").into(),
-            task: n as u32,
-            team: lender.clone(),
+fn empty_machine(number: usize) -> MachineRow {
+    MachineRow {
+        id: format!("m{number}").into(),
+        kind: "k".into(),
+        zone: "z".into(),
+        spot: false,
+        whole: MACHINE,
+        free: MACHINE,
+        available: NOW,
+        last_high: None,
+        cache: ImageCache::default(),
+        fetch_rate: 1.0,
+        aside: false,
+    }
+}
+
+/// A task of the lender's. Tasks with the same job and size are one gang.
+#[derive(Clone, Copy)]
+struct LenderTask {
+    machine: usize,
+    job: u8,
+    gpus: u32,
+}
+
+impl LenderTask {
+    fn is_same_gang(&self, other: &LenderTask) -> bool {
+        (self.job, self.gpus) == (other.job, other.gpus)
+    }
+
+    fn victim(&self, number: usize, gang: bool) -> Victim {
+        Victim {
+            job: format!("job-{}-{}", self.job, self.gpus).into(),
+            task: number as u32,
+            team: lender(),
             class: "any".into(),
             machines: 0.25,
             priority: Priority::Normal,
-            need,
-            gang: of_job.count() > 1,
-            row,
-            cost: f64::from(job),
+            need: amounts(f64::from(self.gpus)),
+            gang,
+            row: self.machine,
+            cost: f64::from(self.job),
             settled: true,
-        });
+        }
+    }
+}
+
+/// Machines on which a lender runs tasks.
+struct Fleet {
+    rows: Vec<MachineRow>,
+    /// The lender's tasks that fit.
+    victims: Vec<Victim>,
+    /// What the lender uses.
+    account: QuotaUsage,
+}
+
+impl Fleet {
+    /// A fleet with the lender's tasks, as far as they fit. The lender has a guaranteed
+    /// quota of `guarantee` GPUs and is losing `losing` GPUs already.
+    fn new(guarantee: f64, losing: f64, tasks: &[LenderTask]) -> Fleet {
+        let machines = tasks.iter().map(|t| t.machine).max().map_or(0, |m| m + 1);
+        let share = TeamShare {
+            cpus: None,
+            gpus: Some(guarantee),
+            cpus_max: None,
+            gpus_max: None,
+        };
+        let mut account = QuotaUsage::new(&BTreeMap::from([(lender(), share)]));
+        account.hold(&lender(), QuotaUnits::of(&amounts(losing)), 1, 1);
+        let mut fleet = Fleet {
+            rows: (0..machines).map(empty_machine).collect(),
+            victims: Vec::new(),
+            account,
+        };
+        for (number, task) in tasks.iter().enumerate() {
+            let gang_size = tasks.iter().filter(|t| t.is_same_gang(task)).count();
+            fleet.run_task(task.victim(number, gang_size > 1));
+        }
+        fleet
+    }
+
+    fn run_task(&mut self, task: Victim) {
+        let free = &mut self.rows[task.row].free;
+        if !task.need.fits(free) {
+            return;
+        }
+        *free -= task.need;
+        self.account
+            .hold(&lender(), QuotaUnits::of(&task.need), 1, 0);
+        self.victims.push(task);
     }
+}
+
+/// What the model comes to.
+#[derive(Debug, PartialEq)]
+struct Reclaimed {
+    /// GPUs that the lender still runs.
+    left: f64,
+    /// Requests that got room.
+    served: usize,
+}
+
+/// Lets each request preempt in turn, as a cycle does, and adds up what is stopped.
+fn reclaim(
+    guarantee: f64,
+    losing: f64,
+    tasks: &[LenderTask],
+    requests: &[PlacementRequest],
+) -> Reclaimed {
+    let mut fleet = Fleet::new(guarantee, losing, tasks);
+    let running: f64 = fleet.victims.iter().map(|v| v.need.gpus).sum();
     let mut bounds = Bounds {
-        account,
+        account: fleet.account,
         floors: Default::default(),
     };
-    let victims = Victims::new(all, rows.len());
-    let mut teams = BTreeMap::from([(lender, TeamUse::default())]);
+    let victims = Victims::new(fleet.victims, fleet.rows.len());
+    let mut teams = BTreeMap::from([(lender(), TeamUse::default())]);
     let estimates = FetchEstimates::new(TimeSpan::secs(1.0));
-    let pace = CycleParameters {
+    let parameters = CycleParameters {
         now: NOW,
         most_skew: TimeSpan::secs(30.0),
     };
-    let mut cycle = SchedulingCycle::new(pace, &mut rows, &mut teams, &estimates);
-    let (mut taken, mut stopped) = (BTreeSet::new(), 0.0);
+    let mut cycle = SchedulingCycle::new(parameters, &mut fleet.rows, &mut teams, &estimates);
+    let mut taken = BTreeSet::new();
+    let mut stopped = 0.0;
     let mut served = 0;
-    for w in wants {
-        let Some(e) = evict(&cycle, w, &victims, &taken, &bounds, 16) else {
+    for request in requests {
+        let found = evict(&cycle, request, &victims, &taken, &bounds, MAX_TASKS);
+        let Some(eviction) = found else {
             continue;
         };
         served += 1;
-        let mut gangs = BTreeSet::new();
-        for &n in &e.victims {
-            let v = &victims[n];
-            stopped += v.need.gpus;
-            cycle.rows[v.row].free += v.need;
-            if !v.gang || gangs.insert(v.job.clone()) {
-                bounds.take(&victims.loss(n, w));
-            }
-        }
-        taken.extend(e.victims);
-        let mut w = w.clone();
-        for row in e.rows {
-            let task = w.tasks.remove(0);
-            cycle.assign(&mut w, task, row);
+        stopped += stop_victims(&mut cycle, &mut bounds, &victims, request, &eviction);
+        start_tasks(&mut cycle, request, &eviction);
+        taken.extend(eviction.victims);
+    }
+    Reclaimed {
+        left: running - stopped,
+        served,
+    }
+}
+
+/// Stops the chosen tasks; returns the GPUs they had. A gang counts once against the
+/// bounds.
+fn stop_victims(
+    cycle: &mut SchedulingCycle<'_>,
+    bounds: &mut Bounds,
+    victims: &Victims,
+    request: &PlacementRequest,
+    eviction: &Eviction,
+) -> f64 {
+    let mut stopped = 0.0;
+    let mut gangs = BTreeSet::new();
+    for &index in &eviction.victims {
+        let victim = &victims[index];
+        stopped += victim.need.gpus;
+        cycle.rows[victim.row].free += victim.need;
+        if !victim.gang || gangs.insert(victim.job.clone()) {
+            bounds.take(&victims.loss(index, request));
         }
     }
-    (held - stopped, served)
+    stopped
+}
+
+fn start_tasks(cycle: &mut SchedulingCycle<'_>, request: &PlacementRequest, eviction: &Eviction) {
+    let mut request = request.clone();
+    for &row in &eviction.rows {
+        let task = request.tasks.remove(0);
+        cycle.assign(&mut request, task, row);
+    }
 }
 
 proptest! {
@@ -152,43 +237,63 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..Default::default()
     })]
     #[test]
-    fn claims_leave_the_lender_its_guarantee(
+    fn reclaim_leaves_guaranteed_quota(
         guarantee in 0u32..40, losing in 0u32..8,
         tasks in proptest::collection::vec((0usize..10, 0u8..6, 1u32..4), 1..40),
         sizes in proptest::collection::vec((1u32..4, 1u32..5), 1..6),
     ) {
-        let wants: Vec<PlacementRequest> = sizes.iter().enumerate()
-            .map(|(n, &(t, g))| want(n, t, f64::from(g))).collect();
-        let (left, served) = claims(f64::from(guarantee), f64::from(losing), &tasks, &wants);
-        let (before, _) = claims(f64::from(guarantee), f64::from(losing), &tasks, &[]);
-        // Nothing at all is taken of a lender that is below it already.
-        prop_assert!(left >= before.min(f64::from(guarantee)), "{left} left, {served} served");
+        let tasks: Vec<LenderTask> = tasks.into_iter()
+            .map(|(machine, job, gpus)| LenderTask { machine, job, gpus }).collect();
+        let requests: Vec<PlacementRequest> = sizes.iter().enumerate()
+            .map(|(number, &(tasks, gpus))| request(number, tasks, f64::from(gpus))).collect();
+        let (guarantee, losing) = (f64::from(guarantee), f64::from(losing));
+
+        let after = reclaim(guarantee, losing, &tasks, &requests);
+
+        // Nothing at all is taken of a lender that is below its guarantee already.
+        let before = reclaim(guarantee, losing, &tasks, &[]);
+        prop_assert!(after.left >= before.left.min(guarantee), "{after:?}");
     }
 }
 
-// Within one cycle the same surplus was once spent by each want anew, by
-// each victim of a want, and a gang counted as one of its tasks.
+/// One task of four GPUs on each of four machines.
+fn four_tasks(job_of: impl Fn(usize) -> u8) -> Vec<LenderTask> {
+    (0..4)
+        .map(|machine| LenderTask {
+            machine,
+            job: job_of(machine),
+            gpus: 4,
+        })
+        .collect()
+}
+
+// Within one cycle the same surplus was once spent by each request anew, by
+// each victim of a request, and a gang counted as one of its tasks.
 #[test]
-fn one_machine_lent_is_taken_back_once() {
-    let singles: Vec<Task> = (0..4).map(|i| (i, i as u8, 4)).collect();
-    let wants = [want(0, 1, 4.0), want(1, 1, 4.0)];
-    assert_eq!(claims(12.0, 0.0, &singles, &wants), (12.0, 1));
-    assert_eq!(claims(13.0, 0.0, &singles, &wants), (16.0, 0));
-    // What is being stopped already is not lent any more.
-    assert_eq!(claims(12.0, 4.0, &singles, &wants[..1]), (12.0, 1));
-    let gang: Vec<Task> = (0..4).map(|i| (i, 1, 4)).collect();
-    assert_eq!(claims(12.0, 0.0, &gang, &wants[..1]), (16.0, 0));
-    assert_eq!(claims(0.0, 0.0, &gang, &wants[..1]), (0.0, 1));
+fn reclaims_surplus_only_once() {
+    let singles = four_tasks(|machine| machine as u8);
+    let gang = four_tasks(|_| 1);
+    let requests = [request(0, 1, 4.0), request(1, 1, 4.0)];
+    let result = |left, served| Reclaimed { left, served };
+    assert_eq!(reclaim(12.0, 0.0, &singles, &requests), result(12.0, 1));
+    assert_eq!(reclaim(13.0, 0.0, &singles, &requests), result(16.0, 0));
+    // What is being stopped already is no surplus any more.
+    assert_eq!(
+        reclaim(12.0, 4.0, &singles, &requests[..1]),
+        result(12.0, 1)
+    );
+    assert_eq!(reclaim(12.0, 0.0, &gang, &requests[..1]), result(16.0, 0));
+    assert_eq!(reclaim(0.0, 0.0, &gang, &requests[..1]), result(0.0, 1));
 }
 
 // The model notices: with the bound switched off the lender loses all four.
 #[test]
-fn claims_without_a_bound_are_caught() {
-    use super::super::failpoints::{SafetyCheck, disable_check};
-    let singles: Vec<Task> = (0..4).map(|i| (i, i as u8, 4)).collect();
-    let wants: Vec<PlacementRequest> = (0..4).map(|n| want(n, 1, 4.0)).collect();
+fn model_detects_unbounded_reclaim() {
+    use crate::core::failpoints::{SafetyCheck, disable_check};
+    let singles = four_tasks(|machine| machine as u8);
+    let requests: Vec<PlacementRequest> = (0..4).map(|n| request(n, 1, 4.0)).collect();
     disable_check(&[SafetyCheck::ClaimsAreBounded]);
-    let (left, _) = claims(12.0, 0.0, &singles, &wants);
+    let after = reclaim(12.0, 0.0, &singles, &requests);
     disable_check(&[]);
-    assert_eq!(left, 0.0);
+    assert_eq!(after.left, 0.0);
 }
