--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -1,4 +1,4 @@
-//! The cycle against a slow plain model that places one task at a time
+//! The cycle against a slow reference model that places one task at a time
 //! and looks at every machine each time.
 
 use super::*;
@@ -7,7 +7,12 @@
 
 const NOW: Time = Time(1_000_000_000);
 
-fn row(i: usize, (zone, spot, gpus, image, high): (u8, bool, u32, u8, u8)) -> MachineRow {
+/// A machine as proptest draws it: zone, whether it is spot capacity, free GPUs, image
+/// in its cache (none from 3 on), and the age of its last high-priority start in units
+/// of 4 s (0: none).
+type DrawnMachine = (u8, bool, u32, u8, u8);
+
+fn machine_row(index: usize, (zone, spot, gpus, image, high): DrawnMachine) -> MachineRow {
     let whole = Resources {
         cpus: 8.0,
         gpus: 4.0,
@@ -18,7 +23,7 @@
         cache.fetched(&format!("i{image}").into(), 10.0, NOW, 100.0);
     }
     MachineRow {
-        id: format!("m{i}").into(),
+        id: format!("m{index}").into(),
         kind: "k".into(),
         zone: format!("z{zone}").into(),
         spot,
@@ -35,15 +40,18 @@
     }
 }
 
-type Drawn = (u8, u8, u8, bool, bool, bool, u32, u32, (bool, bool));
+/// A request as proptest draws it: image, priority, team, whether it is a gang, needs
+/// one zone, may use spot capacity, number of tasks, GPUs of each, and whether it is
+/// entitled and overdue.
+type DrawnRequest = (u8, u8, u8, bool, bool, bool, u32, u32, (bool, bool));
 
-fn want(
-    i: usize,
-    (image, priority, team, gang, one_zone, spot, tasks, gpus, (entitled, overdue)): Drawn,
+fn placement_request(
+    index: usize,
+    (image, priority, team, gang, one_zone, spot, tasks, gpus, (entitled, overdue)): DrawnRequest,
 ) -> PlacementRequest {
     PlacementRequest {
         class: "class".into(),
-        job: format!("wk-{i}").into(),
+        job: format!("wk-{index}").into(),
         team: format!("t{team}").into(),
         image: format!("i{image}").into(),
         image_gb: f64::from(image) * 4.0 + 10.0,
@@ -56,7 +64,7 @@
         gang,
         priority: [Priority::Low, Priority::Normal, Priority::High][priority as usize],
         entitled,
-        order: (i as i64 * 7) % 5,
+        order: (index as i64 * 7) % 5,
         kinds: None,
         zone: None,
         one_zone,
@@ -71,101 +79,134 @@
     }
 }
 
-struct Plain {
+/// Most GPUs of each team.
+const MAX_GPUS: f64 = 10.0;
+
+struct ReferenceModel {
     rows: Vec<MachineRow>,
+    /// GPUs that each team uses.
     used: BTreeMap<Team, f64>,
-    out: Vec<StartDecision>,
+    starts: Vec<StartDecision>,
 }
 
-impl Plain {
-    fn cost(&self, w: &PlacementRequest, r: &MachineRow) -> TimeSpan {
-        r.cache
-            .remaining(&w.image, NOW)
-            .unwrap_or(TimeSpan::secs(w.image_gb))
+impl ReferenceModel {
+    fn cost(&self, request: &PlacementRequest, machine: &MachineRow) -> TimeSpan {
+        machine
+            .cache
+            .remaining(&request.image, NOW)
+            .unwrap_or(TimeSpan::secs(request.image_gb))
     }
 
-    fn holders(&self, w: &PlacementRequest) -> usize {
+    fn holders(&self, request: &PlacementRequest) -> usize {
         self.rows
             .iter()
-            .filter(|r| r.cache.remaining(&w.image, NOW).is_some())
+            .filter(|machine| machine.cache.remaining(&request.image, NOW).is_some())
             .count()
     }
 
-    fn reach(&self, w: &PlacementRequest, r: &MachineRow, pass: &str) -> bool {
-        let holds = r.cache.remaining(&w.image, NOW).is_some();
-        let quiet = r
+    fn is_in_scope(
+        &self,
+        request: &PlacementRequest,
+        machine: &MachineRow,
+        scope: PlacementScope,
+    ) -> bool {
+        let holds = machine.cache.remaining(&request.image, NOW).is_some();
+        let is_quiet = machine
             .last_high
-            .is_none_or(|t| NOW.since(t).as_secs() * 2.0 > self.cost(w, r).as_secs());
-        match pass {
-            "warm" => self.cost(w, r) <= TimeSpan::secs(3.0),
-            "holders" => holds,
-            "gated" => holds || w.overdue || quiet,
-            _ => true,
+            .is_none_or(|t| NOW.since(t).as_secs() * 2.0 > self.cost(request, machine).as_secs());
+        match scope {
+            PlacementScope::Warm => self.cost(request, machine) <= TimeSpan::secs(3.0),
+            PlacementScope::Holders => holds,
+            PlacementScope::Gated => holds || request.overdue || is_quiet,
+            PlacementScope::Any => true,
         }
     }
 
     /// The one best machine for one more task.
-    fn best(&self, w: &PlacementRequest, pass: &str, zone: Option<&Zone>) -> Option<usize> {
-        let fits = |r: &MachineRow| {
-            w.need.fits(&r.free) && (w.spot || !r.spot) && zone.is_none_or(|z| *z == r.zone)
+    fn best(
+        &self,
+        request: &PlacementRequest,
+        scope: PlacementScope,
+        zone: Option<&Zone>,
+    ) -> Option<usize> {
+        let fits = |machine: &MachineRow| {
+            request.need.fits(&machine.free)
+                && (request.spot || !machine.spot)
+                && zone.is_none_or(|z| *z == machine.zone)
         };
         (0..self.rows.len())
-            .filter(|&i| fits(&self.rows[i]) && self.reach(w, &self.rows[i], pass))
+            .filter(|&i| fits(&self.rows[i]) && self.is_in_scope(request, &self.rows[i], scope))
             .min_by_key(|&i| {
-                let r = &self.rows[i];
-                let left = (r.free - w.need).share_of(&r.whole);
-                (self.cost(w, r), (left * 1000.0) as i64, !r.spot, i)
+                let machine = &self.rows[i];
+                let left = (machine.free - request.need).share_of(&machine.whole);
+                (
+                    self.cost(request, machine),
+                    (left * 1000.0) as i64,
+                    !machine.spot,
+                    i,
+                )
             })
     }
 
     /// Places tasks one at a time; returns how many and the worst fetch.
-    fn fill(&mut self, w: &PlacementRequest, pass: &str, zone: Option<&Zone>) -> (usize, TimeSpan) {
+    fn fill(
+        &mut self,
+        request: &PlacementRequest,
+        scope: PlacementScope,
+        zone: Option<&Zone>,
+    ) -> (usize, TimeSpan) {
         let mut worst = TimeSpan::ZERO;
         let mut first = None;
-        for (n, &task) in w.tasks.iter().enumerate() {
-            if self.used[&w.team] + w.need.gpus > 10.0 + 1e-6 {
+        for (n, &task) in request.tasks.iter().enumerate() {
+            if self.used[&request.team] + request.need.gpus > MAX_GPUS + 1e-6 {
                 return (n, worst);
             }
-            let Some(row) = self.best(w, pass, zone) else {
+            let Some(row) = self.best(request, scope, zone) else {
                 return (n, worst);
             };
-            let cost = self.cost(w, &self.rows[row]);
-            if w.gang && cost > *first.get_or_insert(cost) + TimeSpan::secs(20.0) {
+            let cost = self.cost(request, &self.rows[row]);
+            if request.gang && cost > *first.get_or_insert(cost) + TimeSpan::secs(20.0) {
                 return (n, worst);
             }
             worst = worst.max(cost);
-            let r = &mut self.rows[row];
-            r.free -= w.need;
-            r.cache.used(&w.image, w.image_gb, NOW, cost);
-            if w.is_high() {
-                r.last_high = Some(NOW);
+            let machine = &mut self.rows[row];
+            machine.free -= request.need;
+            machine
+                .cache
+                .used(&request.image, request.image_gb, NOW, cost);
+            if request.is_high() {
+                machine.last_high = Some(NOW);
             }
-            *self.used.get_mut(&w.team).unwrap() += w.need.gpus;
-            self.out.push(StartDecision {
-                job: w.job.clone(),
+            *self.used.get_mut(&request.team).unwrap() += request.need.gpus;
+            self.starts.push(StartDecision {
+                job: request.job.clone(),
                 task,
                 row,
             });
         }
-        (w.tasks.len(), worst)
+        (request.tasks.len(), worst)
     }
 
-    fn place(&mut self, w: &mut PlacementRequest, pass: &str) {
-        let zones: Vec<Option<Zone>> = match w.in_zones.keys().next() {
-            _ if !w.one_zone => vec![None],
+    fn place(&mut self, request: &mut PlacementRequest, scope: PlacementScope) {
+        let zones: Vec<Option<Zone>> = match request.in_zones.keys().next() {
+            _ if !request.one_zone => vec![None],
             Some(z) => vec![Some(z.clone())],
             None => {
-                let all: BTreeSet<Zone> = self.rows.iter().map(|r| r.zone.clone()).collect();
+                let all: BTreeSet<Zone> = self
+                    .rows
+                    .iter()
+                    .map(|machine| machine.zone.clone())
+                    .collect();
                 all.into_iter().map(Some).collect()
             }
         };
         let mut best: Option<(usize, TimeSpan, Option<Zone>)> = None;
         for zone in zones {
-            let before = (self.rows.clone(), self.used.clone(), self.out.len());
-            let (n, worst) = self.fill(w, pass, zone.as_ref());
+            let before = (self.rows.clone(), self.used.clone(), self.starts.len());
+            let (n, worst) = self.fill(request, scope, zone.as_ref());
             (self.rows, self.used) = (before.0, before.1);
-            self.out.truncate(before.2);
-            let enough = n > 0 && (!w.gang || n == w.tasks.len());
+            self.starts.truncate(before.2);
+            let enough = n > 0 && (!request.gang || n == request.tasks.len());
             let better = best
                 .as_ref()
                 .is_none_or(|b| n > b.0 || (n == b.0 && worst < b.1));
@@ -174,29 +215,38 @@
             }
         }
         if let Some((n, _, zone)) = best {
-            self.fill(w, pass, zone.as_ref());
-            w.tasks.drain(..n);
+            self.fill(request, scope, zone.as_ref());
+            request.tasks.drain(..n);
             if let Some(z) = zone {
-                w.in_zones.insert(z, n as u32);
+                request.in_zones.insert(z, n as u32);
             }
         }
     }
 
-    fn run(&mut self, wants: &mut [PlacementRequest]) {
-        wants.sort_by_key(|w| {
+    fn run(&mut self, requests: &mut [PlacementRequest]) {
+        requests.sort_by_key(|request| {
             (
-                std::cmp::Reverse(w.priority),
-                !w.entitled,
-                w.order,
-                w.job.clone(),
+                std::cmp::Reverse(request.priority),
+                !request.entitled,
+                request.order,
+                request.job.clone(),
             )
         });
-        for pass in ["warm", "any"] {
-            let high = || wants.iter().enumerate().filter(|(_, w)| w.is_high());
+        for scope in [PlacementScope::Warm, PlacementScope::Any] {
+            let high = || {
+                requests
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, request)| request.is_high())
+            };
             let mut images: Vec<(bool, TimeSpan, i64, usize)> = Vec::new();
-            for (i, w) in high() {
-                if high().find(|(_, o)| o.image == w.image).map(|(j, _)| j) == Some(i) {
-                    let cold = self.holders(w) == 0;
+            for (i, request) in high() {
+                if high()
+                    .find(|(_, o)| o.image == request.image)
+                    .map(|(j, _)| j)
+                    == Some(i)
+                {
+                    let cold = self.holders(request) == 0;
                     // Of an unknown image the cost is taken as the design
                     // says: nothing is known, so 30 s.
                     let cost = if cold {
@@ -204,28 +254,41 @@
                     } else {
                         TimeSpan::ZERO
                     };
-                    images.push((cold, cost, w.order, i));
+                    images.push((cold, cost, request.order, i));
                 }
             }
-            images
-                .sort_by_key(|&(cold, cost, order, i)| (cold, cost, order, wants[i].image.clone()));
+            images.sort_by_key(|&(cold, cost, order, i)| {
+                (cold, cost, order, requests[i].image.clone())
+            });
             for (_, _, _, first) in images {
-                let image = wants[first].image.clone();
-                for w in wants.iter_mut().filter(|w| w.is_high() && w.image == image) {
-                    self.place(w, pass);
+                let image = requests[first].image.clone();
+                for request in requests
+                    .iter_mut()
+                    .filter(|request| request.is_high() && request.image == image)
+                {
+                    self.place(request, scope);
                 }
             }
         }
-        for level in [Priority::Normal, Priority::Low] {
-            for w in wants.iter_mut().filter(|w| w.priority == level) {
-                self.place(w, "holders");
+        for priority in [Priority::Normal, Priority::Low] {
+            for request in requests
+                .iter_mut()
+                .filter(|request| request.priority == priority)
+            {
+                self.place(request, PlacementScope::Holders);
             }
-            let mut order: Vec<usize> = (0..wants.len())
-                .filter(|&i| wants[i].priority == level)
+            let mut order: Vec<usize> = (0..requests.len())
+                .filter(|&i| requests[i].priority == priority)
                 .collect();
-            order.sort_by_key(|&i| (!wants[i].entitled, self.holders(&wants[i]), wants[i].order));
+            order.sort_by_key(|&i| {
+                (
+                    !requests[i].entitled,
+                    self.holders(&requests[i]),
+                    requests[i].order,
+                )
+            });
             for i in order {
-                self.place(&mut wants[i], "gated");
+                self.place(&mut requests[i], PlacementScope::Gated);
             }
         }
     }
@@ -237,33 +300,33 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..Default::default()
     })]
     #[test]
-    fn the_cycle_places_as_the_plain_model_does(
+    fn places_like_reference_model(
         rows in proptest::collection::vec((0u8..2, any::<bool>(), 0u32..5, 0u8..5, 0u8..4), 1..7),
-        wants in proptest::collection::vec(
+        requests in proptest::collection::vec(
             (0u8..3, 0u8..3, 0u8..2, any::<bool>(), any::<bool>(), any::<bool>(), 1u32..6, 1u32..5, any::<(bool, bool)>()), 1..7),
     ) {
-        let rows: Vec<MachineRow> = rows.into_iter().enumerate().map(|(i, r)| row(i, r)).collect();
-        let mut wants: Vec<PlacementRequest> = wants.into_iter().enumerate().map(|(i, w)| want(i, w)).collect();
-        let share = TeamShare { gpus_max: Some(10.0), ..Default::default() };
+        let rows: Vec<MachineRow> = rows.into_iter().enumerate().map(|(i, drawn)| machine_row(i, drawn)).collect();
+        let mut requests: Vec<PlacementRequest> = requests.into_iter().enumerate().map(|(i, drawn)| placement_request(i, drawn)).collect();
+        let share = TeamShare { gpus_max: Some(MAX_GPUS), ..Default::default() };
         let names: [Team; 2] = ["t0".into(), "t1".into()];
-        let mut plain = Plain {
-            rows: rows.clone(), used: names.iter().map(|t| (t.clone(), 0.0)).collect(), out: Vec::new(),
+        let mut model = ReferenceModel {
+            rows: rows.clone(), used: names.iter().map(|t| (t.clone(), 0.0)).collect(), starts: Vec::new(),
         };
-        plain.run(&mut wants.clone());
+        model.run(&mut requests.clone());
         let mut teams = names.iter().map(|t| (t.clone(), TeamUse { used: Resources::default(), share })).collect();
         let mut left = rows.clone();
         let estimates = FetchEstimates::new(TimeSpan::secs(30.0));
-        let pace = CycleParameters { now: NOW, most_skew: TimeSpan::secs(20.0) };
-        let mut cycle = SchedulingCycle::new(pace, &mut left, &mut teams, &estimates);
-        cycle.run(&mut wants);
+        let parameters = CycleParameters { now: NOW, most_skew: TimeSpan::secs(20.0) };
+        let mut cycle = SchedulingCycle::new(parameters, &mut left, &mut teams, &estimates);
+        cycle.run(&mut requests);
         let starts = cycle.starts;
-        prop_assert_eq!(&starts, &plain.out);
-        for (r, before) in left.iter().zip(&rows) {
-            prop_assert!(r.free.gpus >= -1e-9 && r.free.gpus <= before.free.gpus);
+        prop_assert_eq!(&starts, &model.starts);
+        for (machine, before) in left.iter().zip(&rows) {
+            prop_assert!(machine.free.gpus >= -1e-9 && machine.free.gpus <= before.free.gpus);
         }
-        for w in wants.iter().filter(|w| w.gang) {
-            let placed = starts.iter().filter(|s| s.job == w.job).count();
-            prop_assert!(placed == 0 || w.tasks.is_empty(), "part of a gang was placed");
+        for request in requests.iter().filter(|request| request.gang) {
+            let placed = starts.iter().filter(|s| s.job == request.job).count();
+            prop_assert!(placed == 0 || request.tasks.is_empty(), "part of a gang was placed");
         }
     }
 }
