--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -33,8 +33,8 @@
     format!("image-{n:02}").into()
 }
 
-/// Machines, of which about one in `busy` has room.
-fn rows(rng: &mut StdRng, busy: usize) -> Vec<MachineRow> {
+/// Machines, of which one in `machines_per_free_one` has room.
+fn rows(rng: &mut StdRng, machines_per_free_one: usize) -> Vec<MachineRow> {
     let whole = amounts(48.0, 8.0, 288.0);
     (0..MACHINES)
         .map(|i| {
@@ -42,7 +42,11 @@
             for _ in 0..6 {
                 cache.fetched(&image(rng.random_range(0..24)), 6.0, NOW, 150.0);
             }
-            let gpus = if i % busy == 0 { 8.0 } else { 0.0 };
+            let gpus = if i % machines_per_free_one == 0 {
+                8.0
+            } else {
+                0.0
+            };
             MachineRow {
                 id: format!("host-{i:06}").into(),
                 kind: "box".into(),
@@ -60,7 +64,7 @@
         .collect()
 }
 
-fn wants(rng: &mut StdRng) -> Vec<PlacementRequest> {
+fn requests(rng: &mut StdRng) -> Vec<PlacementRequest> {
     (0..WAITING_JOBS)
         .map(|i| {
             let gang = i % 3 != 0;
@@ -134,7 +138,7 @@
 }
 
 fn main() {
-    let pace = CycleParameters {
+    let parameters = CycleParameters {
         now: NOW,
         most_skew: TimeSpan::secs(30.0),
     };
@@ -145,17 +149,18 @@
         BTreeMap::from([("team".into(), TeamUse { used, share })])
     };
     println!("{MACHINES} machines, {WAITING_JOBS} waiting jobs");
-    for (name, busy) in [
+    for (name, machines_per_free_one) in [
         ("a cycle, every machine free", 1),
         ("a cycle, one in 100 free", 100),
     ] {
         let mut rng = StdRng::seed_from_u64(1);
         let mut times = histogram();
         for _ in 0..ROUNDS {
-            let (mut rows, mut wants) = (rows(&mut rng, busy), wants(&mut rng));
+            let (mut rows, mut requests) =
+                (rows(&mut rng, machines_per_free_one), requests(&mut rng));
             let mut teams = teams();
             let start = Instant::now();
-            SchedulingCycle::new(pace, &mut rows, &mut teams, &estimates).run(&mut wants);
+            SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates).run(&mut requests);
             times.saturating_record(start.elapsed().as_micros() as u64);
         }
         report(name, &times);
@@ -163,16 +168,17 @@
     let mut rng = StdRng::seed_from_u64(2);
     let mut times = histogram();
     for _ in 0..ROUNDS {
-        let (mut rows, wants) = (rows(&mut rng, 100), wants(&mut rng));
+        let (mut rows, requests) = (rows(&mut rng, 100), requests(&mut rng));
         let found = victims(&rows);
         let mut teams = teams();
         let start = Instant::now();
         let victims = Victims::new(found, rows.len());
-        let cycle = SchedulingCycle::new(pace, &mut rows, &mut teams, &estimates);
+        let cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
         let bounds = Bounds::default();
-        let gangs = wants.iter().filter(|w| w.gang).take(16);
-        let room =
-            gangs.filter(|w| evict(&cycle, w, &victims, &BTreeSet::new(), &bounds, 16).is_some());
+        let gangs = requests.iter().filter(|request| request.gang).take(16);
+        let room = gangs.filter(|request| {
+            evict(&cycle, request, &victims, &BTreeSet::new(), &bounds, 16).is_some()
+        });
         std::hint::black_box(room.count());
         times.saturating_record(start.elapsed().as_micros() as u64);
     }
