--- a/crates/controller/src/core/assignment/tests.rs
+++ b/crates/controller/src/core/assignment/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn place(phase: AssignmentPhase) -> Assignment {
+fn assignment_in(phase: AssignmentPhase) -> Assignment {
     Assignment {
         phase,
         ..Assignment::inherited("m".into(), AgentEpoch(2), Attempt(1))
     }
 }
 
-fn verdict(phase: AssignmentPhase, epoch: u64, sequence: u64, token: u64) -> PresenceProof {
-    place(phase).check_presence(
+fn check_unlisted(phase: AssignmentPhase, epoch: u64, sequence: u64, token: u64) -> PresenceProof {
+    assignment_in(phase).check_presence(
         AgentEpoch(epoch),
         HeartbeatSequence(sequence),
         FencingToken(token),
@@ -20,27 +20,30 @@
 // A report proves absence only under the conditions named at `check_presence`;
 // each line here is a way to run a task twice if it were weakened.
 #[test]
-fn absence_needs_proof() {
+fn absence_needs_newer_epoch_or_our_token() {
     use AssignmentPhase::*;
     use PresenceProof::*;
     assert_eq!(
-        verdict(Inherited, 2, 9, 6),
+        check_unlisted(Inherited, 2, 9, 6),
         Present,
         "an older leader's start may be on its way"
     );
-    assert_eq!(verdict(Inherited, 2, 9, 7), Absent);
+    assert_eq!(check_unlisted(Inherited, 2, 9, 7), Absent);
     assert_eq!(
-        verdict(Inherited, 3, 1, 6),
+        check_unlisted(Inherited, 3, 1, 6),
         Absent,
         "a new session has forgotten everything"
     );
-    assert_eq!(verdict(Unsent, 2, 9, 7), Present);
+    assert_eq!(check_unlisted(Unsent, 2, 9, 7), Present);
     assert_eq!(
-        verdict(Sent(HeartbeatSequence(9)), 2, 9, 7),
+        check_unlisted(Sent(HeartbeatSequence(9)), 2, 9, 7),
         Present,
         "this report was made before the answer"
     );
-    assert_eq!(verdict(Sent(HeartbeatSequence(9)), 2, 10, 7), Undelivered);
-    assert_eq!(verdict(Seen(TaskState::Running), 2, 10, 7), Absent);
-    assert_eq!(verdict(Seen(TaskState::Running), 2, 10, 6), Present);
+    assert_eq!(
+        check_unlisted(Sent(HeartbeatSequence(9)), 2, 10, 7),
+        Undelivered
+    );
+    assert_eq!(check_unlisted(Seen(TaskState::Running), 2, 10, 7), Absent);
+    assert_eq!(check_unlisted(Seen(TaskState::Running), 2, 10, 6), Present);
 }
--- a/crates/controller/src/core/job_records/chunk_size/tests.rs
+++ b/crates/controller/src/core/job_records/chunk_size/tests.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 #[test]
-fn a_full_chunk_fits_into_a_value() {
+fn full_chunk_fits_into_one_value() {
     for bytes in [1024, 2048, 8192] {
         let size = ChunkSize::for_value(bytes);
         let spec = testing::submission("wk-1", JobShape::Array, 100_000);
--- a/crates/controller/src/core/job_records/index_ranges/tests.rs
+++ b/crates/controller/src/core/job_records/index_ranges/tests.rs
@@ -8,7 +8,7 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..Default::default()
     })]
     #[test]
-    fn ranges_are_a_set(steps in proptest::collection::vec((any::<bool>(), 0u32..40), 0..120),
+    fn behaves_like_a_plain_set(steps in proptest::collection::vec((any::<bool>(), 0u32..40), 0..120),
         low in 0u32..40, size in 0u32..20) {
         let mut plain = BTreeSet::new();
         let mut ranges = IndexRanges::default();
--- a/crates/controller/src/core/job_records/submission/tests.rs
+++ b/crates/controller/src/core/job_records/submission/tests.rs
@@ -5,7 +5,7 @@
 use crate::wire::users::JobShape;
 
 #[test]
-fn a_long_submission_is_stored_in_pieces_and_read_back() {
+fn splits_long_submission_and_reads_it_back() {
     let limits = TransactionLimits {
         ops: 48,
         value_bytes: 2048,
@@ -13,7 +13,7 @@
     let mut spec = testing::submission("wk-1", JobShape::Array, 3);
     spec.kinds = Some((0..300).map(|i| format!("kind-\"{i}\"").into()).collect());
     let txn = accept_txn(&spec, WallTime(5), limits).unwrap();
-    let mut assembly = SubmissionAssembler::default();
+    let mut assembler = SubmissionAssembler::default();
     let mut first = None;
     for op in &txn.ops {
         let Operation::Put { key, value, .. } = op else {
@@ -22,12 +22,12 @@
         assert!(json_len(value) <= 2048, "{}", json_len(value));
         match watched(key) {
             Watched::Job(id) => first = Some((id, value.clone())),
-            Watched::Part(id, n) => assembly.part(id, n, value),
+            Watched::Part(id, n) => assembler.part(id, n, value),
             _ => assert_eq!(key, "job/wk-1"),
         }
     }
     let (id, v) = first.unwrap();
-    let job = assembly.job(&id, Version(9), &v).unwrap();
+    let job = assembler.job(&id, Version(9), &v).unwrap();
     assert_eq!((*job.spec).clone(), spec);
     assert_eq!(job.at, WallTime(5));
 }
--- a/crates/controller/src/core/placement_tables/image_cache/tests.rs
+++ b/crates/controller/src/core/placement_tables/image_cache/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 #[test]
-fn the_least_recently_used_image_goes_first() {
-    let mut c = ImageCache::default();
+fn drops_least_recently_used_image_first() {
+    let mut cache = ImageCache::default();
     let image = |n: u32| Image::from(format!("i{n}"));
     for n in 0..3 {
-        c.fetched(&image(n), 10.0, Time(u64::from(n)), 30.0);
+        cache.fetched(&image(n), 10.0, Time(u64::from(n)), 30.0);
     }
-    c.used(&image(0), 10.0, Time(10), TimeSpan::ZERO);
-    c.fetched(&image(3), 10.0, Time(11), 30.0);
-    let mut left: Vec<_> = c.images().map(|(i, _)| i.to_string()).collect();
+    cache.used(&image(0), 10.0, Time(10), TimeSpan::ZERO);
+    cache.fetched(&image(3), 10.0, Time(11), 30.0);
+    let mut left: Vec<_> = cache.images().map(|(i, _)| i.to_string()).collect();
     left.sort();
     assert_eq!(left, ["i0", "i2", "i3"]);
 }
@@ -17,12 +17,18 @@
 // A fetch that took longer than expected once counted as over: work was
 // sent there as if the image were there, and its arrival was never noted.
 #[test]
-fn an_overdue_fetch_is_not_over() {
-    let mut c = ImageCache::default();
+fn overdue_fetch_still_counts_as_in_progress() {
+    let mut cache = ImageCache::default();
     let a = Image::from("a");
-    c.used(&a, 6.0, Time(0), TimeSpan::secs(10.0));
-    assert_eq!(c.remaining(&a, Time(4_000_000)), Some(TimeSpan::secs(6.0)));
-    assert_eq!(c.remaining(&a, Time(60_000_000)), Some(TimeSpan::secs(1.0)));
-    c.fetched(&a, 6.0, Time(61_000_000), 40.0);
-    assert_eq!(c.remaining(&a, Time(62_000_000)), Some(TimeSpan::ZERO));
+    cache.used(&a, 6.0, Time(0), TimeSpan::secs(10.0));
+    assert_eq!(
+        cache.remaining(&a, Time(4_000_000)),
+        Some(TimeSpan::secs(6.0))
+    );
+    assert_eq!(
+        cache.remaining(&a, Time(60_000_000)),
+        Some(TimeSpan::secs(1.0))
+    );
+    cache.fetched(&a, 6.0, Time(61_000_000), 40.0);
+    assert_eq!(cache.remaining(&a, Time(62_000_000)), Some(TimeSpan::ZERO));
 }
--- a/crates/controller/src/core/quota/arrival_history/tests.rs
+++ b/crates/controller/src/core/quota/arrival_history/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 fn full() -> ArrivalHistory {
-    let mut m = ArrivalHistory::new(TimeSpan::secs(600.0));
+    let mut history = ArrivalHistory::new(TimeSpan::secs(600.0));
     for i in 0..200u64 {
         let class = ["urgent", "low"][i as usize % 2].into();
-        m.note(
+        history.note(
             WallTime(1_000_000 + i * 3_000),
             &class,
             &"red".into(),
@@ -12,7 +12,7 @@
             30.0,
         );
     }
-    m
+    history
 }
 
 fn sum(all: &[MissingArrival]) -> f64 {
@@ -22,7 +22,7 @@
 // A successor knew of the open jobs only: a class whose work was being done
 // looked as if nothing had come for it.
 #[test]
-fn a_successor_knows_what_came_and_is_over_and_counts_nothing_twice() {
+fn successor_restores_ended_arrivals_without_double_counting() {
     let now = WallTime(1_600_000);
     let stored = full().store(now, 8192);
     let mut successor = ArrivalHistory::new(TimeSpan::secs(600.0));
@@ -44,12 +44,12 @@
 }
 
 #[test]
-fn it_fits_and_a_damaged_one_is_none() {
-    let mut m = full();
+fn stored_history_fits_limit_and_rejects_damage() {
+    let mut history = full();
     for i in 0..40 {
         let team = format!("team-with-a-long-name-{i}").as_str().into();
         for k in 0..20u64 {
-            m.note(
+            history.note(
                 WallTime(1_000_000 + k * 30_000),
                 &"low".into(),
                 &team,
@@ -58,8 +58,14 @@
             );
         }
     }
-    let stored = m.store(WallTime(1_600_000), 8192);
+    let stored = history.store(WallTime(1_600_000), 8192);
     assert!(stored.to_string().len() <= 8192);
-    assert!(!m.missing(&stored).unwrap().iter().any(|m| m.machines > 0.1));
-    assert_eq!(m.missing(&serde_json::json!({"t": 1})), None);
+    assert!(
+        !history
+            .missing(&stored)
+            .unwrap()
+            .iter()
+            .any(|m| m.machines > 0.1)
+    );
+    assert_eq!(history.missing(&serde_json::json!({"t": 1})), None);
 }
