--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -59,9 +59,9 @@
     /// Strike it out, likewise.
     Strike(Key),
     /// Write down the highest token seen, likewise.
-    FencingToken(FencingToken),
+    Token(FencingToken),
     /// Write down the session, likewise.
-    AgentEpoch(AgentEpoch),
+    Epoch(AgentEpoch),
     /// Fetch a job's description.
     Describe(String),
     /// Fetch an image for an attempt.
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -123,8 +123,8 @@
                 let change = match e {
                     Effect::Record(k, r) => Some(Change::Attempt(k, r)),
                     Effect::Strike(k) => Some(Change::Strike(k)),
-                    Effect::FencingToken(t) => Some(Change::FencingToken(t)),
-                    Effect::AgentEpoch(s) => Some(Change::AgentEpoch(s)),
+                    Effect::Token(t) => Some(Change::Token(t)),
+                    Effect::Epoch(s) => Some(Change::Epoch(s)),
                     other => {
                         self.journal.write(&std::mem::take(&mut batch))?;
                         self.act(other)?;
@@ -169,8 +169,8 @@
             }
             Effect::Record(..)
             | Effect::Strike(_)
-            | Effect::FencingToken(_)
-            | Effect::AgentEpoch(_) => {}
+            | Effect::Token(_)
+            | Effect::Epoch(_) => {}
         }
         Ok(())
     }
@@ -631,7 +631,7 @@
         (None, _) => (AgentEpoch(1), begun),
     };
     let lasts = lasts.is_some() && kept.epoch.is_some();
-    let mut changes = vec![Change::AgentEpoch(epoch)];
+    let mut changes = vec![Change::Epoch(epoch)];
     if !lasts {
         changes.extend(kept.attempts.iter().map(|(k, _)| Change::Strike(k.clone())));
     }
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A new session.
-    AgentEpoch(AgentEpoch),
+    Epoch(AgentEpoch),
     /// A higher token was seen.
-    FencingToken(FencingToken),
+    Token(FencingToken),
     /// What an attempt is now.
     Attempt(Key, Record),
     /// It is forgotten.
@@ -138,10 +138,10 @@
             let mut attempts = t.open_table(ATTEMPTS)?;
             for c in changes {
                 match c {
-                    Change::AgentEpoch(s) => {
+                    Change::Epoch(s) => {
                         numbers.insert("session", s.0)?;
                     }
-                    Change::FencingToken(t) => {
+                    Change::Token(t) => {
                         numbers.insert("token", t.0)?;
                     }
                     Change::Attempt(k, r) => {
--- a/crates/agent/src/worker.rs
+++ b/crates/agent/src/worker.rs
@@ -157,7 +157,7 @@
         // A higher token is on disk before anything is done in its name: started
         // again, the machine must not obey whoever held the one before.
         if self.link.token() > before {
-            self.before.push(Effect::FencingToken(self.link.token()));
+            self.before.push(Effect::Token(self.link.token()));
         }
         for c in commands {
             self.attempts.command(now, c);
@@ -167,7 +167,7 @@
     /// Lets time pass.
     pub fn advance(&mut self, now: Time) {
         if self.link.renewed(now) {
-            self.before.push(Effect::AgentEpoch(self.link.epoch()));
+            self.before.push(Effect::Epoch(self.link.epoch()));
             self.attempts.lease_over();
         }
         self.attempts.advance(now);
--- a/crates/agent/tests/journal.rs
+++ b/crates/agent/tests/journal.rs
@@ -23,10 +23,10 @@
 
 /// A fixed run: each attempt is begun, ends, and the one before is struck out.
 fn changes() -> Vec<Vec<Change>> {
-    let mut all = vec![vec![Change::AgentEpoch(AgentEpoch(1))]];
+    let mut all = vec![vec![Change::Epoch(AgentEpoch(1))]];
     for n in 1..=8 {
         all.push(vec![
-            Change::FencingToken(FencingToken(n)),
+            Change::Token(FencingToken(n)),
             Change::Attempt(key(n), record(TaskState::Running, None)),
         ]);
         all.push(vec![Change::Attempt(
@@ -37,7 +37,7 @@
             all.push(vec![Change::Strike(key(n - 1))]);
         }
     }
-    all.push(vec![Change::AgentEpoch(AgentEpoch(2))]);
+    all.push(vec![Change::Epoch(AgentEpoch(2))]);
     all
 }
 
@@ -46,8 +46,8 @@
     let mut kept = Kept::default();
     for c in all.iter().flatten() {
         match c {
-            Change::AgentEpoch(s) => kept.epoch = Some(*s),
-            Change::FencingToken(t) => kept.token = *t,
+            Change::Epoch(s) => kept.epoch = Some(*s),
+            Change::Token(t) => kept.token = *t,
             Change::Attempt(k, r) => {
                 kept.attempts.retain(|(o, _)| o != k);
                 kept.attempts.push((k.clone(), *r));
