--- a/crates/controller/src/core/autoscaler/intents/provisions.rs
+++ b/crates/controller/src/core/autoscaler/intents/provisions.rs
@@ -1,4 +1,5 @@
-//! The part of [`Intents`] that provisions machines.
+//! The part of [`Intents`] that provisions machines: from the decision until all machines
+//! of the answer were seen. Requests nothing itself.
 
 use super::records::{IntentKey, ProvisionRecord, to_value};
 use super::{CapacityPool, Intents};
@@ -38,6 +39,7 @@
     },
 }
 
+/// The intent to provision machines.
 #[derive(Clone, Debug)]
 pub(super) struct ProvisionIntent {
     pub(super) request: ProvisionRequest,
@@ -66,6 +68,8 @@
 }
 
 impl Intents {
+    /// Takes over an earlier leader's intent to provision, which it may have requested;
+    /// one that is stale is deleted instead.
     pub(super) fn load_provision(&mut self, key: &str, name: &str, stored: &Value, wall: WallTime) {
         let Ok(record) = ProvisionRecord::deserialize(stored) else {
             return;
--- a/crates/controller/src/core/autoscaler/intents/terminations.rs
+++ b/crates/controller/src/core/autoscaler/intents/terminations.rs
@@ -1,4 +1,5 @@
-//! The part of [`Intents`] that terminates machines.
+//! The part of [`Intents`] that terminates machines: from the decision until nothing can
+//! contradict that they are gone. Requests nothing itself.
 
 use super::Intents;
 use super::records::{IntentKey, TerminationRecord, to_value};
@@ -27,6 +28,7 @@
 /// Bytes of a machine in a termination record besides its name.
 const MACHINE_FRAMING_BYTES: usize = 4;
 
+/// The intent to terminate machines.
 #[derive(Clone, Debug)]
 pub(super) struct TerminationIntent {
     pub(super) machines: Vec<MachineId>,
@@ -37,6 +39,8 @@
 }
 
 impl Intents {
+    /// Takes over an earlier leader's intent to terminate, which it may have requested.
+    /// Returns its machines.
     pub(super) fn load_termination(&mut self, name: &str, stored: &Value) -> Vec<MachineId> {
         let Ok(record) = TerminationRecord::deserialize(stored) else {
             return Vec::new();
--- a/crates/controller/src/core/job_records/job_writes.rs
+++ b/crates/controller/src/core/job_records/job_writes.rs
@@ -18,8 +18,8 @@
 use serde_json::Value;
 
 impl Job {
-    /// The record of a chunk as it should be stored in this format version.
-    pub fn chunk_value(&self, size: ChunkSize, chunk: u32, level: FormatVersion) -> Value {
+    /// The record of a chunk as it should be stored in the format version `format`.
+    pub fn chunk_value(&self, size: ChunkSize, chunk: u32, format: FormatVersion) -> Value {
         let tasks = size.tasks_of(chunk);
         let assignments = self
             .assignments
@@ -31,7 +31,7 @@
             assignments: assignments.collect(),
             stops: self.stopping(tasks.clone()).within(tasks.start, tasks.end),
         };
-        progress.write(level)
+        progress.write(format)
     }
 
     /// Those of these tasks that are being stopped.
@@ -48,8 +48,8 @@
     }
 
     /// Stores a chunk, as [`Job::write_chunk`] does.
-    pub fn chunk_write(&self, size: ChunkSize, chunk: u32, level: FormatVersion) -> Write {
-        self.write_chunk(size, chunk, level).into()
+    pub fn chunk_write(&self, size: ChunkSize, chunk: u32, format: FormatVersion) -> Write {
+        self.write_chunk(size, chunk, format).into()
     }
 
     /// Stores a chunk.
@@ -57,7 +57,7 @@
         &self,
         size: ChunkSize,
         chunk: u32,
-        level: FormatVersion,
+        format: FormatVersion,
     ) -> ConditionalWrite {
         let key = chunk_key(&self.spec.id, chunk);
         let mut preconditions = Vec::new();
@@ -73,7 +73,7 @@
         if self.starts_in(size, chunk) && failpoints::enforced(SafetyCheck::StartsNeedAnOpenJob) {
             preconditions.push(self.header_is_unchanged());
         }
-        let value = self.chunk_value(size, chunk, level);
+        let value = self.chunk_value(size, chunk, format);
         ConditionalWrite {
             preconditions,
             operations: vec![put(key, value)],
--- a/crates/controller/src/core/job_records/submission.rs
+++ b/crates/controller/src/core/job_records/submission.rs
@@ -120,8 +120,8 @@
 /// The transaction that cancels a job whose header was read as open at `version`. The
 /// transaction that marks the job as done compares the same version, so only one of
 /// the two is committed.
-pub fn cancel_txn(id: &JobId, head: JobHeader, version: Version) -> Transaction {
-    let value = job_header_value(HeaderStage::Cancelled, head.n);
+pub fn cancel_txn(id: &JobId, header: JobHeader, version: Version) -> Transaction {
+    let value = job_header_value(HeaderStage::Cancelled, header.n);
     let key = job_header_key(id);
     Transaction {
         conditions: vec![Precondition { key, version }],
--- a/crates/controller/src/core/preemption/victims.rs
+++ b/crates/controller/src/core/preemption/victims.rs
@@ -1,4 +1,4 @@
-//! The running tasks that may be stopped, and what stopping them costs.
+//! The running tasks that may be stopped, and what stopping them costs. Chooses none.
 
 use crate::core::quota::ReclaimCandidate;
 use crate::core::scheduling_cycle::PlacementRequest;
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -33,7 +33,7 @@
 /// What all reclaims of a cycle together may take.
 #[derive(Clone, Debug, Default)]
 pub struct Bounds {
-    /// What teams use.
+    /// What teams use of their quotas.
     pub account: QuotaUsage,
     /// What classes and teams must be left.
     pub floors: MinimumShares,
