--- a/crates/controller/src/core/node/cloud_proxy.rs
+++ b/crates/controller/src/core/node/cloud_proxy.rs
@@ -1,51 +1,65 @@
-//! Calls to the cloud that a node makes for a leader that does not reach it.
+//! Calls to the cloud that a controller makes for a leader that does not reach it.
 
+use super::routes::CLOUD_PROXY;
 use super::{Node, PendingCall};
 use crate::core::autoscaler::state::{BAD_GATEWAY, CONFLICT, GATEWAY_TIMEOUT};
-use crate::core::{Reply, RequestId, Target};
+use crate::core::{Answer, Reply, RequestId, Target};
 use crate::http;
 use crate::types::{FencingToken, TimeSpan};
 
 /// How long the cloud may take; the leader waits a little longer.
-const CALL: TimeSpan = TimeSpan::millis(5000);
+const CLOUD_TIMEOUT: TimeSpan = TimeSpan::millis(5000);
 
 impl Node {
-    /// Passes a leader's call on. One whose token is known to be replaced is
-    /// refused; where that is not known yet no harm is done, as what it asks
-    /// for stands in the state service.
-    pub(super) fn hand(&mut self, id: RequestId, token: &str, r: &http::Request) {
+    /// Forwards a leader's call to the cloud. A leader whose token is known to be
+    /// replaced is refused; where that is not known yet no harm is done, as what it
+    /// asks for is stored in the key-value store.
+    pub(super) fn proxy_cloud_call(&mut self, id: RequestId, token: &str, request: &http::Request) {
         let Some(token) = token.parse().ok().map(FencingToken) else {
             return self.effects.answer_status(id, 400);
         };
-        if self.greeting(Vec::new()).token > token {
+        if self.own_heartbeat(Vec::new()).token > token {
             return self.effects.answer_status(id, CONFLICT);
         }
-        let mut path = r.path["/cloud/".len()..].to_string();
-        path.drain(..path.find('/').unwrap_or(path.len()));
-        if !r.query.is_empty() {
-            path = format!("{path}?{}", r.query);
-        }
-        let method = if r.method == "GET" { "GET" } else { "POST" };
+        let path = cloud_path(request);
+        let method = if request.method == "GET" {
+            "GET"
+        } else {
+            "POST"
+        };
+        let body = request.body.clone();
         let call = self
             .effects
-            .call(Target::Cloud, method, path, r.body.clone(), CALL);
+            .call(Target::Cloud, method, path, body, CLOUD_TIMEOUT);
         self.pending_calls
-            .add(call, PendingCall::Hand { request: id });
+            .add(call, PendingCall::CloudCall { request: id });
     }
 
-    /// The cloud answered, or not.
-    pub(super) fn on_hand(&mut self, id: RequestId, reply: Reply) {
+    /// Answers the leader as the cloud did, or says why it did not.
+    pub(super) fn handle_cloud_reply(&mut self, id: RequestId, reply: Reply) {
         match reply {
-            Reply::Answer(status, body) => self.effects.answer(
-                id,
-                crate::core::Answer {
+            Reply::Answer(status, body) => {
+                let answer = Answer {
                     status,
                     retry_after: None,
                     body,
-                },
-            ),
+                };
+                self.effects.answer(id, answer);
+            }
             Reply::NotSent => self.effects.answer_status(id, BAD_GATEWAY),
             Reply::Lost => self.effects.answer_status(id, GATEWAY_TIMEOUT),
         }
     }
 }
+
+/// The cloud's path and query in a request to `/cloud/TOKEN/PATH?QUERY`.
+fn cloud_path(request: &http::Request) -> String {
+    let prefix = format!("/{CLOUD_PROXY}/");
+    let mut path = request.path[prefix.len()..].to_string();
+    path.drain(..path.find('/').unwrap_or(path.len()));
+    if request.query.is_empty() {
+        path
+    } else {
+        format!("{path}?{}", request.query)
+    }
+}
--- a/crates/controller/src/core/node/format_version.rs
+++ b/crates/controller/src/core/node/format_version.rs
@@ -1,111 +1,146 @@
-//! The level in force: whether this node can serve it, and raising it.
+//! The active format version: whether this controller supports it and, while it
+//! leads, the activation of the next one.
 
 use super::{Node, PendingCall};
-use crate::core::format_version::member_versions::NotServing;
+use crate::core::format_version::member_versions::{Activation, NotServing};
 use crate::core::format_version::{FENCED, FormatVersion};
 use crate::core::{Reply, Target};
-use crate::types::{NodeId, TimeSpan, Version};
+use crate::types::{FencingToken, NodeId, TimeSpan, Version};
 use crate::wire;
 use crate::wire::kvstore::{Precondition, Transaction, TransactionResponse};
 
-/// How long a commit that changes the level may take.
-const LIMIT: TimeSpan = TimeSpan::millis(2000);
+/// How long a transaction that concerns the active format version may take.
+const VERSION_WRITE_TIMEOUT: TimeSpan = TimeSpan::millis(2000);
 
 impl Node {
-    /// Why this node does nothing for users, workers and peers, if so.
-    pub(super) fn refused(&self) -> Option<NotServing> {
+    /// Why this controller does nothing for users, agents and peers, if so.
+    pub(super) fn not_serving(&self) -> Option<NotServing> {
         self.election.member_versions.check_serving().err()
     }
 
-    fn labels(&self) -> Vec<NodeId> {
+    fn peer_ids(&self) -> Vec<NodeId> {
         let peers = self.settings.peers.iter();
-        peers.map(|p| p.node_id.clone()).collect()
+        peers.map(|peer| peer.node_id.clone()).collect()
     }
 
-    fn highest(&self) -> FormatVersion {
+    fn max_version(&self) -> FormatVersion {
         FormatVersion(self.policy.highest_level as u32)
     }
 
-    /// Logs why this node does not serve and, as the leader, raises the level once
-    /// all have the next one, one step at a time.
-    pub(super) fn see_to_levels(&mut self) {
-        let refused = self.refused();
-        if refused != self.refusing {
-            if let Some(
-                why @ (NotServing::UnsupportedVersion(..) | NotServing::UnreadableVersion),
-            ) = &refused
-            {
-                tracing::error!(%why, "does not serve");
-            }
-            self.refusing = refused;
-        }
-        let other = self.election.member_versions.differing_policy();
-        if other.is_some() != std::mem::replace(&mut self.policies, other.is_some()) {
-            match other {
-                Some((node, policy)) => tracing::warn!(%node, ?policy, "runs under another policy"),
-                None => tracing::info!("all run under one policy"),
-            }
-        }
-        let (peers, highest) = (self.labels(), self.highest());
+    /// Logs why this controller does not serve and, as the leader, activates the next
+    /// format version once all controllers support it, one step at a time.
+    pub(super) fn advance_format_version(&mut self) {
+        self.log_not_serving();
+        self.log_policy_difference();
         let Some(leader) = self.leader.as_mut().filter(|l| l.is_loaded()) else {
-            self.raising = false;
+            self.is_writing_version = false;
             return;
         };
         leader.level = self.election.member_versions.active_version();
-        if self.raising {
+        if self.is_writing_version {
             return;
         }
-        let (holder, token) = (leader.holder, leader.token);
+        let is_rewritten = leader.is_rewritten();
+        let holder = Precondition {
+            key: leader.holder.into(),
+            version: Version(leader.token.0),
+        };
+        let token = leader.token;
         let now = self.effects.now.time;
-        let registry = &self.election.member_versions;
-        let (txn, to) = match registry.next_activation(now, &peers, highest) {
-            Ok(rise) if rise.to == FENCED => {
-                tracing::info!(to = %rise.to, "all have it: raises the level");
-                return self
-                    .election
-                    .activate_as_leader(&mut self.effects, token, rise);
-            }
-            Ok(rise) => {
-                tracing::info!(to = %rise.to, "all have it: raises the level");
-                let (conditions, ops) = (rise.conditions, rise.ops);
-                (Transaction { conditions, ops }, Some(rise.to))
+        let (peers, max_version) = (self.peer_ids(), self.max_version());
+        let versions = &self.election.member_versions;
+        match versions.next_activation(now, &peers, max_version) {
+            Ok(activation) => self.activate(activation, token, holder),
+            Err(_) if is_rewritten => {
+                if let Some(txn) = versions.rewrite_completion() {
+                    self.write_version(txn, holder, None);
+                }
             }
-            Err(_) if leader.is_rewritten() => match registry.rewrite_completion() {
-                Some(txn) => (txn, None),
-                None => return,
-            },
-            Err(_) => return,
-        };
-        let mut txn = txn;
-        txn.conditions.push(Precondition {
-            key: holder.into(),
-            version: Version(token.0),
-        });
-        let body = wire::encode(&txn);
-        let call = self
-            .effects
-            .call(Target::State, "POST", "/commit".into(), body, LIMIT);
-        self.pending_calls.add(call, PendingCall::FormatVersion(to));
-        self.raising = true;
+            Err(_) => {}
+        }
     }
 
-    /// The level was raised, or not. If nobody can tell, the watch does.
-    pub(super) fn on_level(&mut self, to: Option<FormatVersion>, reply: &Reply) {
-        self.raising = false;
-        if let Reply::Answer(200, body) = reply
-            && let Some(r) = wire::decode::<TransactionResponse>(body)
-            && let Some(to) = to
+    fn log_not_serving(&mut self) {
+        let not_serving = self.not_serving();
+        if not_serving == self.logged_not_serving {
+            return;
+        }
+        if let Some(why @ (NotServing::UnsupportedVersion(..) | NotServing::UnreadableVersion)) =
+            &not_serving
         {
-            self.election.member_versions.activated(to, r.revision);
-            if let Some(leader) = &mut self.leader {
-                leader.level = to;
-            }
+            tracing::error!(%why, "not serving");
+        }
+        self.logged_not_serving = not_serving;
+    }
+
+    fn log_policy_difference(&mut self) {
+        let differing = self.election.member_versions.differing_policy();
+        if differing.is_some() == self.logged_policy_difference {
+            return;
+        }
+        match differing {
+            Some((node, policy)) => tracing::warn!(%node, ?policy, "policies differ"),
+            None => tracing::info!("all controllers run under one policy"),
+        }
+        self.logged_policy_difference = differing.is_some();
+    }
+
+    fn activate(&mut self, activation: Activation, token: FencingToken, holder: Precondition) {
+        tracing::info!(version = %activation.to, "activating format version");
+        if activation.to == FENCED {
+            // The leader's key moves: the election claims it anew.
+            return self
+                .election
+                .activate_as_leader(&mut self.effects, token, activation);
+        }
+        let txn = Transaction {
+            conditions: activation.conditions,
+            ops: activation.ops,
+        };
+        self.write_version(txn, holder, Some(activation.to));
+    }
+
+    /// Commits a transaction of the holder of the leader's key.
+    fn write_version(
+        &mut self,
+        mut txn: Transaction,
+        holder: Precondition,
+        activates: Option<FormatVersion>,
+    ) {
+        txn.conditions.push(holder);
+        let call = self.effects.call(
+            Target::State,
+            "POST",
+            "/commit".into(),
+            wire::encode(&txn),
+            VERSION_WRITE_TIMEOUT,
+        );
+        self.pending_calls
+            .add(call, PendingCall::VersionWrite(activates));
+        self.is_writing_version = true;
+    }
+
+    /// Notes that the transaction was committed, or failed. If its answer is lost, the
+    /// watch brings the change.
+    pub(super) fn handle_version_write(&mut self, activated: Option<FormatVersion>, reply: &Reply) {
+        self.is_writing_version = false;
+        let Some(response) = reply.decode_success::<TransactionResponse>() else {
+            return;
+        };
+        let Some(version) = activated else {
+            return;
+        };
+        self.election
+            .member_versions
+            .activated(version, response.revision);
+        if let Some(leader) = &mut self.leader {
+            leader.level = version;
         }
     }
 
-    pub(super) fn inspect_levels(&self) -> serde_json::Value {
+    pub(super) fn inspect_format_versions(&self) -> serde_json::Value {
         let now = self.effects.now.time;
-        let registry = &self.election.member_versions;
-        registry.inspect(now, &self.labels(), self.highest())
+        let versions = &self.election.member_versions;
+        versions.inspect(now, &self.peer_ids(), self.max_version())
     }
 }
--- a/crates/controller/src/core/node/inspect.rs
+++ b/crates/controller/src/core/node/inspect.rs
@@ -1,41 +1,56 @@
-//! What operators may see.
+//! What operators see of a controller.
 
 use super::Node;
 use crate::core::election::ElectionState;
 
+/// The value of a parameter in a query; empty if it is absent.
+fn parameter<'a>(query: &'a str, name: &str) -> &'a str {
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    let found = pairs.find(|(key, _)| *key == name);
+    found.map_or("", |(_, value)| value)
+}
+
 impl Node {
-    /// `query` may have `machine=` and `job=`, what their names begin with.
+    /// `query` may have `machine=` and `job=`: prefixes of the names to show.
     pub(super) fn inspect(&self, query: &str) -> serde_json::Value {
-        let starts = |name: &str| {
-            let pairs = query.split('&').filter_map(|p| p.split_once('='));
-            let mut named = pairs.filter(|(n, _)| *n == name);
-            named.next().map_or("", |(_, value)| value)
-        };
-        let (machine, job) = (starts("machine"), starts("job"));
-        let now = self.effects.now.time;
-        let times = self.effects.quantiles();
-        let peers: Vec<_> = self
-            .peers
-            .iter()
-            .map(|(l, p)| {
-                serde_json::json!({
-                    "node": l, "heard_s_ago": now.since(p.heard).as_secs(), "token": p.token,
-                    "leads": p.leads, "state_ok": p.state_ok, "strained": p.strained,
-                })
-            })
-            .collect();
+        let now = self.effects.now;
+        let machine = parameter(query, "machine");
+        let job = parameter(query, "job");
+        let leader = self.election.leader.as_ref();
+        let is_following = matches!(self.election.state, ElectionState::Following(_));
         serde_json::json!({
-            "node": self.settings.node_id, "zone": self.settings.zone, "ready": self.is_ready(),
-            "state_ok": self.state_ok(), "leads": self.leads(),
+            "node": self.settings.node_id,
+            "zone": self.settings.zone,
+            "ready": self.is_ready(),
+            "state_ok": self.is_store_reachable(),
+            "leads": self.leads(),
             "standing": self.election.state.to_string(),
-            "leader": self.election.leader.as_ref().map(|(l, _)| l),
-            "late_share": self.self_health.share, "strained": self.self_health.strained,
-            "effort_us": self.self_health.effort_us, "slow": self.self_health.slow,
-            "levels": self.inspect_levels(),
-            "leader_seen": self.failure_detector.inspect(now),
-            "peers": peers, "times": times,
-            "leading": self.leader.as_ref().map(|l| l.inspect(self.effects.now, machine, job)),
-            "standing_by": matches!(self.election.state, ElectionState::Following(_)),
+            "leader": leader.map(|(node_id, _)| node_id),
+            "late_share": self.self_health.share,
+            "strained": self.self_health.strained,
+            "effort_us": self.self_health.effort_us,
+            "slow": self.self_health.slow,
+            "levels": self.inspect_format_versions(),
+            "leader_seen": self.failure_detector.inspect(now.time),
+            "peers": self.inspect_peers(),
+            "times": self.effects.quantiles(),
+            "leading": self.leader.as_ref().map(|l| l.inspect(now, machine, job)),
+            "standing_by": is_following,
         })
     }
+
+    fn inspect_peers(&self) -> Vec<serde_json::Value> {
+        let now = self.effects.now.time;
+        let peers = self.peers.iter().map(|(node_id, peer)| {
+            serde_json::json!({
+                "node": node_id,
+                "heard_s_ago": now.since(peer.last_heard).as_secs(),
+                "token": peer.token,
+                "leads": peer.is_leader,
+                "state_ok": peer.store_reachable,
+                "strained": peer.is_overloaded,
+            })
+        });
+        peers.collect()
+    }
 }
--- /dev/null
+++ b/crates/controller/src/core/node/leader_supervision.rs
@@ -0,0 +1,160 @@
+//! Supervision of the leader by a follower: the failure detector is fed here, and
+//! what it asks for is sent.
+
+use super::routes::{self, PEER_HEARTBEAT, SUSPICION_QUERY};
+use super::{Node, PendingCall};
+use crate::core::failure_detector::detector::{Action, PROBE_TIMEOUT, ProbeOutcome, Suspicion};
+use crate::core::{Reply, RequestId, Target};
+use crate::settings::Peer;
+use crate::types::{FencingToken, NodeId, Time, TimeSpan, Version};
+use crate::wire;
+use crate::wire::peers::{LeaderHeartbeat, SuspicionQuery, SuspicionReport};
+use std::rc::Rc;
+
+/// Contact with the key-value store that is recent enough to say that it answers: a
+/// follower's watch is held for two seconds.
+const RECENT_CONTACT: TimeSpan = TimeSpan::millis(2600);
+
+/// A probe that failed only after this share of its time-out was not refused: a
+/// connection that is refused fails at once, one that is not accepted takes all the
+/// time there is.
+const TIMED_OUT_SHARE: f64 = 0.9;
+
+impl Node {
+    /// Asks the failure detector what is to be done about the leader, and does it.
+    pub(super) fn check_leader(&mut self) {
+        let now = self.effects.now.time;
+        let leader = self.election.leader.as_ref();
+        let leader = leader
+            .filter(|(node_id, _)| self.leader.is_none() && *node_id != self.settings.node_id);
+        self.failure_detector.observe(leader);
+        self.failure_detector.tick(now);
+        let Some((leader, token)) = leader.cloned() else {
+            return;
+        };
+        let rank = self.succession_rank(&leader);
+        match self.failure_detector.next_action(now, rank) {
+            Action::None => {}
+            Action::Investigate(suspicion) => self.investigate_leader(&leader, token, suspicion),
+            Action::ReplaceLeader(token, suspicion) => {
+                tracing::info!(%leader, %token, ?suspicion, "replacing suspected leader");
+                self.election.challenge(Version(token.0));
+            }
+        }
+    }
+
+    /// Probes the leader, asks the peers whether they confirm the suspicion, and reads
+    /// the leader's key.
+    fn investigate_leader(&mut self, leader: &NodeId, token: FencingToken, suspicion: Suspicion) {
+        tracing::debug!(%leader, ?suspicion, "investigating leader");
+        let heartbeat = wire::encode(&self.own_heartbeat(Vec::new()));
+        let query = wire::encode(&SuspicionQuery {
+            token,
+            no_state: suspicion == Suspicion::StoreUnreachable,
+        });
+        let sent = self.effects.now.time;
+        let settings = Rc::clone(&self.settings);
+        for peer in &settings.peers {
+            if peer.node_id == *leader {
+                let probe = PendingCall::Probe { token, sent };
+                self.ask_peer(peer, PEER_HEARTBEAT, heartbeat.clone(), probe);
+            } else {
+                let pending = PendingCall::SuspicionQuery;
+                self.ask_peer(peer, SUSPICION_QUERY, query.clone(), pending);
+            }
+        }
+        let path = format!("/keys/{}", self.election.holder_key());
+        let call = self
+            .effects
+            .call(Target::State, "GET", path, Vec::new(), PROBE_TIMEOUT);
+        self.pending_calls.add(call, PendingCall::LeaderKey);
+    }
+
+    fn ask_peer(&mut self, peer: &Peer, route: &str, body: Vec<u8>, pending: PendingCall) {
+        let call = self.effects.call(
+            Target::Host(peer.addr),
+            "POST",
+            routes::path(route),
+            body,
+            PROBE_TIMEOUT,
+        );
+        self.pending_calls.add(call, pending);
+    }
+
+    /// Handles a heartbeat of the leader.
+    pub(super) fn handle_leader_heartbeat(&mut self, id: RequestId, body: &[u8]) {
+        let Some(heartbeat) = wire::decode::<LeaderHeartbeat>(body) else {
+            return self.effects.answer_status(id, 400);
+        };
+        let now = self.effects.now.time;
+        self.failure_detector.record_heartbeat(now, &heartbeat);
+        self.effects.answer_status(id, 200);
+    }
+
+    /// Answers a peer that suspects the leader whether this controller confirms it.
+    pub(super) fn handle_suspicion_query(&mut self, id: RequestId, body: &[u8]) {
+        let Some(query) = wire::decode::<SuspicionQuery>(body) else {
+            return self.effects.answer_status(id, 400);
+        };
+        let now = self.effects.now.time;
+        let contact = self.election.last_contact;
+        let store_reachable = contact.is_some_and(|at| now.since(at) < RECENT_CONTACT);
+        let suspicion = if query.no_state {
+            Suspicion::StoreUnreachable
+        } else {
+            Suspicion::Silent
+        };
+        let detector = &self.failure_detector;
+        let report = SuspicionReport {
+            node_id: self.settings.node_id.clone(),
+            token: query.token,
+            agrees: self.is_serving()
+                && detector.confirms(now, query.token, suspicion, store_reachable),
+            came: detector.recent_agent_migrations(now),
+        };
+        self.effects.answer_body(id, wire::encode(&report));
+    }
+
+    /// Handles the reply to a direct probe of the leader.
+    pub(super) fn handle_probe_reply(&mut self, token: FencingToken, sent: Time, reply: &Reply) {
+        let now = self.effects.now.time;
+        if let Some(heartbeat) = reply.decode_success() {
+            self.record_peer_heartbeat(heartbeat);
+        }
+        let outcome = match reply {
+            Reply::Answer(..) => ProbeOutcome::Answered,
+            Reply::NotSent | Reply::Lost => {
+                if now.since(sent) >= PROBE_TIMEOUT.scaled(TIMED_OUT_SHARE) {
+                    ProbeOutcome::TimedOut
+                } else {
+                    ProbeOutcome::ConnectionRefused
+                }
+            }
+        };
+        self.failure_detector.record_probe(now, token, outcome);
+    }
+
+    /// Handles a peer's answer whether it confirms the suspicion.
+    pub(super) fn handle_suspicion_report(&mut self, reply: &Reply) {
+        let Some(report) = reply.decode_success::<SuspicionReport>() else {
+            return;
+        };
+        let mut peers = self.settings.peers.iter();
+        if peers.any(|peer| peer.node_id == report.node_id) {
+            self.failure_detector.record_peer_report(
+                report.node_id,
+                report.token,
+                report.agrees,
+                report.came,
+            );
+        }
+    }
+
+    /// Handles the reply to the read of the leader's key; an absent key is an answer
+    /// too.
+    pub(super) fn handle_leader_key_reply(&mut self, reply: &Reply) {
+        if matches!(reply, Reply::Answer(200 | 404, _)) {
+            self.failure_detector.record_store_reachable();
+        }
+    }
+}
--- /dev/null
+++ b/crates/controller/src/core/node/leadership.rs
@@ -0,0 +1,102 @@
+//! Beginning, exercising and ending leadership.
+
+use super::Node;
+use crate::core::effects::Effects;
+use crate::core::election::ElectionOutcome;
+use crate::core::leader::{Leader, LeadershipOutcome};
+use crate::types::FencingToken;
+use crate::wire::cloud::MachineTypes;
+use std::rc::Rc;
+
+impl Node {
+    /// Begins to lead, if the election was won.
+    pub(super) fn handle_election_outcome(&mut self, outcome: ElectionOutcome) {
+        let ElectionOutcome::Elected { token, lease } = outcome else {
+            return;
+        };
+        let now = self.effects.now.time;
+        tracing::info!(%token, "elected leader");
+        self.drop_previous_leadership();
+        let mut leader = self.new_leader(token, lease);
+        let hints = self.cache_hints.take();
+        for (machine, images) in hints.machines {
+            leader.inherit_cache(now, &machine, &images);
+        }
+        for (image, took) in hints.fetches {
+            leader.estimates.note(&image, took);
+        }
+        self.election
+            .keep_lease_alive(&mut self.effects, lease, token);
+        leader.tick(&mut self.effects);
+        self.leader = Some(leader);
+        self.peer_heartbeat_due = now;
+    }
+
+    /// A leader that activated a format version holds the key anew, under another
+    /// token and lease.
+    fn drop_previous_leadership(&mut self) {
+        let Some(mut previous) = self.leader.take() else {
+            return;
+        };
+        previous.drop_held(&mut self.effects);
+        self.election
+            .release_lease(&mut self.effects, previous.lease, previous.token);
+        self.election.restart_keep_alive();
+    }
+
+    fn new_leader(&self, token: FencingToken, lease: u64) -> Leader {
+        let no_types = MachineTypes::default();
+        Leader::new(
+            Rc::clone(&self.settings),
+            Rc::clone(&self.policy),
+            (self.election.holder_key(), token, lease),
+            self.election.member_versions.active_version(),
+            self.effects.now.time,
+            self.machine_types.as_ref().unwrap_or(&no_types),
+        )
+    }
+
+    /// Lets the leader act, and ends its leadership if that is the outcome.
+    pub(super) fn with_leader(
+        &mut self,
+        act: impl FnOnce(&mut Leader, &mut Effects) -> LeadershipOutcome,
+    ) {
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        let was_loaded = leader.is_loaded();
+        let outcome = act(leader, &mut self.effects);
+        if leader.is_loaded() && !was_loaded {
+            self.peer_heartbeat_due = self.effects.now.time;
+        }
+        for event in leader.news.drain(..) {
+            self.election.member_versions.apply(&event);
+        }
+        if outcome == LeadershipOutcome::Continue {
+            leader.tick(&mut self.effects);
+        } else {
+            self.end_leadership(outcome);
+        }
+        if let Some(types) = self.effects.learned_types.take() {
+            self.store_machine_types(types);
+        }
+    }
+
+    pub(super) fn end_leadership(&mut self, outcome: LeadershipOutcome) {
+        let Some(mut leader) = self.leader.take() else {
+            return;
+        };
+        leader.drop_held(&mut self.effects);
+        let token = leader.token;
+        match outcome {
+            LeadershipOutcome::Deposed(by) => tracing::info!(%token, %by, "leader replaced"),
+            LeadershipOutcome::StepDown(reason) => {
+                tracing::info!(%token, reason, "leader stepped down");
+            }
+            LeadershipOutcome::Continue => {}
+        }
+        self.election
+            .release_lease(&mut self.effects, leader.lease, token);
+        self.election.reset(self.effects.now.time);
+    }
+}
--- a/crates/controller/src/core/node/machine_type_cache.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -1,71 +1,74 @@
-//! The machine types, kept in the state service for nodes that start while the
-//! cloud is out.
+//! The cloud's machine types, kept in the key-value store for controllers that
+//! start while the cloud is unavailable.
 
-use super::Node;
+use super::{Node, PendingCall};
 use crate::core::{Reply, Target, job_records};
 use crate::types::{TimeSpan, Version};
 use crate::wire;
 use crate::wire::cloud::{MachineType, MachineTypes};
 use crate::wire::kvstore::{EntryPage, Operation, Precondition, Transaction};
 
-/// Time between looks at the stored machine types.
-const TYPES_EVERY: TimeSpan = TimeSpan::millis(30_000);
+/// Time between reads of the stored machine types.
+const READ_PERIOD: TimeSpan = TimeSpan::millis(30_000);
+/// The same while none are known.
+const RETRY_PERIOD: TimeSpan = TimeSpan::millis(500);
+/// How long one read or write may take.
+const CALL_TIMEOUT: TimeSpan = TimeSpan::millis(2000);
+/// How many keys are read at once.
+const PAGE_SIZE: u32 = 100;
 
 impl Node {
-    pub(super) fn on_types(&mut self, reply: &Reply) {
-        self.types_calling = false;
+    pub(super) fn read_machine_types_if_due(&mut self) {
+        if self.is_reading_machine_types || self.effects.now.time < self.machine_types_due {
+            return;
+        }
+        self.is_reading_machine_types = true;
+        let prefix = job_records::MACHINE_TYPES;
+        let path = format!("/keys?starts={prefix}/&most={PAGE_SIZE}");
+        let call = self
+            .effects
+            .call(Target::State, "GET", path, Vec::new(), CALL_TIMEOUT);
+        self.pending_calls.add(call, PendingCall::MachineTypes);
+    }
+
+    pub(super) fn handle_machine_types(&mut self, reply: &Reply) {
+        self.is_reading_machine_types = false;
         let now = self.effects.now.time;
-        self.types_due = now + TYPES_EVERY;
-        if let Reply::Answer(200, body) = reply
-            && let Some(page) = wire::decode::<EntryPage>(body)
-            && !page.items.is_empty()
-        {
-            let kinds: Vec<MachineType> = page
-                .items
-                .iter()
-                .filter_map(|e| job_records::read::<Vec<MachineType>>(&e.value))
-                .flatten()
-                .collect();
-            let types = MachineTypes { kinds };
-            if let Some(leader) = &mut self.leader {
-                leader.set_types(&types);
+        self.machine_types_due = now + READ_PERIOD;
+        let page = reply.decode_success::<EntryPage>();
+        let Some(page) = page.filter(|page| !page.items.is_empty()) else {
+            if self.machine_types.is_none() {
+                self.machine_types_due = now + RETRY_PERIOD;
             }
-            self.types = Some(types);
-        } else if self.types.is_none() {
-            self.types_due = now + TimeSpan::millis(500);
+            return;
+        };
+        let entries = page.items.iter();
+        let chunks = entries.filter_map(|e| job_records::read::<Vec<MachineType>>(&e.value));
+        let types = MachineTypes {
+            kinds: chunks.flatten().collect(),
+        };
+        if let Some(leader) = &mut self.leader {
+            leader.set_types(&types);
         }
+        self.machine_types = Some(types);
     }
 
-    /// The cloud has told the machine types: they are kept in the state
-    /// service, for nodes that start while the cloud is out.
-    pub(super) fn learned(&mut self, types: MachineTypes) {
+    /// Stores machine types that the cloud has just listed, if they changed.
+    pub(super) fn store_machine_types(&mut self, types: MachineTypes) {
         let Some(leader) = &self.leader else {
             return;
         };
-        if self.types.as_ref() == Some(&types) {
+        if self.machine_types.as_ref() == Some(&types) {
             return;
         }
-        let most = self.settings.state_limits.value_bytes;
-        let mut pieces: Vec<Vec<&MachineType>> = vec![Vec::new()];
-        let mut length = 2;
-        for t in &types.kinds {
-            let len = serde_json::to_vec(t).map_or(0, |b| b.len()) + 1;
-            if length + len > most {
-                pieces.push(Vec::new());
-                length = 2;
-            }
-            length += len;
-            if let Some(last) = pieces.last_mut() {
-                last.push(t);
-            }
-        }
-        let ops = pieces
+        let limits = &self.settings.state_limits;
+        let ops = split_by_size(&types.kinds, limits.value_bytes)
             .iter()
             .enumerate()
-            .take(self.settings.state_limits.txn_ops)
-            .map(|(i, p)| Operation::Put {
+            .take(limits.txn_ops)
+            .map(|(i, chunk)| Operation::Put {
                 key: format!("{}/{i:03}", job_records::MACHINE_TYPES),
-                value: serde_json::to_value(p).unwrap_or_default(),
+                value: serde_json::to_value(chunk).unwrap_or_default(),
                 lease: None,
             })
             .collect();
@@ -76,13 +79,29 @@
             }],
             ops,
         };
-        self.effects.call(
-            Target::State,
-            "POST",
-            "/commit".into(),
-            wire::encode(&txn),
-            TimeSpan::secs(2.0),
-        );
-        self.types = Some(types);
+        let body = wire::encode(&txn);
+        self.effects
+            .call(Target::State, "POST", "/commit".into(), body, CALL_TIMEOUT);
+        self.machine_types = Some(types);
+    }
+}
+
+/// Splits machine types into chunks whose JSON has at most this many bytes.
+fn split_by_size(types: &[MachineType], max_bytes: usize) -> Vec<Vec<&MachineType>> {
+    const BRACKETS: usize = 2;
+    const COMMA: usize = 1;
+    let mut chunks: Vec<Vec<&MachineType>> = vec![Vec::new()];
+    let mut chunk_bytes = BRACKETS;
+    for machine_type in types {
+        let bytes = serde_json::to_vec(machine_type).map_or(0, |json| json.len()) + COMMA;
+        if chunk_bytes + bytes > max_bytes {
+            chunks.push(Vec::new());
+            chunk_bytes = BRACKETS;
+        }
+        chunk_bytes += bytes;
+        if let Some(chunk) = chunks.last_mut() {
+            chunk.push(machine_type);
+        }
     }
+    chunks
 }
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -1,84 +1,73 @@
-//! What the nodes tell one another, and readiness.
+//! Heartbeats between controllers: what each says of itself about once a second,
+//! and what the receiver takes from it.
 
-use super::{
-    CANCELLED_KEPT, GREET_EVERY, GREET_GAP, MOST_CANCELLED, MOST_COUNTS, Node, PEER_FRESH,
-    PeerView, PendingCall, STATE_FRESH,
-};
-use crate::core::format_version::member_versions::NotServing;
+use super::routes::{self, PEER_HEARTBEAT};
+use super::{Node, PeerView, PendingCall};
 use crate::core::leader::{Leader, LeadershipOutcome};
 use crate::core::{Reply, RequestId, Target};
-use crate::types::{JobId, NodeId, Time, TimeSpan};
+use crate::types::{FencingToken, Image, JobId, NodeId, Time, TimeSpan};
 use crate::wire;
 use crate::wire::peers::PeerHeartbeat;
+use std::collections::VecDeque;
 
-impl Node {
-    pub(super) fn state_ok(&self) -> bool {
-        let now = self.effects.now.time;
-        let leading = self
-            .leader
-            .as_ref()
-            .filter(|l| l.is_loaded())
-            .map(|l| l.authority.shown());
-        leading
-            .max(self.election.last_contact)
-            .is_some_and(|t| now.since(t) < STATE_FRESH)
+/// Time between heartbeats to the peers.
+pub(super) const PEER_HEARTBEAT_PERIOD: TimeSpan = TimeSpan::millis(1000);
+/// A heartbeat may take this share of the period, so that it ends before the next.
+const TIMEOUT_SHARE: f64 = 0.9;
+/// Least time between two heartbeats while there are new cancellations.
+const MIN_HEARTBEAT_GAP: TimeSpan = TimeSpan::millis(200);
+/// How long a cancellation is repeated in heartbeats, as some get lost.
+const CANCELLATION_KEPT: TimeSpan = TimeSpan::millis(10_000);
+/// Most cancellations in one heartbeat.
+const MAX_CANCELLATIONS: usize = 200;
+/// Most task counts, and most fetch times, in one heartbeat.
+const MAX_COUNTS: usize = 300;
+
+/// A cancellation that was confirmed to a user here.
+#[derive(Clone, Debug)]
+struct Cancellation {
+    job: JobId,
+    at: Time,
+}
+
+/// Recent cancellations that were confirmed here, the newest last.
+#[derive(Debug, Default)]
+pub(super) struct Cancellations(VecDeque<Cancellation>);
+
+impl Cancellations {
+    fn add(&mut self, job: JobId, at: Time) {
+        self.0.push_back(Cancellation { job, at });
     }
 
-    /// Ready unless a peer would serve better: one that has the state service
-    /// while this node has not, or has time while this one, leading, has more to
-    /// do than it can. An outage that all share takes nobody out of service, nor
-    /// does a start in the middle of one: a load balancer that has once given all
-    /// nodes up comes back to them late, and a refusal costs users less.
-    pub(super) fn is_ready(&self) -> bool {
-        // What it cannot read it must not answer for, whoever else is there.
-        let beyond = |why: &NotServing| {
-            matches!(
-                why,
-                NotServing::UnsupportedVersion(..) | NotServing::UnreadableVersion
-            )
-        };
-        if self.refused().as_ref().is_some_and(beyond) {
-            return false;
-        }
-        let now = self.effects.now.time;
-        let fit = |p: &PeerView| p.state_ok && now.since(p.heard) < PEER_FRESH;
-        let better = self.peers.values().any(fit);
-        // One that hears nothing from the state service, not even a refusal, nor from
-        // any peer is cut off itself: users would only wait here for nothing.
-        let silent = |t: Time| now.since(t) > STATE_FRESH;
-        let alone = !self.settings.peers.is_empty()
-            && self
-                .peers
-                .values()
-                .all(|p| now.since(p.heard) >= PEER_FRESH);
-        if alone && self.state_spoke.is_some_and(silent) {
-            return false;
-        }
-        if !self.state_ok() || self.stopping.is_some() {
-            return !better;
-        }
-        // Where all have too much to do, one of them is as good as the other; one
-        // whose processor alone is slow is not.
-        let has_time = self.peers.values().any(|p| fit(p) && !p.strained);
-        let slow = self.self_health.slow && has_time;
-        let busy = self.self_health.strained && (self.leader.is_some() || slow);
-        !busy || !better
+    fn forget_old(&mut self, now: Time) {
+        self.0
+            .retain(|cancellation| now.since(cancellation.at) < CANCELLATION_KEPT);
     }
 
-    pub(super) fn greeting(&self, counts: Vec<(JobId, u32, u32)>) -> PeerHeartbeat {
-        let seen = self.election.leader.as_ref().map(|(_, t)| *t);
-        let own = self.leader.as_ref().map(|l| l.token);
-        let token = own.max(seen).unwrap_or_default();
-        let answers = |p: &PeerView| p.leads && p.loaded && p.token == token;
-        let cancelled = self.cancelled.iter().rev().take(MOST_CANCELLED);
+    /// The newest ones first, as many as one heartbeat carries.
+    fn newest(&self) -> Vec<JobId> {
+        let newest = self.0.iter().rev().take(MAX_CANCELLATIONS);
+        newest
+            .map(|cancellation| cancellation.job.clone())
+            .collect()
+    }
+}
+
+impl Node {
+    /// What this controller says of itself. `counts`: task counts that changed.
+    pub(super) fn own_heartbeat(&self, counts: Vec<(JobId, u32, u32)>) -> PeerHeartbeat {
+        let read_token = self.election.leader.as_ref().map(|(_, token)| *token);
+        let token = self.token().max(read_token).unwrap_or_default();
+        let is_loaded_leader =
+            |peer: &PeerView| peer.is_leader && peer.leader_is_loaded && peer.token == token;
         PeerHeartbeat {
             node_id: self.settings.node_id.clone(),
             token,
             leads: self.leader.is_some(),
-            loaded: self.leads() || self.peers.values().any(answers),
-            cancelled: cancelled.map(|(id, _)| id.clone()).collect(),
-            state_ok: self.state_ok(),
-            strained: self.self_health.strained || self.stopping.is_some(),
+            loaded: self.leads() || self.peers.values().any(is_loaded_leader),
+            cancelled: self.cancellations.newest(),
+            state_ok: self.is_store_reachable(),
+            strained: self.self_health.strained || self.shutdown_since.is_some(),
             effort_us: self.self_health.effort_us,
             levels: self.election.member_versions.own_build(),
             counts,
@@ -87,129 +76,143 @@
         }
     }
 
-    /// Peers are told at once that a job's user was told that it is cancelled, so that
-    /// the leader stops it also while it cannot read so; and again for a while, as
-    /// greetings get lost.
-    pub(super) fn spread_cancelled(&mut self) {
+    /// Peers are told at once that a user was told that a job is cancelled, so that the
+    /// leader stops it also while it cannot read so; and again for a while, as
+    /// heartbeats get lost.
+    pub(super) fn announce_cancellations(&mut self) {
         let now = self.effects.now.time;
-        self.cancelled
-            .retain(|(_, at)| now.since(*at) < CANCELLED_KEPT);
-        for id in std::mem::take(&mut self.job_api.confirmed) {
+        self.cancellations.forget_old(now);
+        for job in std::mem::take(&mut self.job_api.confirmed) {
             if let Some(leader) = &mut self.leader {
-                leader.hear_cancelled(now, &id);
+                leader.hear_cancelled(now, &job);
             }
-            self.cancelled.push_back((id, now));
-            self.greet_due = self.greet_due.min(self.greeted + GREET_GAP).max(now);
+            self.cancellations.add(job, now);
+            let soonest = self.last_peer_heartbeat + MIN_HEARTBEAT_GAP;
+            self.peer_heartbeat_due = self.peer_heartbeat_due.min(soonest).max(now);
         }
     }
 
-    pub(super) fn greet(&mut self) {
-        self.greeted = self.effects.now.time;
-        let counts = self
-            .leader
-            .as_mut()
-            .map(|l| l.changed_counts(MOST_COUNTS))
-            .unwrap_or_default();
-        let mut greeting = self.greeting(counts);
+    pub(super) fn send_peer_heartbeats(&mut self) {
+        self.last_peer_heartbeat = self.effects.now.time;
+        let leader = self.leader.as_mut();
+        let counts = leader.map(|l| l.changed_counts(MAX_COUNTS));
+        let mut heartbeat = self.own_heartbeat(counts.unwrap_or_default());
         if let Some(leader) = &mut self.leader {
             let known = self.cache_hints.take_known(|id| leader.knows(id));
-            for (id, images) in known {
-                leader.inherit_cache(self.effects.now.time, &id, &images);
+            for (machine, images) in known {
+                leader.inherit_cache(self.effects.now.time, &machine, &images);
             }
-            greeting.caches = leader.changed_caches();
-            greeting.fetches = leader.changed_fetches();
+            heartbeat.caches = leader.changed_caches();
+            heartbeat.fetches = leader.changed_fetches();
         }
-        let body = wire::encode(&greeting);
-        for p in &self.settings.peers {
+        let body = wire::encode(&heartbeat);
+        for peer in &self.settings.peers {
             let call = self.effects.call(
-                Target::Host(p.addr),
+                Target::Host(peer.addr),
                 "POST",
-                "/greet".into(),
+                routes::path(PEER_HEARTBEAT),
                 body.clone(),
-                GREET_EVERY.scaled(0.9),
+                PEER_HEARTBEAT_PERIOD.scaled(TIMEOUT_SHARE),
             );
-            self.pending_calls
-                .add(call, PendingCall::Greet(p.node_id.clone()));
+            let pending = PendingCall::PeerHeartbeat(peer.node_id.clone());
+            self.pending_calls.add(call, pending);
         }
     }
 
-    /// A peer answered a greeting, or not.
-    pub(super) fn on_greet(&mut self, node_id: NodeId, reply: &Reply) {
-        if let Reply::Answer(200, body) = reply
-            && let Some(g) = wire::decode::<PeerHeartbeat>(body)
-            && g.node_id == node_id
+    /// Handles a peer's answer to a heartbeat. A peer that missed one may have missed
+    /// changes: once it answers again, the leader repeats everything.
+    pub(super) fn handle_peer_heartbeat_reply(&mut self, peer: NodeId, reply: &Reply) {
+        let answer = reply.decode_success::<PeerHeartbeat>();
+        let Some(answer) = answer.filter(|answer| answer.node_id == peer) else {
+            self.unreached_peers.insert(peer);
+            return;
+        };
+        self.record_peer_heartbeat(answer);
+        if self.unreached_peers.remove(&peer)
+            && let Some(leader) = &mut self.leader
         {
-            self.heard(g);
-            if self.missed.remove(&node_id)
-                && let Some(leader) = &mut self.leader
-            {
-                leader.tell_again();
-            }
-        } else {
-            self.missed.insert(node_id);
+            leader.tell_again();
         }
     }
 
-    pub(super) fn greeted(&mut self, id: RequestId, body: &[u8]) {
-        let Some(g) = wire::decode::<PeerHeartbeat>(body) else {
+    /// Handles a peer's heartbeat, and answers it in kind.
+    pub(super) fn handle_peer_heartbeat(&mut self, id: RequestId, body: &[u8]) {
+        let Some(heartbeat) = wire::decode::<PeerHeartbeat>(body) else {
             return self.effects.answer_status(id, 400);
         };
-        let leads = g.leads.then_some(g.token);
-        self.heard(g);
-        let mut answer = self.greeting(Vec::new());
-        if let Some(token) = leads.filter(|_| self.leader.is_none()) {
-            // By the order of the names, so that no two peers begin alike.
-            let names = self.settings.peers.iter().map(|p| &p.node_id);
-            let before = names.filter(|l| **l < self.settings.node_id).count();
-            let from = before as f64 / (self.settings.peers.len() as f64 + 1.0);
-            answer.caches = self.cache_hints.give(token, from);
-            let fetches = self.cache_hints.fetches();
-            answer.fetches = match answer.caches.is_empty() {
-                true => Vec::new(),
-                false => fetches
-                    .map(|(i, s)| (i.clone(), s.as_millis()))
-                    .take(MOST_COUNTS)
-                    .collect(),
-            };
+        let leaders_token = heartbeat.leads.then_some(heartbeat.token);
+        self.record_peer_heartbeat(heartbeat);
+        let mut answer = self.own_heartbeat(Vec::new());
+        if let Some(token) = leaders_token.filter(|_| self.leader.is_none()) {
+            self.return_cache_hints(&mut answer, token);
         }
         self.effects.answer_body(id, wire::encode(&answer));
     }
 
-    pub(super) fn heard(&mut self, g: PeerHeartbeat) {
-        if !self.settings.peers.iter().any(|p| p.node_id == g.node_id) {
+    /// Gives the leader back a part of what earlier leaders said of image caches.
+    fn return_cache_hints(&mut self, answer: &mut PeerHeartbeat, token: FencingToken) {
+        // Begins by the order of the names, so that no two peers begin alike.
+        let names = self.settings.peers.iter().map(|peer| &peer.node_id);
+        let position = names.filter(|name| **name < self.settings.node_id).count();
+        let controllers = self.settings.peers.len() as f64 + 1.0;
+        answer.caches = self.cache_hints.give(token, position as f64 / controllers);
+        if !answer.caches.is_empty() {
+            answer.fetches = self.fetch_times();
+        }
+    }
+
+    /// What fetching images takes, in milliseconds.
+    fn fetch_times(&self) -> Vec<(Image, u64)> {
+        let fetches = self.cache_hints.fetches().take(MAX_COUNTS);
+        fetches
+            .map(|(image, took)| (image.clone(), took.as_millis()))
+            .collect()
+    }
+
+    /// Takes what a peer says into account.
+    pub(super) fn record_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
+        let mut peers = self.settings.peers.iter();
+        if !peers.any(|peer| peer.node_id == heartbeat.node_id) {
             return;
         }
-        self.job_api.note_counts(g.counts);
         let now = self.effects.now.time;
+        let view = PeerView {
+            last_heard: now,
+            token: heartbeat.token,
+            is_leader: heartbeat.leads,
+            leader_is_loaded: heartbeat.loaded,
+            store_reachable: heartbeat.state_ok,
+            is_overloaded: heartbeat.strained,
+            calibration_us: heartbeat.effort_us,
+        };
+        self.job_api.note_counts(heartbeat.counts);
         self.election
             .member_versions
-            .record_peer_build(now, &g.node_id, g.levels);
+            .record_peer_build(now, &heartbeat.node_id, heartbeat.levels);
         if let Some(leader) = &mut self.leader {
-            for (image, ms) in &g.fetches {
+            for (image, ms) in &heartbeat.fetches {
                 leader.estimates.learn(image, TimeSpan::millis(*ms));
             }
-            for id in &g.cancelled {
-                leader.hear_cancelled(now, id);
+            for job in &heartbeat.cancelled {
+                leader.hear_cancelled(now, job);
             }
         }
-        self.cache_hints.note(now, g.token, g.caches, g.fetches);
-        self.peers.insert(
-            g.node_id,
-            PeerView {
-                heard: now,
-                token: g.token,
-                leads: g.leads,
-                loaded: g.loaded,
-                state_ok: g.state_ok,
-                strained: g.strained,
-                effort_us: g.effort_us,
-            },
-        );
-        // A successor that has not read everything yet answers no worker, and may not
-        // for long: until then this one does, as long as its contact lets it.
-        let deposes = |l: &Leader| g.token > l.token && g.loaded && l.may_be(now, g.token);
-        if self.leader.as_ref().is_some_and(deposes) {
-            self.end_leadership(LeadershipOutcome::Deposed(g.token));
+        self.cache_hints
+            .note(now, heartbeat.token, heartbeat.caches, heartbeat.fetches);
+        self.peers.insert(heartbeat.node_id, view.clone());
+        self.yield_to_loaded_successor(&view);
+    }
+
+    /// Ends this controller's leadership once a successor answers agents. One that has
+    /// not read everything yet answers none, and may not for long: until then this
+    /// leader does, as long as its contact with the key-value store lets it.
+    fn yield_to_loaded_successor(&mut self, peer: &PeerView) {
+        let now = self.effects.now.time;
+        let is_replaced = |leader: &Leader| {
+            peer.token > leader.token && peer.leader_is_loaded && leader.may_be(now, peer.token)
+        };
+        if self.leader.as_ref().is_some_and(is_replaced) {
+            self.end_leadership(LeadershipOutcome::Deposed(peer.token));
         }
     }
 }
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
+use crate::core::election::ElectionOutcome;
+use crate::core::{Reply, job_records};
 use crate::policy::DEFAULT_SCRIPT;
 use crate::testing;
-use crate::types::Image;
+use crate::types::{Image, JobId};
+use crate::wire;
 use crate::wire::peers::PeerHeartbeat;
 
 // Nodes that were started again during an outage said for all of it that they
@@ -26,9 +29,9 @@
         caches: Vec::new(),
         fetches: Vec::new(),
     };
-    node.heard(peer(false));
+    node.record_peer_heartbeat(peer(false));
     assert!(node.is_ready(), "the outage is everybody's");
-    node.heard(peer(true));
+    node.record_peer_heartbeat(peer(true));
     assert!(!node.is_ready(), "a peer has the state service");
     node.election.last_contact = Some(Time(0));
     assert!(node.is_ready());
@@ -36,14 +39,14 @@
     assert!(node.is_ready(), "a follower stays");
     node.leader = Some(testing::leader());
     assert!(!node.is_ready(), "a leader that is behind does not");
-    node.heard(peer(false));
+    node.record_peer_heartbeat(peer(false));
     assert!(node.is_ready(), "unless nobody is better");
     // A follower with a slow processor kept its users, who waited for it.
     node.leader = None;
     node.self_health.slow = true;
-    node.heard(peer(true));
+    node.record_peer_heartbeat(peer(true));
     assert!(!node.is_ready(), "a slow follower leaves users to others");
-    node.heard(PeerHeartbeat {
+    node.record_peer_heartbeat(PeerHeartbeat {
         strained: true,
         ..peer(true)
     });
@@ -63,18 +66,18 @@
         takes.count()
     };
     at(&mut node, 5.0, Input::Tick);
-    node.stand(ElectionOutcome::Elected {
+    node.handle_election_outcome(ElectionOutcome::Elected {
         token: FencingToken(5),
         lease: 3,
     });
     let fit = || PeerView {
-        heard: Time(5_000_000),
+        last_heard: Time(5_000_000),
         token: FencingToken(5),
-        leads: false,
-        loaded: true,
-        state_ok: true,
-        strained: false,
-        effort_us: 0,
+        is_leader: false,
+        leader_is_loaded: true,
+        store_reachable: true,
+        is_overloaded: false,
+        calibration_us: 0,
     };
     for node_id in ["node-1", "node-2"] {
         node.peers.insert(node_id.into(), fit());
@@ -88,11 +91,11 @@
         "no gap meanwhile"
     );
     at(&mut node, 6.0, Input::Tick);
-    assert!(!node.may_end());
+    assert!(!node.may_exit());
     node.end_leadership(LeadershipOutcome::Deposed(FencingToken(9)));
-    assert!(!node.may_end(), "users are still led away");
+    assert!(!node.may_exit(), "users are still led away");
     at(&mut node, 7.8, Input::Tick);
-    assert!(node.may_end());
+    assert!(node.may_exit());
 }
 
 // Renewals go on by themselves: where the word that a lease is over was lost, a
@@ -103,7 +106,7 @@
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
     node.effects.now.time = Time(5_000_000);
-    node.stand(ElectionOutcome::Elected {
+    node.handle_election_outcome(ElectionOutcome::Elected {
         token: FencingToken(5),
         lease: 3,
     });
@@ -139,22 +142,22 @@
         fetches,
     );
     leader.leader = Some(testing::leader());
-    let told = wire::encode(&leader.greeting(Vec::new()));
-    peer.greeted(RequestId(1), &told);
+    let told = wire::encode(&leader.own_heartbeat(Vec::new()));
+    peer.handle_peer_heartbeat(RequestId(1), &told);
     let Some(Output::Answer(_, answer)) = peer.effects.take_outputs().pop() else {
         panic!("no answer");
     };
     let answer: PeerHeartbeat = wire::decode(&answer.body).unwrap();
     assert_eq!(answer.caches.len(), 1);
-    leader.heard(answer);
-    leader.greet();
+    leader.record_peer_heartbeat(answer);
+    leader.send_peer_heartbeats();
     assert!(
-        !leader.knows(&id),
+        !leader.knows_machine(&id),
         "a machine that is gone is not brought back"
     );
     let l = leader.leader.as_mut().unwrap();
     l.meet(Time(2), &id);
-    leader.greet();
+    leader.send_peer_heartbeats();
     let l = leader.leader.as_ref().unwrap();
     assert_eq!(l.machines[&id].cache.images().count(), 1);
     let cold = l.estimates.of(&"img".into(), 5.0, None);
@@ -176,23 +179,23 @@
     node.leader = Some(leader);
     let mut heard = BTreeSet::new();
     for _ in 0..20 {
-        node.greet();
+        node.send_peer_heartbeats();
         for out in node.effects.take_outputs() {
             let Output::Call(call) = out else { continue };
-            let Some(PendingCall::Greet(node_id)) = node.pending_calls.take(call.id) else {
+            let Some(PendingCall::PeerHeartbeat(node_id)) = node.pending_calls.take(call.id) else {
                 continue;
             };
             let reply = if node_id.as_str() == "node-1" {
                 let told: PeerHeartbeat = wire::decode(&call.body).unwrap();
                 heard.extend(told.caches.into_iter().map(|(id, _)| id));
-                let mut answer = node.greeting(Vec::new());
+                let mut answer = node.own_heartbeat(Vec::new());
                 answer.node_id = node_id.clone();
                 (answer.token, answer.leads) = (FencingToken(0), false);
                 Reply::Answer(200, wire::encode(&answer))
             } else {
                 Reply::Lost
             };
-            node.on_greet(node_id, &reply);
+            node.handle_peer_heartbeat_reply(node_id, &reply);
         }
     }
     assert_eq!(heard.len(), 1000);
@@ -221,8 +224,8 @@
         caches: Vec::new(),
         fetches: Vec::new(),
     };
-    node.heard(greeting("node-1", true, false));
-    node.heard(greeting("node-2", false, false));
+    node.record_peer_heartbeat(greeting("node-1", true, false));
+    node.record_peer_heartbeat(greeting("node-2", false, false));
     assert!(node.leader.is_some());
     // Workers that ask a third are sent to who answers them.
     let settings = testing::settings(2);
@@ -233,16 +236,16 @@
         token: FencingToken(5),
         ..greeting("node-0", true, true)
     };
-    third.heard(old);
-    third.heard(greeting("node-1", true, false));
-    assert_eq!(third.foreman().map(|(l, _)| l), Some("node-0".into()));
-    third.heard(greeting("node-1", true, true));
-    assert_eq!(third.foreman().map(|(l, _)| l), Some("node-1".into()));
+    third.record_peer_heartbeat(old);
+    third.record_peer_heartbeat(greeting("node-1", true, false));
+    assert_eq!(third.known_leader().map(|(l, _)| l), Some("node-0".into()));
+    third.record_peer_heartbeat(greeting("node-1", true, true));
+    assert_eq!(third.known_leader().map(|(l, _)| l), Some("node-1".into()));
     // The third says so too, where the successor itself cannot.
     third.election.leader = Some(("node-1".into(), FencingToken(9)));
-    let word = third.greeting(Vec::new());
+    let word = third.own_heartbeat(Vec::new());
     assert!(word.loaded && word.token == FencingToken(9));
-    node.heard(word);
+    node.record_peer_heartbeat(word);
     assert!(node.leader.is_none());
 }
 
@@ -261,7 +264,7 @@
     assert!(tick(&mut node, 9.9));
     assert!(!tick(&mut node, 10.1), "cut off from all");
     // In an outage the state service refuses, and that is everybody's.
-    node.state_spoke = Some(Time(10_000_000));
+    node.last_store_answer = Some(Time(10_000_000));
     assert!(tick(&mut node, 10.2));
 }
 
@@ -275,9 +278,9 @@
     node.effects.now.time = Time(5_000_000);
     let id = JobId::from("wk-1");
     node.job_api.confirmed.push(id.clone());
-    node.spread_cancelled();
-    assert!(node.greet_due <= Time(5_000_000));
-    let word = node.greeting(Vec::new());
+    node.announce_cancellations();
+    assert!(node.peer_heartbeat_due <= Time(5_000_000));
+    let word = node.own_heartbeat(Vec::new());
     assert_eq!(word.cancelled, ["wk-1".into()]);
     let mut leader = testing::leader();
     let spec = testing::submission("wk-1", crate::wire::users::JobShape::Array, 1);
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -410,7 +410,7 @@
                 ends = Some(Instant::now());
                 shared.feed(Input::Stop);
             }
-            if ends.is_some_and(|t| shared.node.borrow().may_end() || t.elapsed() > ENDS_WITHIN) {
+            if ends.is_some_and(|t| shared.node.borrow().may_exit() || t.elapsed() > ENDS_WITHIN) {
                 tracing::info!("ended as asked");
                 return Ok(());
             }
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -176,7 +176,7 @@
                 found.started.get_or_insert(after);
             }
             let node = world.nodes().find(|(m, _)| *m == n);
-            let machines = node.and_then(|(_, node)| node.machines());
+            let machines = node.and_then(|(_, node)| node.machine_counts());
             if machines.is_some_and(|(all, heard)| heard * 100 >= all.max(30) * 95) {
                 found.heard.get_or_insert(after);
             }
--- a/crates/simulator/benches/levels.rs
+++ b/crates/simulator/benches/levels.rs
@@ -123,8 +123,8 @@
     for step in 0..1000 {
         let t = last + f64::from(step) * 0.1;
         world.play(Time(0) + TimeSpan::secs(t), false);
-        let level = world.nodes().map(|(_, n)| n.level().0).max();
-        let done = world.nodes().map(|(_, n)| n.rewritten()).max();
+        let level = world.nodes().map(|(_, n)| n.active_version()).max();
+        let done = world.nodes().map(|(_, n)| n.rewritten_version()).max();
         let seen = [
             level >= Some(FormatVersion(1)),
             level >= Some(WITH_HISTORY),
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -640,7 +640,7 @@
                 };
                 let seed = self.rng.random();
                 let slot = &mut self.slots[n];
-                slot.node = Some(Node::with_levels(s, policy, seed, slot.range));
+                slot.node = Some(Node::with_supported_versions(s, policy, seed, slot.range));
                 slot.born = self.now;
                 let life = slot.life;
                 self.feed(n, Input::SpeedSample(USUAL_EFFORT));
@@ -676,7 +676,7 @@
                             self.feed(n, Input::Tick);
                         }
                         let slot = &self.slots[n];
-                        if slot.ending && slot.node.as_ref().is_some_and(Node::may_end) {
+                        if slot.ending && slot.node.as_ref().is_some_and(Node::may_exit) {
                             self.act(NodeAction::Kill(n));
                             continue;
                         }
@@ -689,7 +689,7 @@
                     if self.stand.tally().is_due(t) {
                         let nodes = self.slots.iter().filter_map(|s| s.node.as_ref());
                         let leader = nodes.filter(|n| n.leads()).max_by_key(|n| n.token());
-                        let knows = leader.map(|l| |m: &MachineId| l.knows(m));
+                        let knows = leader.map(|l| |m: &MachineId| l.knows_machine(m));
                         self.stand.look_for_unknown(t, knows);
                     }
                     self.at(t + TICK, Event::Stand);
--- a/crates/simulator/tests/rollout.rs
+++ b/crates/simulator/tests/rollout.rs
@@ -64,9 +64,9 @@
 /// What the nodes that serve say of the level, at a second.
 fn level(world: &mut Simulated, t: f64) -> FormatVersion {
     world.play(Time(0) + TimeSpan::secs(t), false);
-    let serving = world.nodes().filter(|(_, n)| n.level().1);
+    let serving = world.nodes().filter(|(_, n)| n.is_serving());
     serving
-        .map(|(_, n)| n.level().0)
+        .map(|(_, n)| n.active_version())
         .max()
         .unwrap_or(UNVERSIONED)
 }
@@ -164,7 +164,7 @@
             for (n, node) in world.nodes() {
                 if n != 2 {
                     assert!(node.token().is_none(), "{build}: node {n} leads");
-                    assert_eq!(node.level().1, build == "before", "{build}: node {n}");
+                    assert_eq!(node.is_serving(), build == "before", "{build}: node {n}");
                 }
             }
         }
@@ -183,7 +183,7 @@
     assert!(
         world
             .nodes()
-            .all(|(_, n)| !n.level().1 && n.token().is_none())
+            .all(|(_, n)| !n.is_serving() && n.token().is_none())
     );
     ends_well(world, 3);
 }
@@ -288,7 +288,7 @@
         assert_eq!(level(&mut world, 50.0), FENCED);
         assert_eq!(level(&mut world, 90.0), WITH_HISTORY);
         let mut t = 90.0;
-        let done = |world: &Simulated| world.nodes().map(|(_, n)| n.rewritten()).max();
+        let done = |world: &Simulated| world.nodes().map(|(_, n)| n.rewritten_version()).max();
         while done(&world) < Some(WITH_HISTORY) && t < 300.0 {
             t += 1.0;
             world.play(Time(0) + TimeSpan::secs(t), false);
