--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -1,43 +1,43 @@
 //! The leading controller: loads what is recorded, follows changes, places
 //! work every cycle and writes its decisions ahead of sending them.
 
+mod arrival_recorder;
 mod autoscaling;
+mod cluster_state;
 mod command_dispatch;
 mod commit_pipeline;
 mod heartbeat_reconciliation;
+mod record_watch;
 mod scheduler;
 mod status_broadcast;
 mod task_completion;
 
+use self::arrival_recorder::{Arrival, ArrivalRecorder};
+use self::cluster_state::ClusterState;
+use self::command_dispatch::CommandDispatcher;
+use self::commit_pipeline::TransactionWriter;
+use self::heartbeat_reconciliation::HeartbeatReconciler;
+use self::record_watch::{LoadPhase, RecordWatcher};
+use self::scheduler::Scheduler;
+use self::status_broadcast::StatusBroadcaster;
+pub use self::status_broadcast::TaskCounts;
 use super::autoscaler::state::{Autoscaler, CloudCall};
 use super::effects::{Effects, PendingCalls};
 use super::failpoints::{self, SafetyCheck};
 use super::format_version::chunk_progress::ChunkProgress;
 use super::format_version::{FormatVersion, WITH_HISTORY};
-use super::garbage_collection::GarbageCollector;
-use super::job_records::{
-    self, ChunkSize, CommitPipeline, DirtyChunks, HeaderStage, Job, JobOutcome,
-    SubmissionAssembler, Watched,
-};
-use super::leader_announcement::LeaderAnnouncer;
+use super::job_records::{self, HeaderStage, Job, JobOutcome, Watched};
 use super::leader_authority::{Bounds, LeaderAuthority};
-use super::machine::{DeferredHeartbeat, Machine, MachineLifecycle};
-use super::placement_tables::FetchEstimates;
+use super::machine::{Machine, MachineLifecycle};
 use super::quarantine::Quarantine;
 use super::quota::arrival_history::{self, ArrivalHistory};
 use super::{Reply, Target};
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::types::{
-    Attempt, Class, FencingToken, Image, JobId, MachineId, MachineTypeName, NodeId, TaskId, Team,
-    Time, TimeSpan, Version, WallTime,
-};
+use crate::types::{FencingToken, JobId, MachineId, NodeId, TaskId, Time, TimeSpan, Version};
 use crate::wire;
-use crate::wire::cloud::{MachineType, MachineTypes};
+use crate::wire::cloud::MachineTypes;
 use crate::wire::kvstore::{Entry, EntryPage, Operation, WatchEvent, WatchResponse};
-use crate::wire::workers::{StopReason, TaskState};
-use crate::wire::{backoff::Backoff, rate_limit::TokenBucket};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
 /// What is to become of this leadership.
@@ -70,26 +70,6 @@
 /// Arrivals kept per class.
 const MOST_ARRIVALS: usize = 2048;
 
-/// A job's arrival, for what is to be expected.
-#[derive(Clone, Debug)]
-pub(super) struct Arrival {
-    pub at: WallTime,
-    pub team: Team,
-    /// Machines that its tasks fill, and for how long.
-    pub machines: f64,
-    pub run_s: f64,
-}
-
-type ReportedTasks = Vec<(String, Attempt, TaskState, Option<StopReason>)>;
-
-#[derive(Debug)]
-enum Load {
-    Watched(Vec<Entry>),
-    Records(Vec<Entry>),
-    Duties(Vec<Entry>),
-    Done,
-}
-
 /// What a leader waits for. It goes with its leader: replies for an earlier
 /// one are void.
 #[derive(Clone, Debug)]
@@ -107,82 +87,36 @@
     Cloud(CloudCall, Option<NodeId>),
 }
 
-/// The leader.
+/// The leader: what its term rests on, and the parts that do its work.
 #[derive(Debug)]
 pub struct Leader {
-    pub(super) settings: Rc<Settings>,
-    pub(super) policy: Rc<Policy>,
-    /// The token.
+    /// The fencing token.
     pub token: FencingToken,
-    /// The key whose version it is.
+    /// The key whose version is the token.
     pub holder: &'static str,
-    /// The level in force.
+    /// The format version in force.
     pub level: FormatVersion,
-    /// Changes of the levels' keys that its watch told.
+    /// Changes of leader and format-version keys that the watch showed.
     pub news: Vec<WatchEvent>,
     /// The lease that the token hangs on.
     pub lease: u64,
     /// Calls under way.
     pub pending_calls: PendingCalls<PendingCall>,
-    /// When it took office.
+    /// When it began to lead.
     pub office: Time,
-    /// Until when its word counts.
+    /// Until when it may answer heartbeats and start tasks.
     pub authority: LeaderAuthority,
-    load: Load,
-    /// The revision of the load's first page: changes are followed from there.
-    first_read: Option<Version>,
-    assembly: SubmissionAssembler,
-    revision: Version,
-    watching: bool,
-    watch_again: Time,
-    watch_backoff: Backoff,
-    pub(super) jobs: BTreeMap<JobId, Job>,
-    pub(super) machines: BTreeMap<MachineId, Machine>,
-    pub(super) types: BTreeMap<MachineTypeName, MachineType>,
-    pub(super) estimates: FetchEstimates,
-    pub(super) chunk_size: ChunkSize,
-    pub(super) commit_pipeline: CommitPipeline,
-    pub(super) commit_backoff: Backoff,
-    pub(super) writes: TokenBucket,
-    pub(super) dirty: DirtyChunks,
-    pub(super) finishing: BTreeSet<JobId>,
-    pub(super) dropping: BTreeSet<JobId>,
-    look_due: Time,
-    next_cycle: Time,
-    pub(super) last_cycle: Time,
-    /// Whether the last input ran a cycle.
-    cycled: bool,
-    /// Least time from one cycle to the next, by what the last one took.
-    rest: TimeSpan,
-    /// Cycles run.
-    pub cycles: u64,
-    pub(super) held: BTreeMap<MachineId, DeferredHeartbeat>,
-    /// When held reports are next looked through, and the cycle after which
-    /// they last were.
-    pub(super) held_due: Time,
-    pub(super) held_cycle: u64,
-    /// Machines for which starts were stored since.
-    pub(super) stored: BTreeSet<MachineId>,
-    pub(super) listed: BTreeMap<MachineId, ReportedTasks>,
-    pub(super) direct: BTreeMap<MachineId, Vec<TaskId>>,
-    pub(super) announcer: LeaderAnnouncer,
+    next_health_check: Time,
+    pub(super) cluster: ClusterState,
+    records: RecordWatcher,
+    pub(super) writer: TransactionWriter,
+    pub(super) scheduler: Scheduler,
+    pub(super) heartbeats: HeartbeatReconciler,
+    pub(super) commands: CommandDispatcher,
     pub(super) autoscaler: Autoscaler,
     pub(super) quarantine: Quarantine,
-    pub(super) garbage_collector: GarbageCollector,
-    /// When work was last stopped for other work.
-    pub(super) reclaimed: Option<Time>,
-    /// Submissions that were read, whether or not they could be understood.
-    submitted: BTreeSet<JobId>,
-    pub(super) arrivals: BTreeMap<Class, VecDeque<Arrival>>,
-    /// Chunks whose record has an older form than the level in force writes.
-    pub(super) older: BTreeSet<(JobId, u32)>,
-    pub(super) rewrite_due: Time,
-    /// When what came of late is next stored.
-    memory_due: Time,
-    memory_stored: serde_json::Value,
-    pub(super) told: BTreeMap<JobId, (u32, u32)>,
-    pub(super) told_caches: BTreeMap<MachineId, Vec<(Image, f64)>>,
-    pub(super) told_fetches: BTreeMap<Image, u64>,
+    pub(super) arrivals: ArrivalRecorder,
+    pub(super) status: StatusBroadcaster,
 }
 
 impl Leader {
@@ -195,8 +129,6 @@
         now: Time,
         types: &MachineTypes,
     ) -> Leader {
-        let bounds = Bounds::new(&settings.workers);
-        let limits = settings.state_limits;
         let mut leader = Leader {
             token,
             holder,
@@ -205,53 +137,18 @@
             lease,
             pending_calls: PendingCalls::default(),
             office: now,
-            authority: LeaderAuthority::new(bounds, now),
-            load: Load::Watched(Vec::new()),
-            first_read: None,
-            assembly: SubmissionAssembler::default(),
-            revision: Version(0),
-            watching: false,
-            watch_again: now,
-            watch_backoff: Backoff::default(),
-            jobs: BTreeMap::new(),
-            machines: BTreeMap::new(),
-            types: BTreeMap::new(),
-            estimates: FetchEstimates::new(TimeSpan::secs(policy.first_fetch_s)),
-            chunk_size: ChunkSize::for_value(limits.value_bytes),
-            commit_pipeline: CommitPipeline::default(),
-            commit_backoff: Backoff::default(),
-            writes: TokenBucket::new(limits.write_rps * 0.7, limits.write_rps * 0.7),
-            dirty: DirtyChunks::default(),
-            finishing: BTreeSet::new(),
-            dropping: BTreeSet::new(),
-            look_due: now,
-            next_cycle: now,
-            last_cycle: now,
-            cycled: false,
-            rest: TimeSpan::ZERO,
-            cycles: 0,
-            held: BTreeMap::new(),
-            held_due: now,
-            held_cycle: 0,
-            stored: BTreeSet::new(),
-            listed: BTreeMap::new(),
-            direct: BTreeMap::new(),
-            announcer: LeaderAnnouncer::new(now, settings.workers.report),
+            authority: LeaderAuthority::new(Bounds::new(&settings.workers), now),
+            next_health_check: now,
+            records: RecordWatcher::new(now),
+            writer: TransactionWriter::new(settings.state_limits.write_rps, now),
+            scheduler: Scheduler::new(now),
+            heartbeats: HeartbeatReconciler::new(now),
+            commands: CommandDispatcher::new(now, settings.workers.report),
             autoscaler: Autoscaler::new(&settings, token, now),
             quarantine: Quarantine::default(),
-            garbage_collector: GarbageCollector::default(),
-            reclaimed: None,
-            submitted: BTreeSet::new(),
-            arrivals: BTreeMap::new(),
-            older: BTreeSet::new(),
-            rewrite_due: now,
-            memory_due: now,
-            memory_stored: serde_json::Value::Null,
-            told: BTreeMap::new(),
-            told_caches: BTreeMap::new(),
-            told_fetches: BTreeMap::new(),
-            settings,
-            policy,
+            arrivals: ArrivalRecorder::new(now),
+            status: StatusBroadcaster::default(),
+            cluster: ClusterState::new(settings, policy),
         };
         leader.set_types(types);
         leader
@@ -260,7 +157,7 @@
     /// Takes over machine types read from the cloud or the state service.
     pub fn set_types(&mut self, types: &MachineTypes) {
         for t in &types.kinds {
-            self.types.insert(t.name.clone(), t.clone());
+            self.cluster.machine_types.insert(t.name.clone(), t.clone());
         }
     }
 
@@ -282,23 +179,27 @@
     /// Machines that it knows of, and those that have reported under its token.
     pub fn machines_heard(&self) -> (usize, usize) {
         let heard = self
+            .cluster
             .machines
             .values()
             .filter(|m| m.our_token_since.is_some());
-        (self.machines.len(), heard.count())
+        (self.cluster.machines.len(), heard.count())
     }
 
     /// Whether it knows of a machine.
     pub fn knows(&self, machine: &MachineId) -> bool {
-        self.machines.contains_key(machine)
+        self.cluster.machines.contains_key(machine)
     }
 
     /// Has the next cycle run soon.
     pub fn cycle_soon(&mut self, now: Time) {
         // The more machines a cycle looks at, the rarer cycles have to be.
-        let gap = CYCLE_GAP + TimeSpan(GAP_PER_MACHINE.0 * self.machines.len() as u64);
-        let gap = gap.max(self.rest);
-        self.next_cycle = self.next_cycle.min(now.max(self.last_cycle + gap));
+        let gap = CYCLE_GAP + TimeSpan(GAP_PER_MACHINE.0 * self.cluster.machines.len() as u64);
+        let gap = gap.max(self.scheduler.minimum_gap);
+        self.scheduler.next_cycle = self
+            .scheduler
+            .next_cycle
+            .min(now.max(self.scheduler.last_cycle + gap));
     }
 
     /// An input has come: the last cycle, if one ran since the one before, took
@@ -306,27 +207,30 @@
     /// waits and on the processor's share, so cycles leave most of the time to
     /// everything else whatever they take.
     fn note_pace(&mut self, now: Time) {
-        if !std::mem::take(&mut self.cycled) {
+        if !std::mem::take(&mut self.scheduler.cycle_just_ran) {
             return;
         }
-        let took = now.since(self.last_cycle);
+        let took = now.since(self.scheduler.last_cycle);
         let long = took > LONG_CYCLE;
-        self.rest = if long {
+        self.scheduler.minimum_gap = if long {
             took.scaled(CYCLES_LEAVE).min(LONGEST_REST)
         } else {
             TimeSpan::ZERO
         };
-        self.next_cycle = self.next_cycle.max(self.last_cycle + self.rest);
+        self.scheduler.next_cycle = self
+            .scheduler
+            .next_cycle
+            .max(self.scheduler.last_cycle + self.scheduler.minimum_gap);
     }
 
     /// Does what is due as time passes.
     pub fn tick(&mut self, effects: &mut Effects) {
-        if !self.watching && effects.now.time >= self.watch_again {
+        if !self.records.reading && effects.now.time >= self.records.next_read {
             self.read_on(effects);
         }
         if self.is_loaded() {
-            if effects.now.time >= self.look_due {
-                self.look_due = effects.now.time + LOOK_EVERY;
+            if effects.now.time >= self.next_health_check {
+                self.next_health_check = effects.now.time + LOOK_EVERY;
                 self.expire(effects);
                 self.give_up_machines(effects.now.time);
                 self.mean_releases(effects.now.wall);
@@ -342,12 +246,12 @@
     pub fn advance(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
         self.note_pace(now);
-        if now >= self.next_cycle && self.may_start(now) {
-            self.last_cycle = now;
-            self.cycled = true;
-            self.next_cycle = now + TimeSpan::secs(self.policy.cycle_s);
+        if now >= self.scheduler.next_cycle && self.may_start(now) {
+            self.scheduler.last_cycle = now;
+            self.scheduler.cycle_just_ran = true;
+            self.scheduler.next_cycle = now + TimeSpan::secs(self.cluster.policy.cycle_s);
             self.cycle(effects);
-            self.cycles += 1;
+            self.scheduler.cycles += 1;
         }
         self.pump(effects);
         self.send_direct(effects);
@@ -355,27 +259,29 @@
     }
 
     fn read_on(&mut self, effects: &mut Effects) {
-        let (path, timeout) = match &self.load {
-            Load::Watched(got) => (page(job_records::WATCHED, got), TimeSpan::secs(3.0)),
-            Load::Records(got) => (
+        let (path, timeout) = match &self.records.load {
+            LoadPhase::Watched(got) => (page(job_records::WATCHED, got), TimeSpan::secs(3.0)),
+            LoadPhase::ProgressRecords(got) => (
                 page(job_records::PROGRESS_RECORDS, got),
                 TimeSpan::secs(3.0),
             ),
-            Load::Duties(got) => (page(super::keys::LEADER_RECORDS, got), TimeSpan::secs(3.0)),
-            Load::Done => {
+            LoadPhase::LeaderRecords(got) => {
+                (page(super::keys::LEADER_RECORDS, got), TimeSpan::secs(3.0))
+            }
+            LoadPhase::Done => {
                 let hold = self.authority.watch(effects.now.time);
                 (
                     format!(
                         "/changes?starts={}&since={}&hold_ms={}",
                         job_records::WATCHED,
-                        self.revision,
+                        self.records.revision,
                         hold.as_millis()
                     ),
                     hold + TimeSpan::secs(3.0),
                 )
             }
         };
-        self.watching = true;
+        self.records.reading = true;
         let sent = effects.now.time;
         let id = effects.call(Target::State, "GET", path, Vec::new(), timeout);
         self.pending_calls.add(id, PendingCall::Read { sent });
@@ -404,7 +310,7 @@
         reply: Reply,
     ) -> LeadershipOutcome {
         let now = effects.now.time;
-        self.watching = false;
+        self.records.reading = false;
         let (status, body) = match reply {
             Reply::Answer(status, body) => (status, body),
             Reply::NotSent | Reply::Lost => (0, Vec::new()),
@@ -415,14 +321,15 @@
         }
         if status != 200 {
             let jitter = effects.jitter();
-            self.watch_again = now
+            self.records.next_read = now
                 + self
-                    .watch_backoff
+                    .records
+                    .backoff
                     .failed(TimeSpan::millis(150), TimeSpan::secs(1.0), jitter);
             return LeadershipOutcome::Continue;
         }
-        self.watch_backoff.succeeded();
-        self.watch_again = now;
+        self.records.backoff.succeeded();
+        self.records.next_read = now;
         if !self.is_loaded() {
             return self.on_page(effects.now, sent, &body);
         }
@@ -432,7 +339,7 @@
         let fate = self.apply(effects, changes);
         self.authority.showed(sent);
         for id in self.authority.refuted() {
-            if self.jobs.get(&id).is_some_and(Job::is_open) {
+            if self.cluster.jobs.get(&id).is_some_and(Job::is_open) {
                 tracing::error!(job = %id, "said to be cancelled by a peer, and is not; it goes on");
             }
         }
@@ -446,42 +353,45 @@
         let more = page.more;
         // Changes are followed from the first page on; what a later page
         // already shows is applied twice without harm.
-        let revision = *self.first_read.get_or_insert(page.revision);
+        let revision = *self
+            .records
+            .first_page_revision
+            .get_or_insert(page.revision);
         self.authority.page(sent);
-        match &mut self.load {
-            Load::Watched(got) => {
+        match &mut self.records.load {
+            LoadPhase::Watched(got) => {
                 got.extend(page.items);
                 if !more {
-                    self.revision = revision;
+                    self.records.revision = revision;
                     let got = std::mem::take(got);
                     if let Some(fate) = self.load_watched(got) {
                         return fate;
                     }
-                    self.load = Load::Records(Vec::new());
+                    self.records.load = LoadPhase::ProgressRecords(Vec::new());
                 }
             }
-            Load::Records(got) => {
+            LoadPhase::ProgressRecords(got) => {
                 got.extend(page.items);
                 if !more {
                     let got = std::mem::take(got);
                     self.load_records(now.time, got);
-                    self.load = Load::Duties(Vec::new());
+                    self.records.load = LoadPhase::LeaderRecords(Vec::new());
                 }
             }
-            Load::Duties(got) => {
+            LoadPhase::LeaderRecords(got) => {
                 got.extend(page.items);
                 if !more {
                     let got = std::mem::take(got);
                     self.load_duties(now, got);
                     if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
-                        self.revision = page.revision;
+                        self.records.revision = page.revision;
                     }
-                    self.load = Load::Done;
+                    self.records.load = LoadPhase::Done;
                     self.authority.loaded(sent);
-                    tracing::info!(token = %self.token, jobs = self.jobs.len(), machines = self.machines.len(), "leading");
+                    tracing::info!(token = %self.token, jobs = self.cluster.jobs.len(), machines = self.cluster.machines.len(), "leading");
                 }
             }
-            Load::Done => {}
+            LoadPhase::Done => {}
         }
         LeadershipOutcome::Continue
     }
@@ -499,7 +409,7 @@
                         version: e.version,
                     });
                 }
-                Watched::Part(id, n) => self.assembly.part(id, n, &e.value),
+                Watched::Part(id, n) => self.records.assembler.part(id, n, &e.value),
                 _ => {}
             }
         }
@@ -514,10 +424,10 @@
                 Watched::Job(id) => Some(id),
                 _ => None,
             });
-        self.submitted = submitted.collect();
+        self.records.submitted = submitted.collect();
         for e in &entries {
-            let there = |id: &JobId| self.submitted.contains(id);
-            self.garbage_collector.look(&e.key, e.version, there);
+            let there = |id: &JobId| self.records.submitted.contains(id);
+            self.writer.garbage_collector.look(&e.key, e.version, there);
         }
         for e in &entries {
             if let Watched::Job(id) = job_records::watched(&e.key) {
@@ -526,7 +436,7 @@
         }
         for e in &entries {
             if let Watched::JobOutcome(id) = job_records::watched(&e.key)
-                && let Some(job) = self.jobs.get_mut(&id)
+                && let Some(job) = self.cluster.jobs.get_mut(&id)
             {
                 job.end = Some(
                     match job_records::read::<job_records::JobHeader>(&e.value) {
@@ -540,17 +450,17 @@
     }
 
     fn add_job(&mut self, id: &JobId, version: Version, value: &serde_json::Value) {
-        if self.jobs.contains_key(id) {
+        if self.cluster.jobs.contains_key(id) {
             return;
         }
-        match self.assembly.job(id, version, value) {
+        match self.records.assembler.job(id, version, value) {
             Some(job) => {
                 self.note_arrival(&job);
                 // A new leader reads all open jobs at once: that is no news.
                 if self.is_loaded() {
                     tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, tasks = job.spec.tasks, image = %job.spec.image, "accepted");
                 }
-                self.jobs.insert(id.clone(), job);
+                self.cluster.jobs.insert(id.clone(), job);
             }
             None => tracing::error!(job = %id, "record of the submission cannot be read"),
         }
@@ -559,14 +469,19 @@
     fn note_arrival(&mut self, job: &Job) {
         let needs = job.spec.needs();
         let per_machine = self
-            .types
+            .cluster
+            .machine_types
             .values()
             .map(|t| needs.count_in(&t.has(), u32::MAX))
             .max()
             .unwrap_or(1)
             .max(1);
         let machines = f64::from(job.spec.tasks) / f64::from(per_machine);
-        let all = self.arrivals.entry(job.spec.class.clone()).or_default();
+        let all = self
+            .arrivals
+            .by_class
+            .entry(job.spec.class.clone())
+            .or_default();
         all.push_back(Arrival {
             at: job.at,
             team: job.spec.team.clone(),
@@ -579,8 +494,8 @@
     }
 
     fn memory(&self) -> ArrivalHistory {
-        let mut memory = ArrivalHistory::new(TimeSpan::secs(self.policy.floor_window_s));
-        for (class, arrivals) in &self.arrivals {
+        let mut memory = ArrivalHistory::new(TimeSpan::secs(self.cluster.policy.floor_window_s));
+        for (class, arrivals) in &self.arrivals.by_class {
             for a in arrivals {
                 memory.note(a.at, class, &a.team, a.machines, a.run_s);
             }
@@ -590,14 +505,14 @@
 
     /// Stores what came of late now and then, if the level in force has it.
     fn store_memory(&mut self, at: super::Now) {
-        if self.level < WITH_HISTORY || at.time < self.memory_due {
+        if self.level < WITH_HISTORY || at.time < self.arrivals.store_due {
             return;
         }
-        self.memory_due = at.time + MEMORY_EVERY;
-        let bytes = self.settings.state_limits.value_bytes;
+        self.arrivals.store_due = at.time + MEMORY_EVERY;
+        let bytes = self.cluster.settings.state_limits.value_bytes;
         let value = self.memory().store(at.wall, bytes);
-        if value != self.memory_stored {
-            self.memory_stored = value.clone();
+        if value != self.arrivals.stored {
+            self.arrivals.stored = value.clone();
             self.autoscaler
                 .intents
                 .pending_writes
@@ -615,7 +530,7 @@
             return;
         };
         for m in missing {
-            let all = self.arrivals.entry(m.class).or_default();
+            let all = self.arrivals.by_class.entry(m.class).or_default();
             let place = all.partition_point(|a| a.at < m.at);
             let arrival = Arrival {
                 at: m.at,
@@ -631,44 +546,46 @@
     }
 
     fn load_records(&mut self, now: Time, entries: Vec<Entry>) {
-        let submitted = std::mem::take(&mut self.submitted);
+        let submitted = std::mem::take(&mut self.records.submitted);
         for e in entries {
             let Some((id, chunk)) = job_records::record(&e.key) else {
                 continue;
             };
             // Without its submission a record is a remnant of an ended job.
-            self.garbage_collector
+            self.writer
+                .garbage_collector
                 .look(&e.key, e.version, |id| submitted.contains(id));
-            let Some(job) = self.jobs.get_mut(&id) else {
+            let Some(job) = self.cluster.jobs.get_mut(&id) else {
                 continue;
             };
             if !ChunkProgress::is_of(&e.value, WITH_HISTORY) {
-                self.older.insert((id.clone(), chunk));
+                self.writer.outdated_chunks.insert((id.clone(), chunk));
             }
             if let Err(why) = job.load_chunk(chunk, e.version, &e.value) {
                 tracing::error!(job = %id, key = e.key, %why, "a record cannot be read; its job is left as it is");
             }
         }
         let mut stop = Vec::new();
-        for (id, job) in &mut self.jobs {
+        for (id, job) in &mut self.cluster.jobs {
             for (&index, p) in &mut job.assignments {
                 p.placed = now;
                 let task = TaskId {
                     job: id.clone(),
                     index,
                 };
-                self.machines
+                self.cluster
+                    .machines
                     .entry(p.machine.clone())
                     .or_insert_with(|| Machine::new(now))
                     .take(task, job.spec.needs());
             }
             if job.end.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
                 job.end = Some(JobOutcome::Done { written: false });
-                self.finishing.insert(id.clone());
+                self.cluster.unwritten.finished_jobs.insert(id.clone());
             }
             if !job.is_open() {
                 if job.assignments.is_empty() {
-                    self.dropping.insert(id.clone());
+                    self.cluster.unwritten.jobs_to_delete.insert(id.clone());
                 } else {
                     stop.push(id.clone());
                 }
@@ -684,7 +601,7 @@
         for e in entries {
             if e.key == arrival_history::KEY {
                 self.recall(&e.value);
-                self.memory_stored = e.value;
+                self.arrivals.stored = e.value;
                 continue;
             }
             let go = self.autoscaler.intents.load(&e.key, &e.value, now.wall);
@@ -717,6 +634,7 @@
     pub(super) fn meet(&mut self, now: Time, id: &MachineId) -> &mut Machine {
         let lifecycle = self.autoscaler.intents.is_leaving(id);
         let m = self
+            .cluster
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(now));
@@ -727,13 +645,13 @@
     }
 
     fn stop_all(&mut self, now: Time, id: &JobId, why: &'static str) {
-        let Some(job) = self.jobs.get(id) else {
+        let Some(job) = self.cluster.jobs.get(id) else {
             return;
         };
         let all: Vec<u32> = job.assignments.keys().copied().collect();
         self.stop_tasks(now, id, &all, 0.0, why);
-        if self.jobs[id].assignments.is_empty() {
-            self.dropping.insert(id.clone());
+        if self.cluster.jobs[id].assignments.is_empty() {
+            self.cluster.unwritten.jobs_to_delete.insert(id.clone());
         }
     }
 
@@ -741,7 +659,7 @@
         let now = effects.now.time;
         for e in &changes.events {
             if let Some(Watched::Part(id, n)) = e.put.as_deref().map(job_records::watched) {
-                self.assembly.part(id, n, &e.value);
+                self.records.assembler.part(id, n, &e.value);
             }
         }
         for e in &changes.events {
@@ -773,12 +691,12 @@
                 _ => {}
             }
         }
-        self.revision = self.revision.max(changes.revision);
+        self.records.revision = self.records.revision.max(changes.revision);
         LeadershipOutcome::Continue
     }
 
     fn cancelled(&mut self, now: Time, id: &JobId) {
-        if let Some(job) = self.jobs.get(id) {
+        if let Some(job) = self.cluster.jobs.get(id) {
             tracing::info!(job = %id, team = %job.spec.team, "cancelled by its user");
             self.end(now, id, "its user cancelled it");
         }
@@ -787,7 +705,7 @@
     /// A peer told a job's user that it is cancelled: nothing of it is wanted any more,
     /// whether or not the state service can be read. Nothing is deleted on a word.
     pub fn hear_cancelled(&mut self, now: Time, id: &JobId) {
-        let Some(job) = self.jobs.get(id).filter(|j| j.is_open()) else {
+        let Some(job) = self.cluster.jobs.get(id).filter(|j| j.is_open()) else {
             return;
         };
         let tasks: Vec<u32> = job.assignments.keys().copied().collect();
@@ -800,15 +718,15 @@
     /// Whether somebody may hold this token: one that was given before what is known
     /// by now would be known too, and so many changes there cannot be since.
     pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
-        let rate = self.settings.state_limits.write_rps * 2.0;
+        let rate = self.cluster.settings.state_limits.write_rps * 2.0;
         let since = (self.authority.age(now).as_secs() * rate) as u64;
-        let most = self.revision.0.saturating_add(since + MOST_AT_ONCE);
-        (self.revision.0 + 1..=most).contains(&token.0)
+        let most = self.records.revision.0.saturating_add(since + MOST_AT_ONCE);
+        (self.records.revision.0 + 1..=most).contains(&token.0)
     }
 
     /// A commit found that a job's head is not open any more.
     pub(super) fn ended_elsewhere(&mut self, now: Time, id: &JobId) {
-        if self.jobs.get(id).is_some_and(Job::is_open) {
+        if self.cluster.jobs.get(id).is_some_and(Job::is_open) {
             tracing::info!(job = %id, "found to be over when its starts were to be stored");
             self.end(now, id, "its job is over");
         }
@@ -816,12 +734,12 @@
 
     /// Nothing of a job is wanted any more.
     fn end(&mut self, now: Time, id: &JobId, why: &'static str) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         job.end = Some(JobOutcome::Cancelled);
         job.waiting = Default::default();
-        self.finishing.remove(id);
+        self.cluster.unwritten.finished_jobs.remove(id);
         self.stop_all(now, id, why);
     }
 }
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -36,7 +36,7 @@
         let now = effects.now.time;
         if now >= self.autoscaler.tend_due {
             self.autoscaler.tend_due = now + TEND_EVERY;
-            let machines = &self.machines;
+            let machines = &self.cluster.machines;
             let heard = |id: &MachineId| {
                 let m = machines.get(id);
                 m.is_none_or(|m| m.reported.is_some() || m.listed_at.is_some())
@@ -78,9 +78,13 @@
             }
         };
         let by = self.autoscaler.hands.peer(now).cloned();
-        let peer = by
-            .as_ref()
-            .and_then(|node_id| self.settings.peers.iter().find(|p| p.node_id == *node_id));
+        let peer = by.as_ref().and_then(|node_id| {
+            self.cluster
+                .settings
+                .peers
+                .iter()
+                .find(|p| p.node_id == *node_id)
+        });
         let id = match peer {
             Some(p) => {
                 let path = format!("/cloud/{}{path}", self.token);
@@ -98,7 +102,7 @@
         if !pressing {
             return;
         }
-        let new = self.machines.iter().filter(|(id, m)| {
+        let new = self.cluster.machines.iter().filter(|(id, m)| {
             m.lifecycle == MachineLifecycle::Terminating
                 && (any || !m.tasks.is_empty())
                 && !intents.is_leaving(id)
@@ -111,7 +115,7 @@
 
     /// The next call; made only if the rate allows it.
     fn next_call(&mut self, now: Time) -> Option<CloudCall> {
-        if self.types.is_empty() {
+        if self.cluster.machine_types.is_empty() {
             return Some(CloudCall::Types);
         }
         // While spot machines go all the time there is always something to
@@ -220,7 +224,7 @@
             },
             CloudCall::ProvisionRequest(r) => {
                 if no_capacity || status == 400 {
-                    let pause = TimeSpan::secs(self.policy.no_capacity_pause_s);
+                    let pause = TimeSpan::secs(self.cluster.policy.no_capacity_pause_s);
                     self.autoscaler.intents.no_room(&r.request);
                     tracing::info!(kind = %r.kind, zone = %r.zone, spot = r.spot, "no capacity");
                     self.autoscaler
@@ -228,7 +232,7 @@
                         .insert((r.kind, r.zone, r.spot), now + pause);
                 } else if let Some(names) = wire::decode::<MachineNames>(&body) {
                     if (names.machines.len() as u32) < r.count {
-                        let pause = TimeSpan::secs(self.policy.no_capacity_pause_s);
+                        let pause = TimeSpan::secs(self.cluster.policy.no_capacity_pause_s);
                         self.autoscaler
                             .paused
                             .insert((r.kind.clone(), r.zone.clone(), r.spot), now + pause);
@@ -252,8 +256,8 @@
                 for id in names {
                     // By now the machine and everything on it is gone.
                     self.write_off(now, &id, "released");
-                    self.machines.remove(&id);
-                    self.held.remove(&id);
+                    self.cluster.machines.remove(&id);
+                    self.heartbeats.deferred.remove(&id);
                 }
             }
         }
@@ -287,7 +291,11 @@
             if !stopping.is_empty() {
                 // What an earlier leader had half told to stop is told whole;
                 // the rest is left out when it is sent.
-                self.direct.entry(l.id).or_default().extend(stopping);
+                self.cluster
+                    .direct_stops
+                    .entry(l.id)
+                    .or_default()
+                    .extend(stopping);
             }
         }
     }
@@ -295,18 +303,18 @@
     /// Sees to machines that never came up, fell silent or are gone.
     pub(super) fn give_up_machines(&mut self, now: Time) {
         let silence = self.silence();
-        let lag = self.settings.list_lag;
+        let lag = self.cluster.settings.list_lag;
         let listed = self.autoscaler.listed;
         let mut forget = Vec::new();
-        for (id, m) in &mut self.machines {
+        for (id, m) in &mut self.cluster.machines {
             let heard = m.reported.unwrap_or(m.known);
             let quiet = now.since(heard);
             let boot = m
                 .kind
                 .as_ref()
-                .and_then(|k| self.types.get(k))
+                .and_then(|k| self.cluster.machine_types.get(k))
                 .map_or(60.0, |t| t.boot_s);
-            let patience = TimeSpan::secs(boot * self.policy.boot_patience);
+            let patience = TimeSpan::secs(boot * self.cluster.policy.boot_patience);
             // Lists are up to twice the lag old; one that was taken in well
             // after the machine fell silent and still lacks it says it is gone.
             let fresh = TimeSpan(lag.0 * 2) + TimeSpan::secs(1.0);
@@ -320,16 +328,17 @@
                 }
                 // It is paid for nothing, as an idle machine is.
                 _ if m.tasks.is_empty()
-                    && m.aside
-                        .is_some_and(|t| t.since(now) > TimeSpan::secs(self.policy.idle_s)) =>
+                    && m.aside.is_some_and(|t| {
+                        t.since(now) > TimeSpan::secs(self.cluster.policy.idle_s)
+                    }) =>
                 {
                     m.mark_for_termination("put aside");
                 }
                 // It is paid, and nothing can be had of it.
                 _ if m.tasks.is_empty()
-                    && m.delivery
-                        .deaf_for(now)
-                        .is_some_and(|t| t > TimeSpan::secs(self.policy.silent_release_s)) =>
+                    && m.delivery.deaf_for(now).is_some_and(|t| {
+                        t > TimeSpan::secs(self.cluster.policy.silent_release_s)
+                    }) =>
                 {
                     tracing::info!(machine = %id, "reports and does not hear, released");
                     m.mark_for_termination("does not hear");
@@ -354,7 +363,7 @@
                     }
                     m.mark_for_termination("silent and not listed");
                 }
-                _ if quiet > TimeSpan::secs(self.policy.silent_release_s) => {
+                _ if quiet > TimeSpan::secs(self.cluster.policy.silent_release_s) => {
                     tracing::info!(machine = %id, "silent for long, released");
                     m.mark_for_termination("silent for long");
                 }
@@ -362,14 +371,14 @@
             }
         }
         for id in forget {
-            self.machines.remove(&id);
+            self.cluster.machines.remove(&id);
         }
     }
 
     /// The machines that a hire will bring, as rows: what they will take needs
     /// no further ones.
     fn expected(&self, now: Time, r: &ProvisionRequest) -> Vec<MachineRow> {
-        let Some(t) = self.types.get(&r.kind) else {
+        let Some(t) = self.cluster.machine_types.get(&r.kind) else {
             return Vec::new();
         };
         let row = |n: u32| MachineRow {
@@ -391,18 +400,23 @@
     /// Whether a new leader can tell what is missing from what it has not heard
     /// of yet: once it has a whole list, or every worker has had time to report.
     fn knows_its_fleet(&self, now: Time) -> bool {
-        let reports = self.settings.workers.report.scaled(1.5) + TimeSpan::secs(1.0);
+        let reports = self.cluster.settings.workers.report.scaled(1.5) + TimeSpan::secs(1.0);
         self.autoscaler.listed.is_some() || now.since(self.office) > reports
     }
 
     /// How many idle machines to keep for classes whose starts are wanted
     /// sooner than a machine boots.
     fn reserve(&self, now_wall: crate::types::WallTime) -> u32 {
-        let boot = self.types.values().map(|t| t.boot_s).fold(0.0, f64::max);
+        let boot = self
+            .cluster
+            .machine_types
+            .values()
+            .map(|t| t.boot_s)
+            .fold(0.0, f64::max);
         let mut machines = 0.0;
         let mut largest: f64 = 0.0;
-        for (class, arrivals) in &self.arrivals {
-            let soon = self.settings.objectives.iter().any(|o| {
+        for (class, arrivals) in &self.arrivals.by_class {
+            let soon = self.cluster.settings.objectives.iter().any(|o| {
                 o.kind == ObjectiveKind::Wait
                     && o.class.as_ref() == Some(class)
                     && o.within.is_some_and(|w| w.as_secs() < boot * 2.0)
@@ -423,9 +437,9 @@
             machines += sum / span * boot;
             largest = recent.iter().map(|a| a.machines).fold(largest, f64::max);
         }
-        (machines * self.policy.reserve)
+        (machines * self.cluster.policy.reserve)
             .max(largest)
-            .min(self.policy.most_reserve)
+            .min(self.cluster.policy.most_reserve)
             .ceil() as u32
     }
 
@@ -439,6 +453,7 @@
     ) {
         let now = effects.now.time;
         let mut booting: Vec<MachineRow> = self
+            .cluster
             .machines
             .iter()
             .filter(|(_, m)| m.reported.is_none() && m.lifecycle == MachineLifecycle::InService)
@@ -452,12 +467,13 @@
                 .flat_map(|r| self.expected(now, r)),
         );
         let on_the_way = booting.len() as u32;
-        let mut room = (self.policy.most_booting as u32).saturating_sub(on_the_way);
-        let rent_after = TimeSpan::secs(self.policy.rent_after_s);
+        let mut room = (self.cluster.policy.most_booting as u32).saturating_sub(on_the_way);
+        let rent_after = TimeSpan::secs(self.cluster.policy.rent_after_s);
         let mut left: Vec<PlacementRequest> = wants
             .iter()
             .filter(|w| {
-                self.jobs
+                self.cluster
+                    .jobs
                     .get(&w.job)
                     .and_then(|j| j.notes.waiting_since)
                     .is_some_and(|t| now.since(t) >= rent_after)
@@ -466,7 +482,7 @@
             .collect();
         // What the machines on their way will take needs no further ones.
         let mut teams = self.team_use();
-        let estimates = self.estimates.clone();
+        let estimates = self.cluster.fetch_estimates.clone();
         let pace = CycleParameters {
             now,
             most_skew: TimeSpan::secs(1e6),
@@ -524,7 +540,7 @@
     fn market(&self, w: &PlacementRequest, crowds: &Crowds) -> Option<(CapacityPool, u32)> {
         let mut best: Option<(f64, CapacityPool, u32)> = None;
         let taken = w.in_zones.iter().find(|(_, n)| **n > 0).map(|(z, _)| z);
-        for t in self.types.values() {
+        for t in self.cluster.machine_types.values() {
             let per = w.need.count_in(&t.has(), 100_000);
             if per == 0 || w.kinds.as_ref().is_some_and(|k| !k.contains(&t.name)) {
                 continue;
@@ -553,7 +569,7 @@
     /// The cheapest market at all.
     fn any_market(&self, crowds: &Crowds) -> Option<CapacityPool> {
         let mut best: Option<(f64, CapacityPool)> = None;
-        for t in self.types.values() {
+        for t in self.cluster.machine_types.values() {
             for zone in &t.zones {
                 for spot in [true, false] {
                     let market = (t.name.clone(), zone.clone(), spot);
@@ -574,7 +590,12 @@
     /// Machines in each zone.
     fn crowds(&self) -> Crowds {
         let mut crowds = Crowds::new();
-        for zone in self.machines.values().filter_map(|m| m.zone.as_ref()) {
+        for zone in self
+            .cluster
+            .machines
+            .values()
+            .filter_map(|m| m.zone.as_ref())
+        {
             match crowds.get_mut(zone) {
                 Some(n) => *n += 1,
                 None => {
@@ -597,12 +618,13 @@
     ) {
         let now = effects.now.time;
         // With no job left at all there is little to be ready for.
-        let quiet = self.jobs.values().all(|j| !j.is_open());
-        let idle_for = TimeSpan::secs(self.policy.idle_s).scaled(if quiet { 0.25 } else { 1.0 });
+        let quiet = self.cluster.jobs.values().all(|j| !j.is_open());
+        let idle_for =
+            TimeSpan::secs(self.cluster.policy.idle_s).scaled(if quiet { 0.25 } else { 1.0 });
         let mut idle: Vec<(f64, MachineId, bool)> = Vec::new();
         // What is put aside goes by its own rule.
         for row in rows.iter().filter(|r| !r.aside) {
-            let Some(m) = self.machines.get_mut(&row.id) else {
+            let Some(m) = self.cluster.machines.get_mut(&row.id) else {
                 continue;
             };
             if !m.tasks.is_empty() {
@@ -616,7 +638,8 @@
             };
             let long = since >= idle_for && (since >= idle_for.scaled(3.0) || !wanted());
             let price = self
-                .types
+                .cluster
+                .machine_types
                 .get(&row.kind)
                 .map_or(0.0, |t| if row.spot { t.spot_price } else { t.price });
             idle.push((price, row.id.clone(), long));
@@ -626,7 +649,7 @@
         idle.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let go = idle.into_iter().filter(|(_, _, long)| *long).take(spare);
         for (_, id, _) in go {
-            if let Some(m) = self.machines.get_mut(&id) {
+            if let Some(m) = self.cluster.machines.get_mut(&id) {
                 tracing::info!(machine = %id, "idle, returned");
                 m.mark_for_termination("idle");
             }
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -32,7 +32,7 @@
         None,
         list(&["host-1", "host-2"]),
     );
-    assert_eq!(leader.machines.len(), 2);
+    assert_eq!(leader.cluster.machines.len(), 2);
     let release = CloudCall::Release(vec!["host-1".into()]);
     leader.on_cloud(
         &mut effects_at(2.0),
@@ -46,7 +46,12 @@
         None,
         list(&["host-1", "host-2"]),
     );
-    let left: Vec<_> = leader.machines.keys().map(|m| m.to_string()).collect();
+    let left: Vec<_> = leader
+        .cluster
+        .machines
+        .keys()
+        .map(|m| m.to_string())
+        .collect();
     assert_eq!(left, ["host-2"]);
 }
 
@@ -69,7 +74,9 @@
             Some(CloudCall::Release(names)) => {
                 leader.autoscaler.intents.release_asked(&names);
                 leader.autoscaler.intents.released(&names, Time(1));
-                names.iter().for_each(|m| drop(leader.machines.remove(m)));
+                names
+                    .iter()
+                    .for_each(|m| drop(leader.cluster.machines.remove(m)));
                 "release"
             }
             Some(CloudCall::ProvisionRequest(r)) => {
@@ -134,7 +141,10 @@
         None,
         list(&["host-1"]),
     );
-    assert!(next.machines.is_empty(), "a late list brought it back");
+    assert!(
+        next.cluster.machines.is_empty(),
+        "a late list brought it back"
+    );
     let Some(CloudCall::ProvisionRequest(rent)) = next.next_call(Time(3)) else {
         panic!("the hire is not repeated")
     };
@@ -152,7 +162,10 @@
         let call = CloudCall::Release(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
         leader.on_cloud(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
-        assert!(leader.machines.contains_key(&id), "{status} by {by:?}");
+        assert!(
+            leader.cluster.machines.contains_key(&id),
+            "{status} by {by:?}"
+        );
         assert!(!leader.autoscaler.intents.is_gone(&id));
     }
 }
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -6,11 +6,12 @@
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::job_records::{ChunkSize, Job, JobOutcome};
 use crate::core::leader::Leader;
-use crate::core::leader_announcement::AnnouncementPriority;
+use crate::core::leader_announcement::{AnnouncementPriority, LeaderAnnouncer};
 use crate::types::{Attempt, JobId, MachineId, TaskId, Time, TimeSpan};
 use crate::wire;
 use crate::wire::users::Priority;
 use crate::wire::workers::{Command, HeartbeatResponse, StopReason, TaskState};
+use std::collections::BTreeMap;
 
 /// Whether a stop is recorded, for a successor to go on with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,6 +37,38 @@
     }
 }
 
+/// One task as a heartbeat listed it.
+#[derive(Clone, Debug)]
+pub(in crate::core) struct ReportedTaskState {
+    /// The task's name as the worker gave it.
+    pub name: String,
+    /// Which attempt at it.
+    pub attempt: Attempt,
+    /// What it does.
+    pub state: TaskState,
+    /// Why it exited, if it did.
+    pub exit_reason: Option<StopReason>,
+}
+
+/// What workers are to be told next.
+#[derive(Debug)]
+pub(in crate::core) struct CommandDispatcher {
+    /// What each machine's newest heartbeat listed, for its answer.
+    pub reported_tasks: BTreeMap<MachineId, Vec<ReportedTaskState>>,
+    /// Tells machines who leads.
+    pub announcer: LeaderAnnouncer,
+}
+
+impl CommandDispatcher {
+    /// Nothing to tell yet; workers send a heartbeat every `heartbeat_interval`.
+    pub fn new(now: Time, heartbeat_interval: TimeSpan) -> CommandDispatcher {
+        CommandDispatcher {
+            reported_tasks: BTreeMap::new(),
+            announcer: LeaderAnnouncer::new(now, heartbeat_interval),
+        }
+    }
+}
+
 impl Leader {
     /// Orders tasks of a job to stop; unsent starts are dropped at once.
     pub fn stop_tasks(
@@ -59,9 +92,9 @@
         why: &'static str,
         record: Record,
     ) {
-        let size = self.chunk_size;
+        let size = self.cluster.chunk_size;
         let mut unsent = Vec::new();
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
         job.notes.last_stop = Some(why);
@@ -78,7 +111,11 @@
                 if !saving {
                     let change = (record != Record::No).then(|| job.touch(size, *index));
                     if change.is_some() {
-                        self.dirty.note((id.clone(), size.of(*index)), now, true);
+                        self.cluster.unwritten.dirty_chunks.note(
+                            (id.clone(), size.of(*index)),
+                            now,
+                            true,
+                        );
                     }
                     let Some(p) = job.assignments.get_mut(index) else {
                         continue;
@@ -93,7 +130,8 @@
                         // Told once it is stored.
                         continue;
                     }
-                    self.direct
+                    self.cluster
+                        .direct_stops
                         .entry(p.machine.clone())
                         .or_default()
                         .push(TaskId {
@@ -116,7 +154,7 @@
     /// prove that they are gone.
     pub(super) fn drain_noticed(&mut self, effects: &mut Effects, id: &MachineId) {
         let now = effects.now.time;
-        let Some(m) = self.machines.get(id) else {
+        let Some(m) = self.cluster.machines.get(id) else {
             return;
         };
         let left = m
@@ -124,7 +162,7 @@
             .map_or(TimeSpan::ZERO, |t| t.since(now));
         let here: Vec<TaskId> = m.tasks.iter().cloned().collect();
         for task in here {
-            let Some(job) = self.jobs.get(&task.job) else {
+            let Some(job) = self.cluster.jobs.get(&task.job) else {
                 continue;
             };
             let Some(p) = job.assignments.get(&task.index) else {
@@ -162,7 +200,7 @@
             return;
         }
         let commands = self.commands(now, id);
-        if let Some(m) = self.machines.get_mut(id) {
+        if let Some(m) = self.cluster.machines.get_mut(id) {
             m.answered = Some(now);
             m.delivery.answered(now);
         }
@@ -177,19 +215,25 @@
         let mut stops = Vec::new();
         let mut forgets = Vec::new();
         let mut starts = Vec::new();
-        let listed = self.listed.remove(id).unwrap_or_default();
-        let Some(m) = self.machines.get(id) else {
+        let listed = self.commands.reported_tasks.remove(id).unwrap_or_default();
+        let Some(m) = self.cluster.machines.get(id) else {
             return Vec::new();
         };
         let has_our_token = m.has_our_token;
         let epoch = m.epoch;
         let sequence = m.sequence;
         let mut busy = m.unrecorded_usage;
-        for (text, attempt, state, why) in listed {
+        for reported in listed {
+            let ReportedTaskState {
+                name: text,
+                attempt,
+                state,
+                exit_reason: why,
+            } = reported;
             let Some(task) = TaskId::parse(&text) else {
                 continue;
             };
-            let job = self.jobs.get(&task.job);
+            let job = self.cluster.jobs.get(&task.job);
             let place = job
                 .and_then(|j| j.assignments.get(&task.index))
                 .filter(|p| &p.machine == id && p.attempt == attempt && p.epoch == epoch);
@@ -212,7 +256,8 @@
                     if let Some(j) = job {
                         busy += j.spec.needs();
                     }
-                    let stop = job.and_then(|j| j.stop_to_tell(self.chunk_size, task.index));
+                    let stop =
+                        job.and_then(|j| j.stop_to_tell(self.cluster.chunk_size, task.index));
                     if let Some(stop) = stop {
                         stops.push(Command::Stop {
                             task: text,
@@ -236,7 +281,7 @@
         let whole = m
             .kind
             .as_ref()
-            .and_then(|k| self.types.get(k))
+            .and_then(|k| self.cluster.machine_types.get(k))
             .map(|t| t.has());
         let tasks: Vec<TaskId> = m.tasks.iter().cloned().collect();
         if let Some(whole) = whole
@@ -245,8 +290,8 @@
         {
             let mut free = whole - busy;
             for t in tasks {
-                let size = self.chunk_size;
-                let Some(job) = self.jobs.get_mut(&t.job) else {
+                let size = self.cluster.chunk_size;
+                let Some(job) = self.cluster.jobs.get_mut(&t.job) else {
                     continue;
                 };
                 let wanted = job.is_open() && !self.authority.is_told(&t.job);
@@ -281,8 +326,8 @@
     /// Sends pending stops straight to their workers. One that arrives late
     /// is harmless: attempts are never reused for another placement.
     pub fn send_direct(&mut self, effects: &mut Effects) {
-        for (id, tasks) in std::mem::take(&mut self.direct) {
-            let Some(m) = self.machines.get(&id) else {
+        for (id, tasks) in std::mem::take(&mut self.cluster.direct_stops) {
+            let Some(m) = self.cluster.machines.get(&id) else {
                 continue;
             };
             let Some(addr) = m.addr else { continue };
@@ -292,9 +337,9 @@
             let commands: Vec<Command> = tasks
                 .iter()
                 .filter_map(|t| {
-                    let job = self.jobs.get(&t.job)?;
+                    let job = self.cluster.jobs.get(&t.job)?;
                     let p = job.assignments.get(&t.index)?;
-                    let grace_s = job.stop_to_tell(self.chunk_size, t.index)?.grace_s;
+                    let grace_s = job.stop_to_tell(self.cluster.chunk_size, t.index)?.grace_s;
                     epoch = epoch.max(p.epoch);
                     Some(Command::Stop {
                         task: t.to_string(),
@@ -312,12 +357,17 @@
     /// A machine that a list shows: if it has tasks and has not reported to this
     /// leader yet, it is told who leads.
     pub(super) fn announce_to(&mut self, now: Time, id: &MachineId) {
-        let unheard = self.machines.get(id).filter(|m| m.reported.is_none());
-        let Some(m) = unheard.filter(|m| m.addr.is_some() && self.announcer.goes_on(now)) else {
+        let unheard = self
+            .cluster
+            .machines
+            .get(id)
+            .filter(|m| m.reported.is_none());
+        let Some(m) = unheard.filter(|m| m.addr.is_some() && self.commands.announcer.goes_on(now))
+        else {
             return;
         };
         let need = |t: &TaskId| {
-            let job = self.jobs.get(&t.job)?;
+            let job = self.cluster.jobs.get(&t.job)?;
             let stops = !job.is_open() || job.assignments.get(&t.index)?.stop.is_some();
             Some(match job.spec.priority {
                 _ if stops => AnnouncementPriority::Stopping,
@@ -326,7 +376,7 @@
             })
         };
         if let Some(need) = m.tasks.iter().filter_map(need).min() {
-            self.announcer.note(now, need, id.clone());
+            self.commands.announcer.note(now, need, id.clone());
         }
     }
 
@@ -334,11 +384,29 @@
     /// that sees a higher token reports at once. Nothing is read from the answer,
     /// as a report under way may still bring it an older leader's start.
     pub(super) fn send_announcements(&mut self, effects: &mut Effects) {
-        for id in self.announcer.next(effects.now.time, self.machines.len()) {
-            let Some(m) = self.machines.get(&id).filter(|m| m.reported.is_none()) else {
+        for id in self
+            .commands
+            .announcer
+            .next(effects.now.time, self.cluster.machines.len())
+        {
+            let Some(m) = self
+                .cluster
+                .machines
+                .get(&id)
+                .filter(|m| m.reported.is_none())
+            else {
                 continue;
             };
-            let placed = |t: &TaskId| Some(self.jobs.get(&t.job)?.assignments.get(&t.index)?.epoch);
+            let placed = |t: &TaskId| {
+                Some(
+                    self.cluster
+                        .jobs
+                        .get(&t.job)?
+                        .assignments
+                        .get(&t.index)?
+                        .epoch,
+                )
+            };
             let epoch = m.tasks.iter().filter_map(placed).max();
             if let (Some(addr), Some(epoch)) = (m.addr, epoch) {
                 effects.direct(addr, self.token, epoch, Vec::new());
@@ -348,11 +416,11 @@
 
     /// Puts a task on a machine; it is sent once recorded.
     pub fn put(&mut self, now: Time, task: &TaskId, id: &MachineId, attempt: Attempt) {
-        let size = self.chunk_size;
-        let Some(m) = self.machines.get_mut(id) else {
+        let size = self.cluster.chunk_size;
+        let Some(m) = self.cluster.machines.get_mut(id) else {
             return;
         };
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
         let spec = job.spec.clone();
@@ -360,9 +428,12 @@
         let rate = m
             .kind
             .as_ref()
-            .and_then(|k| self.types.get(k))
+            .and_then(|k| self.cluster.machine_types.get(k))
             .map(|t| t.fetch_gb_per_s);
-        let fetch = self.estimates.of(&spec.image, spec.image_gb, rate);
+        let fetch = self
+            .cluster
+            .fetch_estimates
+            .of(&spec.image, spec.image_gb, rate);
         m.cache.used(&spec.image, spec.image_gb, now, fetch);
         if spec.priority >= crate::wire::users::Priority::High {
             m.last_high = Some(now);
@@ -386,7 +457,10 @@
                 stop: None,
             },
         );
-        self.dirty
-            .note((task.job.clone(), size.of(task.index)), now, true);
+        self.cluster.unwritten.dirty_chunks.note(
+            (task.job.clone(), size.of(task.index)),
+            now,
+            true,
+        );
     }
 }
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -12,7 +12,7 @@
 fn with_job(leader: &mut Leader, id: &str, tasks: u32) {
     let spec = Rc::new(submission(id, JobShape::Array, tasks));
     let job = Job::new(spec, WallTime(0), Version(7), 1);
-    leader.jobs.insert(id.into(), job);
+    leader.cluster.jobs.insert(id.into(), job);
 }
 
 /// What a cancelled job's deletion leaves behind after each transaction,
@@ -21,7 +21,7 @@
     let mut leader = leader();
     with_job(&mut leader, "wk-1", 1);
     let id = JobId::from("wk-1");
-    let job = leader.jobs.get_mut(&id).unwrap();
+    let job = leader.cluster.jobs.get_mut(&id).unwrap();
     job.end = Some(JobOutcome::Cancelled);
     for chunk in 0..6 {
         let stored = job_records::Chunk {
@@ -30,12 +30,12 @@
         };
         job.chunks.insert(chunk, stored);
     }
-    leader.dropping.insert(id.clone());
+    leader.cluster.unwritten.jobs_to_delete.insert(id.clone());
     let (mut end, mut submitted, mut left) = (true, true, Vec::new());
     let mut now = Time(0) + TimeSpan::secs(1.0);
-    while leader.jobs.contains_key(&id) {
-        let level = leader.writes.level(now);
-        leader.writes.take(now, level - room as f64);
+    while leader.cluster.jobs.contains_key(&id) {
+        let level = leader.writer.write_tokens.level(now);
+        leader.writer.write_tokens.take(now, level - room as f64);
         let Some((txn, items)) = leader.gather(now) else {
             break;
         };
@@ -79,7 +79,7 @@
         let mut leader = leader();
         with_job(&mut leader, "wk-1", 1);
         let id = JobId::from("wk-1");
-        let job = leader.jobs.get_mut(&id).unwrap();
+        let job = leader.cluster.jobs.get_mut(&id).unwrap();
         (job.end, job.waiting) = (
             Some(JobOutcome::Done { written: false }),
             Default::default(),
@@ -93,8 +93,8 @@
             let here = Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
             job.assignments.insert(0, here);
         }
-        leader.older.insert((id.clone(), 0));
-        leader.finishing.insert(id.clone());
+        leader.writer.outdated_chunks.insert((id.clone(), 0));
+        leader.cluster.unwritten.finished_jobs.insert(id.clone());
         let (txn, items) = leader.gather(Time(1_000_000)).unwrap();
         let keys = txn.ops.iter().map(|op| match op {
             Operation::Put { key, .. } => format!("+{key}"),
@@ -109,8 +109,12 @@
         for item in items {
             leader.committed(item, &txn, Version(10));
         }
-        let left = leader.jobs.contains_key(&id);
-        assert_eq!(leader.older.is_empty(), !left, "notes of it pile up");
+        let left = leader.cluster.jobs.contains_key(&id);
+        assert_eq!(
+            leader.writer.outdated_chunks.is_empty(),
+            !left,
+            "notes of it pile up"
+        );
         (keys.join(" "), left)
     };
     let (keys, left) = ended(false);
@@ -130,20 +134,24 @@
     let mut leader = leader();
     for id in ["wk-1", "wk-2"] {
         with_job(&mut leader, id, 2);
-        let job = leader.jobs.get_mut(&JobId::from(id)).unwrap();
+        let job = leader.cluster.jobs.get_mut(&JobId::from(id)).unwrap();
         job.waiting.remove(0);
-        let change = job.touch(leader.chunk_size, 0);
+        let change = job.touch(leader.cluster.chunk_size, 0);
         let place = Assignment {
             change,
             phase: crate::core::assignment::AssignmentPhase::Unsent,
             ..Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
         };
         job.assignments.insert(0, place);
-        leader.dirty.note((id.into(), 0), Time(0), true);
+        leader
+            .cluster
+            .unwritten
+            .dirty_chunks
+            .note((id.into(), 0), Time(0), true);
     }
     let mut effects = crate::testing::effects_at(1.0);
     leader.pump(&mut effects);
-    let (txn, _) = leader.commit_pipeline.flight.as_ref().unwrap();
+    let (txn, _) = leader.writer.pipeline.flight.as_ref().unwrap();
     for id in ["job/wk-1", "job/wk-2"] {
         let fenced = |c: &Precondition| c.key == id && c.version == Version(7);
         assert!(txn.conditions.iter().any(fenced), "{id} is not compared");
@@ -154,12 +162,14 @@
     };
     let fate = leader.on_commit(&mut effects, Reply::Answer(409, wire::encode(&refused)));
     assert_eq!(fate, LeadershipOutcome::Continue);
-    let job = |id: &str| &leader.jobs[&JobId::from(id)];
+    let job = |id: &str| &leader.cluster.jobs[&JobId::from(id)];
     assert!(!job("wk-1").is_open() && job("wk-1").assignments.is_empty());
     assert!(job("wk-2").is_open() && job("wk-2").assignments.len() == 1);
     assert!(
         leader
-            .dirty
+            .cluster
+            .unwritten
+            .dirty_chunks
             .due(Time(2_000_000), 9)
             .contains(&("wk-2".into(), 0))
     );
@@ -170,16 +180,20 @@
     let mut leader = leader();
     with_job(&mut leader, "wk-1", 2);
     let id = JobId::from("wk-1");
-    let job = leader.jobs.get_mut(&id).unwrap();
+    let job = leader.cluster.jobs.get_mut(&id).unwrap();
     job.waiting.remove(0);
-    let change = job.touch(leader.chunk_size, 0);
+    let change = job.touch(leader.cluster.chunk_size, 0);
     let place = Assignment {
         change,
         phase: crate::core::assignment::AssignmentPhase::Unsent,
         ..Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
     };
     job.assignments.insert(0, place);
-    leader.dirty.note((id, 0), Time(0), true);
+    leader
+        .cluster
+        .unwritten
+        .dirty_chunks
+        .note((id, 0), Time(0), true);
     let mut effects = crate::testing::effects_at(1.0);
     leader.pump(&mut effects);
     leader.on_commit(&mut effects, Reply::Lost);
@@ -207,13 +221,13 @@
     };
     assert_eq!((call.method, call.path.as_str()), ("GET", "/keys/r/wk-1/0"));
     let id = JobId::from("wk-1");
-    let job = &leader.jobs[&id];
+    let job = &leader.cluster.jobs[&id];
     let change = job.assignments[&0].change;
     assert!(
-        !job.is_stored(leader.chunk_size, 0, change),
+        !job.is_stored(leader.cluster.chunk_size, 0, change),
         "nothing is sent on a guess"
     );
-    let (txn, _) = leader.commit_pipeline.flight.clone().unwrap();
+    let (txn, _) = leader.writer.pipeline.flight.clone().unwrap();
     let (op, value) = txn
         .ops
         .iter()
@@ -230,14 +244,14 @@
     };
     let found = Reply::Answer(200, wire::encode(&entry));
     assert_eq!(leader.on_written(&op, found), LeadershipOutcome::Continue);
-    let job = &leader.jobs[&id];
-    assert!(job.is_stored(leader.chunk_size, 0, change));
+    let job = &leader.cluster.jobs[&id];
+    assert!(job.is_stored(leader.cluster.chunk_size, 0, change));
     assert_eq!(
         job.chunks[&0].version,
         Version(25),
         "the next write compares it"
     );
-    assert!(leader.commit_pipeline.flight.is_none());
+    assert!(leader.writer.pipeline.flight.is_none());
 }
 
 // What is not plainly its own is not taken for it: everything starts over from the records.
@@ -254,7 +268,7 @@
         version: Version(version),
     };
     let own = |leader: &Leader| {
-        let (txn, _) = leader.commit_pipeline.flight.clone().unwrap();
+        let (txn, _) = leader.writer.pipeline.flight.clone().unwrap();
         let put = txn.ops.into_iter();
         put.filter_map(|op| match op {
             Operation::Put { value, .. } => Some(value),
@@ -266,7 +280,7 @@
     for case in 0..4 {
         let (mut leader, _, _) = repeated(&["r/wk-1/0"]);
         let value = own(&leader);
-        let op = leader.commit_pipeline.flight.as_ref().unwrap().0.ops[0].clone();
+        let op = leader.writer.pipeline.flight.as_ref().unwrap().0.ops[0].clone();
         let reply = match case {
             0 => Reply::Answer(404, Vec::new()),
             1 => Reply::Answer(200, wire::encode(&entry(value, 0))),
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -1,5 +1,6 @@
 //! Workers' reports, as the leader sees them.
 
+use super::command_dispatch::ReportedTaskState;
 use crate::core::assignment::{Assignment, AssignmentPhase, PresenceProof};
 use crate::core::delivery::DeliveryEvidence;
 use crate::core::effects::Effects;
@@ -10,7 +11,7 @@
 use crate::core::{Now, RequestId};
 use crate::types::{AgentEpoch, Attempt, MachineId, Resources, TaskId, Time, TimeSpan};
 use crate::wire::workers::{Heartbeat, ReportedTask, StopReason, TaskState};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Time between looks for held reports that are due.
 const HELD_LOOK: TimeSpan = TimeSpan::millis(20);
@@ -19,10 +20,35 @@
 /// Longest hold of an idle machine's report; workers drop answers after 4 s.
 const LONGEST_HOLD: TimeSpan = TimeSpan::millis(2000);
 
+/// Heartbeats whose answer is deferred, and when it is next looked at.
+#[derive(Debug)]
+pub(in crate::core) struct HeartbeatReconciler {
+    /// Heartbeats not answered yet.
+    pub deferred: BTreeMap<MachineId, DeferredHeartbeat>,
+    /// When all of them are next checked.
+    pub next_check: Time,
+    /// Cycles that had run when all of them were last checked.
+    pub checked_cycle: u64,
+    /// Machines for which starts were stored since the last check.
+    pub machines_with_stored_starts: BTreeSet<MachineId>,
+}
+
+impl HeartbeatReconciler {
+    /// Without deferred heartbeats.
+    pub fn new(now: Time) -> HeartbeatReconciler {
+        HeartbeatReconciler {
+            deferred: BTreeMap::new(),
+            next_check: now,
+            checked_cycle: 0,
+            machines_with_stored_starts: BTreeSet::new(),
+        }
+    }
+}
+
 impl Leader {
     /// How long a machine may be silent and still get work.
     pub fn silence(&self) -> TimeSpan {
-        self.settings.workers.report.scaled(2.5) + TimeSpan::secs(1.0)
+        self.cluster.settings.workers.report.scaled(2.5) + TimeSpan::secs(1.0)
     }
 
     /// Handles a worker's report; `may_hold`: its answer may wait for work.
@@ -81,7 +107,7 @@
         machine.zone = Some(report.zone.clone());
         machine.spot = report.spot;
         machine.termination_notice_at = report.notice_s.map(|s| now + TimeSpan::secs(s));
-        if let Some(held) = self.held.remove(&report.machine) {
+        if let Some(held) = self.heartbeats.deferred.remove(&report.machine) {
             effects.answer_later(held.request, 503, 1);
         }
         let (freed, took) = self.take_in(effects.now, &report);
@@ -95,8 +121,8 @@
         if may_hold && self.idles(now, id, &report) {
             // A long poll: an idle machine's next work reaches it at once
             // instead of with its next report.
-            let hold = self.settings.workers.report.scaled(0.6);
-            self.held.insert(
+            let hold = self.cluster.settings.workers.report.scaled(0.6);
+            self.heartbeats.deferred.insert(
                 id.clone(),
                 DeferredHeartbeat {
                     request,
@@ -108,12 +134,12 @@
             // Placing and committing takes a moment; the answer that carries
             // the starts need not wait for the next report.
             self.cycle_soon(now);
-            self.held.insert(
+            self.heartbeats.deferred.insert(
                 report.machine.clone(),
                 DeferredHeartbeat {
                     request,
                     until: now + HOLD,
-                    cycles: Some(self.cycles),
+                    cycles: Some(self.scheduler.cycles),
                 },
             );
         } else {
@@ -124,7 +150,7 @@
 
     /// Whether any work waits for room.
     fn any_waits(&self) -> bool {
-        let mut open = self.jobs.values().filter(|j| j.is_open());
+        let mut open = self.cluster.jobs.values().filter(|j| j.is_open());
         open.any(|j| !j.waiting.is_empty())
     }
 
@@ -134,29 +160,35 @@
     pub fn answer_held(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
         let mut due: Vec<MachineId> = Vec::new();
-        let stored = std::mem::take(&mut self.stored);
+        let stored = std::mem::take(&mut self.heartbeats.machines_with_stored_starts);
         due.extend(stored.into_iter().filter(|id| {
             let (waits, ready) = self.unsent(id);
-            self.held
-                .get(id)
-                .is_some_and(|h| ready || h.cycles.is_some_and(|c| self.cycles > c && !waits))
+            self.heartbeats.deferred.get(id).is_some_and(|h| {
+                ready
+                    || h.cycles
+                        .is_some_and(|c| self.scheduler.cycles > c && !waits)
+            })
         }));
-        if now >= self.held_due || self.held_cycle < self.cycles {
-            let after_cycle = self.held_cycle < self.cycles;
-            self.held_due = now + HELD_LOOK;
-            self.held_cycle = self.cycles;
+        if now >= self.heartbeats.next_check
+            || self.heartbeats.checked_cycle < self.scheduler.cycles
+        {
+            let after_cycle = self.heartbeats.checked_cycle < self.scheduler.cycles;
+            self.heartbeats.next_check = now + HELD_LOOK;
+            self.heartbeats.checked_cycle = self.scheduler.cycles;
             due.extend(
-                self.held
+                self.heartbeats
+                    .deferred
                     .iter()
                     .filter(|(id, h)| {
-                        let placed = after_cycle && h.cycles.is_some_and(|c| self.cycles > c);
+                        let placed =
+                            after_cycle && h.cycles.is_some_and(|c| self.scheduler.cycles > c);
                         now >= h.until || (placed && !self.unsent(id).0)
                     })
                     .map(|(id, _)| id.clone()),
             );
         }
         for id in due {
-            if let Some(h) = self.held.remove(&id) {
+            if let Some(h) = self.heartbeats.deferred.remove(&id) {
                 self.answer_report(effects, h.request, &id);
             }
         }
@@ -164,7 +196,7 @@
 
     /// Gives up held reports, when leadership ends.
     pub fn drop_held(&mut self, effects: &mut Effects) {
-        for (_, h) in std::mem::take(&mut self.held) {
+        for (_, h) in std::mem::take(&mut self.heartbeats.deferred) {
             effects.answer_later(h.request, 503, 1);
         }
     }
@@ -174,6 +206,7 @@
         report.tasks.is_empty()
             && self.may_start(now)
             && self
+                .cluster
                 .machines
                 .get(id)
                 .is_some_and(|m| m.tasks.is_empty() && m.is_schedulable(now, self.silence()))
@@ -183,13 +216,13 @@
     /// there are can be sent.
     pub(super) fn unsent(&self, id: &MachineId) -> (bool, bool) {
         let (mut waits, mut ready) = (false, false);
-        let tasks = self.machines.get(id).map(|m| &m.tasks);
+        let tasks = self.cluster.machines.get(id).map(|m| &m.tasks);
         for t in tasks.into_iter().flatten() {
-            let Some(job) = self.jobs.get(&t.job) else {
+            let Some(job) = self.cluster.jobs.get(&t.job) else {
                 continue;
             };
             if let Some(p) = job.assignments.get(&t.index).filter(|p| p.unsent()) {
-                let stored = job.is_stored(self.chunk_size, t.index, p.change);
+                let stored = job.is_stored(self.cluster.chunk_size, t.index, p.change);
                 waits |= !stored;
                 ready |= stored;
             }
@@ -206,8 +239,8 @@
         (epoch, has_our_token): (AgentEpoch, bool),
         took: DeliveryEvidence,
     ) {
-        let lease = self.settings.workers.lease;
-        let Some(m) = self.machines.get_mut(&report.machine) else {
+        let lease = self.cluster.settings.workers.lease;
+        let Some(m) = self.cluster.machines.get_mut(&report.machine) else {
             return;
         };
         let sign = if epoch != AgentEpoch(0) && report.epoch > epoch {
@@ -227,7 +260,7 @@
         }
         let here: Vec<TaskId> = m.tasks.iter().cloned().collect();
         for task in here {
-            let place = self.jobs.get(&task.job);
+            let place = self.cluster.jobs.get(&task.job);
             let place = place.and_then(|j| j.assignments.get(&task.index));
             if place.is_some_and(Assignment::unsent) {
                 self.gone(now, &task, "its machine does not hear");
@@ -246,7 +279,7 @@
             let Some(task) = TaskId::parse(&t.task) else {
                 continue;
             };
-            let job = self.jobs.get(&task.job);
+            let job = self.cluster.jobs.get(&task.job);
             let place = job.and_then(|j| j.assignments.get(&task.index));
             if place.is_some_and(|p| {
                 &p.machine == id && p.attempt == t.attempt && p.epoch == report.epoch
@@ -269,7 +302,7 @@
                 }
             }
         }
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.cluster.machines.get_mut(id) else {
             return (false, DeliveryEvidence::None);
         };
         machine.unrecorded_usage = unrecorded_usage;
@@ -278,7 +311,7 @@
         let mut took = DeliveryEvidence::None;
         for task in placed {
             let seen = listed.get(&task).copied();
-            let Some(job) = self.jobs.get_mut(&task.job) else {
+            let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
                 continue;
             };
             let open = job.is_open();
@@ -337,7 +370,7 @@
             self.exited(at, task, t);
             return true;
         }
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return false;
         };
         let spec = job.spec.clone();
@@ -354,12 +387,14 @@
             let cold = p.cold.take();
             let machine = p.machine.clone();
             let room = self.cache_room(&machine);
-            if let Some(m) = self.machines.get_mut(&machine)
+            if let Some(m) = self.cluster.machines.get_mut(&machine)
                 && m.cache.remaining(&spec.image, now) != Some(TimeSpan::ZERO)
             {
                 m.cache.fetched(&spec.image, spec.image_gb, now, room);
                 if let Some(since) = cold {
-                    self.estimates.note(&spec.image, now.since(since));
+                    self.cluster
+                        .fetch_estimates
+                        .note(&spec.image, now.since(since));
                 }
             }
         }
@@ -374,7 +409,7 @@
     /// for it stays its own, under a new attempt. A gang goes on once all of it
     /// is known about; one of which a part did start, not at all.
     fn go_on(&mut self, now: Time, task: &TaskId) {
-        let Some(job) = self.jobs.get(&task.job) else {
+        let Some(job) = self.cluster.jobs.get(&task.job) else {
             return;
         };
         let kept = |p: &&Assignment| p.phase == AssignmentPhase::Kept;
@@ -408,7 +443,8 @@
             all.map(|_| task.index).into_iter().collect()
         };
         let stays = |p: &Assignment| {
-            self.machines
+            self.cluster
+                .machines
                 .get(&p.machine)
                 .is_some_and(|m| m.is_schedulable(now, self.silence()) && m.epoch == p.epoch)
         };
@@ -418,7 +454,9 @@
         for index in indices {
             let job = task.job.clone();
             let task = TaskId { job, index };
-            let id = self.jobs[&task.job].assignments[&index].machine.clone();
+            let id = self.cluster.jobs[&task.job].assignments[&index]
+                .machine
+                .clone();
             self.remove_place(now, &task, "never started");
             if all_stay {
                 self.put(now, &task, &id, attempt);
@@ -430,7 +468,9 @@
     pub fn remaining(&self, now: Time, job: &Job, p: &Assignment) -> TimeSpan {
         let run = TimeSpan::secs(job.spec.estimate_s);
         let cold = p.cold.map_or(TimeSpan::ZERO, |_| {
-            self.estimates.of(&job.spec.image, job.spec.image_gb, None)
+            self.cluster
+                .fetch_estimates
+                .of(&job.spec.image, job.spec.image_gb, None)
         });
         match p.running {
             Some(t) => TimeSpan(run.0.saturating_sub(now.since(t).0)),
@@ -439,10 +479,11 @@
     }
 
     pub(super) fn cache_room(&self, id: &MachineId) -> f64 {
-        self.machines
+        self.cluster
+            .machines
             .get(id)
             .and_then(|m| m.kind.as_ref())
-            .and_then(|k| self.types.get(k))
+            .and_then(|k| self.cluster.machine_types.get(k))
             .map_or(0.0, |t| t.cache_gb)
     }
 
@@ -451,9 +492,16 @@
         let extra = report
             .tasks
             .iter()
-            .map(|t| (t.task.clone(), t.attempt, t.state, t.why))
+            .map(|t| ReportedTaskState {
+                name: t.task.clone(),
+                attempt: t.attempt,
+                state: t.state,
+                exit_reason: t.why,
+            })
             .collect();
-        self.listed.insert(report.machine.clone(), extra);
+        self.commands
+            .reported_tasks
+            .insert(report.machine.clone(), extra);
     }
 }
 
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -22,10 +22,10 @@
     m.answered = Some(Time(10_000_000));
     m.our_token_since = Some(Time(100_000_000));
     let id = MachineId::from("host-1");
-    leader.machines.insert(id.clone(), m);
+    leader.cluster.machines.insert(id.clone(), m);
     let mut lost_at = |secs: f64| {
         leader.expire(&mut effects_at(secs));
-        leader.machines[&id].lost
+        leader.cluster.machines[&id].lost
     };
     // The fixture's lease is 10 s.
     assert!(!lost_at(105.0));
@@ -41,7 +41,7 @@
     leader.authority.loaded(Time(0));
     let spec = submission("wk-1", JobShape::Array, 2);
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
-    leader.jobs.insert("wk-1".into(), job);
+    leader.cluster.jobs.insert("wk-1".into(), job);
     let id = MachineId::from("host-1");
     hears(&mut leader, 1.0, report(1, 5));
     for index in 0..2 {
@@ -49,6 +49,7 @@
         leader.put(Time(1_000_000), &TaskId { job, index }, &id, Attempt(1));
     }
     for chunk in leader
+        .cluster
         .jobs
         .get_mut(&"wk-1".into())
         .unwrap()
@@ -110,7 +111,7 @@
             ..report(2, token)
         };
         hears(&mut leader, 2.0, told);
-        let assignments = leader.jobs[&"wk-1".into()].assignments.values();
+        let assignments = leader.cluster.jobs[&"wk-1".into()].assignments.values();
         assert_eq!(
             assignments.filter(|p| p.stop.is_some()).count(),
             stopped,
@@ -148,7 +149,7 @@
 #[test]
 fn what_cannot_be_proves_nothing() {
     let (mut leader, id) = leading();
-    let before = leader.machines[&id].sequence;
+    let before = leader.cluster.machines[&id].sequence;
     let no_session = Heartbeat {
         epoch: AgentEpoch(0),
         ..report(9, 5)
@@ -157,7 +158,7 @@
         hears(&mut leader, 2.0, no_session),
         (400, LeadershipOutcome::Continue)
     );
-    assert_eq!(leader.machines[&id].sequence, before);
+    assert_eq!(leader.cluster.machines[&id].sequence, before);
     // Results of attempts that were never given, of unknown tasks and jobs.
     let done = |name, attempt| task(name, attempt, TaskState::Exited, Some(StopReason::Done));
     let tasks = vec![
@@ -174,7 +175,7 @@
             ..report(2, 5)
         },
     );
-    assert!(leader.jobs[&"wk-1".into()].done.is_empty());
+    assert!(leader.cluster.jobs[&"wk-1".into()].done.is_empty());
     // One that was given counts, wherever it comes from.
     let tasks = vec![done("wk-1/0", 1)];
     let elsewhere = Heartbeat {
@@ -183,7 +184,7 @@
         ..report(1, 4)
     };
     hears(&mut leader, 2.0, elsewhere);
-    assert!(leader.jobs[&"wk-1".into()].done.contains(0));
+    assert!(leader.cluster.jobs[&"wk-1".into()].done.contains(0));
 }
 
 // A machine whose answers are lost got the same starts again and again, and the tasks
@@ -194,12 +195,12 @@
     for n in 0..4u32 {
         let secs = 3.0 + 3.0 * f64::from(n);
         leader.authority.showed(Time(0) + TimeSpan::secs(secs));
-        let placed = leader.jobs[&"wk-1".into()].assignments.len();
+        let placed = leader.cluster.jobs[&"wk-1".into()].assignments.len();
         assert_eq!(placed, 2, "at {secs} s");
         hears(&mut leader, secs, report(u64::from(n) + 2, 5));
     }
-    let job = &leader.jobs[&"wk-1".into()];
+    let job = &leader.cluster.jobs[&"wk-1".into()];
     assert!(job.assignments.is_empty() && job.waiting.len() == 2);
-    let m = &leader.machines[&id];
+    let m = &leader.cluster.machines[&id];
     assert!(!m.is_schedulable(Time(12_000_000), leader.silence()));
 }
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -120,11 +120,43 @@
     }
 }
 
+/// When scheduling cycles run.
+#[derive(Debug)]
+pub(in crate::core) struct Scheduler {
+    /// When the next cycle is due.
+    pub next_cycle: Time,
+    /// When the last one began.
+    pub last_cycle: Time,
+    /// Whether the last input ran a cycle.
+    pub cycle_just_ran: bool,
+    /// Least time from one cycle to the next, by how long the last one took.
+    pub minimum_gap: TimeSpan,
+    /// Cycles run.
+    pub cycles: u64,
+    /// When work was last preempted.
+    pub last_preemption: Option<Time>,
+}
+
+impl Scheduler {
+    /// Its first cycle is due at once.
+    pub fn new(now: Time) -> Scheduler {
+        Scheduler {
+            next_cycle: now,
+            last_cycle: now,
+            cycle_just_ran: false,
+            minimum_gap: TimeSpan::ZERO,
+            cycles: 0,
+            last_preemption: None,
+        }
+    }
+}
+
 impl Leader {
     /// The machines as the cycle sees them, and their names by row.
     pub(super) fn rows(&self, now: Time) -> Vec<MachineRow> {
         let silence = self.silence();
-        self.machines
+        self.cluster
+            .machines
             .iter()
             .filter(|(_, m)| m.is_healthy(now, silence))
             .filter_map(|(id, m)| self.row(now, id, m))
@@ -134,7 +166,7 @@
     /// One machine as a row.
     pub(super) fn row(&self, now: Time, id: &MachineId, m: &Machine) -> Option<MachineRow> {
         let kind = m.kind.clone()?;
-        let t = self.types.get(&kind)?;
+        let t = self.cluster.machine_types.get(&kind)?;
         let whole = t.has();
         let free = whole - m.unrecorded_usage - m.used;
         Some(MachineRow {
@@ -157,7 +189,7 @@
         let index: HashMap<&MachineId, usize> =
             rows.iter().enumerate().map(|(i, r)| (&r.id, i)).collect();
         let mut work = vec![0.0; rows.len()];
-        for job in self.jobs.values() {
+        for job in self.cluster.jobs.values() {
             for p in job.assignments.values() {
                 if let Some(&i) = index.get(&p.machine) {
                     let share = job.spec.needs().share_of(&rows[i].whole).min(1.0);
@@ -173,6 +205,7 @@
     /// What teams use, counting every place a task may be.
     pub(super) fn team_use(&self) -> BTreeMap<Team, TeamUse> {
         let mut teams: BTreeMap<Team, TeamUse> = self
+            .cluster
             .settings
             .teams
             .iter()
@@ -188,7 +221,7 @@
             })
             .collect();
         let ended = failpoints::enforced(SafetyCheck::EndedJobsHoldPlaces);
-        for job in self.jobs.values().filter(|j| ended || j.is_open()) {
+        for job in self.cluster.jobs.values().filter(|j| ended || j.is_open()) {
             if let Some(t) = teams.get_mut(&job.spec.team) {
                 t.used += job.spec.needs().times(job.held() as f64);
             }
@@ -198,8 +231,8 @@
 
     /// What teams hold, and what of that is being stopped.
     pub(super) fn account(&self) -> QuotaUsage {
-        let mut account = QuotaUsage::new(&self.settings.teams);
-        for job in self.jobs.values().filter(|j| j.held() > 0) {
+        let mut account = QuotaUsage::new(&self.cluster.settings.teams);
+        for job in self.cluster.jobs.values().filter(|j| j.held() > 0) {
             let stopping = job
                 .assignments
                 .values()
@@ -214,16 +247,16 @@
     /// How classes and teams are served, by the work that came of late and the
     /// work that has waited too long for it.
     pub(super) fn services(&self, wall: WallTime) -> BTreeMap<ShareGroup, Service> {
-        let window = TimeSpan::secs(self.policy.floor_window_s);
-        let late = window.scaled(1.0 - self.policy.floor_share);
+        let window = TimeSpan::secs(self.cluster.policy.floor_window_s);
+        let late = window.scaled(1.0 - self.cluster.policy.floor_share);
         let age = |at: WallTime| TimeSpan::millis(wall.0.saturating_sub(at.0));
         let waits = |j: &Job| j.is_open() && !j.waiting.is_empty() && age(j.at) >= late;
-        let whole = self.types.values().map(|t| t.has());
+        let whole = self.cluster.machine_types.values().map(|t| t.has());
         let Some(whole) = whole.reduce(|a, b| a.most(&b)) else {
             return BTreeMap::new();
         };
         // On most days nothing waits for so long.
-        if self.policy.floor_share <= 0.0 || !self.jobs.values().any(waits) {
+        if self.cluster.policy.floor_share <= 0.0 || !self.cluster.jobs.values().any(waits) {
             return BTreeMap::new();
         }
         // Classes and teams are few, jobs are many.
@@ -240,12 +273,12 @@
             });
             &mut pairs[n].2
         }
-        for (class, arrivals) in &self.arrivals {
+        for (class, arrivals) in &self.arrivals.by_class {
             for a in arrivals.iter().filter(|a| age(a.at) < window) {
                 pair(&mut pairs, class, &a.team).arrived += a.machines * a.run_s;
             }
         }
-        for job in self.jobs.values().filter(|j| j.is_open()) {
+        for job in self.cluster.jobs.values().filter(|j| j.is_open()) {
             let s = pair(&mut pairs, &job.spec.class, &job.spec.team);
             let each = job.spec.needs().share_of(&whole);
             let staying = job
@@ -271,12 +304,17 @@
     /// Marks the open jobs that lie within their team's guarantee: together
     /// with the team's earlier unfinished jobs they fit into it.
     fn mark_entitled(&mut self) {
-        let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.is_open()).collect();
+        let mut open: Vec<&mut Job> = self
+            .cluster
+            .jobs
+            .values_mut()
+            .filter(|j| j.is_open())
+            .collect();
         // Jobs come in the order of their ids, which decides among equals.
         open.sort_by_key(|j| j.at);
         let mut sums: HashMap<Team, Resources> = HashMap::new();
         for job in open {
-            let Some(share) = self.settings.teams.get(&job.spec.team) else {
+            let Some(share) = self.cluster.settings.teams.get(&job.spec.team) else {
                 continue;
             };
             let sum = sums.entry(job.spec.team.clone()).or_default();
@@ -289,8 +327,17 @@
     /// What all machines together have.
     fn fleet(&self) -> Resources {
         let mut all = Resources::default();
-        for m in self.machines.values().filter(|m| m.reported.is_some()) {
-            if let Some(t) = m.kind.as_ref().and_then(|k| self.types.get(k)) {
+        for m in self
+            .cluster
+            .machines
+            .values()
+            .filter(|m| m.reported.is_some())
+        {
+            if let Some(t) = m
+                .kind
+                .as_ref()
+                .and_then(|k| self.cluster.machine_types.get(k))
+            {
                 all += t.has();
             }
         }
@@ -299,11 +346,15 @@
 
     fn wants(&mut self, now: Time, wall: WallTime) -> Vec<PlacementRequest> {
         self.mark_entitled();
-        let aims = Aims::new(&self.settings, self.policy.small_first, self.fleet());
-        let patience = TimeSpan::secs(self.policy.patience_s);
-        let machines = &self.machines;
+        let aims = Aims::new(
+            &self.cluster.settings,
+            self.cluster.policy.small_first,
+            self.fleet(),
+        );
+        let patience = TimeSpan::secs(self.cluster.policy.patience_s);
+        let machines = &self.cluster.machines;
         let mut wants = Vec::new();
-        let jobs = self.jobs.iter_mut();
+        let jobs = self.cluster.jobs.iter_mut();
         for (id, job) in jobs.filter(|(_, j)| j.is_open() && !j.waiting.is_empty()) {
             job.notes.waiting_since.get_or_insert(now);
             if job.unreadable {
@@ -393,17 +444,22 @@
             self.predict(now, &mut rows);
         }
         let mut teams = self.team_use();
-        let wait = self.settings.workers.gang_wait;
+        let wait = self.cluster.settings.workers.gang_wait;
         let pace = CycleParameters {
             now,
             most_skew: TimeSpan(wait.0 * 6 / 10),
         };
-        let estimates = self.estimates.clone();
+        let estimates = self.cluster.fetch_estimates.clone();
         let mut cycle = SchedulingCycle::new(pace, &mut rows, &mut teams, &estimates);
         let (account, services) = (self.account(), self.services(effects.now.wall));
-        let share = self.policy.floor_share;
+        let share = self.cluster.policy.floor_share;
         let machines = cycle.rows.len() as f64;
-        let floors = MinimumShares::new(&services, machines, share, self.policy.floor_window_s);
+        let floors = MinimumShares::new(
+            &services,
+            machines,
+            share,
+            self.cluster.policy.floor_window_s,
+        );
         let mut bounds = Bounds { account, floors };
         cycle.run_floors(&mut wants, &mut bounds.floors);
         cycle.run_warm(&mut wants);
@@ -417,16 +473,16 @@
         let starts = std::mem::take(&mut cycle.starts);
         let mut attempts: BTreeMap<JobId, Attempt> = BTreeMap::new();
         for s in starts {
-            let attempt = *attempts
-                .entry(s.job.clone())
-                .or_insert_with(|| Attempt(self.jobs.get(&s.job).map_or(0, |j| j.attempt.0) + 1));
+            let attempt = *attempts.entry(s.job.clone()).or_insert_with(|| {
+                Attempt(self.cluster.jobs.get(&s.job).map_or(0, |j| j.attempt.0) + 1)
+            });
             let task = TaskId {
                 job: s.job,
                 index: s.task,
             };
             let machine = rows[s.row].id.clone();
-            let fetch = self.machines.get(&machine).map(|m| {
-                let image = &self.jobs[&task.job].spec.image;
+            let fetch = self.cluster.machines.get(&machine).map(|m| {
+                let image = &self.cluster.jobs[&task.job].spec.image;
                 m.cache.remaining(image, now).map(TimeSpan::as_secs)
             });
             tracing::debug!(task = %task, %machine, ?fetch, "placed");
@@ -439,16 +495,21 @@
             }
         }
         for (id, tasks) in by_job {
-            let Some(job) = self.jobs.get(&id) else {
+            let Some(job) = self.cluster.jobs.get(&id) else {
                 continue;
             };
             let grace = job.spec.save_s;
             tracing::info!(job = %id, team = %job.spec.team, tasks = tasks.len(), "stopped for more urgent work");
             let why = "stopped for more urgent work";
-            self.reclaimed = Some(now);
+            self.scheduler.last_preemption = Some(now);
             self.order_stops(now, &id, &tasks, grace, why, Record::First);
         }
-        for job in self.jobs.values_mut().filter(|j| j.waiting.is_empty()) {
+        for job in self
+            .cluster
+            .jobs
+            .values_mut()
+            .filter(|j| j.waiting.is_empty())
+        {
             job.notes.waiting_since = None;
             job.notes.why = "";
         }
@@ -528,9 +589,9 @@
     fn victims(&self, now: Time, rows: &[MachineRow]) -> Victims {
         let index: HashMap<&MachineId, usize> =
             rows.iter().enumerate().map(|(i, r)| (&r.id, i)).collect();
-        let settle = TimeSpan::secs(self.policy.settle_s);
+        let settle = TimeSpan::secs(self.cluster.policy.settle_s);
         let mut victims = Vec::new();
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.is_open()) {
+        for (id, job) in self.cluster.jobs.iter().filter(|(_, j)| j.is_open()) {
             // A gang goes whole, so all of it must be within reach.
             let reachable = job
                 .assignments
@@ -540,7 +601,7 @@
                 continue;
             }
             let aims = job.notes.entitled
-                || self.settings.objectives.iter().any(|o| {
+                || self.cluster.settings.objectives.iter().any(|o| {
                     o.kind == ObjectiveKind::Wait && o.class.as_ref() == Some(&job.spec.class)
                 });
             for (&task, p) in &job.assignments {
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -10,6 +10,15 @@
 use crate::wire::workers::TaskState;
 use std::collections::BTreeMap;
 
+/// How many of a job's tasks are done, and how many run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TaskCounts {
+    /// Done tasks.
+    pub done: u32,
+    /// Running tasks.
+    pub running: u32,
+}
+
 /// Machines, and jobs, that one answer to an operator shows.
 const MOST_SHOWN: usize = 200;
 /// Fetch times told to peers at once.
@@ -17,29 +26,43 @@
 /// Machines whose images are told to peers at once.
 const MOST_CACHES: usize = 100;
 
+/// What the peers were last told, so that only changes are sent.
+#[derive(Debug, Default)]
+pub(in crate::core) struct StatusBroadcaster {
+    /// Task counts of jobs.
+    pub sent_counts: BTreeMap<JobId, TaskCounts>,
+    /// Images of machines, with their sizes in GB.
+    pub sent_caches: BTreeMap<MachineId, Vec<(Image, f64)>>,
+    /// Fetch times of images, in milliseconds.
+    pub sent_fetch_times: BTreeMap<Image, u64>,
+}
+
 impl Leader {
     /// Task counts of a job, for display: done and running.
-    pub fn counts(&self, id: &JobId) -> Option<(u32, u32)> {
-        let job = self.jobs.get(id)?;
+    pub fn counts(&self, id: &JobId) -> Option<TaskCounts> {
+        let job = self.cluster.jobs.get(id)?;
         let running = job
             .assignments
             .values()
             .filter(|p| p.phase == AssignmentPhase::Seen(TaskState::Running))
             .count();
-        Some((job.done.len(), running as u32))
+        Some(TaskCounts {
+            done: job.done.len(),
+            running: running as u32,
+        })
     }
 
     /// Counts that changed since the last call, at most `most`.
     pub fn changed_counts(&mut self, most: usize) -> Vec<(JobId, u32, u32)> {
-        let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
+        let ids: Vec<JobId> = self.cluster.jobs.keys().cloned().collect();
         let mut out = Vec::new();
         for id in ids {
             let Some(now) = self.counts(&id) else {
                 continue;
             };
-            if out.len() < most && self.told.get(&id) != Some(&now) {
-                self.told.insert(id.clone(), now);
-                out.push((id, now.0, now.1));
+            if out.len() < most && self.status.sent_counts.get(&id) != Some(&now) {
+                self.status.sent_counts.insert(id.clone(), now);
+                out.push((id, now.done, now.running));
             }
         }
         out
@@ -47,13 +70,14 @@
 
     /// Images of machines where they changed since the last call.
     pub fn changed_caches(&mut self) -> Vec<(MachineId, Vec<(Image, f64)>)> {
-        self.told_caches
-            .retain(|id, _| self.machines.contains_key(id));
+        self.status
+            .sent_caches
+            .retain(|id, _| self.cluster.machines.contains_key(id));
         let mut out = Vec::new();
-        for (id, m) in &self.machines {
+        for (id, m) in &self.cluster.machines {
             let now: Vec<(Image, f64)> = m.cache.images().map(|(i, gb)| (i.clone(), gb)).collect();
-            if out.len() < MOST_CACHES && self.told_caches.get(id) != Some(&now) {
-                self.told_caches.insert(id.clone(), now.clone());
+            if out.len() < MOST_CACHES && self.status.sent_caches.get(id) != Some(&now) {
+                self.status.sent_caches.insert(id.clone(), now.clone());
                 out.push((id.clone(), now));
             }
         }
@@ -62,12 +86,16 @@
 
     /// Fetch times that changed since the last call.
     pub fn changed_fetches(&mut self) -> Vec<(Image, u64)> {
-        let told = &mut self.told_fetches;
-        let changed = self.estimates.all().filter_map(|(image, took)| {
-            let ms = took.as_millis();
-            let news = told.get(image) != Some(&ms);
-            news.then(|| (image.clone(), ms))
-        });
+        let told = &mut self.status.sent_fetch_times;
+        let changed = self
+            .cluster
+            .fetch_estimates
+            .all()
+            .filter_map(|(image, took)| {
+                let ms = took.as_millis();
+                let news = told.get(image) != Some(&ms);
+                news.then(|| (image.clone(), ms))
+            });
         let changed: Vec<(Image, u64)> = changed.take(MOST_FETCHES).collect();
         told.extend(changed.iter().cloned());
         changed
@@ -75,14 +103,15 @@
 
     /// A peer missed what was told: tells everything once more.
     pub fn tell_again(&mut self) {
-        self.told.clear();
-        self.told_caches.clear();
-        self.told_fetches.clear();
+        self.status.sent_counts.clear();
+        self.status.sent_caches.clear();
+        self.status.sent_fetch_times.clear();
     }
 
     /// Takes over what the last leader told of a machine's images.
     pub fn inherit_cache(&mut self, now: Time, id: &MachineId, images: &[(Image, f64)]) {
         let m = self
+            .cluster
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(now));
@@ -112,24 +141,24 @@
             "hands_changed": self.autoscaler.hands.changes,
         });
         let reclaiming = serde_json::json!({
-            "stopping": self.jobs.values().flat_map(|j| j.assignments.values())
+            "stopping": self.cluster.jobs.values().flat_map(|j| j.assignments.values())
                 .filter(|p| p.stop.is_some()).count(),
             "put_aside": self.quarantine.count(at.wall),
         });
         let cleaning = serde_json::json!({
-            "orphans_left": self.garbage_collector.left(), "orphans_deleted": self.garbage_collector.deleted,
-            "jobs_to_drop": self.dropping.len(), "records_to_write": self.autoscaler.intents.pending_writes.len(),
+            "orphans_left": self.writer.garbage_collector.left(), "orphans_deleted": self.writer.garbage_collector.deleted,
+            "jobs_to_drop": self.cluster.unwritten.jobs_to_delete.len(), "records_to_write": self.autoscaler.intents.pending_writes.len(),
             "records_written": self.autoscaler.intents.pending_writes.written,
         });
         serde_json::json!([
             duty(
                 "placing",
-                Some(self.last_cycle).filter(|_| self.cycles > 0),
+                Some(self.scheduler.last_cycle).filter(|_| self.scheduler.cycles > 0),
                 serde_json::json!({})
             ),
             duty("renting", self.autoscaler.hands.progress, renting),
-            duty("reclaiming", self.reclaimed, reclaiming),
-            duty("cleaning", self.commit_pipeline.committed, cleaning),
+            duty("reclaiming", self.scheduler.last_preemption, reclaiming),
+            duty("cleaning", self.writer.pipeline.committed, cleaning),
         ])
     }
 
@@ -137,7 +166,10 @@
     fn teams(&self, at: Now) -> serde_json::Value {
         let services = self.services(at.wall);
         let machines = self.rows(at.time).len() as f64;
-        let (share, window) = (self.policy.floor_share, self.policy.floor_window_s);
+        let (share, window) = (
+            self.cluster.policy.floor_share,
+            self.cluster.policy.floor_window_s,
+        );
         let floors = MinimumShares::new(&services, machines, share, window);
         let served = |g: &ShareGroup| services.get(g).map_or(1.0, |s| s.share());
         let gpus = |u: QuotaUnits| u.gpus as f64 / 1000.0;
@@ -159,6 +191,7 @@
             .collect();
         let classes: Vec<_> = self
             .arrivals
+            .by_class
             .keys()
             .map(|class| {
                 let g = ShareGroup::Class(class.clone());
@@ -176,7 +209,7 @@
         let now = at.time;
         let age = |t: Option<Time>| t.map(|t| now.since(t).as_secs());
         let machines: Vec<_> = self
-            .machines
+            .cluster.machines
             .iter()
             .filter(|(id, _)| id.as_str().starts_with(machine))
             .take(MOST_SHOWN)
@@ -189,7 +222,7 @@
                     "leaving": m.lifecycle != MachineLifecycle::InService, "taken_in_s": m.termination_notice_at.map(|t| t.since(now).as_secs()),
                     "images": m.cache.images().map(|(i, _)| i).collect::<Vec<_>>(),
                     "tasks": m.tasks.iter().map(|t| {
-                        let job = self.jobs.get(&t.job);
+                        let job = self.cluster.jobs.get(&t.job);
                         let p = job.and_then(|j| j.assignments.get(&t.index));
                         serde_json::json!({
                             "task": t.to_string(), "owner": job.map(|j| &j.spec.team),
@@ -202,6 +235,7 @@
             })
             .collect();
         let jobs: Vec<_> = self
+            .cluster
             .jobs
             .iter()
             .filter(|(id, _)| id.as_str().starts_with(job))
@@ -219,7 +253,7 @@
             .collect();
         // Totals over all machines, shown or not.
         let mut zones: BTreeMap<&str, [usize; 4]> = BTreeMap::new();
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             let z = zones.entry(m.zone.as_ref().map_or("", Zone::as_str));
             let z = z.or_default();
             z[0] += 1;
@@ -239,9 +273,9 @@
         serde_json::json!({
             "token": self.token, "in_office_s": now.since(self.office).as_secs(),
             "contact_s_ago": self.authority.age(now).as_secs(), "loaded": self.is_loaded(),
-            "cycles": self.cycles, "duties": self.duties(at),
+            "cycles": self.scheduler.cycles, "duties": self.duties(at),
             "shares": self.teams(at),
-            "totals": {"machines": self.machines.len(), "jobs": self.jobs.len()},
+            "totals": {"machines": self.cluster.machines.len(), "jobs": self.cluster.jobs.len()},
             "zones": zones, "machines": machines, "jobs": jobs,
         })
     }
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -25,7 +25,7 @@
     pub(super) fn exited(&mut self, now: Now, task: &TaskId, t: &ReportedTask) {
         let (now, wall) = (now.time, now.wall);
         let why = t.why.unwrap_or(StopReason::Unknown);
-        let Some(job) = self.jobs.get(&task.job) else {
+        let Some(job) = self.cluster.jobs.get(&task.job) else {
             return;
         };
         let Some(place) = job.assignments.get(&task.index).cloned() else {
@@ -33,9 +33,9 @@
         };
         if why == StopReason::Done && !job.is_service() {
             self.gone(now, task, "done");
-            if self.jobs[&task.job].is_gang() {
+            if self.cluster.jobs[&task.job].is_gang() {
                 // They complete together.
-                for index in 0..self.jobs[&task.job].spec.tasks {
+                for index in 0..self.cluster.jobs[&task.job].spec.tasks {
                     self.task_done(
                         now,
                         &TaskId {
@@ -53,7 +53,7 @@
             tracing::info!(task = %task, machine = %place.machine, ?why, team = %job.spec.team, "task ended early");
         }
         self.gone(now, task, "ended");
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
         let mut suspect = None;
@@ -69,7 +69,7 @@
                 if job.notes.failed_on.len() > MOST_FAILED_ON {
                     job.notes.failed_on.clear();
                 }
-                if let Some(m) = self.machines.get_mut(&place.machine) {
+                if let Some(m) = self.cluster.machines.get_mut(&place.machine) {
                     m.faults.insert(task.job.clone(), now);
                     m.faults.retain(|_, t| now.since(*t) < FAULT_LIFE);
                     if m.faults.len() >= SUSPECT && m.lifecycle == MachineLifecycle::InService {
@@ -92,8 +92,8 @@
 
     /// Marks a task done, wherever it was found to be.
     pub fn task_done(&mut self, now: Time, task: &TaskId) {
-        let size = self.chunk_size;
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        let size = self.cluster.chunk_size;
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
         if job.is_service() || task.index >= job.spec.tasks || !job.done.insert(task.index) {
@@ -103,11 +103,17 @@
         job.notes.failures = 0;
         let change = job.touch(size, task.index);
         job.done_not_stored.insert(task.index, change);
-        self.dirty
-            .note((task.job.clone(), size.of(task.index)), now, false);
+        self.cluster.unwritten.dirty_chunks.note(
+            (task.job.clone(), size.of(task.index)),
+            now,
+            false,
+        );
         if job.done.len() == job.spec.tasks && job.end.is_none() {
             job.end = Some(JobOutcome::Done { written: false });
-            self.finishing.insert(task.job.clone());
+            self.cluster
+                .unwritten
+                .finished_jobs
+                .insert(task.job.clone());
         }
         // Another attempt of it may still be somewhere.
         if let Some(p) = job.assignments.get(&task.index)
@@ -121,7 +127,7 @@
     /// whole attempt.
     pub fn gone(&mut self, now: Time, task: &TaskId, proof: &'static str) {
         self.remove_place(now, task, proof);
-        if let Some(job) = self.jobs.get(&task.job)
+        if let Some(job) = self.cluster.jobs.get(&task.job)
             && job.is_gang()
             && job.is_open()
             && proof != "done"
@@ -132,8 +138,8 @@
     }
 
     pub(super) fn remove_place(&mut self, now: Time, task: &TaskId, proof: &'static str) {
-        let size = self.chunk_size;
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        let size = self.cluster.chunk_size;
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
         let Some(p) = job.assignments.remove(&task.index) else {
@@ -144,15 +150,18 @@
             job.waiting.insert(task.index);
         }
         job.touch(size, task.index);
-        self.dirty
-            .note((task.job.clone(), size.of(task.index)), now, false);
+        self.cluster.unwritten.dirty_chunks.note(
+            (task.job.clone(), size.of(task.index)),
+            now,
+            false,
+        );
         tracing::debug!(task = %task, attempt = %p.attempt, machine = %p.machine, proof, "task is gone");
-        if let Some(m) = self.machines.get_mut(&p.machine) {
+        if let Some(m) = self.cluster.machines.get_mut(&p.machine) {
             m.release(task, needs);
             if m.tasks.is_empty() {
                 m.idle = Some(now);
             }
-            let (jobs, tasks) = (&self.jobs, &m.tasks);
+            let (jobs, tasks) = (&self.cluster.jobs, &m.tasks);
             let waits = |image: &_| {
                 tasks
                     .iter()
@@ -160,18 +169,23 @@
             };
             m.cache.give_up(waits);
         }
-        if self.jobs[&task.job].assignments.is_empty() && !self.jobs[&task.job].is_open() {
-            self.dropping.insert(task.job.clone());
+        if self.cluster.jobs[&task.job].assignments.is_empty()
+            && !self.cluster.jobs[&task.job].is_open()
+        {
+            self.cluster
+                .unwritten
+                .jobs_to_delete
+                .insert(task.job.clone());
         }
     }
 
     /// Writes off machines whose workers must have ended their tasks.
     pub fn expire(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
-        let mut lease = self.settings.workers.lease.scaled(1.0005) + TimeSpan::secs(1.0);
+        let mut lease = self.cluster.settings.workers.lease.scaled(1.0005) + TimeSpan::secs(1.0);
         let inherited = self.office + self.authority.inherited();
         let mut dead = Vec::new();
-        for (id, m) in &mut self.machines {
+        for (id, m) in &mut self.cluster.machines {
             if m.lost || m.tasks.is_empty() {
                 continue;
             }
@@ -220,7 +234,7 @@
     fn strike<'a>(&mut self, now: Now, dead: impl Iterator<Item = &'a MachineId>) {
         let mut by_zone: BTreeMap<Option<Zone>, Vec<&MachineId>> = BTreeMap::new();
         for id in dead {
-            let zone = self.machines.get(id).and_then(|m| m.zone.clone());
+            let zone = self.cluster.machines.get(id).and_then(|m| m.zone.clone());
             by_zone.entry(zone).or_default().push(id);
         }
         for id in by_zone
@@ -230,7 +244,7 @@
         {
             let pending_writes = &mut self.autoscaler.intents.pending_writes;
             if let Some(pause) = self.quarantine.strike(pending_writes, id, now.wall)
-                && let Some(m) = self.machines.get_mut(id)
+                && let Some(m) = self.cluster.machines.get_mut(id)
             {
                 tracing::info!(machine = %id, pause_s = pause.as_secs(), "put aside: silent again and again");
                 m.aside = Some(now.time + pause);
@@ -241,6 +255,7 @@
     /// Everything on a machine is gone.
     pub fn write_off(&mut self, now: Time, id: &MachineId, proof: &'static str) {
         let tasks: Vec<TaskId> = self
+            .cluster
             .machines
             .get(id)
             .map(|m| m.tasks.iter().cloned().collect())
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -1,7 +1,11 @@
+use super::command_dispatch::ReportedTaskState;
 use super::*;
 use crate::core::failpoints::{SafetyCheck, disable_check};
 use crate::core::format_version::member_versions;
 use crate::testing::{effects_at, leader};
+use crate::types::{Attempt, Team, WallTime};
+use crate::wire::rate_limit::TokenBucket;
+use crate::wire::workers::TaskState;
 
 /// How old its contact is when a leader has loaded, where the pages of the
 /// load took so many seconds each, and what it may do then.
@@ -52,8 +56,8 @@
     let mut leader = leader();
     let spec = crate::testing::submission("wk-1", crate::wire::users::JobShape::Array, 3);
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
-    leader.jobs.insert("wk-1".into(), job);
-    leader.submitted.insert("wk-1".into());
+    leader.cluster.jobs.insert("wk-1".into(), job);
+    leader.records.submitted.insert("wk-1".into());
     let record = Entry {
         key: job_records::chunk_key(&"wk-1".into(), 0),
         value: stored,
@@ -73,14 +77,26 @@
         let id = MachineId::from("host-1");
         let m = leader.meet(Time(0), &id);
         (m.has_our_token, m.epoch) = (true, crate::types::AgentEpoch(1));
-        let task = ("wk-1/1".into(), Attempt(1), TaskState::Running, None);
-        leader.listed.insert(id.clone(), vec![task]);
+        let task = ReportedTaskState {
+            name: "wk-1/1".into(),
+            attempt: Attempt(1),
+            state: TaskState::Running,
+            exit_reason: None,
+        };
+        leader
+            .commands
+            .reported_tasks
+            .insert(id.clone(), vec![task]);
         let halted = !leader.commands(Time(0), &id).is_empty();
-        leader.dirty.note(("wk-1".into(), 0), Time(0), true);
+        leader
+            .cluster
+            .unwritten
+            .dirty_chunks
+            .note(("wk-1".into(), 0), Time(0), true);
         let mut effects = effects_at(1.0);
         leader.pump(&mut effects);
         let used = leader.team_use()[&Team::from("red")].used.gpus;
-        (halted, leader.commit_pipeline.flight.is_some(), used)
+        (halted, leader.writer.pipeline.flight.is_some(), used)
     };
     assert_eq!(seen(future.clone()), (false, false, 3.0));
     disable_check(&[SafetyCheck::UnreadableIsLeftAlone]);
@@ -97,7 +113,7 @@
 fn a_record_of_what_cannot_be_is_left_alone() {
     let record = |n: u64, d: serde_json::Value, p: serde_json::Value| {
         let stored = serde_json::json!({"n": n, "d": d, "p": p});
-        with_record(stored).jobs[&JobId::from("wk-1")].unreadable
+        with_record(stored).cluster.jobs[&JobId::from("wk-1")].unreadable
     };
     let (none, one) = (
         serde_json::json!([]),
@@ -125,16 +141,16 @@
         let mut effects = effects_at(secs);
         leader.rewrite(effects.now.time);
         leader.pump(&mut effects);
-        leader.commit_pipeline.flight.is_some()
+        leader.writer.pipeline.flight.is_some()
     };
     assert!(!written(&mut leader, 1.0), "the level does not have it yet");
     assert!(leader.is_rewritten());
     leader.level = WITH_HISTORY;
     assert!(!leader.is_rewritten());
-    let level = leader.writes.level(Time(2_000_000));
-    leader.writes.take(Time(2_000_000), level);
+    let level = leader.writer.write_tokens.level(Time(2_000_000));
+    leader.writer.write_tokens.take(Time(2_000_000), level);
     assert!(!written(&mut leader, 2.0), "there is more pressing work");
-    leader.writes = TokenBucket::new(50.0, 50.0);
+    leader.writer.write_tokens = TokenBucket::new(50.0, 50.0);
     assert!(!written(&mut leader, 3.0), "it settles first");
     assert!(written(&mut leader, 4.5));
     let answer = crate::wire::kvstore::TransactionResponse {
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -17,7 +17,7 @@
 use super::format_version::{FormatVersion, SupportedVersions};
 use super::job_api::JobApi;
 use super::job_records;
-use super::leader::{self, Leader, LeadershipOutcome};
+use super::leader::{self, Leader, LeadershipOutcome, TaskCounts};
 use super::self_health::SelfHealth;
 use super::{CallId, Input, Listener, Now, Output, Reply, RequestId, Target};
 use crate::http;
@@ -372,7 +372,7 @@
     fn refresh_counts(&mut self, job: &str) {
         if let Some(leader) = &self.leader {
             let id = job.into();
-            if let Some((done, running)) = leader.counts(&id) {
+            if let Some(TaskCounts { done, running }) = leader.counts(&id) {
                 self.job_api.note_counts(vec![(id, done, running)]);
             }
         }
@@ -440,7 +440,7 @@
                     leader.inherit_cache(now, &id, &images);
                 }
                 for (image, took) in kept.fetches {
-                    leader.estimates.note(&image, took);
+                    leader.cluster.fetch_estimates.note(&image, took);
                 }
                 self.election.keep(&mut self.effects, lease, token);
                 leader.tick(&mut self.effects);
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -179,7 +179,10 @@
         self.election.registry.heard(now, &g.node_id, g.levels);
         if let Some(leader) = &mut self.leader {
             for (image, ms) in &g.fetches {
-                leader.estimates.learn(image, TimeSpan::millis(*ms));
+                leader
+                    .cluster
+                    .fetch_estimates
+                    .learn(image, TimeSpan::millis(*ms));
             }
             for id in &g.cancelled {
                 leader.hear_cancelled(now, id);
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -150,8 +150,8 @@
     l.meet(Time(2), &id);
     leader.greet();
     let l = leader.leader.as_ref().unwrap();
-    assert_eq!(l.machines[&id].cache.images().count(), 1);
-    let cold = l.estimates.of(&"img".into(), 5.0, None);
+    assert_eq!(l.cluster.machines[&id].cache.images().count(), 1);
+    let cold = l.cluster.fetch_estimates.of(&"img".into(), 5.0, None);
     assert_eq!(cold, TimeSpan::secs(9.0));
 }
 
@@ -277,13 +277,13 @@
     let spec = testing::submission("wk-1", crate::wire::users::JobShape::Array, 1);
     let wall = crate::types::WallTime(0);
     let job = job_records::Job::new(Rc::new(spec), wall, crate::types::Version(7), 1);
-    leader.jobs.insert(id.clone(), job);
+    leader.cluster.jobs.insert(id.clone(), job);
     leader.authority.page(Time(0));
     leader.authority.loaded(Time(0));
     leader.hear_cancelled(Time(5_000_000), &id);
     assert!(leader.authority.is_told(&id));
-    let job = &leader.jobs[&id];
-    assert!(job.is_open() && !leader.dropping.contains(&id));
+    let job = &leader.cluster.jobs[&id];
+    assert!(job.is_open() && !leader.cluster.unwritten.jobs_to_delete.contains(&id));
     let none = wire::kvstore::WatchResponse {
         revision: crate::types::Version(9),
         events: Vec::new(),
