--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -11,6 +11,7 @@
 mod scheduler;
 mod status_broadcast;
 mod task_completion;
+mod task_lifecycle;
 
 use self::arrival_recorder::{Arrival, ArrivalRecorder};
 use self::cluster_state::ClusterState;
@@ -156,9 +157,7 @@
 
     /// Takes over machine types read from the cloud or the state service.
     pub fn set_types(&mut self, types: &MachineTypes) {
-        for t in &types.kinds {
-            self.cluster.machine_types.insert(t.name.clone(), t.clone());
-        }
+        self.cluster.set_machine_types(types);
     }
 
     /// Whether everything recorded has been read.
@@ -592,7 +591,7 @@
             }
         }
         for id in stop {
-            self.stop_all(now, &id, "its job is over");
+            self.cluster.stop_ended_job(now, &id, "its job is over");
         }
     }
 
@@ -606,12 +605,15 @@
             }
             let go = self.autoscaler.intents.load(&e.key, &e.value, now.wall);
             for id in go {
-                self.meet(now.time, &id)
+                self.cluster
+                    .register_machine(now.time, &id, &self.autoscaler.intents)
                     .mark_for_termination("an earlier leader meant to release it");
             }
             if let Some((id, drained)) = self.quarantine.load(&e.key, &e.value) {
                 let left = self.quarantine.pause_left(&id, now.wall);
-                let m = self.meet(now.time, &id);
+                let m = self
+                    .cluster
+                    .register_machine(now.time, &id, &self.autoscaler.intents);
                 m.aside = left.map(|left| now.time + left);
                 if drained && m.lifecycle == MachineLifecycle::InService {
                     m.lifecycle = MachineLifecycle::Draining;
@@ -629,32 +631,6 @@
         }
     }
 
-    /// A machine that was heard of. One that is to go stays so, whoever
-    /// decided it and whatever brought the machine up again.
-    pub(super) fn meet(&mut self, now: Time, id: &MachineId) -> &mut Machine {
-        let lifecycle = self.autoscaler.intents.is_leaving(id);
-        let m = self
-            .cluster
-            .machines
-            .entry(id.clone())
-            .or_insert_with(|| Machine::new(now));
-        if lifecycle {
-            m.lifecycle = MachineLifecycle::Terminating;
-        }
-        m
-    }
-
-    fn stop_all(&mut self, now: Time, id: &JobId, why: &'static str) {
-        let Some(job) = self.cluster.jobs.get(id) else {
-            return;
-        };
-        let all: Vec<u32> = job.assignments.keys().copied().collect();
-        self.stop_tasks(now, id, &all, 0.0, why);
-        if self.cluster.jobs[id].assignments.is_empty() {
-            self.cluster.unwritten.jobs_to_delete.insert(id.clone());
-        }
-    }
-
     fn apply(&mut self, effects: &mut Effects, changes: WatchResponse) -> LeadershipOutcome {
         let now = effects.now.time;
         for e in &changes.events {
@@ -698,7 +674,7 @@
     fn cancelled(&mut self, now: Time, id: &JobId) {
         if let Some(job) = self.cluster.jobs.get(id) {
             tracing::info!(job = %id, team = %job.spec.team, "cancelled by its user");
-            self.end(now, id, "its user cancelled it");
+            self.cluster.cancel_job(now, id, "its user cancelled it");
         }
     }
 
@@ -711,7 +687,8 @@
         let tasks: Vec<u32> = job.assignments.keys().copied().collect();
         if self.authority.told(now, id) {
             tracing::info!(job = %id, tasks = tasks.len(), "cancelled, as a peer says");
-            self.stop_tasks(now, id, &tasks, 0.0, "a peer says that it is cancelled");
+            self.cluster
+                .stop_tasks(now, id, &tasks, 0.0, "a peer says that it is cancelled");
         }
     }
 
@@ -723,25 +700,6 @@
         let most = self.records.revision.0.saturating_add(since + MOST_AT_ONCE);
         (self.records.revision.0 + 1..=most).contains(&token.0)
     }
-
-    /// A commit found that a job's head is not open any more.
-    pub(super) fn ended_elsewhere(&mut self, now: Time, id: &JobId) {
-        if self.cluster.jobs.get(id).is_some_and(Job::is_open) {
-            tracing::info!(job = %id, "found to be over when its starts were to be stored");
-            self.end(now, id, "its job is over");
-        }
-    }
-
-    /// Nothing of a job is wanted any more.
-    fn end(&mut self, now: Time, id: &JobId, why: &'static str) {
-        let Some(job) = self.cluster.jobs.get_mut(id) else {
-            return;
-        };
-        job.end = Some(JobOutcome::Cancelled);
-        job.waiting = Default::default();
-        self.cluster.unwritten.finished_jobs.remove(id);
-        self.stop_all(now, id, why);
-    }
 }
 
 /// Path of the next page of keys below a prefix.
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -1,5 +1,6 @@
 //! Renting and returning machines.
 
+use super::task_lifecycle::RemovalReason;
 use crate::core::autoscaler::intents::{CapacityPool, MOST_RENTED};
 use crate::core::autoscaler::state::{BAD_GATEWAY, CONFLICT, CloudCall, GATEWAY_TIMEOUT};
 use crate::core::effects::Effects;
@@ -244,7 +245,9 @@
                         if self.autoscaler.intents.is_gone(&id) {
                             continue;
                         }
-                        let m = self.meet(now, &id);
+                        let m = self
+                            .cluster
+                            .register_machine(now, &id, &self.autoscaler.intents);
                         m.kind.get_or_insert(r.kind.clone());
                         m.zone.get_or_insert(r.zone.clone());
                         m.spot = r.spot;
@@ -255,7 +258,8 @@
                 self.autoscaler.intents.released(&names, now);
                 for id in names {
                     // By now the machine and everything on it is gone.
-                    self.write_off(now, &id, "released");
+                    self.cluster
+                        .write_off_machine(now, &id, RemovalReason::MachineReleased);
                     self.cluster.machines.remove(&id);
                     self.heartbeats.deferred.remove(&id);
                 }
@@ -273,7 +277,9 @@
             if self.autoscaler.intents.is_gone(&l.id) {
                 continue;
             }
-            let m = self.meet(now, &l.id);
+            let m = self
+                .cluster
+                .register_machine(now, &l.id, &self.autoscaler.intents);
             m.kind.get_or_insert(l.kind);
             m.zone.get_or_insert(l.zone);
             m.spot = l.spot;
@@ -302,7 +308,7 @@
 
     /// Sees to machines that never came up, fell silent or are gone.
     pub(super) fn give_up_machines(&mut self, now: Time) {
-        let silence = self.silence();
+        let silence = self.cluster.max_silence();
         let lag = self.cluster.settings.list_lag;
         let listed = self.autoscaler.listed;
         let mut forget = Vec::new();
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -65,7 +65,10 @@
     let mut made = Vec::new();
     for n in 0..6 {
         let id = MachineId::from(format!("host-{n}"));
-        leader.meet(Time(0), &id).mark_for_termination("idle");
+        leader
+            .cluster
+            .register_machine(Time(0), &id, &leader.autoscaler.intents)
+            .mark_for_termination("idle");
         leader.mean_releases(WallTime(0));
         for (key, _) in leader.autoscaler.intents.pending_writes.take_puts(9) {
             leader.autoscaler.intents.stored(&key);
@@ -103,7 +106,8 @@
         .intents
         .provision(("g4".into(), "z0".into(), true), 3, WallTime(0));
     first
-        .meet(Time(0), &"host-1".into())
+        .cluster
+        .register_machine(Time(0), &"host-1".into(), &first.autoscaler.intents)
         .mark_for_termination("idle");
     first.mean_releases(WallTime(0));
     assert!(
@@ -123,7 +127,9 @@
     next.load_duties(now, entries.collect());
     // It starts nothing there, whatever brings the machine up again.
     assert_eq!(
-        next.meet(Time(2), &"host-1".into()).lifecycle,
+        next.cluster
+            .register_machine(Time(2), &"host-1".into(), &next.autoscaler.intents)
+            .lifecycle,
         MachineLifecycle::Terminating
     );
     let Some(CloudCall::Release(names)) = next.next_call(Time(2)) else {
@@ -158,7 +164,10 @@
     for (status, by) in [(400, None), (400, Some("node-1")), (404, Some("node-1"))] {
         let mut leader = leader();
         let id = MachineId::from("host-1");
-        leader.meet(Time(0), &id).mark_for_termination("idle");
+        leader
+            .cluster
+            .register_machine(Time(0), &id, &leader.autoscaler.intents)
+            .mark_for_termination("idle");
         let call = CloudCall::Release(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
         leader.on_cloud(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
--- a/crates/controller/src/core/leader/cluster_state.rs
+++ b/crates/controller/src/core/leader/cluster_state.rs
@@ -1,13 +1,15 @@
 //! The leader's tables of jobs and machines, which all of its parts read, and the
 //! changes to them that still have to be written or sent. Makes no calls itself.
 
+use crate::core::assignment::Assignment;
+use crate::core::autoscaler::intents::Intents;
 use crate::core::job_records::{ChunkSize, DirtyChunks, Job};
-use crate::core::machine::Machine;
+use crate::core::machine::{Machine, MachineLifecycle};
 use crate::core::placement_tables::FetchEstimates;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::types::{JobId, MachineId, MachineTypeName, TaskId, TimeSpan};
-use crate::wire::cloud::MachineType;
+use crate::types::{JobId, MachineId, MachineTypeName, TaskId, Time, TimeSpan};
+use crate::wire::cloud::{MachineType, MachineTypes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -22,6 +24,22 @@
     pub jobs_to_delete: BTreeSet<JobId>,
 }
 
+/// How far the starts are stored that a machine has not been sent yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::core) enum UnsentStarts {
+    /// There are none.
+    None,
+    /// Some are not stored yet, so must not be sent.
+    WaitForStorage,
+    /// All of them are stored and can be sent.
+    Sendable,
+}
+
+/// Heartbeat intervals after which a silent machine gets no more work.
+const MISSED_HEARTBEATS: f64 = 2.5;
+/// Added to them, for delays on the way.
+const HEARTBEAT_SLACK: TimeSpan = TimeSpan::millis(1000);
+
 /// Jobs, machines, and what is known of both.
 #[derive(Debug)]
 pub(in crate::core) struct ClusterState {
@@ -60,4 +78,93 @@
             policy,
         }
     }
+
+    /// Adds or replaces machine types read from the cloud or the state service.
+    pub fn set_machine_types(&mut self, types: &MachineTypes) {
+        for machine_type in &types.kinds {
+            let name = machine_type.name.clone();
+            self.machine_types.insert(name, machine_type.clone());
+        }
+    }
+
+    /// The type of a machine, if both are known.
+    pub fn type_of(&self, machine: &Machine) -> Option<&MachineType> {
+        self.machine_types.get(machine.kind.as_ref()?)
+    }
+
+    /// How long a machine may be silent and still get work.
+    pub fn max_silence(&self) -> TimeSpan {
+        self.settings.workers.report.scaled(MISSED_HEARTBEATS) + HEARTBEAT_SLACK
+    }
+
+    /// The record of a machine that was heard of, new or not. One that is being
+    /// terminated stays so, whoever decided it and whatever brought it up again.
+    pub fn register_machine(
+        &mut self,
+        now: Time,
+        id: &MachineId,
+        intents: &Intents,
+    ) -> &mut Machine {
+        let machine = self
+            .machines
+            .entry(id.clone())
+            .or_insert_with(|| Machine::new(now));
+        if intents.is_leaving(id) {
+            machine.lifecycle = MachineLifecycle::Terminating;
+        }
+        machine
+    }
+
+    /// Room for images on a machine, in GB; zero while its type is unknown.
+    pub fn cache_room_gb(&self, id: &MachineId) -> f64 {
+        self.machines
+            .get(id)
+            .and_then(|machine| self.type_of(machine))
+            .map_or(0.0, |machine_type| machine_type.cache_gb)
+    }
+
+    /// Expected remaining time of a task on its machine.
+    pub fn remaining_time(&self, now: Time, job: &Job, assignment: &Assignment) -> TimeSpan {
+        let run = TimeSpan::secs(job.spec.estimate_s);
+        if let Some(started) = assignment.running {
+            return TimeSpan(run.0.saturating_sub(now.since(started).0));
+        }
+        let fetch = assignment.cold.map_or(TimeSpan::ZERO, |_| {
+            self.fetch_estimates
+                .of(&job.spec.image, job.spec.image_gb, None)
+        });
+        run + fetch
+    }
+
+    /// Whether any open job has tasks that wait for room.
+    pub fn has_waiting_tasks(&self) -> bool {
+        self.jobs
+            .values()
+            .any(|job| job.is_open() && !job.waiting.is_empty())
+    }
+
+    /// How far the unsent starts of a machine are stored.
+    pub fn unsent_starts(&self, id: &MachineId) -> UnsentStarts {
+        let (mut stored, mut unstored) = (false, false);
+        let tasks = self.machines.get(id).map(|machine| &machine.tasks);
+        for task in tasks.into_iter().flatten() {
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
+            let assignment = job.assignments.get(&task.index);
+            let Some(unsent) = assignment.filter(|assignment| assignment.unsent()) else {
+                continue;
+            };
+            if job.is_stored(self.chunk_size, task.index, unsent.change) {
+                stored = true;
+            } else {
+                unstored = true;
+            }
+        }
+        match (stored, unstored) {
+            (_, true) => UnsentStarts::WaitForStorage,
+            (true, false) => UnsentStarts::Sendable,
+            (false, false) => UnsentStarts::None,
+        }
+    }
 }
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -1,29 +1,19 @@
 //! What workers are told: starts, stops, `clear`, and the answers that carry them.
 
+use super::task_lifecycle::StopDurability;
 use crate::core::RequestId;
-use crate::core::assignment::{Assignment, AssignmentPhase, Stop};
+use crate::core::assignment::{AssignmentPhase, Stop};
 use crate::core::effects::Effects;
 use crate::core::failpoints::{self, SafetyCheck};
-use crate::core::job_records::{ChunkSize, Job, JobOutcome};
+use crate::core::job_records::{ChunkSize, Job};
 use crate::core::leader::Leader;
 use crate::core::leader_announcement::{AnnouncementPriority, LeaderAnnouncer};
-use crate::types::{Attempt, JobId, MachineId, TaskId, Time, TimeSpan};
+use crate::types::{Attempt, MachineId, TaskId, Time, TimeSpan};
 use crate::wire;
 use crate::wire::users::Priority;
 use crate::wire::workers::{Command, HeartbeatResponse, StopReason, TaskState};
 use std::collections::BTreeMap;
 
-/// Whether a stop is recorded, for a successor to go on with.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Record {
-    /// No: whoever leads finds the reason anew.
-    No,
-    /// Yes, while it is told: there is no time to wait.
-    Along,
-    /// Yes, before it is told.
-    First,
-}
-
 impl Job {
     /// The stop that a task may be told of now. One whose record goes first
     /// waits for it; records of an ended job are not written any more.
@@ -70,86 +60,6 @@
 }
 
 impl Leader {
-    /// Orders tasks of a job to stop; unsent starts are dropped at once.
-    pub fn stop_tasks(
-        &mut self,
-        now: Time,
-        id: &JobId,
-        tasks: &[u32],
-        grace_s: f64,
-        why: &'static str,
-    ) {
-        self.order_stops(now, id, tasks, grace_s, why, Record::No);
-    }
-
-    /// Orders tasks to stop, on the record or not.
-    pub(super) fn order_stops(
-        &mut self,
-        now: Time,
-        id: &JobId,
-        tasks: &[u32],
-        grace_s: f64,
-        why: &'static str,
-        record: Record,
-    ) {
-        let size = self.cluster.chunk_size;
-        let mut unsent = Vec::new();
-        let Some(job) = self.cluster.jobs.get_mut(id) else {
-            return;
-        };
-        job.notes.last_stop = Some(why);
-        for index in tasks {
-            let Some(p) = job.assignments.get(index) else {
-                continue;
-            };
-            if p.unsent() {
-                unsent.push(*index);
-            } else if p.stop.is_none_or(|s| grace_s < s.grace_s && grace_s == 0.0) {
-                // A gang that saves must not be cut short because one of its
-                // tasks has ended, saved, before the others.
-                let saving = p.stop.is_some() && job.end != Some(JobOutcome::Cancelled);
-                if !saving {
-                    let change = (record != Record::No).then(|| job.touch(size, *index));
-                    if change.is_some() {
-                        self.cluster.unwritten.dirty_chunks.note(
-                            (id.clone(), size.of(*index)),
-                            now,
-                            true,
-                        );
-                    }
-                    let Some(p) = job.assignments.get_mut(index) else {
-                        continue;
-                    };
-                    p.stop = Some(Stop {
-                        grace_s,
-                        at: now,
-                        change: change.filter(|_| record == Record::First),
-                    });
-                    if record == Record::First && failpoints::enforced(SafetyCheck::StopsAreStored)
-                    {
-                        // Told once it is stored.
-                        continue;
-                    }
-                    self.cluster
-                        .direct_stops
-                        .entry(p.machine.clone())
-                        .or_default()
-                        .push(TaskId {
-                            job: id.clone(),
-                            index: *index,
-                        });
-                }
-            }
-        }
-        for index in unsent {
-            let task = TaskId {
-                job: id.clone(),
-                index,
-            };
-            self.remove_place(now, &task, "never sent");
-        }
-    }
-
     /// A machine will be taken: its tasks save, or at least leave in time to
     /// prove that they are gone.
     pub(super) fn drain_noticed(&mut self, effects: &mut Effects, id: &MachineId) {
@@ -171,7 +81,7 @@
             if p.stop.is_some() {
                 continue;
             }
-            let rest = self.remaining(now, job, p);
+            let rest = self.cluster.remaining_time(now, job, p);
             let spare = TimeSpan::secs(1.0);
             if rest + spare < left {
                 continue;
@@ -183,7 +93,14 @@
                 vec![task.index]
             };
             let why = "its machine is being taken";
-            self.order_stops(now, &task.job, &tasks, grace, why, Record::Along);
+            self.cluster.order_stops(
+                now,
+                &task.job,
+                &tasks,
+                grace,
+                why,
+                StopDurability::StoredWhileSent,
+            );
         }
     }
 
@@ -413,54 +330,4 @@
             }
         }
     }
-
-    /// Puts a task on a machine; it is sent once recorded.
-    pub fn put(&mut self, now: Time, task: &TaskId, id: &MachineId, attempt: Attempt) {
-        let size = self.cluster.chunk_size;
-        let Some(m) = self.cluster.machines.get_mut(id) else {
-            return;
-        };
-        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
-            return;
-        };
-        let spec = job.spec.clone();
-        let warm = m.cache.remaining(&spec.image, now).is_some();
-        let rate = m
-            .kind
-            .as_ref()
-            .and_then(|k| self.cluster.machine_types.get(k))
-            .map(|t| t.fetch_gb_per_s);
-        let fetch = self
-            .cluster
-            .fetch_estimates
-            .of(&spec.image, spec.image_gb, rate);
-        m.cache.used(&spec.image, spec.image_gb, now, fetch);
-        if spec.priority >= crate::wire::users::Priority::High {
-            m.last_high = Some(now);
-        }
-        m.idle = None;
-        m.take(task.clone(), spec.needs());
-        job.waiting.remove(task.index);
-        job.attempt = job.attempt.max(attempt);
-        let change = job.touch(size, task.index);
-        job.assignments.insert(
-            task.index,
-            Assignment {
-                machine: id.clone(),
-                epoch: m.epoch,
-                attempt,
-                change,
-                phase: AssignmentPhase::Unsent,
-                placed: now,
-                running: None,
-                cold: (!warm).then_some(now),
-                stop: None,
-            },
-        );
-        self.cluster.unwritten.dirty_chunks.note(
-            (task.job.clone(), size.of(task.index)),
-            now,
-            true,
-        );
-    }
 }
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -291,7 +291,7 @@
                     if let CommitItem::Chunk(id, ..) = &item
                         && over(id)
                     {
-                        self.ended_elsewhere(now, id);
+                        self.cluster.cancel_job_ended_elsewhere(now, id);
                         continue;
                     }
                     // A job cancelled in the meantime is told by the watch. An
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -1,6 +1,8 @@
 //! Workers' reports, as the leader sees them.
 
+use super::cluster_state::UnsentStarts;
 use super::command_dispatch::ReportedTaskState;
+use super::task_lifecycle::RemovalReason;
 use crate::core::assignment::{Assignment, AssignmentPhase, PresenceProof};
 use crate::core::delivery::DeliveryEvidence;
 use crate::core::effects::Effects;
@@ -46,11 +48,6 @@
 }
 
 impl Leader {
-    /// How long a machine may be silent and still get work.
-    pub fn silence(&self) -> TimeSpan {
-        self.cluster.settings.workers.report.scaled(2.5) + TimeSpan::secs(1.0)
-    }
-
     /// Handles a worker's report; `may_hold`: its answer may wait for work.
     pub fn on_report(
         &mut self,
@@ -83,7 +80,9 @@
             return LeadershipOutcome::Continue;
         }
         let has_our_token = report.token == self.token;
-        let machine = self.meet(now, &report.machine);
+        let machine = self
+            .cluster
+            .register_machine(now, &report.machine, &self.autoscaler.intents);
         let older = (report.epoch, report.sequence) <= (machine.epoch, machine.sequence);
         if older && failpoints::enforced(SafetyCheck::NewestReportCounts) {
             // Held back by the network; its sender no longer waits.
@@ -130,7 +129,7 @@
                     cycles: None,
                 },
             );
-        } else if freed && self.may_start(now) && self.any_waits() {
+        } else if freed && self.may_start(now) && self.cluster.has_waiting_tasks() {
             // Placing and committing takes a moment; the answer that carries
             // the starts need not wait for the next report.
             self.cycle_soon(now);
@@ -148,12 +147,6 @@
         LeadershipOutcome::Continue
     }
 
-    /// Whether any work waits for room.
-    fn any_waits(&self) -> bool {
-        let mut open = self.cluster.jobs.values().filter(|j| j.is_open());
-        open.any(|j| !j.waiting.is_empty())
-    }
-
     /// Answers held reports whose moment has come. Only machines for which a
     /// start was stored are looked at closely, and after a cycle those that
     /// wait for one.
@@ -162,7 +155,11 @@
         let mut due: Vec<MachineId> = Vec::new();
         let stored = std::mem::take(&mut self.heartbeats.machines_with_stored_starts);
         due.extend(stored.into_iter().filter(|id| {
-            let (waits, ready) = self.unsent(id);
+            let unsent = self.cluster.unsent_starts(id);
+            let (waits, ready) = (
+                unsent == UnsentStarts::WaitForStorage,
+                unsent == UnsentStarts::Sendable,
+            );
             self.heartbeats.deferred.get(id).is_some_and(|h| {
                 ready
                     || h.cycles
@@ -182,7 +179,9 @@
                     .filter(|(id, h)| {
                         let placed =
                             after_cycle && h.cycles.is_some_and(|c| self.scheduler.cycles > c);
-                        now >= h.until || (placed && !self.unsent(id).0)
+                        now >= h.until
+                            || (placed
+                                && self.cluster.unsent_starts(id) != UnsentStarts::WaitForStorage)
                     })
                     .map(|(id, _)| id.clone()),
             );
@@ -205,29 +204,9 @@
     pub(super) fn idles(&self, now: Time, id: &MachineId, report: &Heartbeat) -> bool {
         report.tasks.is_empty()
             && self.may_start(now)
-            && self
-                .cluster
-                .machines
-                .get(id)
-                .is_some_and(|m| m.tasks.is_empty() && m.is_schedulable(now, self.silence()))
-    }
-
-    /// Whether starts for a machine still wait to be stored, and whether all
-    /// there are can be sent.
-    pub(super) fn unsent(&self, id: &MachineId) -> (bool, bool) {
-        let (mut waits, mut ready) = (false, false);
-        let tasks = self.cluster.machines.get(id).map(|m| &m.tasks);
-        for t in tasks.into_iter().flatten() {
-            let Some(job) = self.cluster.jobs.get(&t.job) else {
-                continue;
-            };
-            if let Some(p) = job.assignments.get(&t.index).filter(|p| p.unsent()) {
-                let stored = job.is_stored(self.cluster.chunk_size, t.index, p.change);
-                waits |= !stored;
-                ready |= stored;
-            }
-        }
-        (waits, ready && !waits)
+            && self.cluster.machines.get(id).is_some_and(|m| {
+                m.tasks.is_empty() && m.is_schedulable(now, self.cluster.max_silence())
+            })
     }
 
     /// Looks at whether a machine hears what it is answered. Starts that never reached
@@ -263,7 +242,8 @@
             let place = self.cluster.jobs.get(&task.job);
             let place = place.and_then(|j| j.assignments.get(&task.index));
             if place.is_some_and(Assignment::unsent) {
-                self.gone(now, &task, "its machine does not hear");
+                self.cluster
+                    .record_task_gone(now, &task, RemovalReason::MachineUnreachable);
             }
         }
     }
@@ -296,7 +276,7 @@
                 // that there was.
                 let given = |j: &Job| (1..=j.attempt.0).contains(&t.attempt.0);
                 if job.is_some_and(given) {
-                    self.task_done(now, &task);
+                    self.cluster.record_task_done(now, &task);
                 } else if job.is_some() {
                     tracing::error!(task = %task, attempt = %t.attempt, machine = %id, "done, as a report says, by an attempt that was never given; it proves nothing");
                 }
@@ -340,12 +320,14 @@
                     if p.phase == AssignmentPhase::Kept && p.stop.is_none() && open => {}
                 PresenceProof::Absent => {
                     freed = true;
-                    self.gone(now, &task, "its machine no longer has it");
+                    self.cluster
+                        .record_task_gone(now, &task, RemovalReason::NotReported);
                 }
                 // What is not wanted any more is not sent again; it never
                 // arrived, so it is nowhere.
                 PresenceProof::Undelivered if p.stop.is_some() || !open => {
-                    self.gone(now, &task, "never arrived");
+                    self.cluster
+                        .record_task_gone(now, &task, RemovalReason::NeverArrived);
                 }
                 PresenceProof::Undelivered => {
                     p.phase = AssignmentPhase::Unsent;
@@ -386,7 +368,7 @@
         if t.state != TaskState::Fetching {
             let cold = p.cold.take();
             let machine = p.machine.clone();
-            let room = self.cache_room(&machine);
+            let room = self.cluster.cache_room_gb(&machine);
             if let Some(m) = self.cluster.machines.get_mut(&machine)
                 && m.cache.remaining(&spec.image, now) != Some(TimeSpan::ZERO)
             {
@@ -429,7 +411,11 @@
                 let all: Vec<u32> = all.map(|(i, _)| *i).collect();
                 for index in all {
                     let job = task.job.clone();
-                    self.gone(now, &TaskId { job, index }, "its machine no longer has it");
+                    self.cluster.record_task_gone(
+                        now,
+                        &TaskId { job, index },
+                        RemovalReason::NotReported,
+                    );
                 }
                 return;
             }
@@ -443,10 +429,9 @@
             all.map(|_| task.index).into_iter().collect()
         };
         let stays = |p: &Assignment| {
-            self.cluster
-                .machines
-                .get(&p.machine)
-                .is_some_and(|m| m.is_schedulable(now, self.silence()) && m.epoch == p.epoch)
+            self.cluster.machines.get(&p.machine).is_some_and(|m| {
+                m.is_schedulable(now, self.cluster.max_silence()) && m.epoch == p.epoch
+            })
         };
         // A gang stays whole or goes whole.
         let all_stay = indices.iter().all(|i| stays(&job.assignments[i]));
@@ -457,36 +442,14 @@
             let id = self.cluster.jobs[&task.job].assignments[&index]
                 .machine
                 .clone();
-            self.remove_place(now, &task, "never started");
+            self.cluster
+                .remove_assignment(now, &task, RemovalReason::NeverStarted);
             if all_stay {
-                self.put(now, &task, &id, attempt);
+                self.cluster.place_task(now, &task, &id, attempt);
             }
         }
     }
 
-    /// Expected remaining time of a task on its machine.
-    pub fn remaining(&self, now: Time, job: &Job, p: &Assignment) -> TimeSpan {
-        let run = TimeSpan::secs(job.spec.estimate_s);
-        let cold = p.cold.map_or(TimeSpan::ZERO, |_| {
-            self.cluster
-                .fetch_estimates
-                .of(&job.spec.image, job.spec.image_gb, None)
-        });
-        match p.running {
-            Some(t) => TimeSpan(run.0.saturating_sub(now.since(t).0)),
-            None => run + cold,
-        }
-    }
-
-    pub(super) fn cache_room(&self, id: &MachineId) -> f64 {
-        self.cluster
-            .machines
-            .get(id)
-            .and_then(|m| m.kind.as_ref())
-            .and_then(|k| self.cluster.machine_types.get(k))
-            .map_or(0.0, |t| t.cache_gb)
-    }
-
     /// Keeps what a report listed beyond the placements, for its answer.
     pub(super) fn note_listed(&mut self, report: &Heartbeat) {
         let extra = report
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -46,7 +46,9 @@
     hears(&mut leader, 1.0, report(1, 5));
     for index in 0..2 {
         let job = "wk-1".into();
-        leader.put(Time(1_000_000), &TaskId { job, index }, &id, Attempt(1));
+        leader
+            .cluster
+            .place_task(Time(1_000_000), &TaskId { job, index }, &id, Attempt(1));
     }
     for chunk in leader
         .cluster
@@ -202,5 +204,5 @@
     let job = &leader.cluster.jobs[&"wk-1".into()];
     assert!(job.assignments.is_empty() && job.waiting.len() == 2);
     let m = &leader.cluster.machines[&id];
-    assert!(!m.is_schedulable(Time(12_000_000), leader.silence()));
+    assert!(!m.is_schedulable(Time(12_000_000), leader.cluster.max_silence()));
 }
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -1,7 +1,7 @@
 //! The leader's cycle: from its tables and what waits to starts, stops and
 //! orders for machines.
 
-use super::command_dispatch::Record;
+use super::task_lifecycle::StopDurability;
 use crate::core::assignment::AssignmentPhase;
 use crate::core::effects::Effects;
 use crate::core::failpoints::{self, SafetyCheck};
@@ -154,7 +154,7 @@
 impl Leader {
     /// The machines as the cycle sees them, and their names by row.
     pub(super) fn rows(&self, now: Time) -> Vec<MachineRow> {
-        let silence = self.silence();
+        let silence = self.cluster.max_silence();
         self.cluster
             .machines
             .iter()
@@ -193,7 +193,7 @@
             for p in job.assignments.values() {
                 if let Some(&i) = index.get(&p.machine) {
                     let share = job.spec.needs().share_of(&rows[i].whole).min(1.0);
-                    work[i] += self.remaining(now, job, p).as_secs() * share;
+                    work[i] += self.cluster.remaining_time(now, job, p).as_secs() * share;
                 }
             }
         }
@@ -486,7 +486,7 @@
                 m.cache.remaining(image, now).map(TimeSpan::as_secs)
             });
             tracing::debug!(task = %task, %machine, ?fetch, "placed");
-            self.put(now, &task, &machine, attempt);
+            self.cluster.place_task(now, &task, &machine, attempt);
         }
         let mut by_job: BTreeMap<JobId, Vec<u32>> = BTreeMap::new();
         for n in stops.taken {
@@ -502,7 +502,14 @@
             tracing::info!(job = %id, team = %job.spec.team, tasks = tasks.len(), "stopped for more urgent work");
             let why = "stopped for more urgent work";
             self.scheduler.last_preemption = Some(now);
-            self.order_stops(now, &id, &tasks, grace, why, Record::First);
+            self.cluster.order_stops(
+                now,
+                &id,
+                &tasks,
+                grace,
+                why,
+                StopDurability::StoredBeforeSent,
+            );
         }
         for job in self
             .cluster
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -217,7 +217,7 @@
                 serde_json::json!({
                     "machine": id, "kind": m.kind, "zone": m.zone, "spot": m.spot,
                     "session": m.epoch, "reported_s_ago": age(m.reported),
-                    "usable": m.is_schedulable(now, self.silence()), "lost": m.lost,
+                    "usable": m.is_schedulable(now, self.cluster.max_silence()), "lost": m.lost,
                     "deaf_s": m.delivery.deaf_for(now).map(|t| t.as_secs()),
                     "leaving": m.lifecycle != MachineLifecycle::InService, "taken_in_s": m.termination_notice_at.map(|t| t.since(now).as_secs()),
                     "images": m.cache.images().map(|(i, _)| i).collect::<Vec<_>>(),
@@ -257,7 +257,7 @@
             let z = zones.entry(m.zone.as_ref().map_or("", Zone::as_str));
             let z = z.or_default();
             z[0] += 1;
-            z[1] += usize::from(m.is_schedulable(now, self.silence()));
+            z[1] += usize::from(m.is_schedulable(now, self.cluster.max_silence()));
             z[2] += usize::from(m.spot);
             z[3] += m.tasks.len();
         }
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -1,9 +1,9 @@
 //! How tasks leave their machines: done, ended early, or proven gone.
 
+use super::task_lifecycle::RemovalReason;
 use crate::core::Now;
 use crate::core::effects::Effects;
 use crate::core::failpoints::{self, SafetyCheck};
-use crate::core::job_records::JobOutcome;
 use crate::core::leader::Leader;
 use crate::core::machine::*;
 use crate::types::{MachineId, TaskId, Time, TimeSpan, Zone};
@@ -32,11 +32,12 @@
             return;
         };
         if why == StopReason::Done && !job.is_service() {
-            self.gone(now, task, "done");
+            self.cluster
+                .record_task_gone(now, task, RemovalReason::Done);
             if self.cluster.jobs[&task.job].is_gang() {
                 // They complete together.
                 for index in 0..self.cluster.jobs[&task.job].spec.tasks {
-                    self.task_done(
+                    self.cluster.record_task_done(
                         now,
                         &TaskId {
                             job: task.job.clone(),
@@ -45,14 +46,15 @@
                     );
                 }
             } else {
-                self.task_done(now, task);
+                self.cluster.record_task_done(now, task);
             }
             return;
         }
         if !matches!(why, StopReason::Stopped | StopReason::Done) {
             tracing::info!(task = %task, machine = %place.machine, ?why, team = %job.spec.team, "task ended early");
         }
-        self.gone(now, task, "ended");
+        self.cluster
+            .record_task_gone(now, task, RemovalReason::Exited);
         let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
@@ -90,95 +92,6 @@
         }
     }
 
-    /// Marks a task done, wherever it was found to be.
-    pub fn task_done(&mut self, now: Time, task: &TaskId) {
-        let size = self.cluster.chunk_size;
-        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
-            return;
-        };
-        if job.is_service() || task.index >= job.spec.tasks || !job.done.insert(task.index) {
-            return;
-        }
-        job.waiting.remove(task.index);
-        job.notes.failures = 0;
-        let change = job.touch(size, task.index);
-        job.done_not_stored.insert(task.index, change);
-        self.cluster.unwritten.dirty_chunks.note(
-            (task.job.clone(), size.of(task.index)),
-            now,
-            false,
-        );
-        if job.done.len() == job.spec.tasks && job.end.is_none() {
-            job.end = Some(JobOutcome::Done { written: false });
-            self.cluster
-                .unwritten
-                .finished_jobs
-                .insert(task.job.clone());
-        }
-        // Another attempt of it may still be somewhere.
-        if let Some(p) = job.assignments.get(&task.index)
-            && p.unsent()
-        {
-            self.gone(now, task, "done elsewhere");
-        }
-    }
-
-    /// A task is proved not to be on its machine. For a gang that ends the
-    /// whole attempt.
-    pub fn gone(&mut self, now: Time, task: &TaskId, proof: &'static str) {
-        self.remove_place(now, task, proof);
-        if let Some(job) = self.cluster.jobs.get(&task.job)
-            && job.is_gang()
-            && job.is_open()
-            && proof != "done"
-        {
-            let others: Vec<u32> = job.assignments.keys().copied().collect();
-            self.stop_tasks(now, &task.job, &others, 0.0, "its gang lost a task");
-        }
-    }
-
-    pub(super) fn remove_place(&mut self, now: Time, task: &TaskId, proof: &'static str) {
-        let size = self.cluster.chunk_size;
-        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
-            return;
-        };
-        let Some(p) = job.assignments.remove(&task.index) else {
-            return;
-        };
-        let needs = job.spec.needs();
-        if !job.done.contains(task.index) && job.is_open() {
-            job.waiting.insert(task.index);
-        }
-        job.touch(size, task.index);
-        self.cluster.unwritten.dirty_chunks.note(
-            (task.job.clone(), size.of(task.index)),
-            now,
-            false,
-        );
-        tracing::debug!(task = %task, attempt = %p.attempt, machine = %p.machine, proof, "task is gone");
-        if let Some(m) = self.cluster.machines.get_mut(&p.machine) {
-            m.release(task, needs);
-            if m.tasks.is_empty() {
-                m.idle = Some(now);
-            }
-            let (jobs, tasks) = (&self.cluster.jobs, &m.tasks);
-            let waits = |image: &_| {
-                tasks
-                    .iter()
-                    .any(|t| jobs.get(&t.job).is_some_and(|j| &j.spec.image == image))
-            };
-            m.cache.give_up(waits);
-        }
-        if self.cluster.jobs[&task.job].assignments.is_empty()
-            && !self.cluster.jobs[&task.job].is_open()
-        {
-            self.cluster
-                .unwritten
-                .jobs_to_delete
-                .insert(task.job.clone());
-        }
-    }
-
     /// Writes off machines whose workers must have ended their tasks.
     pub fn expire(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
@@ -200,23 +113,23 @@
                 // a direct command can bring the token without a 200 of ours.
                 (
                     m.answered.max(Some(since)).unwrap_or(now) + lease,
-                    "its lease is over",
+                    RemovalReason::LeaseExpired,
                 )
             } else {
                 // An older leader may have answered it until it noticed.
                 let has_our_token = m.answered.map_or(Time(0), |t| t + lease);
                 (
                     inherited.max(has_our_token),
-                    "silent since before this leader",
+                    RemovalReason::SilentSincePreviousLeader,
                 )
             };
             if failed || now >= due {
                 let proof = if failed {
-                    "the cloud lists it as failed"
+                    RemovalReason::MachineFailed
                 } else {
                     proof
                 };
-                tracing::info!(machine = %id, proof, tasks = m.tasks.len(), "machine presumed dead");
+                tracing::info!(machine = %id, reason = %proof, tasks = m.tasks.len(), "machine presumed dead");
                 m.lost = true;
                 m.has_our_token = false;
                 m.cache.clear();
@@ -225,7 +138,7 @@
         }
         self.strike(effects.now, dead.iter().map(|(id, _)| id));
         for (id, proof) in dead {
-            self.write_off(now, &id, proof);
+            self.cluster.write_off_machine(now, &id, proof);
         }
     }
 
@@ -251,18 +164,4 @@
             }
         }
     }
-
-    /// Everything on a machine is gone.
-    pub fn write_off(&mut self, now: Time, id: &MachineId, proof: &'static str) {
-        let tasks: Vec<TaskId> = self
-            .cluster
-            .machines
-            .get(id)
-            .map(|m| m.tasks.iter().cloned().collect())
-            .unwrap_or_default();
-        for t in tasks {
-            // A start that was never sent to this session stays harmless.
-            self.gone(now, &t, proof);
-        }
-    }
 }
--- /dev/null
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -0,0 +1,314 @@
+//! The life of a task in the leader's tables: placed on a machine, ordered to stop,
+//! done, and proven gone. Every change is noted for the next transaction; nothing
+//! here sends anything.
+
+use super::cluster_state::ClusterState;
+use crate::core::assignment::{Assignment, AssignmentPhase, Stop};
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::job_records::JobOutcome;
+use crate::types::{Attempt, JobId, MachineId, TaskId, Time};
+use crate::wire::users::Priority;
+use std::fmt;
+
+/// Whether a stop is stored, for a successor to go on with.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::core) enum StopDurability {
+    /// It is not: whoever leads finds the reason again.
+    NotStored,
+    /// It is stored while it is sent: there is no time to wait.
+    StoredWhileSent,
+    /// It is stored before it is sent.
+    StoredBeforeSent,
+}
+
+/// Why a task is known not to be on its machine any more.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::core) enum RemovalReason {
+    /// The machine reported it done.
+    Done,
+    /// Another attempt was reported done before this one was sent.
+    DoneElsewhere,
+    /// The machine reported that it exited otherwise.
+    Exited,
+    /// The start was never sent.
+    NeverSent,
+    /// The start was sent and did not arrive.
+    NeverArrived,
+    /// An earlier leader's start did not arrive.
+    NeverStarted,
+    /// The start cannot arrive: the machine does not receive its answers.
+    MachineUnreachable,
+    /// A newer heartbeat does not list it.
+    NotReported,
+    /// The lease of its machine's agent has expired.
+    LeaseExpired,
+    /// Its machine has been silent since before this leader.
+    SilentSincePreviousLeader,
+    /// The cloud lists its machine as failed.
+    MachineFailed,
+    /// The cloud has released its machine.
+    MachineReleased,
+}
+
+impl fmt::Display for RemovalReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            RemovalReason::Done => "done",
+            RemovalReason::DoneElsewhere => "done elsewhere",
+            RemovalReason::Exited => "exited",
+            RemovalReason::NeverSent => "never sent",
+            RemovalReason::NeverArrived => "never arrived",
+            RemovalReason::NeverStarted => "never started",
+            RemovalReason::MachineUnreachable => "machine does not receive its answers",
+            RemovalReason::NotReported => "machine no longer reports it",
+            RemovalReason::LeaseExpired => "lease expired",
+            RemovalReason::SilentSincePreviousLeader => "silent since before this leader",
+            RemovalReason::MachineFailed => "machine listed as failed",
+            RemovalReason::MachineReleased => "machine released",
+        })
+    }
+}
+
+impl ClusterState {
+    /// Puts a task on a machine; it is sent once recorded.
+    pub fn place_task(&mut self, now: Time, task: &TaskId, id: &MachineId, attempt: Attempt) {
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let spec = job.spec.clone();
+        let cached = machine.cache.remaining(&spec.image, now).is_some();
+        let machine_type = machine.kind.as_ref();
+        let fetch_rate = machine_type
+            .and_then(|name| self.machine_types.get(name))
+            .map(|machine_type| machine_type.fetch_gb_per_s);
+        let fetch = self
+            .fetch_estimates
+            .of(&spec.image, spec.image_gb, fetch_rate);
+        machine.cache.used(&spec.image, spec.image_gb, now, fetch);
+        if spec.priority >= Priority::High {
+            machine.last_high = Some(now);
+        }
+        machine.idle = None;
+        machine.take(task.clone(), spec.needs());
+        job.waiting.remove(task.index);
+        job.attempt = job.attempt.max(attempt);
+        let change = job.touch(self.chunk_size, task.index);
+        let assignment = Assignment {
+            machine: id.clone(),
+            epoch: machine.epoch,
+            attempt,
+            change,
+            phase: AssignmentPhase::Unsent,
+            placed: now,
+            running: None,
+            cold: (!cached).then_some(now),
+            stop: None,
+        };
+        job.assignments.insert(task.index, assignment);
+        let chunk = (task.job.clone(), self.chunk_size.of(task.index));
+        self.unwritten.dirty_chunks.note(chunk, now, true);
+    }
+
+    /// Marks a task done, wherever it was found to be.
+    pub fn record_task_done(&mut self, now: Time, task: &TaskId) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        if job.is_service() || task.index >= job.spec.tasks || !job.done.insert(task.index) {
+            return;
+        }
+        job.waiting.remove(task.index);
+        job.notes.failures = 0;
+        let change = job.touch(self.chunk_size, task.index);
+        job.done_not_stored.insert(task.index, change);
+        let chunk = (task.job.clone(), self.chunk_size.of(task.index));
+        self.unwritten.dirty_chunks.note(chunk, now, false);
+        if job.done.len() == job.spec.tasks && job.end.is_none() {
+            job.end = Some(JobOutcome::Done { written: false });
+            self.unwritten.finished_jobs.insert(task.job.clone());
+        }
+        // Another attempt of it may still be somewhere.
+        let assignment = job.assignments.get(&task.index);
+        if assignment.is_some_and(Assignment::unsent) {
+            self.record_task_gone(now, task, RemovalReason::DoneElsewhere);
+        }
+    }
+
+    /// A task is proven not to be on its machine. For a gang that ends the whole
+    /// attempt.
+    pub fn record_task_gone(&mut self, now: Time, task: &TaskId, reason: RemovalReason) {
+        self.remove_assignment(now, task, reason);
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        if job.is_gang() && job.is_open() && reason != RemovalReason::Done {
+            let others: Vec<u32> = job.assignments.keys().copied().collect();
+            self.stop_tasks(now, &task.job, &others, 0.0, "its gang lost a task");
+        }
+    }
+
+    /// Takes a task off its machine; unless it is done or its job over, it waits again.
+    pub fn remove_assignment(&mut self, now: Time, task: &TaskId, reason: RemovalReason) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(assignment) = job.assignments.remove(&task.index) else {
+            return;
+        };
+        let needs = job.spec.needs();
+        if !job.done.contains(task.index) && job.is_open() {
+            job.waiting.insert(task.index);
+        }
+        job.touch(self.chunk_size, task.index);
+        let deletable = job.assignments.is_empty() && !job.is_open();
+        let chunk = (task.job.clone(), self.chunk_size.of(task.index));
+        self.unwritten.dirty_chunks.note(chunk, now, false);
+        tracing::debug!(task = %task, attempt = %assignment.attempt, machine = %assignment.machine, %reason, "task removed from its machine");
+        if let Some(machine) = self.machines.get_mut(&assignment.machine) {
+            machine.release(task, needs);
+            if machine.tasks.is_empty() {
+                machine.idle = Some(now);
+            }
+            let (jobs, tasks) = (&self.jobs, &machine.tasks);
+            let is_needed = |image: &_| {
+                let mut jobs_here = tasks.iter().filter_map(|task| jobs.get(&task.job));
+                jobs_here.any(|job| &job.spec.image == image)
+            };
+            machine.cache.give_up(is_needed);
+        }
+        if deletable {
+            self.unwritten.jobs_to_delete.insert(task.job.clone());
+        }
+    }
+
+    /// Everything on a machine is gone.
+    pub fn write_off_machine(&mut self, now: Time, id: &MachineId, reason: RemovalReason) {
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
+        let tasks: Vec<TaskId> = machine.tasks.iter().cloned().collect();
+        for task in tasks {
+            // A start that was never sent to this agent epoch stays harmless.
+            self.record_task_gone(now, &task, reason);
+        }
+    }
+
+    /// Orders tasks of a job to stop, not stored; unsent starts are dropped at once.
+    pub fn stop_tasks(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        tasks: &[u32],
+        grace_s: f64,
+        why: &'static str,
+    ) {
+        self.order_stops(now, id, tasks, grace_s, why, StopDurability::NotStored);
+    }
+
+    /// Orders tasks of a job to stop; unsent starts are dropped at once.
+    pub fn order_stops(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        tasks: &[u32],
+        grace_s: f64,
+        why: &'static str,
+        durability: StopDurability,
+    ) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.notes.last_stop = Some(why);
+        let mut unsent = Vec::new();
+        for &index in tasks {
+            let task = TaskId {
+                job: id.clone(),
+                index,
+            };
+            let assignment = self.jobs[id].assignments.get(&index);
+            if assignment.is_some_and(Assignment::unsent) {
+                unsent.push(task);
+            } else {
+                self.order_stop(now, task, grace_s, durability);
+            }
+        }
+        for task in unsent {
+            self.remove_assignment(now, &task, RemovalReason::NeverSent);
+        }
+    }
+
+    /// Orders one task that may be running to stop.
+    fn order_stop(&mut self, now: Time, task: TaskId, grace_s: f64, durability: StopDurability) {
+        let size = self.chunk_size;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(assignment) = job.assignments.get(&task.index) else {
+            return;
+        };
+        if let Some(stop) = assignment.stop {
+            let is_sooner = grace_s < stop.grace_s && grace_s == 0.0;
+            // A gang that saves its checkpoint must not be cut short because one of
+            // its tasks has ended, saved, before the others.
+            let is_saving = job.end != Some(JobOutcome::Cancelled);
+            if !is_sooner || is_saving {
+                return;
+            }
+        }
+        let is_stored = durability != StopDurability::NotStored;
+        let change = is_stored.then(|| job.touch(size, task.index));
+        if change.is_some() {
+            let chunk = (task.job.clone(), size.of(task.index));
+            self.unwritten.dirty_chunks.note(chunk, now, true);
+        }
+        let Some(assignment) = job.assignments.get_mut(&task.index) else {
+            return;
+        };
+        let is_stored_first = durability == StopDurability::StoredBeforeSent;
+        assignment.stop = Some(Stop {
+            grace_s,
+            at: now,
+            change: change.filter(|_| is_stored_first),
+        });
+        if is_stored_first && failpoints::enforced(SafetyCheck::StopsAreStored) {
+            // Sent once it is stored.
+            return;
+        }
+        let machine = assignment.machine.clone();
+        self.direct_stops.entry(machine).or_default().push(task);
+    }
+
+    /// Orders all tasks of a job that is over to stop.
+    pub fn stop_ended_job(&mut self, now: Time, id: &JobId, why: &'static str) {
+        let Some(job) = self.jobs.get(id) else {
+            return;
+        };
+        let tasks: Vec<u32> = job.assignments.keys().copied().collect();
+        self.stop_tasks(now, id, &tasks, 0.0, why);
+        if self.jobs[id].assignments.is_empty() {
+            self.unwritten.jobs_to_delete.insert(id.clone());
+        }
+    }
+
+    /// Nothing of a job is wanted any more: it was cancelled.
+    pub fn cancel_job(&mut self, now: Time, id: &JobId, why: &'static str) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.end = Some(JobOutcome::Cancelled);
+        job.waiting = Default::default();
+        self.unwritten.finished_jobs.remove(id);
+        self.stop_ended_job(now, id, why);
+    }
+
+    /// A commit found that a job's header is not open any more.
+    pub fn cancel_job_ended_elsewhere(&mut self, now: Time, id: &JobId) {
+        if self.jobs.get(id).is_some_and(|job| job.is_open()) {
+            tracing::info!(job = %id, "job found to be over when its starts were to be stored");
+            self.cancel_job(now, id, "its job is over");
+        }
+    }
+}
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -75,7 +75,9 @@
     let seen = |stored: serde_json::Value| {
         let mut leader = with_record(stored);
         let id = MachineId::from("host-1");
-        let m = leader.meet(Time(0), &id);
+        let m = leader
+            .cluster
+            .register_machine(Time(0), &id, &leader.autoscaler.intents);
         (m.has_our_token, m.epoch) = (true, crate::types::AgentEpoch(1));
         let task = ReportedTaskState {
             name: "wk-1/1".into(),
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -147,7 +147,8 @@
         "a machine that is gone is not brought back"
     );
     let l = leader.leader.as_mut().unwrap();
-    l.meet(Time(2), &id);
+    l.cluster
+        .register_machine(Time(2), &id, &l.autoscaler.intents);
     leader.greet();
     let l = leader.leader.as_ref().unwrap();
     assert_eq!(l.cluster.machines[&id].cache.images().count(), 1);
