--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -7,6 +7,8 @@
 mod command_dispatch;
 mod commit_pipeline;
 mod heartbeat_reconciliation;
+mod outcome;
+mod pending_call;
 mod record_watch;
 mod scheduler;
 mod status_broadcast;
@@ -16,13 +18,15 @@
 use self::arrival_recorder::{Arrival, ArrivalRecorder};
 use self::cluster_state::ClusterState;
 use self::command_dispatch::CommandDispatcher;
-use self::commit_pipeline::TransactionWriter;
+use self::commit_pipeline::{TransactionWriter, WriteContext};
 use self::heartbeat_reconciliation::HeartbeatReconciler;
+pub use self::outcome::LeadershipOutcome;
+pub use self::pending_call::PendingCall;
 use self::record_watch::{LoadPhase, RecordWatcher};
 use self::scheduler::Scheduler;
 use self::status_broadcast::StatusBroadcaster;
 pub use self::status_broadcast::TaskCounts;
-use super::autoscaler::state::{Autoscaler, CloudCall};
+use super::autoscaler::state::Autoscaler;
 use super::effects::{Effects, PendingCalls};
 use super::failpoints::{self, SafetyCheck};
 use super::format_version::chunk_progress::ChunkProgress;
@@ -35,23 +39,12 @@
 use super::{Reply, Target};
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::types::{FencingToken, JobId, MachineId, NodeId, TaskId, Time, TimeSpan, Version};
+use crate::types::{FencingToken, JobId, MachineId, TaskId, Time, TimeSpan, Version};
 use crate::wire;
 use crate::wire::cloud::MachineTypes;
 use crate::wire::kvstore::{Entry, EntryPage, Operation, WatchEvent, WatchResponse};
 use std::rc::Rc;
 
-/// What is to become of this leadership.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeadershipOutcome {
-    /// It goes on.
-    Continue,
-    /// Somebody holds a higher token.
-    Deposed(FencingToken),
-    /// It gives itself up, to start over from what is recorded.
-    StepDown(&'static str),
-}
-
 /// Time between looks for machines that fell silent or are gone.
 const LOOK_EVERY: TimeSpan = TimeSpan::millis(200);
 /// Least time between two cycles.
@@ -71,23 +64,6 @@
 /// Arrivals kept per class.
 const MOST_ARRIVALS: usize = 2048;
 
-/// What a leader waits for. It goes with its leader: replies for an earlier
-/// one are void.
-#[derive(Clone, Debug)]
-pub enum PendingCall {
-    /// Records or changes.
-    Read {
-        /// When they were asked for.
-        sent: Time,
-    },
-    /// The transaction of its one lane of writes.
-    Commit,
-    /// A record that the transaction in flight writes, to learn whether it was carried out.
-    Written(Operation),
-    /// A call to the cloud, and the peer that makes it.
-    Cloud(CloudCall, Option<NodeId>),
-}
-
 /// The leader: what its term rests on, and the parts that do its work.
 #[derive(Debug)]
 pub struct Leader {
@@ -141,7 +117,7 @@
             authority: LeaderAuthority::new(Bounds::new(&settings.workers), now),
             next_health_check: now,
             records: RecordWatcher::new(now),
-            writer: TransactionWriter::new(settings.state_limits.write_rps, now),
+            writer: TransactionWriter::new(holder, token, settings.state_limits.write_rps, now),
             scheduler: Scheduler::new(now),
             heartbeats: HeartbeatReconciler::new(now),
             commands: CommandDispatcher::new(now, settings.workers.report),
@@ -236,7 +212,7 @@
             }
             self.rental_tick(effects);
             self.send_announcements(effects);
-            self.rewrite(effects.now.time);
+            self.queue_outdated_chunks(effects.now.time);
             self.store_memory(effects.now);
         }
     }
@@ -252,7 +228,7 @@
             self.cycle(effects);
             self.scheduler.cycles += 1;
         }
-        self.pump(effects);
+        self.submit_next_transaction(effects);
         self.send_direct(effects);
         self.answer_held(effects);
     }
@@ -700,6 +676,60 @@
         let most = self.records.revision.0.saturating_add(since + MOST_AT_ONCE);
         (self.records.revision.0 + 1..=most).contains(&token.0)
     }
+
+    fn writer(&mut self) -> WriterParts<'_> {
+        WriterParts {
+            writer: &mut self.writer,
+            pending_calls: &mut self.pending_calls,
+            context: WriteContext {
+                cluster: &mut self.cluster,
+                intents: &mut self.autoscaler.intents,
+                machines_with_stored_starts: &mut self.heartbeats.machines_with_stored_starts,
+                status: &mut self.status,
+                format: self.level,
+            },
+        }
+    }
+
+    /// Sends the next transaction, if there is anything to write.
+    fn submit_next_transaction(&mut self, effects: &mut Effects) {
+        let mut parts = self.writer();
+        parts
+            .writer
+            .submit_next_transaction(effects, &mut parts.context, parts.pending_calls);
+    }
+
+    /// A transaction was answered, or not.
+    pub fn on_commit(&mut self, effects: &mut Effects, reply: Reply) -> LeadershipOutcome {
+        let mut parts = self.writer();
+        parts
+            .writer
+            .handle_commit_reply(effects, &mut parts.context, parts.pending_calls, reply)
+    }
+
+    fn on_written(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
+        let mut parts = self.writer();
+        parts
+            .writer
+            .handle_own_write_read(&mut parts.context, op, reply)
+    }
+
+    fn queue_outdated_chunks(&mut self, now: Time) {
+        self.writer
+            .queue_outdated_chunks(now, &mut self.cluster, self.level);
+    }
+
+    /// Whether all that is stored has the format in force.
+    pub fn is_rewritten(&self) -> bool {
+        self.writer.is_rewritten(self.level)
+    }
+}
+
+/// The transaction writer with everything that it acts on.
+struct WriterParts<'a> {
+    writer: &'a mut TransactionWriter,
+    pending_calls: &'a mut PendingCalls<PendingCall>,
+    context: WriteContext<'a>,
 }
 
 /// Path of the next page of keys below a prefix.
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -1,16 +1,21 @@
-//! The leader's lane of writes: what changed goes out in conditional
-//! transactions, one at a time, ahead of what depends on it.
+//! Writing what changed: conditional transactions on the key-value store, one at a
+//! time, ahead of everything that depends on them. Decides nothing about the content.
 
-use crate::core::effects::Effects;
-use crate::core::format_version::WITH_HISTORY;
+use super::cluster_state::ClusterState;
+use super::outcome::LeadershipOutcome;
+use super::pending_call::PendingCall;
+use super::status_broadcast::StatusBroadcaster;
+use crate::core::autoscaler::intents::Intents;
+use crate::core::effects::{Effects, PendingCalls};
 use crate::core::format_version::chunk_progress::ChunkProgress;
+use crate::core::format_version::{FormatVersion, WITH_HISTORY};
 use crate::core::garbage_collection::GarbageCollector;
 use crate::core::job_records::{
     self, CommitItem, CommitPipeline, Job, JobOutcome, TransactionBuilder, TransactionLimits,
 };
-use crate::core::leader::{Leader, LeadershipOutcome, PendingCall};
+use crate::core::pending_writes::PendingWrites;
 use crate::core::{Reply, Target};
-use crate::types::{JobId, TaskId, Time, TimeSpan, Version};
+use crate::types::{FencingToken, JobId, MachineId, TaskId, Time, TimeSpan, Version};
 use crate::wire;
 use crate::wire::backoff::Backoff;
 use crate::wire::kvstore::{Entry, Operation, Transaction, TransactionResponse};
@@ -18,19 +23,32 @@
 use std::collections::BTreeSet;
 
 /// Settled intents deleted in one transaction.
-const MOST_SETTLED: usize = 8;
-/// Records that get another form at once, and time between two such steps.
-const MOST_REWRITTEN: usize = 4;
-const REWRITE_EVERY: TimeSpan = TimeSpan::millis(250);
+const MAX_SETTLED_DELETES: usize = 8;
+/// Records rewritten in a newer format at once, and time between two such steps.
+const MAX_REWRITTEN: usize = 4;
+const REWRITE_INTERVAL: TimeSpan = TimeSpan::millis(250);
 /// Least time between two commits.
 const COMMIT_GAP: TimeSpan = TimeSpan::millis(40);
-
+/// Pause where the rate limit of calls lets no commit through.
+const RATE_LIMITED_PAUSE: TimeSpan = TimeSpan::millis(50);
+/// How long a commit, and the read of a record it wrote, may take.
+const COMMIT_TIMEOUT: TimeSpan = TimeSpan::millis(1000);
+const READ_TIMEOUT: TimeSpan = TimeSpan::millis(2000);
+/// Pauses after commits that failed.
+const SHORTEST_BACKOFF: TimeSpan = TimeSpan::millis(100);
+const LONGEST_BACKOFF: TimeSpan = TimeSpan::millis(1000);
+/// Operations that the rate limit must allow for a transaction to be built.
+const LEAST_OPERATIONS: usize = 4;
 /// Share of the store's write rate that the leader uses; the rest is users'.
 const WRITE_SHARE: f64 = 0.7;
 
 /// Writes the leader's changes, one transaction at a time.
 #[derive(Debug)]
 pub(in crate::core) struct TransactionWriter {
+    /// The key whose version is the fencing token.
+    holder: &'static str,
+    /// The fencing token that every transaction compares.
+    token: FencingToken,
     /// The transaction in flight.
     pub pipeline: CommitPipeline,
     /// Pause after a commit that failed.
@@ -47,9 +65,16 @@
 
 impl TransactionWriter {
     /// Nothing to write; the store takes `write_rps` operations a second in all.
-    pub fn new(write_rps: f64, now: Time) -> TransactionWriter {
+    pub fn new(
+        holder: &'static str,
+        token: FencingToken,
+        write_rps: f64,
+        now: Time,
+    ) -> TransactionWriter {
         let rate = write_rps * WRITE_SHARE;
         TransactionWriter {
+            holder,
+            token,
             pipeline: CommitPipeline::default(),
             backoff: Backoff::default(),
             write_tokens: TokenBucket::new(rate, rate),
@@ -60,441 +85,532 @@
     }
 }
 
-impl Leader {
+/// The parts whose changes a transaction carries, and that act on what is stored.
+pub(in crate::core) struct WriteContext<'a> {
+    /// The tables and their unwritten changes.
+    pub cluster: &'a mut ClusterState,
+    /// What the cloud is to do, and the small records that ride along.
+    pub intents: &'a mut Intents,
+    /// Machines whose deferred heartbeats may be answered now.
+    pub machines_with_stored_starts: &'a mut BTreeSet<MachineId>,
+    /// Forgets jobs that are deleted.
+    pub status: &'a mut StatusBroadcaster,
+    /// The format version in force.
+    pub format: FormatVersion,
+}
+
+impl TransactionWriter {
     /// Sends the next transaction, if there is anything to write.
-    pub(super) fn pump(&mut self, effects: &mut Effects) {
+    pub fn submit_next_transaction(
+        &mut self,
+        effects: &mut Effects,
+        context: &mut WriteContext<'_>,
+        pending_calls: &mut PendingCalls<PendingCall>,
+    ) {
         let now = effects.now.time;
-        if self.writer.pipeline.calling || now < self.writer.pipeline.not_before {
+        if self.pipeline.calling || now < self.pipeline.not_before {
             return;
         }
-        if self.writer.pipeline.flight.is_none() {
-            self.writer.pipeline.flight = self.gather(now);
-            self.writer.pipeline.outcome_unknown = false;
+        if self.pipeline.flight.is_none() {
+            self.pipeline.flight = self.build_transaction(now, context);
+            self.pipeline.outcome_unknown = false;
         }
-        let Some((txn, _)) = &self.writer.pipeline.flight else {
+        let Some((transaction, _)) = &self.pipeline.flight else {
             return;
         };
         if !effects.state_calls.take(now, 1.0) {
-            self.writer.pipeline.not_before = now + TimeSpan::millis(50);
+            self.pipeline.not_before = now + RATE_LIMITED_PAUSE;
             return;
         }
-        self.writer.pipeline.calling = true;
-        let body = wire::encode(txn);
-        let id = effects.call(
-            Target::State,
-            "POST",
-            "/commit".into(),
-            body,
-            TimeSpan::secs(1.0),
-        );
-        self.pending_calls.add(id, PendingCall::Commit);
+        self.pipeline.calling = true;
+        let body = wire::encode(transaction);
+        let path = "/commit".to_string();
+        let call = effects.call(Target::State, "POST", path, body, COMMIT_TIMEOUT);
+        pending_calls.add(call, PendingCall::Commit);
     }
 
-    fn gather(&mut self, now: Time) -> Option<(Transaction, Vec<CommitItem>)> {
-        let limits = self.cluster.settings.state_limits;
-        let level = self.writer.write_tokens.level(now) as usize;
-        let ops = limits.txn_ops.min(level);
-        if ops < 4 {
+    /// Collects the most urgent changes into a transaction, up to its limits and the
+    /// rate limit.
+    pub fn build_transaction(
+        &mut self,
+        now: Time,
+        context: &mut WriteContext<'_>,
+    ) -> Option<(Transaction, Vec<CommitItem>)> {
+        let limits = context.cluster.settings.state_limits;
+        let ops = limits.txn_ops.min(self.write_tokens.level(now) as usize);
+        if ops < LEAST_OPERATIONS {
             return None;
         }
-        let mut b = TransactionBuilder::new(
-            self.holder,
-            self.token,
-            TransactionLimits {
-                ops,
-                value_bytes: limits.value_bytes,
-            },
-        );
-        // Acts wait for these; they are few.
-        for (key, value) in self
-            .autoscaler
-            .intents
-            .pending_writes
-            .take_puts(b.room() / 2)
-        {
-            let op = Operation::Put {
-                key: key.clone(),
-                value: value.clone(),
-                lease: None,
-            };
-            if !b.add(
-                CommitItem::Note(key.clone(), Some(value.clone())),
-                Vec::new(),
-                vec![op],
-            ) {
-                self.autoscaler
-                    .intents
-                    .pending_writes
-                    .again(key, Some(value));
-            }
-        }
-        for id in std::mem::take(&mut self.cluster.unwritten.finished_jobs) {
-            let Some(job) = self.cluster.jobs.get(&id) else {
-                continue;
-            };
-            if job.end != Some(JobOutcome::Done { written: false }) {
-                continue;
-            }
-            // If nothing of it is anywhere any more, it ends and goes at once.
-            if job.assignments.is_empty() {
-                let (conditions, ops) = job.close_write();
-                if b.add(CommitItem::Close(id.clone()), conditions, ops) {
-                    continue;
-                }
-            }
-            let (conditions, ops) = job.finish_write();
-            if !b.add(CommitItem::Finish(id.clone()), conditions, ops) {
-                self.cluster.unwritten.finished_jobs.insert(id);
-            }
-        }
-        // Some need no writing any more, so a few more are looked at.
-        for due in self.cluster.unwritten.dirty_chunks.due(now, b.room() * 2) {
-            if b.room() == 0 {
-                break;
-            }
-            let (id, chunk) = due.clone();
-            // Records of an ended job are only ever deleted, and those of one with
-            // a record that cannot be read stay as they are.
-            let job = self.cluster.jobs.get(&id);
-            let job = job.filter(|j| j.is_open() && !j.unreadable);
-            let Some((job, c)) = job.and_then(|j| Some((j, j.chunks.get(&chunk)?))) else {
-                self.cluster.unwritten.dirty_chunks.forget(&due);
-                continue;
-            };
-            let (conditions, ops) = job.chunk_write(self.cluster.chunk_size, chunk, self.level);
-            let change = c.change;
-            if !b.add(CommitItem::Chunk(id, chunk, change), conditions, ops) {
-                break;
-            }
-            self.cluster.unwritten.dirty_chunks.forget(&due);
-        }
-        // In a rush hundreds of ended jobs wait to be deleted: only those that
-        // there is room for are looked at.
-        let mut again = Vec::new();
-        while b.room() > 1
-            && let Some(id) = self.cluster.unwritten.jobs_to_delete.pop_first()
-        {
-            let Some(job) = self.cluster.jobs.get(&id) else {
-                continue;
-            };
-            // It comes back here once its end is stored, or its last task gone.
-            let over = matches!(
-                job.end,
-                Some(JobOutcome::Cancelled | JobOutcome::Done { written: true })
-            );
-            if !over || !job.assignments.is_empty() {
-                continue;
-            }
-            let (ops, last) = job.drop_write(b.room());
-            if ops.is_empty() || !b.add(CommitItem::Drop(id.clone(), last), Vec::new(), ops) {
-                again.push(id);
-                break;
-            }
-        }
-        self.cluster.unwritten.jobs_to_delete.extend(again);
-        for key in self
-            .autoscaler
-            .intents
-            .pending_writes
-            .take_deletes(b.room().min(MOST_SETTLED))
-        {
-            let op = Operation::Delete { key: key.clone() };
-            b.add(CommitItem::Note(key, None), Vec::new(), vec![op]);
-        }
-        if b.is_empty() {
+        let limits = TransactionLimits {
+            ops,
+            value_bytes: limits.value_bytes,
+        };
+        let mut builder = TransactionBuilder::new(self.holder, self.token, limits);
+        add_pending_puts(&mut builder, &mut context.intents.pending_writes);
+        add_finished_jobs(&mut builder, context.cluster);
+        add_dirty_chunks(&mut builder, now, context.cluster, context.format);
+        add_job_deletions(&mut builder, context.cluster);
+        add_pending_deletes(&mut builder, &mut context.intents.pending_writes);
+        if builder.is_empty() {
             // Nothing else is to be written: time to clean up.
-            for (orphan, conditions, op) in self.writer.garbage_collector.next(b.room()) {
-                b.add(CommitItem::GarbageCollector(orphan), conditions, vec![op]);
+            for (orphan, conditions, op) in self.garbage_collector.next(builder.room()) {
+                builder.add(CommitItem::GarbageCollector(orphan), conditions, vec![op]);
             }
         }
-        let built = b.finish()?;
-        self.writer.write_tokens.take(now, built.0.ops.len() as f64);
+        let built = builder.finish()?;
+        self.write_tokens.take(now, built.0.ops.len() as f64);
         Some(built)
     }
 
     /// A transaction was answered, or not.
-    pub fn on_commit(&mut self, effects: &mut Effects, reply: Reply) -> LeadershipOutcome {
+    pub fn handle_commit_reply(
+        &mut self,
+        effects: &mut Effects,
+        context: &mut WriteContext<'_>,
+        pending_calls: &mut PendingCalls<PendingCall>,
+        reply: Reply,
+    ) -> LeadershipOutcome {
         let now = effects.now.time;
-        self.writer.pipeline.calling = false;
-        let Some((txn, items)) = self.writer.pipeline.flight.take() else {
+        self.pipeline.calling = false;
+        let Some((transaction, items)) = self.pipeline.flight.take() else {
             return LeadershipOutcome::Continue;
         };
-        let pause = self.writer.backoff.failed(
-            TimeSpan::millis(100),
-            TimeSpan::secs(1.0),
-            effects.jitter(),
-        );
+        let pause = self
+            .backoff
+            .failed(SHORTEST_BACKOFF, LONGEST_BACKOFF, effects.jitter());
         match reply {
             Reply::Answer(200, body) => {
-                self.writer.backoff.succeeded();
-                self.writer.pipeline.not_before = now + COMMIT_GAP;
-                self.writer.pipeline.committed = Some(now);
-                let Some(answer) = wire::decode::<TransactionResponse>(&body) else {
-                    return LeadershipOutcome::StepDown("a commit's answer could not be read");
-                };
-                for item in items {
-                    self.committed(item, &txn, answer.revision);
-                }
-                LeadershipOutcome::Continue
-            }
-            Reply::Answer(409, body) if self.writer.pipeline.outcome_unknown => {
-                // Either the lost first try went through or something else changed.
-                // What is recorded decides.
-                let failed = wire::decode::<TransactionResponse>(&body)
-                    .unwrap_or_default()
-                    .failed;
-                let compared = |k: &str| txn.conditions.iter().any(|c| c.key == k);
-                let own = txn.ops.iter().find(
-                    |op| matches!(op, Operation::Put { key, .. } if compared(key) && failed.contains(key)),
-                );
-                match own.cloned() {
-                    Some(op) if failed.iter().all(|k| k != self.holder) => {
-                        let key = op.key().to_string();
-                        self.writer.pipeline.flight = Some((txn, items));
-                        self.writer.pipeline.calling = true;
-                        let path = format!("/keys/{key}");
-                        let id = effects.call(
-                            Target::State,
-                            "GET",
-                            path,
-                            Vec::new(),
-                            TimeSpan::secs(2.0),
-                        );
-                        self.pending_calls.add(id, PendingCall::Written(op));
-                        LeadershipOutcome::Continue
-                    }
-                    _ => LeadershipOutcome::StepDown("a write's fate is unknown"),
-                }
+                self.handle_committed(now, context, &transaction, items, &body)
             }
-            Reply::Answer(409, body) => {
-                self.writer.pipeline.not_before = now + COMMIT_GAP;
-                let failed = wire::decode::<TransactionResponse>(&body)
-                    .unwrap_or_default()
-                    .failed;
-                if failed.iter().any(|k| k == self.holder) {
-                    return LeadershipOutcome::StepDown("a commit found another leader");
-                }
-                let swept = items
-                    .iter()
-                    .any(|i| matches!(i, CommitItem::GarbageCollector(_)));
-                if !swept
-                    && failed
-                        .iter()
-                        .any(|k| k.starts_with(job_records::PROGRESS_RECORDS))
-                {
-                    return LeadershipOutcome::StepDown("a record was changed by somebody else");
-                }
-                let over = |id: &JobId| failed.contains(&job_records::job_header_key(id));
-                for item in items {
-                    // Nothing of a job that is over is started, whether or not
-                    // the watch has told of its end yet.
-                    if let CommitItem::Chunk(id, ..) = &item
-                        && over(id)
-                    {
-                        self.cluster.cancel_job_ended_elsewhere(now, id);
-                        continue;
-                    }
-                    // A job cancelled in the meantime is told by the watch. An
-                    // orphan that is none after all, or has changed, stays.
-                    let raced = matches!(&item, CommitItem::Finish(id) | CommitItem::Close(id) if over(id))
-                        || matches!(&item, CommitItem::GarbageCollector(_));
-                    if !raced {
-                        self.again(now, item);
-                    }
-                }
-                LeadershipOutcome::Continue
+            Reply::Answer(409, body) if self.pipeline.outcome_unknown => {
+                self.check_own_write(effects, pending_calls, transaction, items, &body)
             }
+            Reply::Answer(409, body) => self.handle_conflict(now, context, items, &body),
             Reply::Answer(400, _) => LeadershipOutcome::StepDown("a commit was malformed"),
-            Reply::Answer(..) | Reply::NotSent if !self.writer.pipeline.outcome_unknown => {
+            Reply::Answer(..) | Reply::NotSent if !self.pipeline.outcome_unknown => {
                 for item in items {
-                    self.again(now, item);
+                    self.requeue(now, context, item);
                 }
-                self.writer.pipeline.not_before = now + pause;
+                self.pipeline.not_before = now + pause;
                 LeadershipOutcome::Continue
             }
             Reply::Answer(..) | Reply::NotSent | Reply::Lost => {
-                self.writer.pipeline.outcome_unknown |= matches!(reply, Reply::Lost);
-                self.writer.pipeline.flight = Some((txn, items));
-                self.writer.pipeline.not_before = now + pause;
+                self.pipeline.outcome_unknown |= matches!(reply, Reply::Lost);
+                self.pipeline.flight = Some((transaction, items));
+                self.pipeline.not_before = now + pause;
                 LeadershipOutcome::Continue
             }
         }
     }
 
+    /// A transaction went through.
+    fn handle_committed(
+        &mut self,
+        now: Time,
+        context: &mut WriteContext<'_>,
+        transaction: &Transaction,
+        items: Vec<CommitItem>,
+        body: &[u8],
+    ) -> LeadershipOutcome {
+        self.backoff.succeeded();
+        self.pipeline.not_before = now + COMMIT_GAP;
+        self.pipeline.committed = Some(now);
+        let Some(answer) = wire::decode::<TransactionResponse>(body) else {
+            return LeadershipOutcome::StepDown("a commit's answer could not be read");
+        };
+        for item in items {
+            self.apply_committed(context, item, transaction, answer.revision);
+        }
+        LeadershipOutcome::Continue
+    }
+
+    /// A repeat found a precondition failed. Either the first try, whose answer was
+    /// lost, went through, or something else changed: what is recorded decides.
+    fn check_own_write(
+        &mut self,
+        effects: &mut Effects,
+        pending_calls: &mut PendingCalls<PendingCall>,
+        transaction: Transaction,
+        items: Vec<CommitItem>,
+        body: &[u8],
+    ) -> LeadershipOutcome {
+        let failed = failed_keys(body);
+        let is_compared = |key: &str| transaction.conditions.iter().any(|c| c.key == key);
+        let own = transaction.ops.iter().find(
+            |op| matches!(op, Operation::Put { key, .. } if is_compared(key) && failed.contains(key)),
+        );
+        let own = own.cloned();
+        let Some(op) = own.filter(|_| failed.iter().all(|key| key != self.holder)) else {
+            return LeadershipOutcome::StepDown("a write's fate is unknown");
+        };
+        let path = format!("/keys/{}", op.key());
+        self.pipeline.flight = Some((transaction, items));
+        self.pipeline.calling = true;
+        let call = effects.call(Target::State, "GET", path, Vec::new(), READ_TIMEOUT);
+        pending_calls.add(call, PendingCall::Written(op));
+        LeadershipOutcome::Continue
+    }
+
+    /// A precondition failed, and no answer to this transaction was lost.
+    fn handle_conflict(
+        &mut self,
+        now: Time,
+        context: &mut WriteContext<'_>,
+        items: Vec<CommitItem>,
+        body: &[u8],
+    ) -> LeadershipOutcome {
+        self.pipeline.not_before = now + COMMIT_GAP;
+        let failed = failed_keys(body);
+        if failed.iter().any(|key| key == self.holder) {
+            return LeadershipOutcome::StepDown("a commit found another leader");
+        }
+        let is_cleanup = items
+            .iter()
+            .any(|item| matches!(item, CommitItem::GarbageCollector(_)));
+        let is_progress = |key: &String| key.starts_with(job_records::PROGRESS_RECORDS);
+        if !is_cleanup && failed.iter().any(is_progress) {
+            return LeadershipOutcome::StepDown("a record was changed by somebody else");
+        }
+        let is_over = |id: &JobId| failed.contains(&job_records::job_header_key(id));
+        for item in items {
+            match &item {
+                // Nothing of a job that is over is started, whether or not the watch
+                // has shown its end yet.
+                CommitItem::Chunk(id, ..) if is_over(id) => {
+                    context.cluster.cancel_job_ended_elsewhere(now, id);
+                }
+                // The watch shows a job cancelled in the meantime.
+                CommitItem::Finish(id) | CommitItem::Close(id) if is_over(id) => {}
+                // An orphan that is none after all, or has changed, stays.
+                CommitItem::GarbageCollector(_) => {}
+                _ => self.requeue(now, context, item),
+            }
+        }
+        LeadershipOutcome::Continue
+    }
+
     /// A record that the transaction in flight writes was read, after a repeat found it
     /// changed. Only the holder of this token writes it, one transaction at a time, and
     /// all before this one are settled: if it is newer than what was compared, and as this
     /// one would write it, the first try went through, whole, at its version. Else
     /// everything is started over from what is recorded.
-    pub(super) fn on_written(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
-        self.writer.pipeline.calling = false;
+    pub fn handle_own_write_read(
+        &mut self,
+        context: &mut WriteContext<'_>,
+        op: &Operation,
+        reply: Reply,
+    ) -> LeadershipOutcome {
+        self.pipeline.calling = false;
         let unknown = LeadershipOutcome::StepDown("a write's fate is unknown");
-        let Some((txn, items)) = self.writer.pipeline.flight.take() else {
+        let Some((transaction, items)) = self.pipeline.flight.take() else {
             return unknown;
         };
         let Reply::Answer(200, body) = reply else {
             return unknown;
         };
-        let before = txn.conditions.iter().find(|c| c.key == op.key());
+        let compared = transaction.conditions.iter().find(|c| c.key == op.key());
         let found = wire::decode::<Entry>(&body);
-        let (Some(before), Some(found), Operation::Put { value, .. }) = (before, found, op) else {
+        let (Some(compared), Some(found), Operation::Put { value, .. }) = (compared, found, op)
+        else {
             return unknown;
         };
-        if found.version <= before.version || found.value != *value {
+        if found.version <= compared.version || found.value != *value {
             return unknown;
         }
-        self.writer.backoff.succeeded();
+        self.backoff.succeeded();
         for item in items {
-            self.committed(item, &txn, found.version);
+            self.apply_committed(context, item, &transaction, found.version);
         }
         LeadershipOutcome::Continue
     }
 
-    /// Nothing of a job is left, here or stored. What is noted of its records goes
-    /// too: where a level is held back for weeks it would pile up.
-    fn forget(&mut self, id: &JobId) {
-        let job = self.cluster.jobs.remove(id);
-        for chunk in job.iter().flat_map(|j| j.chunks.keys()) {
-            self.writer.outdated_chunks.remove(&(id.clone(), *chunk));
-        }
-        self.status.sent_counts.remove(id);
-    }
-
-    /// Notes whether a chunk that was stored has the form of the level in force.
-    fn note_form(&mut self, id: &JobId, chunk: u32, txn: &Transaction) {
-        let key = job_records::chunk_key(id, chunk);
-        let value = txn.ops.iter().find_map(|op| match op {
-            Operation::Put { key: k, value, .. } if *k == key => Some(value),
-            _ => None,
-        });
-        let of = (id.clone(), chunk);
-        if value.is_some_and(|v| ChunkProgress::is_of(v, WITH_HISTORY)) {
-            self.writer.outdated_chunks.remove(&of);
-        } else {
-            self.writer.outdated_chunks.insert(of);
-        }
-    }
-
-    /// Gives the next records the form of the level in force: a few at a time, and
-    /// only while less than half of what may be written is.
-    pub(super) fn rewrite(&mut self, now: Time) {
-        if self.level < WITH_HISTORY
-            || now < self.writer.rewrite_due
-            || self.writer.outdated_chunks.is_empty()
-        {
+    /// Has the next records written in the format in force: a few at a time, and
+    /// only while less than half of the write rate is used.
+    pub fn queue_outdated_chunks(
+        &mut self,
+        now: Time,
+        cluster: &mut ClusterState,
+        format: FormatVersion,
+    ) {
+        if format < WITH_HISTORY || now < self.rewrite_due || self.outdated_chunks.is_empty() {
             return;
         }
-        self.writer.rewrite_due = now + REWRITE_EVERY;
-        if self.writer.write_tokens.level(now) < self.writer.write_tokens.burst() / 2.0 {
+        self.rewrite_due = now + REWRITE_INTERVAL;
+        if self.write_tokens.level(now) < self.write_tokens.burst() / 2.0 {
             return;
         }
-        let jobs = &self.cluster.jobs;
-        let writable =
-            |(id, _): &(JobId, u32)| jobs.get(id).is_some_and(|j| j.is_open() && !j.unreadable);
-        // What is over is deleted, and needs no form.
-        self.writer
-            .outdated_chunks
-            .retain(|c| jobs.get(&c.0).is_some_and(Job::is_open));
-        let next = self.writer.outdated_chunks.iter().filter(|c| writable(c));
-        let next: Vec<(JobId, u32)> = next.take(MOST_REWRITTEN).cloned().collect();
+        let jobs = &cluster.jobs;
+        // What is over is deleted, and needs no rewriting.
+        self.outdated_chunks
+            .retain(|(id, _)| jobs.get(id).is_some_and(Job::is_open));
+        let is_writable = |(id, _): &&(JobId, u32)| {
+            jobs.get(id)
+                .is_some_and(|job| job.is_open() && !job.unreadable)
+        };
+        let next = self.outdated_chunks.iter().filter(is_writable);
+        let next: Vec<(JobId, u32)> = next.take(MAX_REWRITTEN).cloned().collect();
         for chunk in next {
-            self.cluster.unwritten.dirty_chunks.note(chunk, now, false);
+            cluster.unwritten.dirty_chunks.note(chunk, now, false);
         }
     }
 
-    /// Whether all that is stored has the form of the level in force.
-    pub fn is_rewritten(&self) -> bool {
-        self.level < WITH_HISTORY || self.writer.outdated_chunks.is_empty()
+    /// Whether all that is stored has the format in force.
+    pub fn is_rewritten(&self, format: FormatVersion) -> bool {
+        format < WITH_HISTORY || self.outdated_chunks.is_empty()
     }
 
-    fn again(&mut self, now: Time, item: CommitItem) {
+    /// An item was not written: it goes with a later transaction.
+    fn requeue(&mut self, now: Time, context: &mut WriteContext<'_>, item: CommitItem) {
+        let unwritten = &mut context.cluster.unwritten;
         match item {
-            CommitItem::Chunk(id, chunk, _) => {
-                self.cluster
-                    .unwritten
-                    .dirty_chunks
-                    .note((id, chunk), now, true)
-            }
+            CommitItem::Chunk(id, chunk, _) => unwritten.dirty_chunks.note((id, chunk), now, true),
             CommitItem::Finish(id) | CommitItem::Close(id) => {
-                self.cluster.unwritten.finished_jobs.insert(id);
+                unwritten.finished_jobs.insert(id);
             }
             CommitItem::Drop(id, _) => {
-                self.cluster.unwritten.jobs_to_delete.insert(id);
-            }
-            CommitItem::Note(key, value) => {
-                self.autoscaler.intents.pending_writes.again(key, value)
+                unwritten.jobs_to_delete.insert(id);
             }
-            CommitItem::GarbageCollector(orphan) => self.writer.garbage_collector.again(orphan),
+            CommitItem::Note(key, value) => context.intents.pending_writes.again(key, value),
+            CommitItem::GarbageCollector(orphan) => self.garbage_collector.again(orphan),
         }
     }
 
-    fn committed(&mut self, item: CommitItem, txn: &Transaction, revision: Version) {
+    /// An item is stored, by this transaction at this revision.
+    pub fn apply_committed(
+        &mut self,
+        context: &mut WriteContext<'_>,
+        item: CommitItem,
+        transaction: &Transaction,
+        revision: Version,
+    ) {
         match item {
             CommitItem::Chunk(id, chunk, change) => {
-                self.note_form(&id, chunk, txn);
-                if let Some(job) = self.cluster.jobs.get_mut(&id) {
-                    let mut before = change;
-                    if let Some(c) = job.chunks.get_mut(&chunk) {
-                        before = c.stored;
-                        c.version = revision;
-                        c.stored = c.stored.max(change);
-                    }
-                    let size = self.cluster.chunk_size;
-                    let low = chunk * size.0;
-                    let here = job.assignments.range(low..low + size.0);
-                    let now_stored = |c: u64| before < c && c <= change;
-                    for (&index, p) in here.clone() {
-                        if p.stop.and_then(|s| s.change).is_some_and(now_stored) {
-                            let job = id.clone();
-                            let stopped = self
-                                .cluster
-                                .direct_stops
-                                .entry(p.machine.clone())
-                                .or_default();
-                            stopped.push(TaskId { job, index });
-                        }
-                    }
-                    let unsent = here.filter(|(_, p)| p.unsent() && p.change <= change);
-                    self.heartbeats
-                        .machines_with_stored_starts
-                        .extend(unsent.map(|(_, p)| p.machine.clone()));
-                    job.done_not_stored
-                        .retain(|&t, n| size.of(t) != chunk || *n > change);
-                }
-            }
-            CommitItem::Finish(id) => {
-                if let Some(job) = self.cluster.jobs.get_mut(&id)
-                    && job.end == Some(JobOutcome::Done { written: false })
-                {
-                    job.end = Some(JobOutcome::Done { written: true });
-                    job.done_not_stored.clear();
-                    tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, "done");
-                    self.cluster.unwritten.jobs_to_delete.insert(id);
-                }
+                self.note_chunk_format(&id, chunk, transaction);
+                apply_stored_chunk(context, &id, chunk, change, revision);
             }
+            CommitItem::Finish(id) => apply_stored_outcome(context.cluster, id),
             CommitItem::Close(id) => {
-                if let Some(job) = self.cluster.jobs.get(&id) {
-                    tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, "done");
+                if let Some(job) = context.cluster.jobs.get(&id) {
+                    log_done(&id, job);
                 }
-                self.forget(&id);
+                self.forget_job(context, &id);
             }
-            CommitItem::Note(key, Some(_)) => self.autoscaler.intents.stored(&key),
+            CommitItem::Note(key, Some(_)) => context.intents.stored(&key),
             CommitItem::Note(_, None) => {}
-            CommitItem::GarbageCollector(_) => self.writer.garbage_collector.deleted += 1,
-            CommitItem::Drop(id, true) => self.forget(&id),
+            CommitItem::GarbageCollector(_) => self.garbage_collector.deleted += 1,
+            CommitItem::Drop(id, true) => self.forget_job(context, &id),
             CommitItem::Drop(id, false) => {
-                if let Some(job) = self.cluster.jobs.get_mut(&id) {
-                    job.chunks.retain(|&c, _| {
-                        let key = job_records::chunk_key(&id, c);
-                        !txn.ops
-                            .iter()
-                            .any(|op| matches!(op, Operation::Delete { key: k } if *k == key))
-                    });
-                }
-                self.cluster.unwritten.jobs_to_delete.insert(id);
+                forget_deleted_chunks(context.cluster, &id, transaction);
+                context.cluster.unwritten.jobs_to_delete.insert(id);
+            }
+        }
+    }
+
+    /// Nothing of a job is left, here or stored. What is noted of its records goes
+    /// too: where a format version is held back for weeks it would pile up.
+    fn forget_job(&mut self, context: &mut WriteContext<'_>, id: &JobId) {
+        let job = context.cluster.jobs.remove(id);
+        for chunk in job.iter().flat_map(|job| job.chunks.keys()) {
+            self.outdated_chunks.remove(&(id.clone(), *chunk));
+        }
+        context.status.forget_job(id);
+    }
+
+    /// Notes whether a chunk that was stored has the format in force.
+    fn note_chunk_format(&mut self, id: &JobId, chunk: u32, transaction: &Transaction) {
+        let chunk_key = job_records::chunk_key(id, chunk);
+        let value = transaction.ops.iter().find_map(|op| match op {
+            Operation::Put { key, value, .. } if *key == chunk_key => Some(value),
+            _ => None,
+        });
+        let chunk = (id.clone(), chunk);
+        if value.is_some_and(|value| ChunkProgress::is_of(value, WITH_HISTORY)) {
+            self.outdated_chunks.remove(&chunk);
+        } else {
+            self.outdated_chunks.insert(chunk);
+        }
+    }
+}
+
+/// The keys whose precondition failed, by the answer to a transaction.
+fn failed_keys(body: &[u8]) -> Vec<String> {
+    wire::decode::<TransactionResponse>(body)
+        .unwrap_or_default()
+        .failed
+}
+
+/// Adds write-ahead intents and other small records: calls wait for them, and they
+/// are few.
+fn add_pending_puts(builder: &mut TransactionBuilder, pending_writes: &mut PendingWrites) {
+    for (key, value) in pending_writes.take_puts(builder.room() / 2) {
+        let op = Operation::Put {
+            key: key.clone(),
+            value: value.clone(),
+            lease: None,
+        };
+        let item = CommitItem::Note(key.clone(), Some(value.clone()));
+        if !builder.add(item, Vec::new(), vec![op]) {
+            pending_writes.again(key, Some(value));
+        }
+    }
+}
+
+/// Adds the outcomes of jobs whose tasks are all done.
+fn add_finished_jobs(builder: &mut TransactionBuilder, cluster: &mut ClusterState) {
+    for id in std::mem::take(&mut cluster.unwritten.finished_jobs) {
+        let Some(job) = cluster.jobs.get(&id) else {
+            continue;
+        };
+        if job.end != Some(JobOutcome::Done { written: false }) {
+            continue;
+        }
+        // If nothing of it is anywhere any more, it ends and goes at once.
+        if job.assignments.is_empty() {
+            let (conditions, ops) = job.close_write();
+            if builder.add(CommitItem::Close(id.clone()), conditions, ops) {
+                continue;
             }
         }
+        let (conditions, ops) = job.finish_write();
+        if !builder.add(CommitItem::Finish(id.clone()), conditions, ops) {
+            cluster.unwritten.finished_jobs.insert(id);
+        }
+    }
+}
+
+/// Adds the progress records that are out of date, most urgent first.
+fn add_dirty_chunks(
+    builder: &mut TransactionBuilder,
+    now: Time,
+    cluster: &mut ClusterState,
+    format: FormatVersion,
+) {
+    let dirty_chunks = &mut cluster.unwritten.dirty_chunks;
+    // Some need no writing any more, so a few more are looked at.
+    for due in dirty_chunks.due(now, builder.room() * 2) {
+        if builder.room() == 0 {
+            break;
+        }
+        let (id, chunk) = due.clone();
+        // Records of an ended job are only ever deleted, and those of one with
+        // a record that cannot be read stay as they are.
+        let job = cluster.jobs.get(&id);
+        let job = job.filter(|job| job.is_open() && !job.unreadable);
+        let state = job.and_then(|job| Some((job, job.chunks.get(&chunk)?.change)));
+        let Some((job, change)) = state else {
+            dirty_chunks.forget(&due);
+            continue;
+        };
+        let (conditions, ops) = job.chunk_write(cluster.chunk_size, chunk, format);
+        if !builder.add(CommitItem::Chunk(id, chunk, change), conditions, ops) {
+            break;
+        }
+        dirty_chunks.forget(&due);
+    }
+}
+
+/// Adds the deletion of ended jobs. In a rush hundreds of them wait: only those that
+/// there is room for are looked at.
+fn add_job_deletions(builder: &mut TransactionBuilder, cluster: &mut ClusterState) {
+    let mut postponed = None;
+    while builder.room() > 1
+        && let Some(id) = cluster.unwritten.jobs_to_delete.pop_first()
+    {
+        let Some(job) = cluster.jobs.get(&id) else {
+            continue;
+        };
+        // It comes back here once its end is stored, or its last task gone.
+        let is_end_stored = matches!(
+            job.end,
+            Some(JobOutcome::Cancelled | JobOutcome::Done { written: true })
+        );
+        if !is_end_stored || !job.assignments.is_empty() {
+            continue;
+        }
+        let (ops, is_last) = job.drop_write(builder.room());
+        let item = CommitItem::Drop(id.clone(), is_last);
+        if ops.is_empty() || !builder.add(item, Vec::new(), ops) {
+            postponed = Some(id);
+            break;
+        }
+    }
+    cluster.unwritten.jobs_to_delete.extend(postponed);
+}
+
+/// Adds the deletion of settled intents.
+fn add_pending_deletes(builder: &mut TransactionBuilder, pending_writes: &mut PendingWrites) {
+    for key in pending_writes.take_deletes(builder.room().min(MAX_SETTLED_DELETES)) {
+        let op = Operation::Delete { key: key.clone() };
+        builder.add(CommitItem::Note(key, None), Vec::new(), vec![op]);
+    }
+}
+
+/// A chunk is stored as it was at `change`: starts and stops in it may be sent.
+fn apply_stored_chunk(
+    context: &mut WriteContext<'_>,
+    id: &JobId,
+    chunk: u32,
+    change: u64,
+    revision: Version,
+) {
+    let size = context.cluster.chunk_size;
+    let Some(job) = context.cluster.jobs.get_mut(id) else {
+        return;
+    };
+    let mut stored_before = change;
+    if let Some(stored) = job.chunks.get_mut(&chunk) {
+        stored_before = stored.stored;
+        stored.version = revision;
+        stored.stored = stored.stored.max(change);
+    }
+    let first = chunk * size.0;
+    let assignments = job.assignments.range(first..first + size.0);
+    let is_newly_stored = |c: u64| stored_before < c && c <= change;
+    for (&index, assignment) in assignments.clone() {
+        let stop_change = assignment.stop.and_then(|stop| stop.change);
+        if stop_change.is_some_and(is_newly_stored) {
+            let machine = assignment.machine.clone();
+            let stops = context.cluster.direct_stops.entry(machine).or_default();
+            let job = id.clone();
+            stops.push(TaskId { job, index });
+        }
+    }
+    let starts = assignments.filter(|(_, start)| start.unsent() && start.change <= change);
+    context
+        .machines_with_stored_starts
+        .extend(starts.map(|(_, start)| start.machine.clone()));
+    job.done_not_stored
+        .retain(|&task, done_change| size.of(task) != chunk || *done_change > change);
+}
+
+/// A job's header says that it is done: its keys can be deleted.
+fn apply_stored_outcome(cluster: &mut ClusterState, id: JobId) {
+    let Some(job) = cluster.jobs.get_mut(&id) else {
+        return;
+    };
+    if job.end != Some(JobOutcome::Done { written: false }) {
+        return;
     }
+    job.end = Some(JobOutcome::Done { written: true });
+    job.done_not_stored.clear();
+    log_done(&id, job);
+    cluster.unwritten.jobs_to_delete.insert(id);
+}
+
+/// Part of an ended job's records are deleted.
+fn forget_deleted_chunks(cluster: &mut ClusterState, id: &JobId, transaction: &Transaction) {
+    let Some(job) = cluster.jobs.get_mut(id) else {
+        return;
+    };
+    job.chunks.retain(|&chunk, _| {
+        let chunk_key = job_records::chunk_key(id, chunk);
+        let mut ops = transaction.ops.iter();
+        !ops.any(|op| matches!(op, Operation::Delete { key } if *key == chunk_key))
+    });
+}
+
+fn log_done(id: &JobId, job: &Job) {
+    tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, "job done");
 }
 
 #[cfg(test)]
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::assignment::Assignment;
 use crate::core::failpoints::{SafetyCheck, disable_check};
 use crate::core::job_records::{Job, JobOutcome};
-use crate::core::leader::Leader;
+use crate::core::leader::{Leader, LeadershipOutcome};
 use crate::testing::{leader, submission};
 use crate::types::{AgentEpoch, Attempt, WallTime};
 use crate::wire::kvstore::Precondition;
@@ -36,7 +36,8 @@
     while leader.cluster.jobs.contains_key(&id) {
         let level = leader.writer.write_tokens.level(now);
         leader.writer.write_tokens.take(now, level - room as f64);
-        let Some((txn, items)) = leader.gather(now) else {
+        let mut parts = leader.writer();
+        let Some((txn, items)) = parts.writer.build_transaction(now, &mut parts.context) else {
             break;
         };
         for op in &txn.ops {
@@ -47,7 +48,9 @@
             submitted &= *key != job_records::submission_key(&id);
         }
         for item in items {
-            leader.committed(item, &txn, Version(10));
+            parts
+                .writer
+                .apply_committed(&mut parts.context, item, &txn, Version(10));
         }
         left.push((submitted, end));
         now = now + TimeSpan::millis(1);
@@ -95,7 +98,11 @@
         }
         leader.writer.outdated_chunks.insert((id.clone(), 0));
         leader.cluster.unwritten.finished_jobs.insert(id.clone());
-        let (txn, items) = leader.gather(Time(1_000_000)).unwrap();
+        let mut parts = leader.writer();
+        let built = parts
+            .writer
+            .build_transaction(Time(1_000_000), &mut parts.context);
+        let (txn, items) = built.unwrap();
         let keys = txn.ops.iter().map(|op| match op {
             Operation::Put { key, .. } => format!("+{key}"),
             Operation::Delete { key } => format!("-{key}"),
@@ -107,7 +114,9 @@
         };
         assert!(txn.conditions.contains(&open), "a cancellation may race");
         for item in items {
-            leader.committed(item, &txn, Version(10));
+            parts
+                .writer
+                .apply_committed(&mut parts.context, item, &txn, Version(10));
         }
         let left = leader.cluster.jobs.contains_key(&id);
         assert_eq!(
@@ -150,7 +159,7 @@
             .note((id.into(), 0), Time(0), true);
     }
     let mut effects = crate::testing::effects_at(1.0);
-    leader.pump(&mut effects);
+    leader.submit_next_transaction(&mut effects);
     let (txn, _) = leader.writer.pipeline.flight.as_ref().unwrap();
     for id in ["job/wk-1", "job/wk-2"] {
         let fenced = |c: &Precondition| c.key == id && c.version == Version(7);
@@ -195,10 +204,10 @@
         .dirty_chunks
         .note((id, 0), Time(0), true);
     let mut effects = crate::testing::effects_at(1.0);
-    leader.pump(&mut effects);
+    leader.submit_next_transaction(&mut effects);
     leader.on_commit(&mut effects, Reply::Lost);
     effects.now.time = effects.now.time + TimeSpan::secs(5.0);
-    leader.pump(&mut effects);
+    leader.submit_next_transaction(&mut effects);
     effects.take_outputs();
     let failed = failed.iter().map(|k| (*k).to_string()).collect();
     let revision = Version(30);
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -37,6 +37,13 @@
     pub sent_fetch_times: BTreeMap<Image, u64>,
 }
 
+impl StatusBroadcaster {
+    /// A job is deleted.
+    pub fn forget_job(&mut self, id: &JobId) {
+        self.sent_counts.remove(id);
+    }
+}
+
 impl Leader {
     /// Task counts of a job, for display: done and running.
     pub fn counts(&self, id: &JobId) -> Option<TaskCounts> {
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -96,7 +96,7 @@
             .dirty_chunks
             .note(("wk-1".into(), 0), Time(0), true);
         let mut effects = effects_at(1.0);
-        leader.pump(&mut effects);
+        leader.submit_next_transaction(&mut effects);
         let used = leader.team_use()[&Team::from("red")].used.gpus;
         (halted, leader.writer.pipeline.flight.is_some(), used)
     };
@@ -141,8 +141,8 @@
     let mut leader = with_record(old);
     let written = |leader: &mut Leader, secs: f64| {
         let mut effects = effects_at(secs);
-        leader.rewrite(effects.now.time);
-        leader.pump(&mut effects);
+        leader.queue_outdated_chunks(effects.now.time);
+        leader.submit_next_transaction(&mut effects);
         leader.writer.pipeline.flight.is_some()
     };
     assert!(!written(&mut leader, 1.0), "the level does not have it yet");
