--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -14,18 +14,20 @@
 mod status_broadcast;
 mod task_completion;
 mod task_lifecycle;
+mod task_reconciliation;
 
 use self::arrival_recorder::{Arrival, ArrivalRecorder};
 use self::cluster_state::ClusterState;
 use self::command_dispatch::CommandDispatcher;
 use self::commit_pipeline::{TransactionWriter, WriteContext};
-use self::heartbeat_reconciliation::HeartbeatReconciler;
+use self::heartbeat_reconciliation::{HeartbeatContext, HeartbeatReconciler};
 pub use self::outcome::LeadershipOutcome;
 pub use self::pending_call::PendingCall;
 use self::record_watch::{LoadPhase, RecordWatcher};
 use self::scheduler::Scheduler;
 use self::status_broadcast::StatusBroadcaster;
 pub use self::status_broadcast::TaskCounts;
+use self::task_completion::QuarantineRecorder;
 use super::autoscaler::state::Autoscaler;
 use super::effects::{Effects, PendingCalls};
 use super::failpoints::{self, SafetyCheck};
@@ -36,27 +38,18 @@
 use super::machine::{Machine, MachineLifecycle};
 use super::quarantine::Quarantine;
 use super::quota::arrival_history::{self, ArrivalHistory};
-use super::{Reply, Target};
+use super::{Reply, RequestId, Target};
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::types::{FencingToken, JobId, MachineId, TaskId, Time, TimeSpan, Version};
 use crate::wire;
 use crate::wire::cloud::MachineTypes;
 use crate::wire::kvstore::{Entry, EntryPage, Operation, WatchEvent, WatchResponse};
+use crate::wire::workers::Heartbeat;
 use std::rc::Rc;
 
 /// Time between looks for machines that fell silent or are gone.
 const LOOK_EVERY: TimeSpan = TimeSpan::millis(200);
-/// Least time between two cycles.
-const CYCLE_GAP: TimeSpan = TimeSpan::millis(80);
-/// By how much each machine lengthens it.
-const GAP_PER_MACHINE: TimeSpan = TimeSpan(150);
-/// A cycle that seems to have taken less may have been followed by nothing to do.
-const LONG_CYCLE: TimeSpan = TimeSpan::millis(80);
-/// From the beginning of a cycle to the next, in times of what it took.
-const CYCLES_LEAVE: f64 = 3.0;
-/// And at most this.
-const LONGEST_REST: TimeSpan = TimeSpan::millis(4000);
 /// Changes of the state service that no rate bounds, as when leases end.
 const MOST_AT_ONCE: u64 = 10_000;
 /// Time between two times at which what came of late is stored.
@@ -120,7 +113,7 @@
             writer: TransactionWriter::new(holder, token, settings.state_limits.write_rps, now),
             scheduler: Scheduler::new(now),
             heartbeats: HeartbeatReconciler::new(now),
-            commands: CommandDispatcher::new(now, settings.workers.report),
+            commands: CommandDispatcher::new(token, now, settings.workers.report),
             autoscaler: Autoscaler::new(&settings, token, now),
             quarantine: Quarantine::default(),
             arrivals: ArrivalRecorder::new(now),
@@ -166,38 +159,6 @@
         self.cluster.machines.contains_key(machine)
     }
 
-    /// Has the next cycle run soon.
-    pub fn cycle_soon(&mut self, now: Time) {
-        // The more machines a cycle looks at, the rarer cycles have to be.
-        let gap = CYCLE_GAP + TimeSpan(GAP_PER_MACHINE.0 * self.cluster.machines.len() as u64);
-        let gap = gap.max(self.scheduler.minimum_gap);
-        self.scheduler.next_cycle = self
-            .scheduler
-            .next_cycle
-            .min(now.max(self.scheduler.last_cycle + gap));
-    }
-
-    /// An input has come: the last cycle, if one ran since the one before, took
-    /// no longer than until now. What a cycle takes depends on the work that
-    /// waits and on the processor's share, so cycles leave most of the time to
-    /// everything else whatever they take.
-    fn note_pace(&mut self, now: Time) {
-        if !std::mem::take(&mut self.scheduler.cycle_just_ran) {
-            return;
-        }
-        let took = now.since(self.scheduler.last_cycle);
-        let long = took > LONG_CYCLE;
-        self.scheduler.minimum_gap = if long {
-            took.scaled(CYCLES_LEAVE).min(LONGEST_REST)
-        } else {
-            TimeSpan::ZERO
-        };
-        self.scheduler.next_cycle = self
-            .scheduler
-            .next_cycle
-            .max(self.scheduler.last_cycle + self.scheduler.minimum_gap);
-    }
-
     /// Does what is due as time passes.
     pub fn tick(&mut self, effects: &mut Effects) {
         if !self.records.reading && effects.now.time >= self.records.next_read {
@@ -206,12 +167,12 @@
         if self.is_loaded() {
             if effects.now.time >= self.next_health_check {
                 self.next_health_check = effects.now.time + LOOK_EVERY;
-                self.expire(effects);
+                self.expire_leases(effects.now);
                 self.give_up_machines(effects.now.time);
                 self.mean_releases(effects.now.wall);
             }
             self.rental_tick(effects);
-            self.send_announcements(effects);
+            self.commands.send_announcements(effects, &self.cluster);
             self.queue_outdated_chunks(effects.now.time);
             self.store_memory(effects.now);
         }
@@ -220,17 +181,22 @@
     /// Does what any input may have made due.
     pub fn advance(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
-        self.note_pace(now);
-        if now >= self.scheduler.next_cycle && self.may_start(now) {
-            self.scheduler.last_cycle = now;
-            self.scheduler.cycle_just_ran = true;
-            self.scheduler.next_cycle = now + TimeSpan::secs(self.cluster.policy.cycle_s);
+        self.scheduler.adjust_pace(now);
+        if self.scheduler.is_cycle_due(now) && self.may_start(now) {
+            let interval = TimeSpan::secs(self.cluster.policy.cycle_s);
+            self.scheduler.begin_cycle(now, interval);
             self.cycle(effects);
             self.scheduler.cycles += 1;
         }
         self.submit_next_transaction(effects);
-        self.send_direct(effects);
-        self.answer_held(effects);
+        self.commands.send_direct_stops(effects, &mut self.cluster);
+        self.heartbeats.answer_deferred(
+            effects,
+            &mut self.cluster,
+            &mut self.commands,
+            &self.authority,
+            self.scheduler.cycles,
+        );
     }
 
     fn read_on(&mut self, effects: &mut Effects) {
@@ -631,7 +597,8 @@
                 }
                 Some(Watched::Job(id)) => {
                     self.add_job(&id, e.version, &e.value);
-                    self.cycle_soon(now);
+                    self.scheduler
+                        .request_cycle(now, self.cluster.machines.len());
                 }
                 Some(Watched::JobOutcome(id)) => {
                     let cancelled = job_records::read::<job_records::JobHeader>(&e.value)
@@ -677,6 +644,52 @@
         (self.records.revision.0 + 1..=most).contains(&token.0)
     }
 
+    /// Handles a worker's heartbeat; `may_defer`: its answer may wait for work.
+    pub fn on_report(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        heartbeat: Heartbeat,
+        may_defer: bool,
+    ) -> LeadershipOutcome {
+        if heartbeat.token > self.token {
+            effects.answer_status(request, 421);
+            if self.may_be(effects.now.time, heartbeat.token) {
+                return LeadershipOutcome::Deposed(heartbeat.token);
+            }
+            tracing::error!(machine = %heartbeat.machine, token = %heartbeat.token, "heartbeat with a token that nobody was given ignored");
+            return LeadershipOutcome::Continue;
+        }
+        let mut context = HeartbeatContext {
+            token: self.token,
+            authority: &self.authority,
+            cluster: &mut self.cluster,
+            intents: &mut self.autoscaler.intents,
+            quarantine: &mut self.quarantine,
+            commands: &mut self.commands,
+            scheduler: &mut self.scheduler,
+        };
+        self.heartbeats
+            .handle_heartbeat(effects, &mut context, request, &heartbeat, may_defer);
+        LeadershipOutcome::Continue
+    }
+
+    /// Gives up deferred heartbeats, when leadership ends.
+    pub fn drop_held(&mut self, effects: &mut Effects) {
+        self.heartbeats.drop_deferred(effects);
+    }
+
+    /// Writes off machines whose leases have expired.
+    fn expire_leases(&mut self, at: super::Now) {
+        let inherited_until = self.office + self.authority.inherited();
+        let mut recorder = QuarantineRecorder {
+            quarantine: &mut self.quarantine,
+            pending_writes: &mut self.autoscaler.intents.pending_writes,
+        };
+        self.cluster
+            .expire_leases(at, &mut recorder, inherited_until);
+    }
+
     fn writer(&mut self) -> WriterParts<'_> {
         WriterParts {
             writer: &mut self.writer,
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -261,7 +261,7 @@
                     self.cluster
                         .write_off_machine(now, &id, RemovalReason::MachineReleased);
                     self.cluster.machines.remove(&id);
-                    self.heartbeats.deferred.remove(&id);
+                    self.heartbeats.forget_machine(&id);
                 }
             }
         }
@@ -293,7 +293,7 @@
             if l.stage == MachineStage::Failed && m.tasks.is_empty() {
                 m.mark_for_termination("failed");
             }
-            self.announce_to(now, &l.id);
+            self.commands.announce_to(now, &self.cluster, &l.id);
             if !stopping.is_empty() {
                 // What an earlier leader had half told to stop is told whole;
                 // the rest is left out when it is sent.
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -1,29 +1,33 @@
-//! What workers are told: starts, stops, `clear`, and the answers that carry them.
+//! What workers are told: starts, stops and `forget`s in the answers to heartbeats,
+//! stops and announcements in direct commands. Decides no placement itself.
 
-use super::task_lifecycle::StopDurability;
+use super::cluster_state::ClusterState;
 use crate::core::RequestId;
-use crate::core::assignment::{AssignmentPhase, Stop};
+use crate::core::assignment::{Assignment, AssignmentPhase, Stop};
 use crate::core::effects::Effects;
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::job_records::{ChunkSize, Job};
-use crate::core::leader::Leader;
 use crate::core::leader_announcement::{AnnouncementPriority, LeaderAnnouncer};
-use crate::types::{Attempt, MachineId, TaskId, Time, TimeSpan};
+use crate::core::leader_authority::LeaderAuthority;
+use crate::types::{
+    AgentEpoch, Attempt, FencingToken, HeartbeatSequence, MachineId, Resources, TaskId, Time,
+    TimeSpan,
+};
 use crate::wire;
 use crate::wire::users::Priority;
-use crate::wire::workers::{Command, HeartbeatResponse, StopReason, TaskState};
+use crate::wire::workers::{Command, Heartbeat, HeartbeatResponse, StopReason, TaskState};
 use std::collections::BTreeMap;
 
 impl Job {
-    /// The stop that a task may be told of now. One whose record goes first
-    /// waits for it; records of an ended job are not written any more.
-    fn stop_to_tell(&self, size: ChunkSize, index: u32) -> Option<Stop> {
+    /// The stop that may be sent to a task now. One that has to be stored first
+    /// waits for that; records of an ended job are not written any more.
+    fn stop_to_send(&self, size: ChunkSize, index: u32) -> Option<Stop> {
         let stop = self.assignments.get(&index)?.stop?;
-        let told = stop
+        let may_send = stop
             .change
-            .is_none_or(|c| !self.is_open() || self.is_stored(size, index, c))
+            .is_none_or(|change| !self.is_open() || self.is_stored(size, index, change))
             || !failpoints::enforced(SafetyCheck::StopsAreStored);
-        told.then_some(stop)
+        may_send.then_some(stop)
     }
 }
 
@@ -40,86 +44,74 @@
     pub exit_reason: Option<StopReason>,
 }
 
-/// What workers are to be told next.
+/// The commands of one answer to a heartbeat, in the order they are sent.
+#[derive(Debug, Default)]
+struct CommandList {
+    stops: Vec<Command>,
+    forgets: Vec<Command>,
+    starts: Vec<Command>,
+}
+
+impl CommandList {
+    fn into_commands(self) -> Vec<Command> {
+        let mut commands = self.stops;
+        commands.extend(self.forgets);
+        commands.extend(self.starts);
+        commands
+    }
+}
+
+/// What is sent to workers next.
 #[derive(Debug)]
 pub(in crate::core) struct CommandDispatcher {
+    /// The fencing token that all commands carry.
+    token: FencingToken,
     /// What each machine's newest heartbeat listed, for its answer.
     pub reported_tasks: BTreeMap<MachineId, Vec<ReportedTaskState>>,
     /// Tells machines who leads.
-    pub announcer: LeaderAnnouncer,
+    announcer: LeaderAnnouncer,
 }
 
 impl CommandDispatcher {
-    /// Nothing to tell yet; workers send a heartbeat every `heartbeat_interval`.
-    pub fn new(now: Time, heartbeat_interval: TimeSpan) -> CommandDispatcher {
+    /// Nothing to send yet; workers send a heartbeat every `heartbeat_interval`.
+    pub fn new(token: FencingToken, now: Time, heartbeat_interval: TimeSpan) -> CommandDispatcher {
         CommandDispatcher {
+            token,
             reported_tasks: BTreeMap::new(),
             announcer: LeaderAnnouncer::new(now, heartbeat_interval),
         }
     }
-}
 
-impl Leader {
-    /// A machine will be taken: its tasks save, or at least leave in time to
-    /// prove that they are gone.
-    pub(super) fn drain_noticed(&mut self, effects: &mut Effects, id: &MachineId) {
-        let now = effects.now.time;
-        let Some(m) = self.cluster.machines.get(id) else {
-            return;
-        };
-        let left = m
-            .termination_notice_at
-            .map_or(TimeSpan::ZERO, |t| t.since(now));
-        let here: Vec<TaskId> = m.tasks.iter().cloned().collect();
-        for task in here {
-            let Some(job) = self.cluster.jobs.get(&task.job) else {
-                continue;
-            };
-            let Some(p) = job.assignments.get(&task.index) else {
-                continue;
-            };
-            if p.stop.is_some() {
-                continue;
-            }
-            let rest = self.cluster.remaining_time(now, job, p);
-            let spare = TimeSpan::secs(1.0);
-            if rest + spare < left {
-                continue;
-            }
-            let grace = job.spec.save_s.min((left.as_secs() - 1.0).max(0.0));
-            let tasks: Vec<u32> = if job.is_gang() {
-                job.assignments.keys().copied().collect()
-            } else {
-                vec![task.index]
-            };
-            let why = "its machine is being taken";
-            self.cluster.order_stops(
-                now,
-                &task.job,
-                &tasks,
-                grace,
-                why,
-                StopDurability::StoredWhileSent,
-            );
-        }
+    /// Keeps what a heartbeat listed, for its answer.
+    pub fn note_reported_tasks(&mut self, heartbeat: &Heartbeat) {
+        let reported = heartbeat.tasks.iter().map(|task| ReportedTaskState {
+            name: task.task.clone(),
+            attempt: task.attempt,
+            state: task.state,
+            exit_reason: task.why,
+        });
+        self.reported_tasks
+            .insert(heartbeat.machine.clone(), reported.collect());
     }
 
-    /// Answers a report with what its machine is to do.
-    pub(super) fn answer_report(
+    /// Answers a heartbeat with what its machine is to do.
+    pub fn answer_heartbeat(
         &mut self,
         effects: &mut Effects,
+        cluster: &mut ClusterState,
+        authority: &LeaderAuthority,
         request: RequestId,
         id: &MachineId,
     ) {
         let now = effects.now.time;
-        if !self.may_answer(now) {
+        if !authority.may_answer(now) {
             effects.answer_later(request, 503, 1);
             return;
         }
-        let commands = self.commands(now, id);
-        if let Some(m) = self.cluster.machines.get_mut(id) {
-            m.answered = Some(now);
-            m.delivery.answered(now);
+        let commands = self.commands_for(now, cluster, authority, id);
+        if let Some(machine) = cluster.machines.get_mut(id) {
+            machine.answered = Some(now);
+            machine.delivery.answered(now);
         }
         let body = wire::encode(&HeartbeatResponse {
             token: self.token,
@@ -128,206 +120,240 @@
         effects.answer_body(request, body);
     }
 
-    pub(super) fn commands(&mut self, now: Time, id: &MachineId) -> Vec<Command> {
-        let mut stops = Vec::new();
-        let mut forgets = Vec::new();
-        let mut starts = Vec::new();
-        let listed = self.commands.reported_tasks.remove(id).unwrap_or_default();
-        let Some(m) = self.cluster.machines.get(id) else {
+    /// The commands that a machine is to carry out next. Starts count as sent.
+    pub fn commands_for(
+        &mut self,
+        now: Time,
+        cluster: &mut ClusterState,
+        authority: &LeaderAuthority,
+        id: &MachineId,
+    ) -> Vec<Command> {
+        let reported = self.reported_tasks.remove(id).unwrap_or_default();
+        let Some(machine) = cluster.machines.get(id) else {
             return Vec::new();
         };
-        let has_our_token = m.has_our_token;
-        let epoch = m.epoch;
-        let sequence = m.sequence;
-        let mut busy = m.unrecorded_usage;
-        for reported in listed {
-            let ReportedTaskState {
-                name: text,
-                attempt,
-                state,
-                exit_reason: why,
-            } = reported;
-            let Some(task) = TaskId::parse(&text) else {
-                continue;
-            };
-            let job = self.cluster.jobs.get(&task.job);
-            let place = job
-                .and_then(|j| j.assignments.get(&task.index))
-                .filter(|p| &p.machine == id && p.attempt == attempt && p.epoch == epoch);
-            if state == TaskState::Exited {
-                // Cleared only once nothing can start it again and, if it is
-                // done, once that is stored.
-                let kept = why == Some(StopReason::Done)
-                    && job.is_some_and(|j| !j.is_service() && !j.done_is_stored(task.index))
-                    && failpoints::enforced(SafetyCheck::DoneBeforeClear);
-                if has_our_token && place.is_none() && !kept {
-                    forgets.push(Command::Forget {
-                        task: text,
-                        attempt,
-                    });
-                }
-                continue;
-            }
-            match place {
-                Some(_) => {
-                    if let Some(j) = job {
-                        busy += j.spec.needs();
-                    }
-                    let stop =
-                        job.and_then(|j| j.stop_to_tell(self.cluster.chunk_size, task.index));
-                    if let Some(stop) = stop {
-                        stops.push(Command::Stop {
-                            task: text,
-                            attempt,
-                            grace_s: stop.grace_s,
-                        });
-                    }
-                }
-                // What says where it should be cannot be read: it may be right here.
-                None if job.is_some_and(|j| j.is_open() && j.unreadable) => {}
-                None => {
-                    tracing::info!(task = %task, %attempt, machine = %id, "unrecorded task halted");
-                    stops.push(Command::Stop {
-                        task: text,
-                        attempt,
-                        grace_s: 0.0,
-                    });
-                }
-            }
+        let mut usage = machine.unrecorded_usage;
+        let mut list = CommandList::default();
+        for task in reported {
+            add_for_reported_task(&mut list, &mut usage, cluster, id, task);
         }
-        let whole = m
-            .kind
-            .as_ref()
-            .and_then(|k| self.cluster.machine_types.get(k))
-            .map(|t| t.has());
-        let tasks: Vec<TaskId> = m.tasks.iter().cloned().collect();
-        if let Some(whole) = whole
-            && has_our_token
-            && self.may_start(now)
+        if machine.has_our_token
+            && let Some(machine_type) = cluster.type_of(machine)
+            && authority.may_start(now)
         {
-            let mut free = whole - busy;
-            for t in tasks {
-                let size = self.cluster.chunk_size;
-                let Some(job) = self.cluster.jobs.get_mut(&t.job) else {
-                    continue;
-                };
-                let wanted = job.is_open() && !self.authority.is_told(&t.job);
-                let needs = job.spec.needs();
-                let Some(p) = job.assignments.get(&t.index) else {
-                    continue;
-                };
-                // Written ahead: only what is stored may be sent.
-                let stored = job.is_stored(size, t.index, p.change)
-                    || !failpoints::enforced(SafetyCheck::WriteAhead);
-                if !p.unsent() || !stored || !wanted || p.epoch != epoch || !needs.fits(&free) {
-                    continue;
-                }
-                free -= needs;
-                if let Some(p) = job.assignments.get_mut(&t.index) {
-                    p.phase = AssignmentPhase::Sent(sequence);
-                    if p.cold.is_some() {
-                        p.cold = Some(now);
-                    }
-                    starts.push(Command::Start {
-                        task: t.to_string(),
-                        attempt: p.attempt,
-                    });
-                }
-            }
+            let free = machine_type.has() - usage;
+            add_starts(&mut list, now, cluster, authority, id, free);
         }
-        stops.extend(forgets);
-        stops.extend(starts);
-        stops
+        list.into_commands()
     }
 
     /// Sends pending stops straight to their workers. One that arrives late
     /// is harmless: attempts are never reused for another placement.
-    pub fn send_direct(&mut self, effects: &mut Effects) {
-        for (id, tasks) in std::mem::take(&mut self.cluster.direct_stops) {
-            let Some(m) = self.cluster.machines.get(&id) else {
+    pub fn send_direct_stops(&self, effects: &mut Effects, cluster: &mut ClusterState) {
+        for (id, tasks) in std::mem::take(&mut cluster.direct_stops) {
+            let Some(machine) = cluster.machines.get(&id) else {
+                continue;
+            };
+            let Some(address) = machine.addr else {
                 continue;
             };
-            let Some(addr) = m.addr else { continue };
-            // A machine that only a list has shown so far has its session in
+            // A machine that only a list has shown so far has its agent epoch in
             // the records.
-            let mut epoch = m.epoch;
-            let commands: Vec<Command> = tasks
-                .iter()
-                .filter_map(|t| {
-                    let job = self.cluster.jobs.get(&t.job)?;
-                    let p = job.assignments.get(&t.index)?;
-                    let grace_s = job.stop_to_tell(self.cluster.chunk_size, t.index)?.grace_s;
-                    epoch = epoch.max(p.epoch);
-                    Some(Command::Stop {
-                        task: t.to_string(),
-                        attempt: p.attempt,
-                        grace_s,
-                    })
-                })
-                .collect();
+            let mut epoch = machine.epoch;
+            let mut commands = Vec::new();
+            for task in &tasks {
+                let Some((stop, placed_in)) = direct_stop(cluster, task) else {
+                    continue;
+                };
+                epoch = epoch.max(placed_in);
+                commands.push(stop);
+            }
             if !commands.is_empty() {
-                effects.direct(addr, self.token, epoch, commands);
+                effects.direct(address, self.token, epoch, commands);
             }
         }
     }
 
-    /// A machine that a list shows: if it has tasks and has not reported to this
-    /// leader yet, it is told who leads.
-    pub(super) fn announce_to(&mut self, now: Time, id: &MachineId) {
-        let unheard = self
-            .cluster
-            .machines
-            .get(id)
-            .filter(|m| m.reported.is_none());
-        let Some(m) = unheard.filter(|m| m.addr.is_some() && self.commands.announcer.goes_on(now))
-        else {
+    /// A machine that a list shows: if it has tasks and has sent this leader no
+    /// heartbeat yet, it is told who leads.
+    pub fn announce_to(&mut self, now: Time, cluster: &ClusterState, id: &MachineId) {
+        let machine = cluster.machines.get(id);
+        let machine = machine.filter(|m| m.reported.is_none() && m.addr.is_some());
+        let Some(machine) = machine.filter(|_| self.announcer.goes_on(now)) else {
             return;
         };
-        let need = |t: &TaskId| {
-            let job = self.cluster.jobs.get(&t.job)?;
-            let stops = !job.is_open() || job.assignments.get(&t.index)?.stop.is_some();
-            Some(match job.spec.priority {
-                _ if stops => AnnouncementPriority::Stopping,
-                Priority::High | Priority::Production => AnnouncementPriority::Urgent,
-                Priority::Low | Priority::Normal => AnnouncementPriority::Busy,
-            })
-        };
-        if let Some(need) = m.tasks.iter().filter_map(need).min() {
-            self.commands.announcer.note(now, need, id.clone());
+        let tasks = machine.tasks.iter();
+        let most_urgent = tasks
+            .filter_map(|task| announcement_priority(cluster, task))
+            .min();
+        if let Some(priority) = most_urgent {
+            self.announcer.note(now, priority, id.clone());
         }
     }
 
-    /// Tells the next machines who leads, by commands that hold none: a worker
-    /// that sees a higher token reports at once. Nothing is read from the answer,
-    /// as a report under way may still bring it an older leader's start.
-    pub(super) fn send_announcements(&mut self, effects: &mut Effects) {
-        for id in self
-            .commands
-            .announcer
-            .next(effects.now.time, self.cluster.machines.len())
-        {
-            let Some(m) = self
-                .cluster
-                .machines
-                .get(&id)
-                .filter(|m| m.reported.is_none())
-            else {
+    /// Tells the next machines who leads, by direct commands that hold none: a worker
+    /// that sees a higher token sends a heartbeat at once. Nothing is read from the
+    /// answer, as a heartbeat under way may still bring it an older leader's start.
+    pub fn send_announcements(&mut self, effects: &mut Effects, cluster: &ClusterState) {
+        let now = effects.now.time;
+        for id in self.announcer.next(now, cluster.machines.len()) {
+            let machine = cluster.machines.get(&id);
+            let Some(machine) = machine.filter(|machine| machine.reported.is_none()) else {
                 continue;
             };
-            let placed = |t: &TaskId| {
-                Some(
-                    self.cluster
-                        .jobs
-                        .get(&t.job)?
-                        .assignments
-                        .get(&t.index)?
-                        .epoch,
-                )
+            let placed_in = |task: &TaskId| {
+                let job = cluster.jobs.get(&task.job)?;
+                Some(job.assignments.get(&task.index)?.epoch)
             };
-            let epoch = m.tasks.iter().filter_map(placed).max();
-            if let (Some(addr), Some(epoch)) = (m.addr, epoch) {
-                effects.direct(addr, self.token, epoch, Vec::new());
+            let epoch = machine.tasks.iter().filter_map(placed_in).max();
+            if let (Some(address), Some(epoch)) = (machine.addr, epoch) {
+                effects.direct(address, self.token, epoch, Vec::new());
             }
         }
     }
 }
+
+/// Adds what a machine is to do with one task that it reported, and adds what a
+/// running task takes to its usage.
+fn add_for_reported_task(
+    list: &mut CommandList,
+    usage: &mut Resources,
+    cluster: &ClusterState,
+    id: &MachineId,
+    reported: ReportedTaskState,
+) {
+    let Some(task) = TaskId::parse(&reported.name) else {
+        return;
+    };
+    let Some(machine) = cluster.machines.get(id) else {
+        return;
+    };
+    let job = cluster.jobs.get(&task.job);
+    let is_placed = job
+        .and_then(|job| job.assignments.get(&task.index))
+        .is_some_and(|assignment| {
+            &assignment.machine == id
+                && assignment.attempt == reported.attempt
+                && assignment.epoch == machine.epoch
+        });
+    if reported.state == TaskState::Exited {
+        if machine.has_our_token && !is_placed && !must_be_kept(job, &task, &reported) {
+            list.forgets.push(Command::Forget {
+                task: reported.name,
+                attempt: reported.attempt,
+            });
+        }
+        return;
+    }
+    match job {
+        Some(job) if is_placed => {
+            *usage += job.spec.needs();
+            if let Some(stop) = job.stop_to_send(cluster.chunk_size, task.index) {
+                list.stops.push(Command::Stop {
+                    task: reported.name,
+                    attempt: reported.attempt,
+                    grace_s: stop.grace_s,
+                });
+            }
+        }
+        // The record that says where it should be cannot be read: it may be right here.
+        Some(job) if job.is_open() && job.unreadable => {}
+        _ => {
+            tracing::info!(task = %task, attempt = %reported.attempt, machine = %id, "unrecorded task stopped");
+            list.stops.push(Command::Stop {
+                task: reported.name,
+                attempt: reported.attempt,
+                grace_s: 0.0,
+            });
+        }
+    }
+}
+
+/// Whether an exited task must stay on its worker: it is forgotten only once nothing
+/// can start it again and, if it is done, once that is stored.
+fn must_be_kept(job: Option<&Job>, task: &TaskId, reported: &ReportedTaskState) -> bool {
+    reported.exit_reason == Some(StopReason::Done)
+        && job.is_some_and(|job| !job.is_service() && !job.done_is_stored(task.index))
+        && failpoints::enforced(SafetyCheck::DoneBeforeClear)
+}
+
+/// Adds the starts that a machine has room for, and notes them as sent.
+fn add_starts(
+    list: &mut CommandList,
+    now: Time,
+    cluster: &mut ClusterState,
+    authority: &LeaderAuthority,
+    id: &MachineId,
+    mut free: Resources,
+) {
+    let size = cluster.chunk_size;
+    let Some(machine) = cluster.machines.get(id) else {
+        return;
+    };
+    for task in &machine.tasks {
+        let Some(job) = cluster.jobs.get_mut(&task.job) else {
+            continue;
+        };
+        let is_wanted = job.is_open() && !authority.is_told(&task.job);
+        let needs = job.spec.needs();
+        let Some(assignment) = job.assignments.get(&task.index) else {
+            continue;
+        };
+        let is_current = assignment.unsent() && assignment.epoch == machine.epoch;
+        // Written ahead: only what is stored may be sent.
+        let is_stored = job.is_stored(size, task.index, assignment.change)
+            || !failpoints::enforced(SafetyCheck::WriteAhead);
+        if !is_current || !is_stored || !is_wanted || !needs.fits(&free) {
+            continue;
+        }
+        free -= needs;
+        if let Some(assignment) = job.assignments.get_mut(&task.index) {
+            list.starts
+                .push(send_start(now, machine.sequence, task, assignment));
+        }
+    }
+}
+
+/// The command that starts a task; its assignment counts as sent with the answer to
+/// the heartbeat of this number.
+fn send_start(
+    now: Time,
+    sequence: HeartbeatSequence,
+    task: &TaskId,
+    assignment: &mut Assignment,
+) -> Command {
+    assignment.phase = AssignmentPhase::Sent(sequence);
+    if assignment.cold.is_some() {
+        assignment.cold = Some(now);
+    }
+    Command::Start {
+        task: task.to_string(),
+        attempt: assignment.attempt,
+    }
+}
+
+/// The direct command that stops a task, and the agent epoch that it was placed in.
+fn direct_stop(cluster: &ClusterState, task: &TaskId) -> Option<(Command, AgentEpoch)> {
+    let job = cluster.jobs.get(&task.job)?;
+    let assignment = job.assignments.get(&task.index)?;
+    let stop = job.stop_to_send(cluster.chunk_size, task.index)?;
+    let command = Command::Stop {
+        task: task.to_string(),
+        attempt: assignment.attempt,
+        grace_s: stop.grace_s,
+    };
+    Some((command, assignment.epoch))
+}
+
+/// How urgently a task's machine should hear who leads.
+fn announcement_priority(cluster: &ClusterState, task: &TaskId) -> Option<AnnouncementPriority> {
+    let job = cluster.jobs.get(&task.job)?;
+    let is_stopping = !job.is_open() || job.assignments.get(&task.index)?.stop.is_some();
+    if is_stopping {
+        return Some(AnnouncementPriority::Stopping);
+    }
+    Some(match job.spec.priority {
+        Priority::High | Priority::Production => AnnouncementPriority::Urgent,
+        Priority::Low | Priority::Normal => AnnouncementPriority::Busy,
+    })
+}
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -1,13 +1,15 @@
 use super::*;
-use crate::core::machine::Machine;
+use crate::core::job_records::Job;
+use crate::core::leader::{Leader, LeadershipOutcome};
 use crate::core::{Output, Reply};
 use crate::testing::submission;
 use crate::testing::{effects_at, leader};
 use crate::types::Resources;
-use crate::types::{FencingToken, HeartbeatSequence, Version, WallTime};
+use crate::types::{Attempt, HeartbeatSequence, Version, WallTime};
 use crate::wire;
 use crate::wire::kvstore::WatchResponse;
 use crate::wire::users::JobShape;
+use crate::wire::workers::{ReportedTask, StopReason, TaskState};
 use std::rc::Rc;
 
 // A direct command can bring our token to a worker whose lease an older
@@ -24,7 +26,7 @@
     let id = MachineId::from("host-1");
     leader.cluster.machines.insert(id.clone(), m);
     let mut lost_at = |secs: f64| {
-        leader.expire(&mut effects_at(secs));
+        leader.expire_leases(effects_at(secs).now);
         leader.cluster.machines[&id].lost
     };
     // The fixture's lease is 10 s.
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -137,6 +137,18 @@
     pub last_preemption: Option<Time>,
 }
 
+/// Least time between two cycles.
+const CYCLE_GAP: TimeSpan = TimeSpan::millis(80);
+/// By how much each machine lengthens it: the more a cycle looks at, the rarer
+/// cycles have to be.
+const CYCLE_GAP_PER_MACHINE: TimeSpan = TimeSpan(150);
+/// A cycle that seems to have taken less may have been followed by nothing to do.
+const LONG_CYCLE: TimeSpan = TimeSpan::millis(80);
+/// From the beginning of a cycle to the next, in times of what it took.
+const GAP_PER_DURATION: f64 = 3.0;
+/// And at most this.
+const LONGEST_GAP: TimeSpan = TimeSpan::millis(4000);
+
 impl Scheduler {
     /// Its first cycle is due at once.
     pub fn new(now: Time) -> Scheduler {
@@ -149,6 +161,43 @@
             last_preemption: None,
         }
     }
+
+    /// Has the next cycle run soon, where there are so many machines.
+    pub fn request_cycle(&mut self, now: Time, machines: usize) {
+        let gap = CYCLE_GAP + TimeSpan(CYCLE_GAP_PER_MACHINE.0 * machines as u64);
+        let gap = gap.max(self.minimum_gap);
+        let earliest = now.max(self.last_cycle + gap);
+        self.next_cycle = self.next_cycle.min(earliest);
+    }
+
+    /// An input has come: the last cycle, if one ran since the one before, took
+    /// no longer than until now. What a cycle takes depends on the work that
+    /// waits and on the processor's share, so cycles leave most of the time to
+    /// everything else whatever they take.
+    pub fn adjust_pace(&mut self, now: Time) {
+        if !std::mem::take(&mut self.cycle_just_ran) {
+            return;
+        }
+        let took = now.since(self.last_cycle);
+        self.minimum_gap = if took > LONG_CYCLE {
+            took.scaled(GAP_PER_DURATION).min(LONGEST_GAP)
+        } else {
+            TimeSpan::ZERO
+        };
+        self.next_cycle = self.next_cycle.max(self.last_cycle + self.minimum_gap);
+    }
+
+    /// Whether a cycle is due.
+    pub fn is_cycle_due(&self, now: Time) -> bool {
+        now >= self.next_cycle
+    }
+
+    /// A cycle begins; the next one is due after the interval, if nothing asks for it.
+    pub fn begin_cycle(&mut self, now: Time, interval: TimeSpan) {
+        self.last_cycle = now;
+        self.cycle_just_ran = true;
+        self.next_cycle = now + interval;
+    }
 }
 
 impl Leader {
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -1,167 +1,290 @@
-//! How tasks leave their machines: done, ended early, or proven gone.
+//! How tasks end: exited as their machine reports, or written off with a machine whose
+//! lease has expired. Also notes which machines fail again and again. Sends nothing.
 
-use super::task_lifecycle::RemovalReason;
+use super::cluster_state::ClusterState;
+use super::task_lifecycle::{RemovalReason, StopDurability};
 use crate::core::Now;
-use crate::core::effects::Effects;
 use crate::core::failpoints::{self, SafetyCheck};
-use crate::core::leader::Leader;
+use crate::core::job_records::Job;
 use crate::core::machine::*;
-use crate::types::{MachineId, TaskId, Time, TimeSpan, Zone};
-use crate::wire::cloud::MachineStage;
+use crate::core::pending_writes::PendingWrites;
+use crate::core::quarantine::Quarantine;
+use crate::types::{MachineId, TaskId, Time, TimeSpan, WallTime, Zone};
 use crate::wire::workers::{ReportedTask, StopReason};
 use std::collections::BTreeMap;
 
 /// Failures of different jobs that make a machine suspect.
-const SUSPECT: usize = 2;
+const SUSPECT_FAILURES: usize = 2;
 /// How long a failure counts against a machine.
-const FAULT_LIFE: TimeSpan = TimeSpan::millis(600_000);
-/// Machines of one zone that may fall silent in one look and still count as
+const FAILURE_LIFETIME: TimeSpan = TimeSpan::millis(600_000);
+/// Machines of one zone that may fall silent in one check and still count as
 /// faulty themselves.
-const MOST_AT_ONCE: usize = 3;
+const MAX_FAULTY_IN_ZONE: usize = 3;
 /// Machines of one job's failures that are remembered.
-const MOST_FAILED_ON: usize = 4;
+const MAX_FAILED_ON: usize = 4;
+/// Longest exponent of a job's backoff: 32 s after six failures in a row.
+const MAX_BACKOFF_EXPONENT: u32 = 6;
+/// How long a job waits after a machine had no room for it.
+const NO_ROOM_PAUSE: TimeSpan = TimeSpan::millis(1000);
+/// How much longer than their lease tasks may run, by clock drift and delays.
+const LEASE_DRIFT: f64 = 1.0005;
+const LEASE_SLACK: TimeSpan = TimeSpan::millis(1000);
+/// Time that a noticed task needs beside its run, to be left alone.
+const NOTICE_SLACK: TimeSpan = TimeSpan::millis(1000);
 
-impl Leader {
-    pub(super) fn exited(&mut self, now: Now, task: &TaskId, t: &ReportedTask) {
-        let (now, wall) = (now.time, now.wall);
-        let why = t.why.unwrap_or(StopReason::Unknown);
-        let Some(job) = self.cluster.jobs.get(&task.job) else {
+/// Records machines that fail, for this leader and its successors.
+pub(in crate::core) struct QuarantineRecorder<'a> {
+    /// What is known of machines that failed.
+    pub quarantine: &'a mut Quarantine,
+    /// Where records of it wait to be written.
+    pub pending_writes: &'a mut PendingWrites,
+}
+
+impl QuarantineRecorder<'_> {
+    /// A machine gets no more work.
+    fn record_drain(&mut self, id: &MachineId, wall: WallTime) {
+        self.quarantine.drain(self.pending_writes, id, wall);
+    }
+
+    /// A machine was silent for a whole lease; for how long it gets no work, if that
+    /// has happened too often.
+    fn record_missed_lease(&mut self, id: &MachineId, wall: WallTime) -> Option<TimeSpan> {
+        self.quarantine.strike(self.pending_writes, id, wall)
+    }
+}
+
+/// A machine whose lease has expired.
+struct ExpiredMachine {
+    id: MachineId,
+    reason: RemovalReason,
+}
+
+impl ClusterState {
+    /// A placed task is reported to have exited.
+    pub fn handle_task_exit(
+        &mut self,
+        at: Now,
+        recorder: &mut QuarantineRecorder<'_>,
+        task: &TaskId,
+        reported: &ReportedTask,
+    ) {
+        let now = at.time;
+        let why = reported.why.unwrap_or(StopReason::Unknown);
+        let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(place) = job.assignments.get(&task.index).cloned() else {
+        let Some(assignment) = job.assignments.get(&task.index) else {
             return;
         };
+        let machine = assignment.machine.clone();
         if why == StopReason::Done && !job.is_service() {
-            self.cluster
-                .record_task_gone(now, task, RemovalReason::Done);
-            if self.cluster.jobs[&task.job].is_gang() {
-                // They complete together.
-                for index in 0..self.cluster.jobs[&task.job].spec.tasks {
-                    self.cluster.record_task_done(
-                        now,
-                        &TaskId {
-                            job: task.job.clone(),
-                            index,
-                        },
-                    );
-                }
-            } else {
-                self.cluster.record_task_done(now, task);
-            }
+            self.complete_task(now, task);
             return;
         }
         if !matches!(why, StopReason::Stopped | StopReason::Done) {
-            tracing::info!(task = %task, machine = %place.machine, ?why, team = %job.spec.team, "task ended early");
+            tracing::info!(task = %task, machine = %machine, reason = ?why, team = %job.spec.team, "task exited early");
         }
-        self.cluster
-            .record_task_gone(now, task, RemovalReason::Exited);
-        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
-            return;
-        };
-        let mut suspect = None;
+        self.record_task_gone(now, task, RemovalReason::Exited);
         match why {
             StopReason::Error | StopReason::Unknown => {
-                job.notes.failures += 1;
-                let pause = TimeSpan::secs(f64::from(1 << job.notes.failures.min(6)) / 2.0);
-                job.notes.not_before = now + pause;
-                // A job that fails everywhere must not use up the machines:
-                // only its latest few failures count for it, and one job
-                // alone never makes a machine suspect.
-                job.notes.failed_on.insert(place.machine.clone());
-                if job.notes.failed_on.len() > MOST_FAILED_ON {
-                    job.notes.failed_on.clear();
-                }
-                if let Some(m) = self.cluster.machines.get_mut(&place.machine) {
-                    m.faults.insert(task.job.clone(), now);
-                    m.faults.retain(|_, t| now.since(*t) < FAULT_LIFE);
-                    if m.faults.len() >= SUSPECT && m.lifecycle == MachineLifecycle::InService {
-                        tracing::info!(machine = %place.machine, "put aside: several jobs failed on it");
-                        m.lifecycle = MachineLifecycle::Draining;
-                        suspect = Some(place.machine.clone());
-                    }
-                }
+                self.record_failure(at, recorder, task, &machine);
             }
             StopReason::NoRoom | StopReason::Busy => {
-                job.notes.not_before = now + TimeSpan::secs(1.0);
+                if let Some(job) = self.jobs.get_mut(&task.job) {
+                    job.notes.not_before = now + NO_ROOM_PAUSE;
+                }
             }
             StopReason::Done | StopReason::Stopped | StopReason::Peers | StopReason::Alone => {}
         }
-        if let Some(id) = suspect {
-            let pending_writes = &mut self.autoscaler.intents.pending_writes;
-            self.quarantine.drain(pending_writes, &id, wall);
+    }
+
+    /// A task is done; the tasks of a gang complete together.
+    fn complete_task(&mut self, now: Time, task: &TaskId) {
+        self.record_task_gone(now, task, RemovalReason::Done);
+        let job = &self.jobs[&task.job];
+        if !job.is_gang() {
+            self.record_task_done(now, task);
+            return;
+        }
+        for index in 0..job.spec.tasks {
+            let job = task.job.clone();
+            self.record_task_done(now, &TaskId { job, index });
+        }
+    }
+
+    /// A task failed: its job backs off, and its machine may be at fault.
+    fn record_failure(
+        &mut self,
+        at: Now,
+        recorder: &mut QuarantineRecorder<'_>,
+        task: &TaskId,
+        id: &MachineId,
+    ) {
+        let now = at.time;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        back_off(now, job, id);
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        machine.faults.insert(task.job.clone(), now);
+        machine
+            .faults
+            .retain(|_, failed| now.since(*failed) < FAILURE_LIFETIME);
+        let is_suspect = machine.faults.len() >= SUSPECT_FAILURES;
+        if is_suspect && machine.lifecycle == MachineLifecycle::InService {
+            tracing::info!(machine = %id, "machine draining: several jobs failed on it");
+            machine.lifecycle = MachineLifecycle::Draining;
+            recorder.record_drain(id, at.wall);
+        }
+    }
+
+    /// The cloud will take a machine: its tasks save a checkpoint, or at least leave in
+    /// time to prove that they are gone.
+    pub fn stop_tasks_before_termination(&mut self, now: Time, id: &MachineId) {
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
+        let notice = machine.termination_notice_at;
+        let left = notice.map_or(TimeSpan::ZERO, |at| at.since(now));
+        let tasks: Vec<TaskId> = machine.tasks.iter().cloned().collect();
+        for task in tasks {
+            self.stop_task_before_termination(now, &task, left);
         }
     }
 
-    /// Writes off machines whose workers must have ended their tasks.
-    pub fn expire(&mut self, effects: &mut Effects) {
-        let now = effects.now.time;
-        let mut lease = self.cluster.settings.workers.lease.scaled(1.0005) + TimeSpan::secs(1.0);
-        let inherited = self.office + self.authority.inherited();
-        let mut dead = Vec::new();
-        for (id, m) in &mut self.cluster.machines {
-            if m.lost || m.tasks.is_empty() {
+    /// Has one task stop, if it will not be done in the time that is left.
+    fn stop_task_before_termination(&mut self, now: Time, task: &TaskId, left: TimeSpan) {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        let Some(assignment) = job.assignments.get(&task.index) else {
+            return;
+        };
+        if assignment.stop.is_some() {
+            return;
+        }
+        if self.remaining_time(now, job, assignment) + NOTICE_SLACK < left {
+            return;
+        }
+        let grace_s = job.spec.save_s.min((left.as_secs() - 1.0).max(0.0));
+        let tasks: Vec<u32> = if job.is_gang() {
+            job.assignments.keys().copied().collect()
+        } else {
+            vec![task.index]
+        };
+        let why = "its machine is being taken";
+        let durability = StopDurability::StoredWhileSent;
+        self.order_stops(now, &task.job, &tasks, grace_s, why, durability);
+    }
+
+    /// Writes off machines whose workers must have ended their tasks. Until
+    /// `inherited_until` an earlier leader may have renewed their leases.
+    pub fn expire_leases(
+        &mut self,
+        at: Now,
+        recorder: &mut QuarantineRecorder<'_>,
+        inherited_until: Time,
+    ) {
+        let lease = self.settings.workers.lease;
+        let mut expired = Vec::new();
+        for (id, machine) in &mut self.machines {
+            if machine.lost || machine.tasks.is_empty() {
                 continue;
             }
-            let failed = matches!(m.listed, Some((MachineStage::Failed, _)));
-            if !failpoints::enforced(SafetyCheck::LeaseBeforeWriteOff) {
-                lease = TimeSpan::secs(3.0);
-            }
-            let (due, proof) = if let Some(since) = m.our_token_since {
-                // Older leaders' answers are dropped by a worker that has
-                // seen our token, so only our own renew its lease.
-                // Before it had our token an older leader may have done so:
-                // a direct command can bring the token without a 200 of ours.
-                (
-                    m.answered.max(Some(since)).unwrap_or(now) + lease,
-                    RemovalReason::LeaseExpired,
-                )
-            } else {
-                // An older leader may have answered it until it noticed.
-                let has_our_token = m.answered.map_or(Time(0), |t| t + lease);
-                (
-                    inherited.max(has_our_token),
-                    RemovalReason::SilentSincePreviousLeader,
-                )
+            let Some(reason) = lease_expiry(at.time, machine, lease, inherited_until) else {
+                continue;
             };
-            if failed || now >= due {
-                let proof = if failed {
-                    RemovalReason::MachineFailed
-                } else {
-                    proof
-                };
-                tracing::info!(machine = %id, reason = %proof, tasks = m.tasks.len(), "machine presumed dead");
-                m.lost = true;
-                m.has_our_token = false;
-                m.cache.clear();
-                dead.push((id.clone(), proof));
-            }
+            tracing::info!(machine = %id, %reason, tasks = machine.tasks.len(), "machine presumed dead");
+            machine.lost = true;
+            machine.has_our_token = false;
+            machine.cache.clear();
+            let id = id.clone();
+            expired.push(ExpiredMachine { id, reason });
         }
-        self.strike(effects.now, dead.iter().map(|(id, _)| id));
-        for (id, proof) in dead {
-            self.cluster.write_off_machine(now, &id, proof);
+        self.record_missed_leases(at, recorder, &expired);
+        for ExpiredMachine { id, reason } in expired {
+            self.write_off_machine(at.time, &id, reason);
         }
     }
 
     /// Remembers machines that fell silent for as long as a lease. Where many of
     /// a zone do so at once it is the zone's fault, not theirs.
-    fn strike<'a>(&mut self, now: Now, dead: impl Iterator<Item = &'a MachineId>) {
+    fn record_missed_leases(
+        &mut self,
+        at: Now,
+        recorder: &mut QuarantineRecorder<'_>,
+        expired: &[ExpiredMachine],
+    ) {
         let mut by_zone: BTreeMap<Option<Zone>, Vec<&MachineId>> = BTreeMap::new();
-        for id in dead {
-            let zone = self.cluster.machines.get(id).and_then(|m| m.zone.clone());
+        for ExpiredMachine { id, .. } in expired {
+            let zone = self
+                .machines
+                .get(id)
+                .and_then(|machine| machine.zone.clone());
             by_zone.entry(zone).or_default().push(id);
         }
-        for id in by_zone
+        let faulty = by_zone
             .into_values()
-            .filter(|v| v.len() <= MOST_AT_ONCE)
-            .flatten()
-        {
-            let pending_writes = &mut self.autoscaler.intents.pending_writes;
-            if let Some(pause) = self.quarantine.strike(pending_writes, id, now.wall)
-                && let Some(m) = self.cluster.machines.get_mut(id)
-            {
-                tracing::info!(machine = %id, pause_s = pause.as_secs(), "put aside: silent again and again");
-                m.aside = Some(now.time + pause);
+            .filter(|machines| machines.len() <= MAX_FAULTY_IN_ZONE)
+            .flatten();
+        for id in faulty {
+            let Some(pause) = recorder.record_missed_lease(id, at.wall) else {
+                continue;
+            };
+            if let Some(machine) = self.machines.get_mut(id) {
+                tracing::info!(machine = %id, pause_s = pause.as_secs(), "machine quarantined: silent again and again");
+                machine.aside = Some(at.time + pause);
             }
         }
     }
 }
+
+/// Lets a job wait longer after each failure in a row. A job that fails everywhere
+/// must not use up the machines: only its latest few failures count for it, and one
+/// job alone never makes a machine suspect.
+fn back_off(now: Time, job: &mut Job, id: &MachineId) {
+    job.notes.failures += 1;
+    let exponent = job.notes.failures.min(MAX_BACKOFF_EXPONENT);
+    job.notes.not_before = now + TimeSpan::secs(f64::from(1 << exponent) / 2.0);
+    job.notes.failed_on.insert(id.clone());
+    if job.notes.failed_on.len() > MAX_FAILED_ON {
+        job.notes.failed_on.clear();
+    }
+}
+
+/// Why the tasks of a silent machine must have ended by now, if they must.
+fn lease_expiry(
+    now: Time,
+    machine: &Machine,
+    lease: TimeSpan,
+    inherited_until: Time,
+) -> Option<RemovalReason> {
+    if machine.listed_as_failed() {
+        return Some(RemovalReason::MachineFailed);
+    }
+    let lease = if failpoints::enforced(SafetyCheck::LeaseBeforeWriteOff) {
+        lease.scaled(LEASE_DRIFT) + LEASE_SLACK
+    } else {
+        TimeSpan::secs(3.0)
+    };
+    let (due, reason) = if let Some(since) = machine.our_token_since {
+        // Older leaders' answers are dropped by a worker that has
+        // seen our token, so only our own renew its lease.
+        // Before it had our token an older leader may have done so:
+        // a direct command can bring the token without a 200 of ours.
+        let last_renewal = machine.answered.max(Some(since)).unwrap_or(now);
+        (last_renewal + lease, RemovalReason::LeaseExpired)
+    } else {
+        // An older leader may have answered it until it noticed.
+        let own_answer_expires = machine
+            .answered
+            .map_or(Time(0), |answered| answered + lease);
+        (
+            inherited_until.max(own_answer_expires),
+            RemovalReason::SilentSincePreviousLeader,
+        )
+    };
+    (now >= due).then_some(reason)
+}
--- /dev/null
+++ b/crates/controller/src/core/leader/task_reconciliation.rs
@@ -0,0 +1,335 @@
+//! Compares what a heartbeat lists with the placements: which tasks run, which have
+//! ended, which starts were lost. Changes only the tables.
+
+use super::cluster_state::ClusterState;
+use super::task_completion::QuarantineRecorder;
+use super::task_lifecycle::RemovalReason;
+use crate::core::Now;
+use crate::core::assignment::{Assignment, AssignmentPhase, PresenceProof};
+use crate::core::delivery::DeliveryEvidence;
+use crate::core::job_records::Job;
+use crate::types::{Attempt, FencingToken, Image, MachineId, Resources, TaskId, Time, TimeSpan};
+use crate::wire::workers::{Heartbeat, ReportedTask, StopReason, TaskState};
+use std::collections::BTreeMap;
+
+/// A heartbeat with what it is judged by.
+#[derive(Clone, Copy, Debug)]
+pub(in crate::core) struct ReceivedHeartbeat<'a> {
+    /// When it came.
+    pub at: Now,
+    /// This leader's fencing token.
+    pub own_token: FencingToken,
+    /// What the worker sent.
+    pub heartbeat: &'a Heartbeat,
+}
+
+/// What a heartbeat showed.
+#[derive(Clone, Copy, Debug)]
+pub(in crate::core) struct ReconciliationResult {
+    /// Whether tasks left the machine, so that others may have its room.
+    pub freed_room: bool,
+    /// What it shows of starts that were sent.
+    pub delivery: DeliveryEvidence,
+}
+
+/// How far the gang of an earlier leader's start has come.
+enum GangStart {
+    /// Part of it has not been heard of.
+    Unknown,
+    /// Part of it did start.
+    PartlyStarted,
+    /// None of it started, and all of its placements are kept.
+    NotStarted,
+}
+
+impl ClusterState {
+    /// Compares a heartbeat with the placements.
+    pub fn reconcile_tasks(
+        &mut self,
+        received: &ReceivedHeartbeat<'_>,
+        recorder: &mut QuarantineRecorder<'_>,
+    ) -> ReconciliationResult {
+        let ReceivedHeartbeat { heartbeat, .. } = received;
+        let listed = self.match_reported_tasks(received.at.time, heartbeat);
+        let mut result = ReconciliationResult {
+            freed_room: false,
+            delivery: DeliveryEvidence::None,
+        };
+        let Some(machine) = self.machines.get(&heartbeat.machine) else {
+            return result;
+        };
+        let placed: Vec<TaskId> = machine.tasks.iter().cloned().collect();
+        for task in placed {
+            let reported = listed.get(&task).copied();
+            self.reconcile_task(received, recorder, &task, reported, &mut result);
+        }
+        result
+    }
+
+    /// The reported tasks that are where the records say, by name. Results of others
+    /// count, and what others take is noted.
+    fn match_reported_tasks<'a>(
+        &mut self,
+        now: Time,
+        heartbeat: &'a Heartbeat,
+    ) -> BTreeMap<TaskId, &'a ReportedTask> {
+        let id = &heartbeat.machine;
+        let mut listed: BTreeMap<TaskId, &ReportedTask> = BTreeMap::new();
+        let mut unrecorded_usage = Resources::default();
+        for reported in &heartbeat.tasks {
+            let Some(task) = TaskId::parse(&reported.task) else {
+                continue;
+            };
+            let job = self.jobs.get(&task.job);
+            let assignment = job.and_then(|job| job.assignments.get(&task.index));
+            let is_placed = assignment.is_some_and(|assignment| {
+                &assignment.machine == id
+                    && assignment.attempt == reported.attempt
+                    && assignment.epoch == heartbeat.epoch
+            });
+            if is_placed {
+                listed.insert(task, reported);
+                continue;
+            }
+            let Some(job) = job else {
+                continue;
+            };
+            if reported.state != TaskState::Exited {
+                unrecorded_usage += job.spec.needs();
+            } else if reported.why == Some(StopReason::Done) {
+                self.accept_result(now, id, &task, reported.attempt);
+            }
+        }
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.unrecorded_usage = unrecorded_usage;
+        }
+        listed
+    }
+
+    /// A result is one whenever it was reported, but only of an attempt that there was.
+    fn accept_result(&mut self, now: Time, id: &MachineId, task: &TaskId, attempt: Attempt) {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        if (1..=job.attempt.0).contains(&attempt.0) {
+            self.record_task_done(now, task);
+        } else {
+            tracing::error!(task = %task, %attempt, machine = %id, "result of an attempt that was never given ignored");
+        }
+    }
+
+    /// Compares one placed task with what the heartbeat says of it, if anything.
+    fn reconcile_task(
+        &mut self,
+        received: &ReceivedHeartbeat<'_>,
+        recorder: &mut QuarantineRecorder<'_>,
+        task: &TaskId,
+        reported: Option<&ReportedTask>,
+        result: &mut ReconciliationResult,
+    ) {
+        let ReceivedHeartbeat { heartbeat, .. } = received;
+        let now = received.at.time;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let is_open = job.is_open();
+        let Some(assignment) = job.assignments.get_mut(&task.index) else {
+            return;
+        };
+        if matches!(assignment.phase, AssignmentPhase::Sent(_)) && reported.is_some() {
+            result.delivery = DeliveryEvidence::Took;
+        }
+        let is_wanted = is_open && assignment.stop.is_none();
+        match assignment.check_presence(
+            heartbeat.epoch,
+            heartbeat.sequence,
+            heartbeat.token,
+            received.own_token,
+            reported,
+        ) {
+            PresenceProof::Absent
+                if assignment.phase == AssignmentPhase::Inherited && is_wanted =>
+            {
+                result.freed_room = true;
+                assignment.phase = AssignmentPhase::Kept;
+                self.resume_inherited_start(now, task);
+            }
+            // It waits for the rest of its gang.
+            PresenceProof::Absent if assignment.phase == AssignmentPhase::Kept && is_wanted => {}
+            PresenceProof::Absent => {
+                result.freed_room = true;
+                self.record_task_gone(now, task, RemovalReason::NotReported);
+            }
+            // What is not wanted any more is not sent again; it never
+            // arrived, so it is nowhere.
+            PresenceProof::Undelivered if !is_wanted => {
+                self.record_task_gone(now, task, RemovalReason::NeverArrived);
+            }
+            PresenceProof::Undelivered => {
+                assignment.phase = AssignmentPhase::Unsent;
+                if result.delivery == DeliveryEvidence::None {
+                    result.delivery = DeliveryEvidence::Missed;
+                }
+            }
+            PresenceProof::Present => {
+                if let Some(reported) = reported {
+                    result.freed_room |=
+                        self.handle_task_report(received.at, recorder, task, reported);
+                }
+            }
+        }
+    }
+
+    /// A placed task was reported; true if it exited.
+    fn handle_task_report(
+        &mut self,
+        at: Now,
+        recorder: &mut QuarantineRecorder<'_>,
+        task: &TaskId,
+        reported: &ReportedTask,
+    ) -> bool {
+        let now = at.time;
+        if reported.state == TaskState::Exited {
+            self.handle_task_exit(at, recorder, task, reported);
+            return true;
+        }
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return false;
+        };
+        let spec = job.spec.clone();
+        let Some(assignment) = job.assignments.get_mut(&task.index) else {
+            return false;
+        };
+        let was_inherited = assignment.phase == AssignmentPhase::Inherited;
+        assignment.phase = AssignmentPhase::Seen(reported.state);
+        if reported.state == TaskState::Running && assignment.running.is_none() {
+            assignment.running = Some(now);
+            tracing::debug!(task = %task, machine = %assignment.machine, since_s = now.since(assignment.placed).as_secs(), "task runs");
+        }
+        if reported.state != TaskState::Fetching {
+            let fetch_began = assignment.cold.take();
+            let machine = assignment.machine.clone();
+            self.record_fetched(now, &machine, &spec.image, spec.image_gb, fetch_began);
+        }
+        if was_inherited {
+            self.resume_inherited_start(now, task);
+        }
+        false
+    }
+
+    /// An image is on a machine; its fetch, if there was one, is over.
+    fn record_fetched(
+        &mut self,
+        now: Time,
+        id: &MachineId,
+        image: &Image,
+        image_gb: f64,
+        fetch_began: Option<Time>,
+    ) {
+        let room_gb = self.cache_room_gb(id);
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
+        if machine.cache.remaining(image, now) == Some(TimeSpan::ZERO) {
+            return;
+        }
+        machine.cache.fetched(image, image_gb, now, room_gb);
+        if let Some(began) = fetch_began {
+            self.fetch_estimates.note(image, now.since(began));
+        }
+    }
+
+    /// Goes on with a start that an earlier leader recorded, once it is known
+    /// that it never arrived: on the same machine, so that room that was made
+    /// for it stays its own, under a new attempt. A gang goes on once all of it
+    /// is known about; one of which a part did start, not at all.
+    fn resume_inherited_start(&mut self, now: Time, task: &TaskId) {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        let tasks = |indices: Vec<u32>| -> Vec<TaskId> {
+            let job = &task.job;
+            let tasks = indices.into_iter();
+            let named = tasks.map(|index| TaskId {
+                job: job.clone(),
+                index,
+            });
+            named.collect()
+        };
+        if !job.is_gang() {
+            if job.assignments.get(&task.index).is_some_and(is_kept) {
+                self.restart_tasks(now, &tasks(vec![task.index]));
+            }
+            return;
+        }
+        match gang_start(job) {
+            GangStart::Unknown => {}
+            GangStart::PartlyStarted => {
+                let kept = job.assignments.iter().filter(|(_, a)| is_kept(a));
+                for task in tasks(kept.map(|(index, _)| *index).collect()) {
+                    self.record_task_gone(now, &task, RemovalReason::NotReported);
+                }
+            }
+            GangStart::NotStarted => {
+                let all = tasks(job.assignments.keys().copied().collect());
+                self.restart_tasks(now, &all);
+            }
+        }
+    }
+
+    /// Places tasks of one job where they are, under a new attempt, if all of their
+    /// machines can take them: a gang stays whole or goes whole.
+    fn restart_tasks(&mut self, now: Time, tasks: &[TaskId]) {
+        let Some(job) = tasks.first().and_then(|task| self.jobs.get(&task.job)) else {
+            return;
+        };
+        let silence = self.max_silence();
+        let stays = |assignment: &Assignment| {
+            let machine = self.machines.get(&assignment.machine);
+            machine.is_some_and(|machine| {
+                machine.is_schedulable(now, silence) && machine.epoch == assignment.epoch
+            })
+        };
+        let all_stay = tasks
+            .iter()
+            .all(|task| stays(&job.assignments[&task.index]));
+        let attempt = Attempt(job.attempt.0 + 1);
+        for task in tasks {
+            let machine = self.jobs[&task.job].assignments[&task.index]
+                .machine
+                .clone();
+            self.remove_assignment(now, task, RemovalReason::NeverStarted);
+            if all_stay {
+                self.place_task(now, task, &machine, attempt);
+            }
+        }
+    }
+}
+
+fn is_kept(assignment: &Assignment) -> bool {
+    assignment.phase == AssignmentPhase::Kept
+}
+
+/// How far a gang has come whose start an earlier leader recorded.
+fn gang_start(job: &Job) -> GangStart {
+    let assignments = || job.assignments.values();
+    if !assignments().any(is_kept) {
+        return GangStart::Unknown;
+    }
+    let is_started_or_stopping = |assignment: &Assignment| {
+        let started = !matches!(
+            assignment.phase,
+            AssignmentPhase::Inherited | AssignmentPhase::Kept
+        );
+        started || assignment.stop.is_some()
+    };
+    if assignments().any(is_started_or_stopping) {
+        return GangStart::PartlyStarted;
+    }
+    let is_complete = job.assignments.len() == job.spec.tasks as usize;
+    if is_complete && assignments().all(is_kept) {
+        GangStart::NotStarted
+    } else {
+        GangStart::Unknown
+    }
+}
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -89,7 +89,11 @@
             .commands
             .reported_tasks
             .insert(id.clone(), vec![task]);
-        let halted = !leader.commands(Time(0), &id).is_empty();
+        let (cluster, authority) = (&mut leader.cluster, &leader.authority);
+        let commands = leader
+            .commands
+            .commands_for(Time(0), cluster, authority, &id);
+        let halted = !commands.is_empty();
         leader
             .cluster
             .unwritten
--- a/crates/controller/src/core/machine.rs
+++ b/crates/controller/src/core/machine.rs
@@ -1,6 +1,5 @@
 //! A machine as the leader knows it.
 
-use super::RequestId;
 use super::delivery::DeliveryMonitor;
 use super::placement_tables::ImageCache;
 use crate::types::{
@@ -136,6 +135,11 @@
         }
     }
 
+    /// Whether the cloud's list shows it as failed.
+    pub fn listed_as_failed(&self) -> bool {
+        matches!(self.listed, Some((MachineStage::Failed, _)))
+    }
+
     /// Whether it is put aside.
     pub fn is_quarantined(&self, now: Time) -> bool {
         self.aside.is_some_and(|t| now < t)
@@ -157,14 +161,3 @@
             && self.reported.is_some_and(|t| now.since(t) < silence)
     }
 }
-
-/// A report whose answer waits a moment for a commit.
-#[derive(Debug)]
-pub struct DeferredHeartbeat {
-    /// The request.
-    pub request: RequestId,
-    /// When it is answered at the latest.
-    pub until: Time,
-    /// Cycles run when it was held; `None`: held until there is work.
-    pub cycles: Option<u64>,
-}
