--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -6,11 +6,16 @@
 mod cluster_state;
 mod command_dispatch;
 mod commit_pipeline;
+mod cycle_inputs;
 mod heartbeat_reconciliation;
+mod job_objectives;
 mod outcome;
 mod pending_call;
+mod placement_requests;
+mod preemption_search;
 mod record_watch;
 mod scheduler;
+mod service_levels;
 mod status_broadcast;
 mod task_completion;
 mod task_lifecycle;
@@ -185,7 +190,13 @@
         if self.scheduler.is_cycle_due(now) && self.may_start(now) {
             let interval = TimeSpan::secs(self.cluster.policy.cycle_s);
             self.scheduler.begin_cycle(now, interval);
-            self.cycle(effects);
+            let result = self.scheduler.run_cycle(
+                effects.now,
+                &mut self.cluster,
+                &self.authority,
+                &self.arrivals,
+            );
+            self.plan_rental(effects, &result.unplaced, &result.rows);
             self.scheduler.cycles += 1;
         }
         self.submit_next_transaction(effects);
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -464,7 +464,7 @@
             .iter()
             .filter(|(_, m)| m.reported.is_none() && m.lifecycle == MachineLifecycle::InService)
             .filter(|(_, m)| !matches!(m.listed, Some((MachineStage::Failed, _))))
-            .filter_map(|(id, m)| self.row(now, id, m))
+            .filter_map(|(id, m)| self.cluster.machine_row(now, id, m))
             .collect();
         booting.extend(
             self.autoscaler
@@ -487,7 +487,7 @@
             .cloned()
             .collect();
         // What the machines on their way will take needs no further ones.
-        let mut teams = self.team_use();
+        let mut teams = self.cluster.team_use();
         let estimates = self.cluster.fetch_estimates.clone();
         let pace = CycleParameters {
             now,
--- /dev/null
+++ b/crates/controller/src/core/leader/cycle_inputs.rs
@@ -0,0 +1,111 @@
+//! What one scheduling cycle reads of the cluster: machines as rows, and what teams
+//! use of their quotas.
+
+use super::cluster_state::ClusterState;
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::machine::Machine;
+use crate::core::placement_tables::MachineRow;
+use crate::core::quota::usage::{QuotaUnits, QuotaUsage};
+use crate::core::scheduling_cycle::TeamUse;
+use crate::types::{MachineId, Resources, Team, Time, TimeSpan};
+use std::collections::{BTreeMap, HashMap};
+
+impl ClusterState {
+    /// The machines that work may be placed on, as the cycle sees them.
+    pub fn machine_rows(&self, now: Time) -> Vec<MachineRow> {
+        let silence = self.max_silence();
+        self.machines
+            .iter()
+            .filter(|(_, machine)| machine.is_healthy(now, silence))
+            .filter_map(|(id, machine)| self.machine_row(now, id, machine))
+            .collect()
+    }
+
+    /// One machine as a row, if its type and zone are known.
+    pub fn machine_row(&self, now: Time, id: &MachineId, machine: &Machine) -> Option<MachineRow> {
+        let kind = machine.kind.clone()?;
+        let machine_type = self.machine_types.get(&kind)?;
+        let whole = machine_type.has();
+        Some(MachineRow {
+            id: id.clone(),
+            kind,
+            zone: machine.zone.clone()?,
+            spot: machine.spot,
+            whole,
+            free: whole - machine.unrecorded_usage - machine.used,
+            available: now,
+            last_high: machine.last_high,
+            cache: machine.cache.clone(),
+            fetch_rate: machine_type.fetch_gb_per_s,
+            aside: machine.is_quarantined(now),
+        })
+    }
+
+    /// Predicts when each row's machine will be free altogether.
+    pub fn predict_availability(&self, now: Time, rows: &mut [MachineRow]) {
+        let index = row_index(rows);
+        let mut work = vec![0.0; rows.len()];
+        for job in self.jobs.values() {
+            for assignment in job.assignments.values() {
+                let Some(&row) = index.get(&assignment.machine) else {
+                    continue;
+                };
+                let share = job.spec.needs().share_of(&rows[row].whole).min(1.0);
+                let remaining = self.remaining_time(now, job, assignment);
+                work[row] += remaining.as_secs() * share;
+            }
+        }
+        for (row, work) in rows.iter_mut().zip(work) {
+            row.available = now + TimeSpan::secs(work);
+        }
+    }
+
+    /// What teams use, counting every place a task may be.
+    pub fn team_use(&self) -> BTreeMap<Team, TeamUse> {
+        let unused = |share| TeamUse {
+            used: Resources::default(),
+            share,
+        };
+        let teams = self.settings.teams.iter();
+        let mut teams: BTreeMap<Team, TeamUse> = teams
+            .map(|(team, share)| (team.clone(), unused(*share)))
+            .collect();
+        let ended_count = failpoints::enforced(SafetyCheck::EndedJobsHoldPlaces);
+        for job in self.jobs.values().filter(|j| ended_count || j.is_open()) {
+            if let Some(team) = teams.get_mut(&job.spec.team) {
+                team.used += job.spec.needs().times(job.held() as f64);
+            }
+        }
+        teams
+    }
+
+    /// What teams hold of their quotas, and what of that is being stopped.
+    pub fn quota_usage(&self) -> QuotaUsage {
+        let mut usage = QuotaUsage::new(&self.settings.teams);
+        for job in self.jobs.values().filter(|job| job.held() > 0) {
+            let assignments = job.assignments.values();
+            let stopping = assignments.filter(|a| a.stop.is_some()).count();
+            let each = QuotaUnits::of(&job.spec.needs());
+            usage.hold(&job.spec.team, each, job.held(), stopping);
+        }
+        usage
+    }
+
+    /// What all machines together have that have sent a heartbeat.
+    pub fn fleet_resources(&self) -> Resources {
+        let mut fleet = Resources::default();
+        let machines = self.machines.values();
+        for machine in machines.filter(|machine| machine.reported.is_some()) {
+            if let Some(machine_type) = self.type_of(machine) {
+                fleet += machine_type.has();
+            }
+        }
+        fleet
+    }
+}
+
+/// Where each machine stands among the rows.
+pub(super) fn row_index(rows: &[MachineRow]) -> HashMap<&MachineId, usize> {
+    let rows = rows.iter().enumerate();
+    rows.map(|(index, row)| (&row.id, index)).collect()
+}
--- /dev/null
+++ b/crates/controller/src/core/leader/placement_requests.rs
@@ -0,0 +1,167 @@
+//! What waits for a place: the placement requests of one scheduling cycle, and why
+//! other jobs make none.
+
+use super::cluster_state::ClusterState;
+use super::job_objectives::JobObjectives;
+use crate::core::Now;
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::job_records::Job;
+use crate::core::leader_authority::LeaderAuthority;
+use crate::core::machine::Machine;
+use crate::core::scheduling_cycle::PlacementRequest;
+use crate::types::{JobId, MachineId, Resources, Team, Time, TimeSpan, Zone};
+use crate::wire::users::JobShape;
+use std::collections::{BTreeMap, HashMap};
+
+/// Most tasks of one job that one cycle looks at.
+const MAX_TASKS_PER_CYCLE: usize = 512;
+/// How much longer a job that is no gang waits before it counts as aged.
+const SINGLE_PATIENCE: f64 = 10.0;
+
+/// What a request is computed from beside its job.
+struct RequestInputs<'a> {
+    at: Now,
+    objectives: JobObjectives<'a>,
+    /// After how long a job has waited too long.
+    patience: TimeSpan,
+}
+
+impl ClusterState {
+    /// The requests of all jobs that have waiting tasks and may be placed; the others
+    /// get the reason noted.
+    pub fn placement_requests(
+        &mut self,
+        at: Now,
+        authority: &LeaderAuthority,
+    ) -> Vec<PlacementRequest> {
+        self.mark_entitled();
+        let fleet = self.fleet_resources();
+        let inputs = RequestInputs {
+            at,
+            objectives: JobObjectives::new(&self.settings, self.policy.small_first, fleet),
+            patience: TimeSpan::secs(self.policy.patience_s),
+        };
+        let mut requests = Vec::new();
+        let waiting = self.jobs.iter_mut();
+        for (id, job) in waiting.filter(|(_, job)| job.is_open() && !job.waiting.is_empty()) {
+            job.notes.waiting_since.get_or_insert(at.time);
+            if let Some(obstacle) = obstacle(at.time, authority, id, job) {
+                job.notes.why = obstacle;
+                continue;
+            }
+            let Some(in_zones) = tasks_in_zones(&self.machines, job) else {
+                job.notes.why = "the zone of one of its tasks is not known yet";
+                continue;
+            };
+            job.notes.why = "no room";
+            requests.push(inputs.request(id, job, in_zones));
+        }
+        requests
+    }
+
+    /// Marks the open jobs that lie within their team's guaranteed quota: together
+    /// with the team's earlier unfinished jobs they fit into it.
+    fn mark_entitled(&mut self) {
+        let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.is_open()).collect();
+        // Jobs come in the order of their ids, which decides among equals.
+        open.sort_by_key(|job| job.at);
+        let mut sums: HashMap<Team, Resources> = HashMap::new();
+        for job in open {
+            let Some(share) = self.settings.teams.get(&job.spec.team) else {
+                continue;
+            };
+            let sum = sums.entry(job.spec.team.clone()).or_default();
+            let whole = *sum + job.spec.needs().times(f64::from(job.spec.tasks));
+            job.notes.entitled = share.guarantees(&whole);
+            *sum = whole;
+        }
+    }
+}
+
+impl RequestInputs<'_> {
+    fn request(&self, id: &JobId, job: &Job, in_zones: BTreeMap<Zone, u32>) -> PlacementRequest {
+        let spec = &job.spec;
+        let waited_longer_than = |span: TimeSpan| {
+            let since = job.notes.waiting_since;
+            since.is_some_and(|since| self.at.time.since(since) > span)
+        };
+        let aging = if job.is_gang() {
+            self.patience
+        } else {
+            self.patience.scaled(SINGLE_PATIENCE)
+        };
+        PlacementRequest {
+            job: id.clone(),
+            team: spec.team.clone(),
+            class: spec.class.clone(),
+            image: spec.image.clone(),
+            image_gb: spec.image_gb,
+            need: spec.needs(),
+            tasks: tasks_to_place(job),
+            gang: spec.shape == JobShape::Gang,
+            priority: spec.priority,
+            entitled: job.notes.entitled,
+            order: self.objectives.order(self.at.wall, job),
+            kinds: spec.kinds.clone(),
+            zone: spec.zone.clone(),
+            one_zone: spec.one_zone,
+            most_in_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
+            in_zones,
+            spot: spec.spot,
+            run: TimeSpan::secs(spec.estimate_s),
+            start_by: self.objectives.start_by(self.at.time, self.at.wall, job),
+            aged: waited_longer_than(aging),
+            // The paper's gate has no end: beside a stream of urgent starts a cold
+            // fetch would wait for ever on machines that have room. And where all
+            // machines are quarantined, one of those is better than none.
+            overdue: waited_longer_than(self.patience)
+                && failpoints::enforced(SafetyCheck::HoldsEndWithAge),
+            avoid: job.notes.failed_on.clone(),
+        }
+    }
+}
+
+/// A gang's tasks are placed together, others a part at a time.
+fn tasks_to_place(job: &Job) -> Vec<u32> {
+    if job.is_gang() {
+        job.waiting.iter().collect()
+    } else {
+        job.waiting.iter().take(MAX_TASKS_PER_CYCLE).collect()
+    }
+}
+
+/// Why a job's waiting tasks may not be placed now, for operators.
+fn obstacle(now: Time, authority: &LeaderAuthority, id: &JobId, job: &Job) -> Option<&'static str> {
+    if job.unreadable {
+        return Some("a record of it cannot be read");
+    }
+    if authority.is_told(id) {
+        return Some("it is cancelled, as a peer says");
+    }
+    if now < job.notes.not_before {
+        return Some("it failed lately");
+    }
+    if job.is_gang() && !job.assignments.is_empty() {
+        return Some("its last attempt is not gone yet");
+    }
+    None
+}
+
+/// How many of a job's tasks are in each zone. `None`: the zone of one of them is not
+/// known, and the job's rules about zones need it.
+fn tasks_in_zones(
+    machines: &BTreeMap<MachineId, Machine>,
+    job: &Job,
+) -> Option<BTreeMap<Zone, u32>> {
+    let mut in_zones = BTreeMap::new();
+    let counted = failpoints::enforced(SafetyCheck::OldPlacesBindZones);
+    for assignment in job.assignments.values().filter(|_| counted) {
+        let machine = machines.get(&assignment.machine);
+        match machine.and_then(|machine| machine.zone.clone()) {
+            Some(zone) => *in_zones.entry(zone).or_default() += 1,
+            None if job.spec.one_zone || job.spec.spread => return None,
+            None => {}
+        }
+    }
+    Some(in_zones)
+}
--- /dev/null
+++ b/crates/controller/src/core/leader/service_levels.rs
@@ -0,0 +1,101 @@
+//! How classes and teams are served: what fair minimum shares are computed from.
+
+use super::arrival_recorder::{Arrival, ArrivalRecorder};
+use super::cluster_state::ClusterState;
+use crate::core::job_records::Job;
+use crate::core::quota::minimum_share::{Service, ShareGroup};
+use crate::types::{Class, Resources, Team, TimeSpan, WallTime};
+use std::collections::BTreeMap;
+
+/// How each pair of a class and a team is served. They are few, jobs are many.
+#[derive(Default)]
+struct PairServices<'a>(Vec<PairService<'a>>);
+
+struct PairService<'a> {
+    class: &'a Class,
+    team: &'a Team,
+    service: Service,
+}
+
+impl<'a> PairServices<'a> {
+    fn entry(&mut self, class: &'a Class, team: &'a Team) -> &mut Service {
+        let same = |pair: &PairService<'_>| pair.class == class && pair.team == team;
+        let index = self.0.iter().position(same).unwrap_or_else(|| {
+            let service = Service::default();
+            self.0.push(PairService {
+                class,
+                team,
+                service,
+            });
+            self.0.len() - 1
+        });
+        &mut self.0[index].service
+    }
+
+    /// Summed up by class and by team.
+    fn by_group(self) -> BTreeMap<ShareGroup, Service> {
+        let mut groups: BTreeMap<ShareGroup, Service> = BTreeMap::new();
+        for pair in self.0 {
+            for group in ShareGroup::both(pair.class, pair.team) {
+                groups.entry(group).or_default().add(&pair.service);
+            }
+        }
+        groups
+    }
+}
+
+impl ClusterState {
+    /// How classes and teams are served, by the work that came of late and the
+    /// work that has waited too long for it. Empty where nothing has.
+    pub fn service_levels(
+        &self,
+        wall: WallTime,
+        arrivals: &ArrivalRecorder,
+    ) -> BTreeMap<ShareGroup, Service> {
+        let window = TimeSpan::secs(self.policy.floor_window_s);
+        let overdue_after = window.scaled(1.0 - self.policy.floor_share);
+        let age = |at: WallTime| TimeSpan::millis(wall.0.saturating_sub(at.0));
+        let is_overdue =
+            |job: &Job| job.is_open() && !job.waiting.is_empty() && age(job.at) >= overdue_after;
+        let Some(largest) = self.largest_machine() else {
+            return BTreeMap::new();
+        };
+        // On most days nothing waits for so long.
+        if self.policy.floor_share <= 0.0 || !self.jobs.values().any(is_overdue) {
+            return BTreeMap::new();
+        }
+        let mut pairs = PairServices::default();
+        for (class, arrivals) in &arrivals.by_class {
+            let is_recent = |arrival: &&Arrival| age(arrival.at) < window;
+            for arrival in arrivals.iter().filter(is_recent) {
+                let service = pairs.entry(class, &arrival.team);
+                service.arrived += arrival.machines * arrival.run_s;
+            }
+        }
+        for job in self.jobs.values().filter(|job| job.is_open()) {
+            let service = pairs.entry(&job.spec.class, &job.spec.team);
+            add_job(service, job, &largest, is_overdue(job));
+        }
+        pairs.by_group()
+    }
+
+    /// The most that any machine type has, of each resource.
+    fn largest_machine(&self) -> Option<Resources> {
+        let types = self.machine_types.values();
+        types
+            .map(|machine_type| machine_type.has())
+            .reduce(|a, b| a.most(&b))
+    }
+}
+
+/// Adds what an open job uses, and what it waits for if it has waited too long.
+fn add_job(service: &mut Service, job: &Job, machine: &Resources, is_overdue: bool) {
+    let each = job.spec.needs().share_of(machine);
+    let assignments = job.assignments.values();
+    let staying = assignments.filter(|a| a.stop.is_none()).count();
+    service.used += staying as f64 * each;
+    if is_overdue {
+        service.overdue += f64::from(job.waiting.len()) * each * job.spec.estimate_s;
+        service.priority = service.priority.max(Some(job.spec.priority));
+    }
+}
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -171,8 +171,8 @@
 
     /// What teams hold, and how teams and classes are served, for operators.
     fn teams(&self, at: Now) -> serde_json::Value {
-        let services = self.services(at.wall);
-        let machines = self.rows(at.time).len() as f64;
+        let services = self.cluster.service_levels(at.wall, &self.arrivals);
+        let machines = self.cluster.machine_rows(at.time).len() as f64;
         let (share, window) = (
             self.cluster.policy.floor_share,
             self.cluster.policy.floor_window_s,
@@ -181,7 +181,7 @@
         let served = |g: &ShareGroup| services.get(g).map_or(1.0, |s| s.share());
         let gpus = |u: QuotaUnits| u.gpus as f64 / 1000.0;
         let cpus = |u: QuotaUnits| u.cpus as f64 / 1000.0;
-        let account = self.account();
+        let account = self.cluster.quota_usage();
         let teams: Vec<_> = account
             .teams()
             .map(|(team, h)| {
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -101,7 +101,7 @@
             .note(("wk-1".into(), 0), Time(0), true);
         let mut effects = effects_at(1.0);
         leader.submit_next_transaction(&mut effects);
-        let used = leader.team_use()[&Team::from("red")].used.gpus;
+        let used = leader.cluster.team_use()[&Team::from("red")].used.gpus;
         (halted, leader.writer.pipeline.flight.is_some(), used)
     };
     assert_eq!(seen(future.clone()), (false, false, 3.0));
