--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -1,18 +1,23 @@
-//! The leading controller: loads what is recorded, follows changes, places
-//! work every cycle and writes its decisions ahead of sending them.
+//! The leading controller: owns the parts that load what is recorded, follow changes,
+//! place work every cycle and write decisions ahead of sending them, and passes each
+//! input to the part that it concerns. Decides nothing itself.
 
 mod arrival_recorder;
 mod autoscaling;
+mod capacity_planning;
 mod cluster_state;
 mod command_dispatch;
 mod commit_pipeline;
 mod cycle_inputs;
+mod fleet_health;
 mod heartbeat_reconciliation;
+mod inspection;
 mod job_objectives;
 mod outcome;
 mod pending_call;
 mod placement_requests;
 mod preemption_search;
+mod record_load;
 mod record_watch;
 mod scheduler;
 mod service_levels;
@@ -21,46 +26,37 @@
 mod task_lifecycle;
 mod task_reconciliation;
 
-use self::arrival_recorder::{Arrival, ArrivalRecorder};
+use self::arrival_recorder::ArrivalRecorder;
+use self::autoscaling::CloudContext;
 use self::cluster_state::ClusterState;
 use self::command_dispatch::CommandDispatcher;
 use self::commit_pipeline::{TransactionWriter, WriteContext};
 use self::heartbeat_reconciliation::{HeartbeatContext, HeartbeatReconciler};
+use self::inspection::Inspection;
 pub use self::outcome::LeadershipOutcome;
 pub use self::pending_call::PendingCall;
-use self::record_watch::{LoadPhase, RecordWatcher};
+use self::record_load::RecordContext;
+use self::record_watch::RecordWatcher;
 use self::scheduler::Scheduler;
 use self::status_broadcast::StatusBroadcaster;
 pub use self::status_broadcast::TaskCounts;
 use self::task_completion::QuarantineRecorder;
-use super::autoscaler::state::Autoscaler;
+use super::autoscaler::state::{Autoscaler, CloudCall};
 use super::effects::{Effects, PendingCalls};
-use super::failpoints::{self, SafetyCheck};
-use super::format_version::chunk_progress::ChunkProgress;
 use super::format_version::{FormatVersion, WITH_HISTORY};
-use super::job_records::{self, HeaderStage, Job, JobOutcome, Watched};
 use super::leader_authority::{Bounds, LeaderAuthority};
-use super::machine::{Machine, MachineLifecycle};
 use super::quarantine::Quarantine;
-use super::quota::arrival_history::{self, ArrivalHistory};
-use super::{Reply, RequestId, Target};
+use super::{Now, Reply, RequestId};
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::types::{FencingToken, JobId, MachineId, TaskId, Time, TimeSpan, Version};
-use crate::wire;
+use crate::types::{FencingToken, Image, JobId, MachineId, NodeId, Time, TimeSpan};
 use crate::wire::cloud::MachineTypes;
-use crate::wire::kvstore::{Entry, EntryPage, Operation, WatchEvent, WatchResponse};
+use crate::wire::kvstore::{Operation, WatchEvent};
 use crate::wire::workers::Heartbeat;
 use std::rc::Rc;
 
-/// Time between looks for machines that fell silent or are gone.
-const LOOK_EVERY: TimeSpan = TimeSpan::millis(200);
-/// Changes of the state service that no rate bounds, as when leases end.
-const MOST_AT_ONCE: u64 = 10_000;
-/// Time between two times at which what came of late is stored.
-const MEMORY_EVERY: TimeSpan = TimeSpan::millis(30_000);
-/// Arrivals kept per class.
-const MOST_ARRIVALS: usize = 2048;
+/// Time between checks for machines that fell silent or are gone.
+const HEALTH_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(200);
 
 /// The leader: what its term rests on, and the parts that do its work.
 #[derive(Debug)]
@@ -139,7 +135,7 @@
         self.authority.is_loaded()
     }
 
-    /// Whether reports may be answered.
+    /// Whether heartbeats may be answered.
     pub fn may_answer(&self, now: Time) -> bool {
         self.authority.may_answer(now)
     }
@@ -149,13 +145,10 @@
         self.authority.may_start(now)
     }
 
-    /// Machines that it knows of, and those that have reported under its token.
+    /// Machines that it knows of, and those that have sent a heartbeat under its token.
     pub fn machines_heard(&self) -> (usize, usize) {
-        let heard = self
-            .cluster
-            .machines
-            .values()
-            .filter(|m| m.our_token_since.is_some());
+        let machines = self.cluster.machines.values();
+        let heard = machines.filter(|machine| machine.our_token_since.is_some());
         (self.cluster.machines.len(), heard.count())
     }
 
@@ -164,23 +157,30 @@
         self.cluster.machines.contains_key(machine)
     }
 
+    /// Whether another node may hold this token.
+    pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
+        let since_contact = self.authority.age(now);
+        let write_rps = self.cluster.settings.state_limits.write_rps;
+        self.records
+            .may_have_been_issued(token, since_contact, write_rps)
+    }
+
     /// Does what is due as time passes.
     pub fn tick(&mut self, effects: &mut Effects) {
-        if !self.records.reading && effects.now.time >= self.records.next_read {
-            self.read_on(effects);
+        self.records
+            .read_next(effects, &self.authority, &mut self.pending_calls);
+        if !self.is_loaded() {
+            return;
         }
-        if self.is_loaded() {
-            if effects.now.time >= self.next_health_check {
-                self.next_health_check = effects.now.time + LOOK_EVERY;
-                self.expire_leases(effects.now);
-                self.give_up_machines(effects.now.time);
-                self.mean_releases(effects.now.wall);
-            }
-            self.rental_tick(effects);
-            self.commands.send_announcements(effects, &self.cluster);
-            self.queue_outdated_chunks(effects.now.time);
-            self.store_memory(effects.now);
+        let at = effects.now;
+        if at.time >= self.next_health_check {
+            self.next_health_check = at.time + HEALTH_CHECK_INTERVAL;
+            self.check_machine_health(at);
         }
+        self.call_cloud(effects);
+        self.commands.send_announcements(effects, &self.cluster);
+        self.queue_outdated_chunks(at.time);
+        self.store_arrivals(at);
     }
 
     /// Does what any input may have made due.
@@ -188,16 +188,7 @@
         let now = effects.now.time;
         self.scheduler.adjust_pace(now);
         if self.scheduler.is_cycle_due(now) && self.may_start(now) {
-            let interval = TimeSpan::secs(self.cluster.policy.cycle_s);
-            self.scheduler.begin_cycle(now, interval);
-            let result = self.scheduler.run_cycle(
-                effects.now,
-                &mut self.cluster,
-                &self.authority,
-                &self.arrivals,
-            );
-            self.plan_rental(effects, &result.unplaced, &result.rows);
-            self.scheduler.cycles += 1;
+            self.run_cycle(effects.now);
         }
         self.submit_next_transaction(effects);
         self.commands.send_direct_stops(effects, &mut self.cluster);
@@ -210,43 +201,14 @@
         );
     }
 
-    fn read_on(&mut self, effects: &mut Effects) {
-        let (path, timeout) = match &self.records.load {
-            LoadPhase::Watched(got) => (page(job_records::WATCHED, got), TimeSpan::secs(3.0)),
-            LoadPhase::ProgressRecords(got) => (
-                page(job_records::PROGRESS_RECORDS, got),
-                TimeSpan::secs(3.0),
-            ),
-            LoadPhase::LeaderRecords(got) => {
-                (page(super::keys::LEADER_RECORDS, got), TimeSpan::secs(3.0))
-            }
-            LoadPhase::Done => {
-                let hold = self.authority.watch(effects.now.time);
-                (
-                    format!(
-                        "/changes?starts={}&since={}&hold_ms={}",
-                        job_records::WATCHED,
-                        self.records.revision,
-                        hold.as_millis()
-                    ),
-                    hold + TimeSpan::secs(3.0),
-                )
-            }
-        };
-        self.records.reading = true;
-        let sent = effects.now.time;
-        let id = effects.call(Target::State, "GET", path, Vec::new(), timeout);
-        self.pending_calls.add(id, PendingCall::Read { sent });
-    }
-
     /// Takes a reply to one of its calls.
     pub fn on_reply(
         &mut self,
         effects: &mut Effects,
-        what: PendingCall,
+        call: PendingCall,
         reply: Reply,
     ) -> LeadershipOutcome {
-        match what {
+        match call {
             PendingCall::Read { sent } => self.on_read(effects, sent, reply),
             PendingCall::Commit => self.on_commit(effects, reply),
             PendingCall::Written(op) => self.on_written(&op, reply),
@@ -261,398 +223,27 @@
         sent: Time,
         reply: Reply,
     ) -> LeadershipOutcome {
-        let now = effects.now.time;
-        self.records.reading = false;
-        let (status, body) = match reply {
-            Reply::Answer(status, body) => (status, body),
-            Reply::NotSent | Reply::Lost => (0, Vec::new()),
-        };
-        if status == 410 {
-            // Fell behind by more than the service keeps: start over.
-            return LeadershipOutcome::StepDown("changes were missed");
-        }
-        if status != 200 {
-            let jitter = effects.jitter();
-            self.records.next_read = now
-                + self
-                    .records
-                    .backoff
-                    .failed(TimeSpan::millis(150), TimeSpan::secs(1.0), jitter);
-            return LeadershipOutcome::Continue;
-        }
-        self.records.backoff.succeeded();
-        self.records.next_read = now;
-        if !self.is_loaded() {
-            return self.on_page(effects.now, sent, &body);
-        }
-        let Some(changes) = wire::decode::<WatchResponse>(&body) else {
-            return LeadershipOutcome::StepDown("changes could not be read");
-        };
-        let fate = self.apply(effects, changes);
-        self.authority.showed(sent);
-        for id in self.authority.refuted() {
-            if self.cluster.jobs.get(&id).is_some_and(Job::is_open) {
-                tracing::error!(job = %id, "said to be cancelled by a peer, and is not; it goes on");
-            }
-        }
-        fate
-    }
-
-    fn on_page(&mut self, now: super::Now, sent: Time, body: &[u8]) -> LeadershipOutcome {
-        let Some(page) = wire::decode::<EntryPage>(body) else {
-            return LeadershipOutcome::StepDown("records could not be read");
-        };
-        let more = page.more;
-        // Changes are followed from the first page on; what a later page
-        // already shows is applied twice without harm.
-        let revision = *self
+        let mut parts = self.records();
+        parts
             .records
-            .first_page_revision
-            .get_or_insert(page.revision);
-        self.authority.page(sent);
-        match &mut self.records.load {
-            LoadPhase::Watched(got) => {
-                got.extend(page.items);
-                if !more {
-                    self.records.revision = revision;
-                    let got = std::mem::take(got);
-                    if let Some(fate) = self.load_watched(got) {
-                        return fate;
-                    }
-                    self.records.load = LoadPhase::ProgressRecords(Vec::new());
-                }
-            }
-            LoadPhase::ProgressRecords(got) => {
-                got.extend(page.items);
-                if !more {
-                    let got = std::mem::take(got);
-                    self.load_records(now.time, got);
-                    self.records.load = LoadPhase::LeaderRecords(Vec::new());
-                }
-            }
-            LoadPhase::LeaderRecords(got) => {
-                got.extend(page.items);
-                if !more {
-                    let got = std::mem::take(got);
-                    self.load_duties(now, got);
-                    if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
-                        self.records.revision = page.revision;
-                    }
-                    self.records.load = LoadPhase::Done;
-                    self.authority.loaded(sent);
-                    tracing::info!(token = %self.token, jobs = self.cluster.jobs.len(), machines = self.cluster.machines.len(), "leading");
-                }
-            }
-            LoadPhase::Done => {}
-        }
-        LeadershipOutcome::Continue
-    }
-
-    fn load_watched(&mut self, entries: Vec<Entry>) -> Option<LeadershipOutcome> {
-        let mut holds = false;
-        for e in &entries {
-            match job_records::watched(&e.key) {
-                Watched::Office => {
-                    holds |= e.key == self.holder && e.version.0 == self.token.0;
-                    self.news.push(WatchEvent {
-                        put: Some(e.key.clone()),
-                        delete: None,
-                        value: e.value.clone(),
-                        version: e.version,
-                    });
-                }
-                Watched::Part(id, n) => self.records.assembler.part(id, n, &e.value),
-                _ => {}
-            }
-        }
-        if !holds {
-            return Some(LeadershipOutcome::StepDown(
-                "the lease ran out while loading",
-            ));
-        }
-        let submitted = entries
-            .iter()
-            .filter_map(|e| match job_records::watched(&e.key) {
-                Watched::Job(id) => Some(id),
-                _ => None,
-            });
-        self.records.submitted = submitted.collect();
-        for e in &entries {
-            let there = |id: &JobId| self.records.submitted.contains(id);
-            self.writer.garbage_collector.look(&e.key, e.version, there);
-        }
-        for e in &entries {
-            if let Watched::Job(id) = job_records::watched(&e.key) {
-                self.add_job(&id, e.version, &e.value);
-            }
-        }
-        for e in &entries {
-            if let Watched::JobOutcome(id) = job_records::watched(&e.key)
-                && let Some(job) = self.cluster.jobs.get_mut(&id)
-            {
-                job.end = Some(
-                    match job_records::read::<job_records::JobHeader>(&e.value) {
-                        Some(h) if h.s == HeaderStage::Done => JobOutcome::Done { written: true },
-                        _ => JobOutcome::Cancelled,
-                    },
-                );
-            }
-        }
-        None
-    }
-
-    fn add_job(&mut self, id: &JobId, version: Version, value: &serde_json::Value) {
-        if self.cluster.jobs.contains_key(id) {
-            return;
-        }
-        match self.records.assembler.job(id, version, value) {
-            Some(job) => {
-                self.note_arrival(&job);
-                // A new leader reads all open jobs at once: that is no news.
-                if self.is_loaded() {
-                    tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, tasks = job.spec.tasks, image = %job.spec.image, "accepted");
-                }
-                self.cluster.jobs.insert(id.clone(), job);
-            }
-            None => tracing::error!(job = %id, "record of the submission cannot be read"),
-        }
-    }
-
-    fn note_arrival(&mut self, job: &Job) {
-        let needs = job.spec.needs();
-        let per_machine = self
-            .cluster
-            .machine_types
-            .values()
-            .map(|t| needs.count_in(&t.has(), u32::MAX))
-            .max()
-            .unwrap_or(1)
-            .max(1);
-        let machines = f64::from(job.spec.tasks) / f64::from(per_machine);
-        let all = self
-            .arrivals
-            .by_class
-            .entry(job.spec.class.clone())
-            .or_default();
-        all.push_back(Arrival {
-            at: job.at,
-            team: job.spec.team.clone(),
-            machines,
-            run_s: job.spec.estimate_s,
-        });
-        if all.len() > MOST_ARRIVALS {
-            all.pop_front();
-        }
-    }
-
-    fn memory(&self) -> ArrivalHistory {
-        let mut memory = ArrivalHistory::new(TimeSpan::secs(self.cluster.policy.floor_window_s));
-        for (class, arrivals) in &self.arrivals.by_class {
-            for a in arrivals {
-                memory.note(a.at, class, &a.team, a.machines, a.run_s);
-            }
-        }
-        memory
-    }
-
-    /// Stores what came of late now and then, if the level in force has it.
-    fn store_memory(&mut self, at: super::Now) {
-        if self.level < WITH_HISTORY || at.time < self.arrivals.store_due {
-            return;
-        }
-        self.arrivals.store_due = at.time + MEMORY_EVERY;
-        let bytes = self.cluster.settings.state_limits.value_bytes;
-        let value = self.memory().store(at.wall, bytes);
-        if value != self.arrivals.stored {
-            self.arrivals.stored = value.clone();
-            self.autoscaler
-                .intents
-                .pending_writes
-                .put(arrival_history::KEY.into(), value);
-        }
-    }
-
-    /// Takes over what an earlier leader saw come, and that is over by now.
-    fn recall(&mut self, stored: &serde_json::Value) {
-        let Some(missing) = self.memory().missing(stored) else {
-            tracing::error!(
-                key = arrival_history::KEY,
-                "cannot be read; floors begin anew"
-            );
-            return;
-        };
-        for m in missing {
-            let all = self.arrivals.by_class.entry(m.class).or_default();
-            let place = all.partition_point(|a| a.at < m.at);
-            let arrival = Arrival {
-                at: m.at,
-                team: m.team,
-                machines: m.machines,
-                run_s: m.run_s,
-            };
-            all.insert(place, arrival);
-            if all.len() > MOST_ARRIVALS {
-                all.pop_front();
-            }
-        }
+            .handle_read_reply(effects, &mut parts.context, sent, reply)
     }
 
-    fn load_records(&mut self, now: Time, entries: Vec<Entry>) {
-        let submitted = std::mem::take(&mut self.records.submitted);
-        for e in entries {
-            let Some((id, chunk)) = job_records::record(&e.key) else {
-                continue;
-            };
-            // Without its submission a record is a remnant of an ended job.
-            self.writer
-                .garbage_collector
-                .look(&e.key, e.version, |id| submitted.contains(id));
-            let Some(job) = self.cluster.jobs.get_mut(&id) else {
-                continue;
-            };
-            if !ChunkProgress::is_of(&e.value, WITH_HISTORY) {
-                self.writer.outdated_chunks.insert((id.clone(), chunk));
-            }
-            if let Err(why) = job.load_chunk(chunk, e.version, &e.value) {
-                tracing::error!(job = %id, key = e.key, %why, "a record cannot be read; its job is left as it is");
-            }
-        }
-        let mut stop = Vec::new();
-        for (id, job) in &mut self.cluster.jobs {
-            for (&index, p) in &mut job.assignments {
-                p.placed = now;
-                let task = TaskId {
-                    job: id.clone(),
-                    index,
-                };
-                self.cluster
-                    .machines
-                    .entry(p.machine.clone())
-                    .or_insert_with(|| Machine::new(now))
-                    .take(task, job.spec.needs());
-            }
-            if job.end.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
-                job.end = Some(JobOutcome::Done { written: false });
-                self.cluster.unwritten.finished_jobs.insert(id.clone());
-            }
-            if !job.is_open() {
-                if job.assignments.is_empty() {
-                    self.cluster.unwritten.jobs_to_delete.insert(id.clone());
-                } else {
-                    stop.push(id.clone());
-                }
-            }
-        }
-        for id in stop {
-            self.cluster.stop_ended_job(now, &id, "its job is over");
-        }
-    }
-
-    /// Takes over what earlier leaders meant to have done.
-    pub(super) fn load_duties(&mut self, now: super::Now, entries: Vec<Entry>) {
-        for e in entries {
-            if e.key == arrival_history::KEY {
-                self.recall(&e.value);
-                self.arrivals.stored = e.value;
-                continue;
-            }
-            let go = self.autoscaler.intents.load(&e.key, &e.value, now.wall);
-            for id in go {
-                self.cluster
-                    .register_machine(now.time, &id, &self.autoscaler.intents)
-                    .mark_for_termination("an earlier leader meant to release it");
-            }
-            if let Some((id, drained)) = self.quarantine.load(&e.key, &e.value) {
-                let left = self.quarantine.pause_left(&id, now.wall);
-                let m = self
-                    .cluster
-                    .register_machine(now.time, &id, &self.autoscaler.intents);
-                m.aside = left.map(|left| now.time + left);
-                if drained && m.lifecycle == MachineLifecycle::InService {
-                    m.lifecycle = MachineLifecycle::Draining;
-                }
-            }
-        }
-        let [provisions, releases, going] = self.autoscaler.intents.open();
-        if provisions + releases > 0 {
-            tracing::info!(
-                provisions,
-                releases,
-                machines = going,
-                "finishing what earlier leaders meant"
-            );
-        }
-    }
-
-    fn apply(&mut self, effects: &mut Effects, changes: WatchResponse) -> LeadershipOutcome {
-        let now = effects.now.time;
-        for e in &changes.events {
-            if let Some(Watched::Part(id, n)) = e.put.as_deref().map(job_records::watched) {
-                self.records.assembler.part(id, n, &e.value);
-            }
-        }
-        for e in &changes.events {
-            if let Some(key) = &e.delete {
-                if key == self.holder {
-                    return LeadershipOutcome::StepDown("the lease ran out");
-                }
-                continue;
-            }
-            match e.put.as_deref().map(job_records::watched) {
-                Some(Watched::Office) => {
-                    self.news.push(e.clone());
-                    let key = e.put.as_deref() == Some(self.holder);
-                    if key && e.version.0 != self.token.0 {
-                        return LeadershipOutcome::Deposed(FencingToken(e.version.0));
-                    }
-                }
-                Some(Watched::Job(id)) => {
-                    self.add_job(&id, e.version, &e.value);
-                    self.scheduler
-                        .request_cycle(now, self.cluster.machines.len());
-                }
-                Some(Watched::JobOutcome(id)) => {
-                    let cancelled = job_records::read::<job_records::JobHeader>(&e.value)
-                        .is_some_and(|h| h.s == HeaderStage::Cancelled);
-                    if cancelled {
-                        self.cancelled(now, &id);
-                    }
-                }
-                _ => {}
-            }
-        }
-        self.records.revision = self.records.revision.max(changes.revision);
-        LeadershipOutcome::Continue
-    }
-
-    fn cancelled(&mut self, now: Time, id: &JobId) {
-        if let Some(job) = self.cluster.jobs.get(id) {
-            tracing::info!(job = %id, team = %job.spec.team, "cancelled by its user");
-            self.cluster.cancel_job(now, id, "its user cancelled it");
-        }
-    }
-
-    /// A peer told a job's user that it is cancelled: nothing of it is wanted any more,
-    /// whether or not the state service can be read. Nothing is deleted on a word.
-    pub fn hear_cancelled(&mut self, now: Time, id: &JobId) {
-        let Some(job) = self.cluster.jobs.get(id).filter(|j| j.is_open()) else {
-            return;
+    /// The cloud answered, or not; `by` is the peer that made the call, if one did.
+    pub fn on_cloud(
+        &mut self,
+        effects: &mut Effects,
+        call: CloudCall,
+        by: Option<NodeId>,
+        reply: Reply,
+    ) -> LeadershipOutcome {
+        let mut context = CloudContext {
+            cluster: &mut self.cluster,
+            commands: &mut self.commands,
+            heartbeats: &mut self.heartbeats,
         };
-        let tasks: Vec<u32> = job.assignments.keys().copied().collect();
-        if self.authority.told(now, id) {
-            tracing::info!(job = %id, tasks = tasks.len(), "cancelled, as a peer says");
-            self.cluster
-                .stop_tasks(now, id, &tasks, 0.0, "a peer says that it is cancelled");
-        }
-    }
-
-    /// Whether somebody may hold this token: one that was given before what is known
-    /// by now would be known too, and so many changes there cannot be since.
-    pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
-        let rate = self.cluster.settings.state_limits.write_rps * 2.0;
-        let since = (self.authority.age(now).as_secs() * rate) as u64;
-        let most = self.records.revision.0.saturating_add(since + MOST_AT_ONCE);
-        (self.records.revision.0 + 1..=most).contains(&token.0)
+        self.autoscaler
+            .handle_cloud_reply(effects, &mut context, call, by.as_ref(), reply)
     }
 
     /// Handles a worker's heartbeat; `may_defer`: its answer may wait for work.
@@ -690,8 +281,122 @@
         self.heartbeats.drop_deferred(effects);
     }
 
+    /// A peer told a job's user that it is cancelled: nothing of it is wanted any more,
+    /// whether or not the key-value store can be read. Nothing is deleted for it.
+    pub fn hear_cancelled(&mut self, now: Time, id: &JobId) {
+        let job = self.cluster.jobs.get(id);
+        let Some(job) = job.filter(|job| job.is_open()) else {
+            return;
+        };
+        let tasks: Vec<u32> = job.assignments.keys().copied().collect();
+        if self.authority.told(now, id) {
+            tracing::info!(job = %id, tasks = tasks.len(), "job cancelled, as a peer says");
+            let why = "a peer says that it is cancelled";
+            self.cluster.stop_tasks(now, id, &tasks, 0.0, why);
+        }
+    }
+
+    /// Task counts of a job, for display.
+    pub fn counts(&self, id: &JobId) -> Option<TaskCounts> {
+        self.cluster.task_counts(id)
+    }
+
+    /// Counts of done and running tasks that changed since the last call, at most
+    /// `most`.
+    pub fn changed_counts(&mut self, most: usize) -> Vec<(JobId, u32, u32)> {
+        self.status.changed_counts(&self.cluster, most)
+    }
+
+    /// Images of machines, with sizes in GB, where they changed since the last call.
+    pub fn changed_caches(&mut self) -> Vec<(MachineId, Vec<(Image, f64)>)> {
+        self.status.changed_caches(&self.cluster)
+    }
+
+    /// Fetch times, in milliseconds, that changed since the last call.
+    pub fn changed_fetches(&mut self) -> Vec<(Image, u64)> {
+        self.status.changed_fetch_times(&self.cluster)
+    }
+
+    /// A peer missed what was sent: everything is sent once more.
+    pub fn tell_again(&mut self) {
+        self.status.resend_everything();
+    }
+
+    /// Takes over what the last leader sent of a machine's images.
+    pub fn inherit_cache(&mut self, now: Time, id: &MachineId, images: &[(Image, f64)]) {
+        self.cluster.inherit_cache(now, id, images);
+    }
+
+    /// Everything an operator may ask for, of machines and jobs whose names
+    /// begin like this.
+    pub fn inspect(&self, at: Now, machine: &str, job: &str) -> serde_json::Value {
+        let inspection = Inspection {
+            at,
+            token: self.token,
+            leading_since: self.office,
+            authority: &self.authority,
+            cluster: &self.cluster,
+            scheduler: &self.scheduler,
+            writer: &self.writer,
+            autoscaler: &self.autoscaler,
+            quarantine: &self.quarantine,
+            arrivals: &self.arrivals,
+        };
+        inspection.report(machine, job)
+    }
+
+    /// Whether all that is stored has the format in force.
+    pub fn is_rewritten(&self) -> bool {
+        self.writer.is_rewritten(self.level)
+    }
+
+    fn run_cycle(&mut self, at: Now) {
+        let interval = TimeSpan::secs(self.cluster.policy.cycle_s);
+        self.scheduler.begin_cycle(at.time, interval);
+        let (cluster, arrivals) = (&mut self.cluster, &self.arrivals);
+        let result = self
+            .scheduler
+            .run_cycle(at, cluster, &self.authority, arrivals);
+        self.autoscaler
+            .plan_capacity(at, cluster, arrivals, self.office, &result);
+        self.scheduler.cycles += 1;
+    }
+
+    /// Writes off machines whose leases have expired, and has those terminated that are
+    /// of no use any more.
+    fn check_machine_health(&mut self, at: Now) {
+        self.expire_leases(at);
+        self.cluster
+            .retire_machines(at.time, self.autoscaler.listed);
+        self.autoscaler
+            .record_releases(&self.cluster.machines, at.wall);
+    }
+
+    /// Makes the next call to the cloud, if one is due.
+    fn call_cloud(&mut self, effects: &mut Effects) {
+        let cluster = &self.cluster;
+        self.autoscaler
+            .settle_intents(effects.now, cluster, &mut self.quarantine);
+        if self.may_start(effects.now.time) {
+            self.autoscaler
+                .make_next_call(effects, cluster, self.token, &mut self.pending_calls);
+        }
+    }
+
+    /// Stores recent arrivals now and then, if the format in force has them.
+    fn store_arrivals(&mut self, at: Now) {
+        if self.level < WITH_HISTORY {
+            return;
+        }
+        let window = TimeSpan::secs(self.cluster.policy.floor_window_s);
+        let value_bytes = self.cluster.settings.state_limits.value_bytes;
+        let pending_writes = &mut self.autoscaler.intents.pending_writes;
+        self.arrivals
+            .store_if_due(at, window, value_bytes, pending_writes);
+    }
+
     /// Writes off machines whose leases have expired.
-    fn expire_leases(&mut self, at: super::Now) {
+    fn expire_leases(&mut self, at: Now) {
         let inherited_until = self.office + self.authority.inherited();
         let mut recorder = QuarantineRecorder {
             quarantine: &mut self.quarantine,
@@ -701,6 +406,24 @@
             .expire_leases(at, &mut recorder, inherited_until);
     }
 
+    fn records(&mut self) -> RecordParts<'_> {
+        RecordParts {
+            records: &mut self.records,
+            context: RecordContext {
+                holder: self.holder,
+                token: self.token,
+                authority: &mut self.authority,
+                news: &mut self.news,
+                cluster: &mut self.cluster,
+                writer: &mut self.writer,
+                scheduler: &mut self.scheduler,
+                intents: &mut self.autoscaler.intents,
+                quarantine: &mut self.quarantine,
+                arrivals: &mut self.arrivals,
+            },
+        }
+    }
+
     fn writer(&mut self) -> WriterParts<'_> {
         WriterParts {
             writer: &mut self.writer,
@@ -742,11 +465,12 @@
         self.writer
             .queue_outdated_chunks(now, &mut self.cluster, self.level);
     }
+}
 
-    /// Whether all that is stored has the format in force.
-    pub fn is_rewritten(&self) -> bool {
-        self.writer.is_rewritten(self.level)
-    }
+/// The reader of records with everything that it acts on.
+struct RecordParts<'a> {
+    records: &'a mut RecordWatcher,
+    context: RecordContext<'a>,
 }
 
 /// The transaction writer with everything that it acts on.
@@ -756,13 +480,5 @@
     context: WriteContext<'a>,
 }
 
-/// Path of the next page of keys below a prefix.
-fn page(prefix: &str, got: &[Entry]) -> String {
-    match got.last() {
-        Some(e) => format!("/keys?starts={prefix}&since={}&most=500", e.key),
-        None => format!("/keys?starts={prefix}&most=500"),
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -1,667 +1,430 @@
-//! Renting and returning machines.
+//! The calls to the cloud: one at a time, in turns between terminating, provisioning
+//! and listing machines, and what their answers change. How many machines to have is
+//! decided in `capacity_planning`.
 
+use super::cluster_state::ClusterState;
+use super::command_dispatch::CommandDispatcher;
+use super::heartbeat_reconciliation::HeartbeatReconciler;
+use super::outcome::LeadershipOutcome;
+use super::pending_call::PendingCall;
 use super::task_lifecycle::RemovalReason;
-use crate::core::autoscaler::intents::{CapacityPool, MOST_RENTED};
-use crate::core::autoscaler::state::{BAD_GATEWAY, CONFLICT, CloudCall, GATEWAY_TIMEOUT};
-use crate::core::effects::Effects;
-use crate::core::leader::{Leader, LeadershipOutcome, PendingCall};
-use crate::core::machine::MachineLifecycle;
-use crate::core::placement_tables::{ImageCache, MachineRow};
-use crate::core::scheduling_cycle::{CycleParameters, PlacementRequest, SchedulingCycle};
-use crate::core::{Reply, Target};
-use crate::settings::ObjectiveKind;
-use crate::types::{MachineId, NodeId, Time, TimeSpan, Zone};
+use crate::core::autoscaler::intents::Intents;
+use crate::core::autoscaler::state::{
+    Autoscaler, BAD_GATEWAY, CONFLICT, CloudCall, GATEWAY_TIMEOUT,
+};
+use crate::core::effects::{Effects, PendingCalls};
+use crate::core::machine::{Machine, MachineLifecycle};
+use crate::core::quarantine::Quarantine;
+use crate::core::{Now, Reply, Target};
+use crate::types::{FencingToken, MachineId, NodeId, Time, TimeSpan, WallTime};
 use crate::wire;
-use crate::wire::cloud::{MachineList, MachineNames, MachineStage, MachineTypes, ProvisionRequest};
-use std::collections::{BTreeMap, HashMap};
+use crate::wire::cloud::{
+    ListedMachine, MachineList, MachineNames, MachineStage, MachineTypes, ProvisionRequest,
+};
+use crate::wire::users::ErrorResponse;
+use std::collections::BTreeMap;
 
-/// Machines in each zone.
-type Crowds = HashMap<Zone, u32>;
+/// Time between checks for intents that are settled.
+const SETTLE_INTERVAL: TimeSpan = TimeSpan::millis(1000);
+/// How long a call to the cloud may take, and longer by a peer.
+const CALL_TIMEOUT: TimeSpan = TimeSpan::millis(5000);
+const PEER_CALL_TIMEOUT: TimeSpan = TimeSpan::millis(6000);
+/// Time between reads of the machine types.
+const TYPES_INTERVAL: TimeSpan = TimeSpan::millis(60_000);
+/// Pauses after calls that failed.
+const SHORTEST_BACKOFF: TimeSpan = TimeSpan::millis(700);
+const LONGEST_BACKOFF: TimeSpan = TimeSpan::millis(5000);
 
-/// A small cost that evens out where new machines go.
-fn crowd(crowds: &Crowds, zone: &Zone) -> f64 {
-    f64::from(crowds.get(zone).copied().unwrap_or(0))
+/// The parts that an answer of the cloud changes.
+pub(in crate::core) struct CloudContext<'a> {
+    /// Jobs and machines.
+    pub cluster: &'a mut ClusterState,
+    /// Told of machines that a list shows.
+    pub commands: &'a mut CommandDispatcher,
+    /// Forgets machines that are gone.
+    pub heartbeats: &'a mut HeartbeatReconciler,
 }
 
-/// Time between looks for intents that are settled.
-const TEND_EVERY: TimeSpan = TimeSpan::millis(1000);
-/// How long a call to the cloud may take, and longer by a peer.
-const CALL: TimeSpan = TimeSpan::millis(5000);
-const CALL_BY_PEER: TimeSpan = TimeSpan::millis(6000);
-/// Time between looks at the machine types.
-const TYPES_EVERY: TimeSpan = TimeSpan::millis(60_000);
+/// What the cloud answered, as far as it matters to every kind of call.
+enum CloudAnswer {
+    /// Carried out; the body says what.
+    Accepted(Vec<u8>),
+    /// Understood and not carried out: there are no such machines.
+    NoCapacity(Vec<u8>),
+    /// Refused for good.
+    Malformed(Vec<u8>),
+    /// Certainly not carried out, and may be asked again.
+    Refused,
+    /// Not answered: it may have been carried out, or may yet be.
+    Unanswered,
+}
 
-impl Leader {
-    /// Makes the next call to the cloud, if one is due.
-    pub(super) fn rental_tick(&mut self, effects: &mut Effects) {
-        let now = effects.now.time;
-        if now >= self.autoscaler.tend_due {
-            self.autoscaler.tend_due = now + TEND_EVERY;
-            let machines = &self.cluster.machines;
-            let heard = |id: &MachineId| {
-                let m = machines.get(id);
-                m.is_none_or(|m| m.reported.is_some() || m.listed_at.is_some())
-            };
-            self.autoscaler.intents.tend(now, heard);
-            let there = |id: &MachineId| machines.contains_key(id);
-            let pending_writes = &mut self.autoscaler.intents.pending_writes;
-            self.quarantine
-                .tend(pending_writes, effects.now.wall, there);
-        }
-        if self.autoscaler.calling || now < self.autoscaler.not_before || !self.may_start(now) {
+/// The method, path and body of a call.
+struct CloudRequest {
+    method: &'static str,
+    path: String,
+    body: Vec<u8>,
+}
+
+impl Autoscaler {
+    /// Forgets intents and quarantine records that are settled.
+    pub(in crate::core) fn settle_intents(
+        &mut self,
+        at: Now,
+        cluster: &ClusterState,
+        quarantine: &mut Quarantine,
+    ) {
+        if at.time < self.tend_due {
             return;
         }
-        if self.autoscaler.calls.level(now) < 1.0 {
+        self.tend_due = at.time + SETTLE_INTERVAL;
+        let machines = &cluster.machines;
+        let is_heard_of = |id: &MachineId| {
+            let machine = machines.get(id);
+            machine.is_none_or(|m| m.reported.is_some() || m.listed_at.is_some())
+        };
+        self.intents.tend(at.time, is_heard_of);
+        let is_known = |id: &MachineId| machines.contains_key(id);
+        quarantine.tend(&mut self.intents.pending_writes, at.wall, is_known);
+    }
+
+    /// Makes the next call to the cloud, if one is due, itself or by a peer that
+    /// reaches the cloud better.
+    pub(in crate::core) fn make_next_call(
+        &mut self,
+        effects: &mut Effects,
+        cluster: &ClusterState,
+        token: FencingToken,
+        pending_calls: &mut PendingCalls<PendingCall>,
+    ) {
+        let now = effects.now.time;
+        if self.calling || now < self.not_before || self.calls.level(now) < 1.0 {
             return;
         }
-        let Some(call) = self.next_call(now) else {
+        let Some(call) = self.next_call(now, cluster.machine_types.is_empty()) else {
             return;
         };
-        self.autoscaler.calls.take(now, 1.0);
-        self.autoscaler.calling = true;
-        let (method, path, body) = match &call {
-            CloudCall::Types => ("GET", "/machine_types".to_string(), Vec::new()),
+        self.calls.take(now, 1.0);
+        self.calling = true;
+        let CloudRequest { method, path, body } = self.request_for(&call);
+        let by = self.hands.peer(now).cloned();
+        let mut peers = cluster.settings.peers.iter();
+        let peer = by
+            .as_ref()
+            .and_then(|node| peers.find(|peer| peer.node_id == *node));
+        let id = match peer {
+            Some(peer) => {
+                let path = format!("/cloud/{token}{path}");
+                effects.call(
+                    Target::Host(peer.addr),
+                    method,
+                    path,
+                    body,
+                    PEER_CALL_TIMEOUT,
+                )
+            }
+            None => effects.call(Target::Cloud, method, path, body, CALL_TIMEOUT),
+        };
+        pending_calls.add(id, PendingCall::Cloud(call, by));
+    }
+
+    /// A call as it is sent; that it is asked for is noted.
+    fn request_for(&mut self, call: &CloudCall) -> CloudRequest {
+        let get = |path: String| CloudRequest {
+            method: "GET",
+            path,
+            body: Vec::new(),
+        };
+        let post = |path: &str, body: Vec<u8>| CloudRequest {
+            method: "POST",
+            path: path.to_string(),
+            body,
+        };
+        match call {
+            CloudCall::Types => get("/machine_types".to_string()),
             CloudCall::List => {
-                let since = self.autoscaler.listing.last().map(|m| m.id.to_string());
-                let since = since.map_or(String::new(), |s| format!("since={s}&"));
-                ("GET", format!("/machines?{since}most=500"), Vec::new())
+                let last = self.listing.last();
+                let since = last.map_or(String::new(), |machine| format!("since={}&", machine.id));
+                get(format!("/machines?{since}most=500"))
             }
-            CloudCall::ProvisionRequest(r) => {
-                tracing::info!(kind = %r.kind, zone = %r.zone, spot = r.spot, count = r.count, "renting");
-                self.autoscaler.intents.provision_asked(&r.request);
-                ("POST", "/machines".to_string(), wire::encode(r))
+            CloudCall::ProvisionRequest(request) => {
+                tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, count = request.count, "provisioning machines");
+                self.intents.provision_asked(&request.request);
+                post("/machines", wire::encode(request))
             }
-            CloudCall::Release(names) => {
-                self.autoscaler.intents.release_asked(names);
-                let machines = names.clone();
+            CloudCall::Release(machines) => {
+                self.intents.release_asked(machines);
+                let machines = machines.clone();
                 let body = wire::encode(&MachineNames { machines });
-                ("POST", "/machines/release".to_string(), body)
+                post("/machines/release", body)
             }
-        };
-        let by = self.autoscaler.hands.peer(now).cloned();
-        let peer = by.as_ref().and_then(|node_id| {
-            self.cluster
-                .settings
-                .peers
-                .iter()
-                .find(|p| p.node_id == *node_id)
-        });
-        let id = match peer {
-            Some(p) => {
-                let path = format!("/cloud/{}{path}", self.token);
-                effects.call(Target::Host(p.addr), method, path, body, CALL_BY_PEER)
-            }
-            None => effects.call(Target::Cloud, method, path, body, CALL),
-        };
-        self.pending_calls.add(id, PendingCall::Cloud(call, by));
+        }
     }
 
-    /// Writes down which machines are to go.
-    pub(super) fn mean_releases(&mut self, wall: crate::types::WallTime) {
-        let intents = &self.autoscaler.intents;
-        let (any, pressing) = (intents.may_release(false), intents.may_release(true));
-        if !pressing {
+    /// Writes down which machines are to be terminated, ahead of asking for it.
+    pub(in crate::core) fn record_releases(
+        &mut self,
+        machines: &BTreeMap<MachineId, Machine>,
+        wall: WallTime,
+    ) {
+        let intents = &self.intents;
+        let (may_release, may_release_busy) =
+            (intents.may_release(false), intents.may_release(true));
+        if !may_release_busy {
             return;
         }
-        let new = self.cluster.machines.iter().filter(|(id, m)| {
-            m.lifecycle == MachineLifecycle::Terminating
-                && (any || !m.tasks.is_empty())
+        let is_new = |(id, machine): &(&MachineId, &Machine)| {
+            machine.lifecycle == MachineLifecycle::Terminating
+                && (may_release || !machine.tasks.is_empty())
                 && !intents.is_leaving(id)
-        });
-        let new: Vec<_> = new.map(|(id, m)| (id.clone(), m.why)).collect();
+        };
+        let new = machines.iter().filter(is_new);
+        let new: Vec<_> = new.map(|(id, machine)| (id.clone(), machine.why)).collect();
         if !new.is_empty() {
-            self.autoscaler.intents.release(new.into_iter(), wall);
+            self.intents.release(new.into_iter(), wall);
         }
     }
 
-    /// The next call; made only if the rate allows it.
-    fn next_call(&mut self, now: Time) -> Option<CloudCall> {
-        if self.cluster.machine_types.is_empty() {
+    /// The next call, if one is due. While spot machines go all the time there is
+    /// always something to release; other calls take turns with it.
+    pub(in crate::core) fn next_call(&mut self, now: Time, needs_types: bool) -> Option<CloudCall> {
+        if needs_types {
             return Some(CloudCall::Types);
         }
-        // While spot machines go all the time there is always something to
-        // release; other calls take turns with it.
-        let turn = if self.autoscaler.released_last {
-            [Self::other_call, Self::release_call]
+        let call = if self.released_last {
+            self.other_call(now).or_else(|| self.release_call())
         } else {
-            [Self::release_call, Self::other_call]
+            self.release_call().or_else(|| self.other_call(now))
         };
-        let call = turn.into_iter().find_map(|next| next(self, now));
-        self.autoscaler.released_last = matches!(call, Some(CloudCall::Release(_)));
+        self.released_last = matches!(call, Some(CloudCall::Release(_)));
         call
     }
 
-    fn release_call(&mut self, _: Time) -> Option<CloudCall> {
-        let release = self.autoscaler.intents.next_release();
-        (!release.is_empty()).then_some(CloudCall::Release(release))
+    fn release_call(&self) -> Option<CloudCall> {
+        let machines = self.intents.next_release();
+        (!machines.is_empty()).then_some(CloudCall::Release(machines))
     }
 
-    fn other_call(&mut self, now: Time) -> Option<CloudCall> {
-        let late = now >= self.autoscaler.list_due + self.autoscaler.list_every;
-        if late {
+    fn other_call(&self, now: Time) -> Option<CloudCall> {
+        let is_list_late = now >= self.list_due + self.list_every;
+        if is_list_late {
             return Some(CloudCall::List);
         }
-        if let Some(rent) = self.autoscaler.intents.next_provision() {
-            return Some(CloudCall::ProvisionRequest(rent));
+        if let Some(request) = self.intents.next_provision() {
+            return Some(CloudCall::ProvisionRequest(request));
         }
-        if now >= self.autoscaler.list_due {
+        if now >= self.list_due {
             return Some(CloudCall::List);
         }
-        if now >= self.autoscaler.types_due {
-            return Some(CloudCall::Types);
-        }
-        None
+        (now >= self.types_due).then_some(CloudCall::Types)
     }
 
-    /// The cloud answered, or not.
-    pub fn on_cloud(
+    /// The cloud answered, or not; `by` is the peer that made the call, if one did.
+    pub(in crate::core) fn handle_cloud_reply(
         &mut self,
         effects: &mut Effects,
+        context: &mut CloudContext<'_>,
         call: CloudCall,
-        by: Option<NodeId>,
+        by: Option<&NodeId>,
         reply: Reply,
     ) -> LeadershipOutcome {
         let now = effects.now.time;
-        self.autoscaler.calling = false;
-        let (status, body) = match reply {
-            // What a peer says when it got no answer itself, or did not ask.
-            Reply::Answer(400 | 404 | 405 | BAD_GATEWAY | GATEWAY_TIMEOUT, _) if by.is_some() => {
-                (0, Vec::new())
-            }
-            Reply::Answer(CONFLICT, _) if by.is_some() => {
-                return LeadershipOutcome::StepDown("a peer knows a later leader");
-            }
-            Reply::Answer(status, body) => (status, body),
-            Reply::NotSent | Reply::Lost => (0, Vec::new()),
-        };
-        if status == 0 {
-            self.autoscaler.hands.unanswered(now, by.as_ref());
-        } else {
-            self.autoscaler.hands.answered(now, by.as_ref());
+        self.calling = false;
+        if by.is_some() && matches!(reply, Reply::Answer(CONFLICT, _)) {
+            return LeadershipOutcome::StepDown("a peer knows a later leader");
         }
-        let no_capacity = status == 503
-            && wire::decode::<crate::wire::users::ErrorResponse>(&body)
-                .is_some_and(|r| r.error == "no capacity");
-        // Only 200 proves that released machines are gone.
-        let malformed = status == 400 && !matches!(call, CloudCall::Release(_));
-        if status != 200 && !no_capacity && !malformed {
-            let jitter = effects.jitter();
-            self.autoscaler.not_before = now
-                + self.autoscaler.backoff.failed(
-                    TimeSpan::millis(700),
-                    TimeSpan::secs(5.0),
-                    jitter,
-                );
-            if let CloudCall::ProvisionRequest(r) = call {
-                // Answered by a refusal, it was not carried out; otherwise it
-                // may have been, or may yet be: only its own name may ask again.
-                if status == 0 {
-                    self.autoscaler.intents.provision_lost(&r.request);
-                } else {
-                    self.autoscaler.intents.provision_refused(&r.request);
-                }
+        let answer = self.classify_reply(now, &call, by, reply);
+        let (is_accepted, body) = match answer {
+            CloudAnswer::Unanswered | CloudAnswer::Refused => {
+                self.handle_failure(effects, call, &answer);
+                return LeadershipOutcome::Continue;
             }
-            return LeadershipOutcome::Continue;
-        }
-        self.autoscaler.backoff.succeeded();
+            CloudAnswer::NoCapacity(body) | CloudAnswer::Malformed(body) => (false, body),
+            CloudAnswer::Accepted(body) => (true, body),
+        };
+        self.backoff.succeeded();
         match call {
-            CloudCall::Types => {
-                self.autoscaler.types_due = now + TYPES_EVERY;
-                if let Some(types) = wire::decode::<MachineTypes>(&body) {
-                    self.set_types(&types);
-                    effects.learned_types = Some(types);
-                }
+            CloudCall::Types => self.apply_types(effects, context.cluster, &body),
+            CloudCall::List => self.apply_list_page(now, context, &body),
+            CloudCall::ProvisionRequest(request) if is_accepted => {
+                self.apply_provisioned(now, context.cluster, &request, &body);
             }
-            CloudCall::List => match wire::decode::<MachineList>(&body) {
-                Some(list) => {
-                    let more = list.more && !list.machines.is_empty();
-                    self.autoscaler.listing.extend(list.machines);
-                    if !more {
-                        self.autoscaler.list_due = now + self.autoscaler.list_every;
-                        self.take_list(now);
-                    }
-                }
-                None => self.autoscaler.list_due = now + self.autoscaler.list_every,
-            },
-            CloudCall::ProvisionRequest(r) => {
-                if no_capacity || status == 400 {
-                    let pause = TimeSpan::secs(self.cluster.policy.no_capacity_pause_s);
-                    self.autoscaler.intents.no_room(&r.request);
-                    tracing::info!(kind = %r.kind, zone = %r.zone, spot = r.spot, "no capacity");
-                    self.autoscaler
-                        .paused
-                        .insert((r.kind, r.zone, r.spot), now + pause);
-                } else if let Some(names) = wire::decode::<MachineNames>(&body) {
-                    if (names.machines.len() as u32) < r.count {
-                        let pause = TimeSpan::secs(self.cluster.policy.no_capacity_pause_s);
-                        self.autoscaler
-                            .paused
-                            .insert((r.kind.clone(), r.zone.clone(), r.spot), now + pause);
-                    }
-                    self.autoscaler
-                        .intents
-                        .filled(&r.request, &names.machines, now);
-                    for id in names.machines {
-                        if self.autoscaler.intents.is_gone(&id) {
-                            continue;
-                        }
-                        let m = self
-                            .cluster
-                            .register_machine(now, &id, &self.autoscaler.intents);
-                        m.kind.get_or_insert(r.kind.clone());
-                        m.zone.get_or_insert(r.zone.clone());
-                        m.spot = r.spot;
-                    }
-                }
-            }
-            CloudCall::Release(names) => {
-                self.autoscaler.intents.released(&names, now);
-                for id in names {
-                    // By now the machine and everything on it is gone.
-                    self.cluster
-                        .write_off_machine(now, &id, RemovalReason::MachineReleased);
-                    self.cluster.machines.remove(&id);
-                    self.heartbeats.forget_machine(&id);
-                }
+            CloudCall::ProvisionRequest(request) => {
+                self.apply_no_capacity(now, context.cluster, request);
             }
+            CloudCall::Release(machines) => self.apply_released(now, context, machines),
         }
         LeadershipOutcome::Continue
     }
 
-    fn take_list(&mut self, now: Time) {
-        let list = std::mem::take(&mut self.autoscaler.listing);
-        self.autoscaler.listed = Some(now);
-        for l in list {
-            // One that was taken in again would count as coming up, and
-            // nothing would be rented for the work that waits for it.
-            if self.autoscaler.intents.is_gone(&l.id) {
-                continue;
-            }
-            let m = self
-                .cluster
-                .register_machine(now, &l.id, &self.autoscaler.intents);
-            m.kind.get_or_insert(l.kind);
-            m.zone.get_or_insert(l.zone);
-            m.spot = l.spot;
-            let mut stopping = Vec::new();
-            if m.addr.is_none() {
-                m.addr = l.addr.parse().ok();
-                stopping.extend(m.tasks.iter().cloned());
-            }
-            m.listed = Some((l.stage, TimeSpan::secs(l.age_s)));
-            m.listed_at = Some(now);
-            if l.stage == MachineStage::Failed && m.tasks.is_empty() {
-                m.mark_for_termination("failed");
-            }
-            self.commands.announce_to(now, &self.cluster, &l.id);
-            if !stopping.is_empty() {
-                // What an earlier leader had half told to stop is told whole;
-                // the rest is left out when it is sent.
-                self.cluster
-                    .direct_stops
-                    .entry(l.id)
-                    .or_default()
-                    .extend(stopping);
+    /// What a reply says, and whether its way to the cloud works.
+    fn classify_reply(
+        &mut self,
+        now: Time,
+        call: &CloudCall,
+        by: Option<&NodeId>,
+        reply: Reply,
+    ) -> CloudAnswer {
+        let answered = match reply {
+            // What a peer says when it got no answer itself, or did not ask.
+            Reply::Answer(400 | 404 | 405 | BAD_GATEWAY | GATEWAY_TIMEOUT, _) if by.is_some() => {
+                None
             }
+            Reply::Answer(status, body) => Some((status, body)),
+            Reply::NotSent | Reply::Lost => None,
+        };
+        let Some((status, body)) = answered.filter(|(status, _)| *status != 0) else {
+            self.hands.unanswered(now, by);
+            return CloudAnswer::Unanswered;
+        };
+        self.hands.answered(now, by);
+        match status {
+            200 => CloudAnswer::Accepted(body),
+            503 if is_no_capacity(&body) => CloudAnswer::NoCapacity(body),
+            // Only 200 proves that released machines are gone.
+            400 if !matches!(call, CloudCall::Release(_)) => CloudAnswer::Malformed(body),
+            _ => CloudAnswer::Refused,
         }
     }
 
-    /// Sees to machines that never came up, fell silent or are gone.
-    pub(super) fn give_up_machines(&mut self, now: Time) {
-        let silence = self.cluster.max_silence();
-        let lag = self.cluster.settings.list_lag;
-        let listed = self.autoscaler.listed;
-        let mut forget = Vec::new();
-        for (id, m) in &mut self.cluster.machines {
-            let heard = m.reported.unwrap_or(m.known);
-            let quiet = now.since(heard);
-            let boot = m
-                .kind
-                .as_ref()
-                .and_then(|k| self.cluster.machine_types.get(k))
-                .map_or(60.0, |t| t.boot_s);
-            let patience = TimeSpan::secs(boot * self.cluster.policy.boot_patience);
-            // Lists are up to twice the lag old; one that was taken in well
-            // after the machine fell silent and still lacks it says it is gone.
-            let fresh = TimeSpan(lag.0 * 2) + TimeSpan::secs(1.0);
-            let unlisted = listed.is_some_and(|at| {
-                at > heard + fresh && m.listed_at.is_none_or(|l| at > l) && m.known + fresh < at
-            });
-            match m.lifecycle {
-                MachineLifecycle::Terminating => {}
-                MachineLifecycle::Draining if m.tasks.is_empty() => {
-                    m.mark_for_termination("put aside")
-                }
-                // It is paid for nothing, as an idle machine is.
-                _ if m.tasks.is_empty()
-                    && m.aside.is_some_and(|t| {
-                        t.since(now) > TimeSpan::secs(self.cluster.policy.idle_s)
-                    }) =>
-                {
-                    m.mark_for_termination("put aside");
-                }
-                // It is paid, and nothing can be had of it.
-                _ if m.tasks.is_empty()
-                    && m.delivery.deaf_for(now).is_some_and(|t| {
-                        t > TimeSpan::secs(self.cluster.policy.silent_release_s)
-                    }) =>
-                {
-                    tracing::info!(machine = %id, "reports and does not hear, released");
-                    m.mark_for_termination("does not hear");
-                }
-                _ if m.lost && matches!(m.listed, Some((MachineStage::Failed, _))) => {
-                    m.mark_for_termination("failed");
-                }
-                _ if m.reported.is_none() => {
-                    if quiet > patience && m.listed_at.is_some() {
-                        tracing::info!(machine = %id, "did not come up, released");
-                        m.mark_for_termination("did not come up");
-                    } else if quiet > patience && unlisted && m.tasks.is_empty() {
-                        forget.push(id.clone());
-                    }
-                }
-                // Silent and no longer listed: taken. A release costs nothing
-                // then, and its answer proves that the tasks are gone, long
-                // before the lease would.
-                _ if quiet > silence && unlisted => {
-                    if !m.tasks.is_empty() {
-                        tracing::info!(machine = %id, "silent and not listed, released");
-                    }
-                    m.mark_for_termination("silent and not listed");
-                }
-                _ if quiet > TimeSpan::secs(self.cluster.policy.silent_release_s) => {
-                    tracing::info!(machine = %id, "silent for long, released");
-                    m.mark_for_termination("silent for long");
-                }
-                _ => {}
+    /// A call failed and is made again after a pause.
+    fn handle_failure(&mut self, effects: &mut Effects, call: CloudCall, answer: &CloudAnswer) {
+        let jitter = effects.jitter();
+        let pause = self
+            .backoff
+            .failed(SHORTEST_BACKOFF, LONGEST_BACKOFF, jitter);
+        self.not_before = effects.now.time + pause;
+        if let CloudCall::ProvisionRequest(request) = call {
+            // Answered by a refusal, it was not carried out; otherwise it
+            // may have been, or may yet be: only its own name may ask again.
+            match answer {
+                CloudAnswer::Unanswered => self.intents.provision_lost(&request.request),
+                _ => self.intents.provision_refused(&request.request),
             }
         }
-        for id in forget {
-            self.cluster.machines.remove(&id);
-        }
-    }
-
-    /// The machines that a hire will bring, as rows: what they will take needs
-    /// no further ones.
-    fn expected(&self, now: Time, r: &ProvisionRequest) -> Vec<MachineRow> {
-        let Some(t) = self.cluster.machine_types.get(&r.kind) else {
-            return Vec::new();
-        };
-        let row = |n: u32| MachineRow {
-            id: format!("{}#{n}", r.request).into(),
-            kind: r.kind.clone(),
-            zone: r.zone.clone(),
-            spot: r.spot,
-            whole: t.has(),
-            free: t.has(),
-            available: now,
-            last_high: None,
-            cache: ImageCache::default(),
-            fetch_rate: t.fetch_gb_per_s,
-            aside: false,
-        };
-        (0..r.count).map(row).collect()
     }
 
-    /// Whether a new leader can tell what is missing from what it has not heard
-    /// of yet: once it has a whole list, or every worker has had time to report.
-    fn knows_its_fleet(&self, now: Time) -> bool {
-        let reports = self.cluster.settings.workers.report.scaled(1.5) + TimeSpan::secs(1.0);
-        self.autoscaler.listed.is_some() || now.since(self.office) > reports
+    fn apply_types(&mut self, effects: &mut Effects, cluster: &mut ClusterState, body: &[u8]) {
+        self.types_due = effects.now.time + TYPES_INTERVAL;
+        if let Some(types) = wire::decode::<MachineTypes>(body) {
+            cluster.set_machine_types(&types);
+            effects.learned_types = Some(types);
+        }
     }
 
-    /// How many idle machines to keep for classes whose starts are wanted
-    /// sooner than a machine boots.
-    fn reserve(&self, now_wall: crate::types::WallTime) -> u32 {
-        let boot = self
-            .cluster
-            .machine_types
-            .values()
-            .map(|t| t.boot_s)
-            .fold(0.0, f64::max);
-        let mut machines = 0.0;
-        let mut largest: f64 = 0.0;
-        for (class, arrivals) in &self.arrivals.by_class {
-            let soon = self.cluster.settings.objectives.iter().any(|o| {
-                o.kind == ObjectiveKind::Wait
-                    && o.class.as_ref() == Some(class)
-                    && o.within.is_some_and(|w| w.as_secs() < boot * 2.0)
-            });
-            if !soon {
-                continue;
+    /// A page of the machine list was read; after the last one the list counts.
+    fn apply_list_page(&mut self, now: Time, context: &mut CloudContext<'_>, body: &[u8]) {
+        let next_list = now + self.list_every;
+        let Some(page) = wire::decode::<MachineList>(body) else {
+            self.list_due = next_list;
+            return;
+        };
+        let is_last = !page.more || page.machines.is_empty();
+        self.listing.extend(page.machines);
+        if !is_last {
+            return;
+        }
+        self.list_due = next_list;
+        self.listed = Some(now);
+        for listed in std::mem::take(&mut self.listing) {
+            // One that was taken in again would count as coming up, and
+            // nothing would be provisioned for the work that waits for it.
+            if !self.intents.is_gone(&listed.id) {
+                apply_listed_machine(now, context, &self.intents, listed);
             }
-            let window = 240_000;
-            let recent: Vec<_> = arrivals
-                .iter()
-                .filter(|a| now_wall.0.saturating_sub(a.at.0) < window)
-                .collect();
-            let oldest = recent.iter().map(|a| a.at.0).min();
-            let span = oldest.map_or(1.0, |o| {
-                (now_wall.0.saturating_sub(o) as f64 / 1000.0).max(60.0)
-            });
-            let sum: f64 = recent.iter().map(|a| a.machines).sum();
-            machines += sum / span * boot;
-            largest = recent.iter().map(|a| a.machines).fold(largest, f64::max);
         }
-        (machines * self.cluster.policy.reserve)
-            .max(largest)
-            .min(self.cluster.policy.most_reserve)
-            .ceil() as u32
     }
 
-    /// After a cycle: orders machines for what found no room, and returns
-    /// idle ones that nothing needs.
-    pub(super) fn plan_rental(
+    /// Machines were provisioned, perhaps fewer than asked for.
+    fn apply_provisioned(
         &mut self,
-        effects: &mut Effects,
-        wants: &[PlacementRequest],
-        rows: &[MachineRow],
+        now: Time,
+        cluster: &mut ClusterState,
+        request: &ProvisionRequest,
+        body: &[u8],
     ) {
-        let now = effects.now.time;
-        let mut booting: Vec<MachineRow> = self
-            .cluster
-            .machines
-            .iter()
-            .filter(|(_, m)| m.reported.is_none() && m.lifecycle == MachineLifecycle::InService)
-            .filter(|(_, m)| !matches!(m.listed, Some((MachineStage::Failed, _))))
-            .filter_map(|(id, m)| self.cluster.machine_row(now, id, m))
-            .collect();
-        booting.extend(
-            self.autoscaler
-                .intents
-                .coming()
-                .flat_map(|r| self.expected(now, r)),
-        );
-        let on_the_way = booting.len() as u32;
-        let mut room = (self.cluster.policy.most_booting as u32).saturating_sub(on_the_way);
-        let rent_after = TimeSpan::secs(self.cluster.policy.rent_after_s);
-        let mut left: Vec<PlacementRequest> = wants
-            .iter()
-            .filter(|w| {
-                self.cluster
-                    .jobs
-                    .get(&w.job)
-                    .and_then(|j| j.notes.waiting_since)
-                    .is_some_and(|t| now.since(t) >= rent_after)
-            })
-            .cloned()
-            .collect();
-        // What the machines on their way will take needs no further ones.
-        let mut teams = self.cluster.team_use();
-        let estimates = self.cluster.fetch_estimates.clone();
-        let pace = CycleParameters {
-            now,
-            most_skew: TimeSpan::secs(1e6),
+        let Some(names) = wire::decode::<MachineNames>(body) else {
+            return;
         };
-        SchedulingCycle::new(pace, &mut booting, &mut teams, &estimates).run(&mut left);
-        left.retain(|w| !w.tasks.is_empty());
-        self.autoscaler.paused.retain(|_, until| *until > now);
-        if self.autoscaler.intents.may_provision() && self.knows_its_fleet(now) {
-            let crowds = self.crowds();
-            let mut orders: BTreeMap<CapacityPool, f64> = BTreeMap::new();
-            for w in &left {
-                let allowed = teams.get(&w.team).is_some_and(|t| {
-                    t.share.allows(
-                        &(t.used
-                            + w.need
-                                .times(if w.gang { w.tasks.len() as f64 } else { 1.0 })),
-                    )
-                });
-                if !allowed {
-                    continue;
-                }
-                if let Some((market, per)) = self.market(w, &crowds) {
-                    *orders.entry(market).or_default() += w.tasks.len() as f64 / f64::from(per);
-                }
-            }
-            let idle = rows
-                .iter()
-                .filter(|r| r.free == r.whole && !r.aside)
-                .count()
-                + booting.iter().filter(|r| r.free == r.whole).count();
-            let reserve = self.reserve(effects.now.wall) as usize;
-            if idle < reserve
-                && let Some(market) = self.any_market(&crowds)
-            {
-                *orders.entry(market).or_default() += (reserve - idle) as f64;
-            }
-            for (market, n) in orders {
-                let mut n = (n.ceil() as u32).min(room);
-                room -= n;
-                while n > 0 {
-                    let count = n.min(MOST_RENTED);
-                    n -= count;
-                    let market = market.clone();
-                    self.autoscaler
-                        .intents
-                        .provision(market, count, effects.now.wall);
-                }
-            }
+        if (names.machines.len() as u32) < request.count {
+            self.pause_pool(now, cluster, request);
         }
-        self.return_idle(effects, &left, rows);
-    }
-
-    /// Where to rent for a want: the cheapest per task that is not paused,
-    /// and how many tasks a machine takes.
-    fn market(&self, w: &PlacementRequest, crowds: &Crowds) -> Option<(CapacityPool, u32)> {
-        let mut best: Option<(f64, CapacityPool, u32)> = None;
-        let taken = w.in_zones.iter().find(|(_, n)| **n > 0).map(|(z, _)| z);
-        for t in self.cluster.machine_types.values() {
-            let per = w.need.count_in(&t.has(), 100_000);
-            if per == 0 || w.kinds.as_ref().is_some_and(|k| !k.contains(&t.name)) {
+        self.intents.filled(&request.request, &names.machines, now);
+        for id in names.machines {
+            if self.intents.is_gone(&id) {
                 continue;
             }
-            for zone in &t.zones {
-                let allowed = w.zone.as_ref().is_none_or(|z| z == zone)
-                    && !(w.one_zone && taken.is_some_and(|z| z != zone))
-                    && w.zone_room(zone) > 0;
-                for spot in [true, false] {
-                    let market = (t.name.clone(), zone.clone(), spot);
-                    if !allowed || (spot && !w.spot) || self.autoscaler.paused.contains_key(&market)
-                    {
-                        continue;
-                    }
-                    let price = if spot { t.spot_price } else { t.price };
-                    let cost = price / f64::from(per) + crowd(crowds, zone) * 1e-6;
-                    if best.as_ref().is_none_or(|(c, _, _)| cost < *c) {
-                        best = Some((cost, market, per));
-                    }
-                }
-            }
+            let machine = cluster.register_machine(now, &id, &self.intents);
+            machine.kind.get_or_insert(request.kind.clone());
+            machine.zone.get_or_insert(request.zone.clone());
+            machine.spot = request.spot;
         }
-        best.map(|(_, m, p)| (m, p))
     }
 
-    /// The cheapest market at all.
-    fn any_market(&self, crowds: &Crowds) -> Option<CapacityPool> {
-        let mut best: Option<(f64, CapacityPool)> = None;
-        for t in self.cluster.machine_types.values() {
-            for zone in &t.zones {
-                for spot in [true, false] {
-                    let market = (t.name.clone(), zone.clone(), spot);
-                    if self.autoscaler.paused.contains_key(&market) {
-                        continue;
-                    }
-                    let price = if spot { t.spot_price } else { t.price };
-                    let cost = price + crowd(crowds, zone) * 1e-6;
-                    if best.as_ref().is_none_or(|(c, _)| cost < *c) {
-                        best = Some((cost, market));
-                    }
-                }
-            }
-        }
-        best.map(|(_, m)| m)
+    fn apply_no_capacity(&mut self, now: Time, cluster: &ClusterState, request: ProvisionRequest) {
+        self.intents.no_room(&request.request);
+        tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, "no capacity");
+        self.pause_pool(now, cluster, &request);
     }
 
-    /// Machines in each zone.
-    fn crowds(&self) -> Crowds {
-        let mut crowds = Crowds::new();
-        for zone in self
-            .cluster
-            .machines
-            .values()
-            .filter_map(|m| m.zone.as_ref())
-        {
-            match crowds.get_mut(zone) {
-                Some(n) => *n += 1,
-                None => {
-                    crowds.insert(zone.clone(), 1);
-                }
-            }
-        }
-        crowds
+    /// A pool that has no capacity is not asked again for a while.
+    fn pause_pool(&mut self, now: Time, cluster: &ClusterState, request: &ProvisionRequest) {
+        let pause = TimeSpan::secs(cluster.policy.no_capacity_pause_s);
+        let pool = (request.kind.clone(), request.zone.clone(), request.spot);
+        self.paused.insert(pool, now + pause);
     }
 
-    /// Returns machines that have been idle for long and that nothing waiting
-    /// could use. What waits for several machines at once may never get them
-    /// while idle ones elsewhere use up the cloud's room, so even a machine
-    /// that it could use goes in the end.
-    fn return_idle(
+    /// Machines were terminated: by now they and everything on them are gone.
+    fn apply_released(
         &mut self,
-        effects: &mut Effects,
-        waiting: &[PlacementRequest],
-        rows: &[MachineRow],
+        now: Time,
+        context: &mut CloudContext<'_>,
+        machines: Vec<MachineId>,
     ) {
-        let now = effects.now.time;
-        // With no job left at all there is little to be ready for.
-        let quiet = self.cluster.jobs.values().all(|j| !j.is_open());
-        let idle_for =
-            TimeSpan::secs(self.cluster.policy.idle_s).scaled(if quiet { 0.25 } else { 1.0 });
-        let mut idle: Vec<(f64, MachineId, bool)> = Vec::new();
-        // What is put aside goes by its own rule.
-        for row in rows.iter().filter(|r| !r.aside) {
-            let Some(m) = self.cluster.machines.get_mut(&row.id) else {
-                continue;
-            };
-            if !m.tasks.is_empty() {
-                continue;
-            }
-            let since = now.since(*m.idle.get_or_insert(now));
-            let wanted = || {
-                waiting
-                    .iter()
-                    .any(|w| w.allows(row) && w.need.fits(&row.whole))
-            };
-            let long = since >= idle_for && (since >= idle_for.scaled(3.0) || !wanted());
-            let price = self
-                .cluster
-                .machine_types
-                .get(&row.kind)
-                .map_or(0.0, |t| if row.spot { t.spot_price } else { t.price });
-            idle.push((price, row.id.clone(), long));
-        }
-        let reserve = self.reserve(effects.now.wall) as usize;
-        let spare = idle.len().saturating_sub(reserve);
-        idle.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let go = idle.into_iter().filter(|(_, _, long)| *long).take(spare);
-        for (_, id, _) in go {
-            if let Some(m) = self.cluster.machines.get_mut(&id) {
-                tracing::info!(machine = %id, "idle, returned");
-                m.mark_for_termination("idle");
-            }
+        self.intents.released(&machines, now);
+        for id in machines {
+            let cluster = &mut context.cluster;
+            cluster.write_off_machine(now, &id, RemovalReason::MachineReleased);
+            cluster.machines.remove(&id);
+            context.heartbeats.forget_machine(&id);
         }
     }
 }
 
+fn is_no_capacity(body: &[u8]) -> bool {
+    wire::decode::<ErrorResponse>(body).is_some_and(|response| response.error == "no capacity")
+}
+
+/// Takes over what a list says of one machine.
+fn apply_listed_machine(
+    now: Time,
+    context: &mut CloudContext<'_>,
+    intents: &Intents,
+    listed: ListedMachine,
+) {
+    let cluster = &mut context.cluster;
+    let machine = cluster.register_machine(now, &listed.id, intents);
+    machine.kind.get_or_insert(listed.kind);
+    machine.zone.get_or_insert(listed.zone);
+    machine.spot = listed.spot;
+    let mut stopping = Vec::new();
+    if machine.addr.is_none() {
+        machine.addr = listed.addr.parse().ok();
+        stopping.extend(machine.tasks.iter().cloned());
+    }
+    machine.listed = Some((listed.stage, TimeSpan::secs(listed.age_s)));
+    machine.listed_at = Some(now);
+    if listed.stage == MachineStage::Failed && machine.tasks.is_empty() {
+        machine.mark_for_termination("failed");
+    }
+    context.commands.announce_to(now, cluster, &listed.id);
+    if !stopping.is_empty() {
+        // Stops that an earlier leader sent to part of them are sent to all;
+        // tasks that are not to stop are left out when they are sent.
+        let direct_stops = cluster.direct_stops.entry(listed.id).or_default();
+        direct_stops.extend(stopping);
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::core::autoscaler::intents::CapacityPool;
 use crate::testing::{effects_at, leader};
 use crate::types::WallTime;
 use crate::wire::cloud::ListedMachine;
@@ -69,26 +70,33 @@
             .cluster
             .register_machine(Time(0), &id, &leader.autoscaler.intents)
             .mark_for_termination("idle");
-        leader.mean_releases(WallTime(0));
+        leader
+            .autoscaler
+            .record_releases(&leader.cluster.machines, WallTime(0));
         for (key, _) in leader.autoscaler.intents.pending_writes.take_puts(9) {
             leader.autoscaler.intents.stored(&key);
         }
-        made.push(match leader.next_call(Time(1)) {
-            Some(CloudCall::Release(names)) => {
-                leader.autoscaler.intents.release_asked(&names);
-                leader.autoscaler.intents.released(&names, Time(1));
-                names
-                    .iter()
-                    .for_each(|m| drop(leader.cluster.machines.remove(m)));
-                "release"
-            }
-            Some(CloudCall::ProvisionRequest(r)) => {
-                leader.autoscaler.intents.filled(&r.request, &[], Time(1));
-                "rent"
-            }
-            Some(CloudCall::List) => "list",
-            _ => "other",
-        });
+        made.push(
+            match leader
+                .autoscaler
+                .next_call(Time(1), leader.cluster.machine_types.is_empty())
+            {
+                Some(CloudCall::Release(names)) => {
+                    leader.autoscaler.intents.release_asked(&names);
+                    leader.autoscaler.intents.released(&names, Time(1));
+                    names
+                        .iter()
+                        .for_each(|m| drop(leader.cluster.machines.remove(m)));
+                    "release"
+                }
+                Some(CloudCall::ProvisionRequest(r)) => {
+                    leader.autoscaler.intents.filled(&r.request, &[], Time(1));
+                    "rent"
+                }
+                Some(CloudCall::List) => "list",
+                _ => "other",
+            },
+        );
     }
     assert_eq!(made[..4], ["release", "rent", "release", "list"]);
 }
@@ -109,10 +117,13 @@
         .cluster
         .register_machine(Time(0), &"host-1".into(), &first.autoscaler.intents)
         .mark_for_termination("idle");
-    first.mean_releases(WallTime(0));
+    first
+        .autoscaler
+        .record_releases(&first.cluster.machines, WallTime(0));
     assert!(
         first
-            .next_call(Time(1))
+            .autoscaler
+            .next_call(Time(1), false)
             .is_some_and(|c| matches!(c, CloudCall::List))
     );
     let stored = first.autoscaler.intents.pending_writes.take_puts(9);
@@ -124,7 +135,9 @@
             value,
             version: crate::types::Version(7),
         });
-    next.load_duties(now, entries.collect());
+    next.records()
+        .context
+        .load_leader_records(now, entries.collect());
     // It starts nothing there, whatever brings the machine up again.
     assert_eq!(
         next.cluster
@@ -132,7 +145,10 @@
             .lifecycle,
         MachineLifecycle::Terminating
     );
-    let Some(CloudCall::Release(names)) = next.next_call(Time(2)) else {
+    let Some(CloudCall::Release(names)) = next
+        .autoscaler
+        .next_call(Time(2), next.cluster.machine_types.is_empty())
+    else {
         panic!("the release is not asked for")
     };
     next.on_cloud(
@@ -151,7 +167,10 @@
         next.cluster.machines.is_empty(),
         "a late list brought it back"
     );
-    let Some(CloudCall::ProvisionRequest(rent)) = next.next_call(Time(3)) else {
+    let Some(CloudCall::ProvisionRequest(rent)) = next
+        .autoscaler
+        .next_call(Time(3), next.cluster.machine_types.is_empty())
+    else {
         panic!("the hire is not repeated")
     };
     assert_eq!((rent.request.as_str(), rent.count), ("5-1", 3));
--- /dev/null
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -0,0 +1,239 @@
+//! What operators may ask of the leader: its duties, quotas, machines and jobs as JSON
+//! for `/inspect`. Reads only. The keys are part of the interface and stay as they are.
+
+use super::arrival_recorder::ArrivalRecorder;
+use super::cluster_state::ClusterState;
+use super::commit_pipeline::TransactionWriter;
+use super::scheduler::Scheduler;
+use crate::core::Now;
+use crate::core::assignment::Assignment;
+use crate::core::autoscaler::state::Autoscaler;
+use crate::core::job_records::Job;
+use crate::core::leader_authority::LeaderAuthority;
+use crate::core::machine::{Machine, MachineLifecycle};
+use crate::core::quarantine::Quarantine;
+use crate::core::quota::minimum_share::{MinimumShares, ShareGroup};
+use crate::core::quota::usage::QuotaUnits;
+use crate::types::{FencingToken, JobId, MachineId, TaskId, Time, Zone};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+
+/// Machines, and jobs, that one answer to an operator shows.
+const MAX_SHOWN: usize = 200;
+
+/// What one zone holds.
+#[derive(Default)]
+struct ZoneTotals {
+    machines: usize,
+    schedulable: usize,
+    spot: usize,
+    tasks: usize,
+}
+
+/// The parts of the leader that operators may look at, at one moment.
+pub(super) struct Inspection<'a> {
+    pub at: Now,
+    pub token: FencingToken,
+    /// When this leader began to lead.
+    pub leading_since: Time,
+    pub authority: &'a LeaderAuthority,
+    pub cluster: &'a ClusterState,
+    pub scheduler: &'a Scheduler,
+    pub writer: &'a TransactionWriter,
+    pub autoscaler: &'a Autoscaler,
+    pub quarantine: &'a Quarantine,
+    pub arrivals: &'a ArrivalRecorder,
+}
+
+impl Inspection<'_> {
+    /// Everything, of machines and jobs whose names begin like this; of each at most
+    /// `MAX_SHOWN`, after the totals.
+    pub fn report(&self, machine_prefix: &str, job_prefix: &str) -> Value {
+        let cluster = self.cluster;
+        let machines = cluster.machines.iter();
+        let machines = machines.filter(|(id, _)| id.as_str().starts_with(machine_prefix));
+        let machines: Vec<Value> = machines
+            .take(MAX_SHOWN)
+            .map(|(id, machine)| self.machine(id, machine))
+            .collect();
+        let jobs = cluster.jobs.iter();
+        let jobs = jobs.filter(|(id, _)| id.as_str().starts_with(job_prefix));
+        let jobs: Vec<Value> = jobs
+            .take(MAX_SHOWN)
+            .map(|(id, job)| self.job(id, job))
+            .collect();
+        json!({
+            "token": self.token, "in_office_s": self.seconds_leading(),
+            "contact_s_ago": self.authority.age(self.at.time).as_secs(),
+            "loaded": self.authority.is_loaded(),
+            "cycles": self.scheduler.cycles, "duties": self.duties(),
+            "shares": self.shares(),
+            "totals": {"machines": cluster.machines.len(), "jobs": cluster.jobs.len()},
+            "zones": self.zones(), "machines": machines, "jobs": jobs,
+        })
+    }
+
+    fn seconds_leading(&self) -> f64 {
+        self.at.time.since(self.leading_since).as_secs()
+    }
+
+    fn seconds_since(&self, time: Option<Time>) -> Option<f64> {
+        time.map(|time| self.at.time.since(time).as_secs())
+    }
+
+    /// What only one node does at a time, since when and how far.
+    fn duties(&self) -> Value {
+        let scheduler = self.scheduler;
+        let last_cycle = Some(scheduler.last_cycle).filter(|_| scheduler.cycles > 0);
+        let last_call = self.autoscaler.hands.progress;
+        let last_commit = self.writer.pipeline.committed;
+        json!([
+            self.duty("placing", last_cycle, json!({})),
+            self.duty("renting", last_call, self.renting()),
+            self.duty("reclaiming", scheduler.last_preemption, self.reclaiming()),
+            self.duty("cleaning", last_commit, self.cleaning()),
+        ])
+    }
+
+    fn duty(&self, name: &str, progress: Option<Time>, open: Value) -> Value {
+        json!({
+            "duty": name, "fence": self.token, "held_s": self.seconds_leading(),
+            "progress_s_ago": self.seconds_since(progress), "open": open,
+        })
+    }
+
+    fn renting(&self) -> Value {
+        let proxy = &self.autoscaler.hands;
+        let [provisions, releases, machines] = self.autoscaler.intents.open();
+        let by = proxy.peer(self.at.time);
+        json!({
+            "hires": provisions, "releases": releases, "machines_going": machines,
+            "by": by.map_or("itself", |node| node.as_str()),
+            "hands_changed": proxy.changes,
+        })
+    }
+
+    fn reclaiming(&self) -> Value {
+        let jobs = self.cluster.jobs.values();
+        let assignments = jobs.flat_map(|job| job.assignments.values());
+        json!({
+            "stopping": assignments.filter(|a| a.stop.is_some()).count(),
+            "put_aside": self.quarantine.count(self.at.wall),
+        })
+    }
+
+    fn cleaning(&self) -> Value {
+        let collector = &self.writer.garbage_collector;
+        let pending_writes = &self.autoscaler.intents.pending_writes;
+        json!({
+            "orphans_left": collector.left(), "orphans_deleted": collector.deleted,
+            "jobs_to_drop": self.cluster.unwritten.jobs_to_delete.len(),
+            "records_to_write": pending_writes.len(),
+            "records_written": pending_writes.written,
+        })
+    }
+
+    /// What teams hold of their quotas, and how teams and classes are served.
+    fn shares(&self) -> Value {
+        let cluster = self.cluster;
+        let services = cluster.service_levels(self.at.wall, self.arrivals);
+        let machines = cluster.machine_rows(self.at.time).len() as f64;
+        let (share, window) = (cluster.policy.floor_share, cluster.policy.floor_window_s);
+        let floors = MinimumShares::new(&services, machines, share, window);
+        let served = |group: &ShareGroup| services.get(group).map_or(1.0, |s| s.share());
+        let usage = cluster.quota_usage();
+        let teams: Vec<Value> = usage
+            .teams()
+            .map(|(team, held)| {
+                let group = ShareGroup::Team(team.clone());
+                json!({
+                    "team": team,
+                    "guaranteed": {"cpus": held.share.cpus, "gpus": held.share.gpus},
+                    "limit": {"cpus": held.share.cpus_max, "gpus": held.share.gpus_max},
+                    "used": units(held.used), "stopping": units(held.stopping),
+                    "lent": units(held.lent()),
+                    "served": served(&group), "floor_machines": floors.of(&group),
+                })
+            })
+            .collect();
+        let classes: Vec<Value> = self
+            .arrivals
+            .by_class
+            .keys()
+            .map(|class| {
+                let group = ShareGroup::Class(class.clone());
+                json!({
+                    "class": class, "served": served(&group),
+                    "floor_machines": floors.of(&group),
+                })
+            })
+            .collect();
+        json!({ "teams": teams, "classes": classes })
+    }
+
+    fn machine(&self, id: &MachineId, machine: &Machine) -> Value {
+        let now = self.at.time;
+        let tasks: Vec<Value> = machine.tasks.iter().map(|task| self.task(task)).collect();
+        let images: Vec<_> = machine.cache.images().map(|(image, _)| image).collect();
+        let unreachable_for = machine.delivery.deaf_for(now);
+        let notice = machine.termination_notice_at;
+        json!({
+            "machine": id, "kind": machine.kind, "zone": machine.zone, "spot": machine.spot,
+            "session": machine.epoch, "reported_s_ago": self.seconds_since(machine.reported),
+            "usable": machine.is_schedulable(now, self.cluster.max_silence()),
+            "lost": machine.lost,
+            "deaf_s": unreachable_for.map(|span| span.as_secs()),
+            "leaving": machine.lifecycle != MachineLifecycle::InService,
+            "taken_in_s": notice.map(|at| at.since(now).as_secs()),
+            "images": images, "tasks": tasks,
+        })
+    }
+
+    fn task(&self, task: &TaskId) -> Value {
+        let job = self.cluster.jobs.get(&task.job);
+        let assignment: Option<&Assignment> = job.and_then(|job| job.assignments.get(&task.index));
+        json!({
+            "task": task.to_string(), "owner": job.map(|job| &job.spec.team),
+            "attempt": assignment.map(|a| a.attempt),
+            "phase": assignment.map(|a| a.phase.to_string()),
+            "stopping": assignment.is_some_and(|a| a.stop.is_some()),
+        })
+    }
+
+    fn job(&self, id: &JobId, job: &Job) -> Value {
+        json!({
+            "job": id, "owner": job.spec.team, "class": job.spec.class,
+            "priority": job.spec.priority, "tasks": job.spec.tasks, "done": job.done.len(),
+            "placed": job.assignments.len(), "waiting": job.waiting.len(),
+            "waits_s": self.seconds_since(job.notes.waiting_since), "why": job.notes.why,
+            "within_guarantee": job.notes.entitled, "last_stop": job.notes.last_stop,
+            "end": job.end.map(|end| end.to_string()),
+        })
+    }
+
+    /// Totals over all machines, shown or not.
+    fn zones(&self) -> Vec<Value> {
+        let silence = self.cluster.max_silence();
+        let mut zones: BTreeMap<&str, ZoneTotals> = BTreeMap::new();
+        for machine in self.cluster.machines.values() {
+            let zone = machine.zone.as_ref().map_or("", Zone::as_str);
+            let totals = zones.entry(zone).or_default();
+            totals.machines += 1;
+            totals.schedulable += usize::from(machine.is_schedulable(self.at.time, silence));
+            totals.spot += usize::from(machine.spot);
+            totals.tasks += machine.tasks.len();
+        }
+        let zones = zones.into_iter().map(|(zone, totals)| {
+            json!({
+                "zone": zone, "machines": totals.machines, "usable": totals.schedulable,
+                "spot": totals.spot, "tasks": totals.tasks,
+            })
+        });
+        zones.collect()
+    }
+}
+
+fn units(held: QuotaUnits) -> Value {
+    let whole = |thousandths: i64| thousandths as f64 / 1000.0;
+    json!({"cpus": whole(held.cpus), "gpus": whole(held.gpus)})
+}
--- /dev/null
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -0,0 +1,244 @@
+//! What a new leader takes over from the records: jobs, their progress, and what
+//! earlier leaders intended. Makes no calls.
+
+use super::arrival_recorder::ArrivalRecorder;
+use super::cluster_state::ClusterState;
+use super::commit_pipeline::TransactionWriter;
+use super::record_watch::RecordWatcher;
+use super::scheduler::Scheduler;
+use crate::core::Now;
+use crate::core::autoscaler::intents::Intents;
+use crate::core::format_version::WITH_HISTORY;
+use crate::core::format_version::chunk_progress::ChunkProgress;
+use crate::core::job_records::{
+    self, HeaderStage, JobHeader, JobOutcome, SubmissionAssembler, Watched,
+};
+use crate::core::leader_authority::LeaderAuthority;
+use crate::core::machine::{Machine, MachineLifecycle};
+use crate::core::quarantine::Quarantine;
+use crate::core::quota::arrival_history;
+use crate::types::{FencingToken, JobId, TaskId, Time, TimeSpan, Version};
+use crate::wire::kvstore::{Entry, WatchEvent};
+use std::collections::BTreeSet;
+
+/// The parts that records are loaded into.
+pub(in crate::core) struct RecordContext<'a> {
+    /// The key whose version is the fencing token.
+    pub holder: &'static str,
+    /// The fencing token.
+    pub token: FencingToken,
+    /// Told what was read, and when.
+    pub authority: &'a mut LeaderAuthority,
+    /// Changes of leader and format-version keys.
+    pub news: &'a mut Vec<WatchEvent>,
+    /// Jobs and machines.
+    pub cluster: &'a mut ClusterState,
+    /// Told of orphaned keys and outdated records.
+    pub writer: &'a mut TransactionWriter,
+    /// Asked for a cycle when a job comes.
+    pub scheduler: &'a mut Scheduler,
+    /// What the cloud is to do.
+    pub intents: &'a mut Intents,
+    /// Machines that failed.
+    pub quarantine: &'a mut Quarantine,
+    /// Arrivals of jobs.
+    pub arrivals: &'a mut ArrivalRecorder,
+}
+
+impl RecordContext<'_> {
+    /// Takes over leader keys, submissions and outcomes; false if another node holds
+    /// the leader's key by now.
+    pub fn load_watched(&mut self, records: &mut RecordWatcher, entries: &[Entry]) -> bool {
+        let mut is_holder = false;
+        for entry in entries {
+            match job_records::watched(&entry.key) {
+                Watched::Office => {
+                    is_holder |= entry.key == self.holder && entry.version.0 == self.token.0;
+                    self.news.push(WatchEvent {
+                        put: Some(entry.key.clone()),
+                        delete: None,
+                        value: entry.value.clone(),
+                        version: entry.version,
+                    });
+                }
+                Watched::Part(id, number) => records.assembler.part(id, number, &entry.value),
+                _ => {}
+            }
+        }
+        if !is_holder {
+            return false;
+        }
+        let submitted = |entry: &Entry| match job_records::watched(&entry.key) {
+            Watched::Job(id) => Some(id),
+            _ => None,
+        };
+        records.submitted = entries.iter().filter_map(submitted).collect();
+        for entry in entries {
+            let is_submitted = |id: &JobId| records.submitted.contains(id);
+            let collector = &mut self.writer.garbage_collector;
+            collector.look(&entry.key, entry.version, is_submitted);
+        }
+        for entry in entries {
+            if let Watched::Job(id) = job_records::watched(&entry.key) {
+                self.add_job(&mut records.assembler, &id, entry.version, &entry.value);
+            }
+        }
+        for entry in entries {
+            if let Watched::JobOutcome(id) = job_records::watched(&entry.key) {
+                self.load_outcome(&id, &entry.value);
+            }
+        }
+        true
+    }
+
+    /// Takes over a job's submission.
+    pub fn add_job(
+        &mut self,
+        assembler: &mut SubmissionAssembler,
+        id: &JobId,
+        version: Version,
+        value: &serde_json::Value,
+    ) {
+        if self.cluster.jobs.contains_key(id) {
+            return;
+        }
+        let Some(job) = assembler.job(id, version, value) else {
+            tracing::error!(job = %id, "record of the submission cannot be read");
+            return;
+        };
+        self.arrivals.record(&job, &self.cluster.machine_types);
+        // A new leader reads all open jobs at once: that is no news.
+        if self.authority.is_loaded() {
+            tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, tasks = job.spec.tasks, image = %job.spec.image, "job accepted");
+        }
+        self.cluster.jobs.insert(id.clone(), job);
+    }
+
+    fn load_outcome(&mut self, id: &JobId, value: &serde_json::Value) {
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
+            return;
+        };
+        let header = job_records::read::<JobHeader>(value);
+        job.end = Some(match header {
+            Some(header) if header.s == HeaderStage::Done => JobOutcome::Done { written: true },
+            _ => JobOutcome::Cancelled,
+        });
+    }
+
+    /// The watch shows that a job's user cancelled it.
+    pub fn cancel_job(&mut self, now: Time, id: &JobId) {
+        if let Some(job) = self.cluster.jobs.get(id) {
+            tracing::info!(job = %id, team = %job.spec.team, "job cancelled by its user");
+            self.cluster.cancel_job(now, id, "its user cancelled it");
+        }
+    }
+
+    /// Takes over the progress of jobs.
+    pub fn load_progress_records(
+        &mut self,
+        now: Time,
+        submitted: &BTreeSet<JobId>,
+        entries: Vec<Entry>,
+    ) {
+        for entry in entries {
+            self.load_progress_record(submitted, &entry);
+        }
+        let ended = self.cluster.inherit_assignments(now);
+        for id in ended {
+            self.cluster.stop_ended_job(now, &id, "its job is over");
+        }
+    }
+
+    fn load_progress_record(&mut self, submitted: &BTreeSet<JobId>, entry: &Entry) {
+        let Some((id, chunk)) = job_records::record(&entry.key) else {
+            return;
+        };
+        // Without its submission a record is a remnant of an ended job.
+        let collector = &mut self.writer.garbage_collector;
+        collector.look(&entry.key, entry.version, |id| submitted.contains(id));
+        let Some(job) = self.cluster.jobs.get_mut(&id) else {
+            return;
+        };
+        if !ChunkProgress::is_of(&entry.value, WITH_HISTORY) {
+            self.writer.outdated_chunks.insert((id.clone(), chunk));
+        }
+        if let Err(error) = job.load_chunk(chunk, entry.version, &entry.value) {
+            tracing::error!(job = %id, key = entry.key, %error, "a record cannot be read; its job is left as it is");
+        }
+    }
+
+    /// Takes over what earlier leaders intended, and what they knew of machines and
+    /// arrivals.
+    pub fn load_leader_records(&mut self, at: Now, entries: Vec<Entry>) {
+        for entry in entries {
+            if entry.key == arrival_history::KEY {
+                let window = TimeSpan::secs(self.cluster.policy.floor_window_s);
+                self.arrivals.load(entry.value, window);
+                continue;
+            }
+            self.load_intent(at, &entry);
+            self.load_quarantine(at, &entry);
+        }
+        let [provisions, releases, machines] = self.intents.open();
+        if provisions + releases > 0 {
+            tracing::info!(
+                provisions,
+                releases,
+                machines,
+                "continuing what earlier leaders intended"
+            );
+        }
+    }
+
+    fn load_intent(&mut self, at: Now, entry: &Entry) {
+        for id in self.intents.load(&entry.key, &entry.value, at.wall) {
+            let machine = self.cluster.register_machine(at.time, &id, self.intents);
+            machine.mark_for_termination("an earlier leader meant to release it");
+        }
+    }
+
+    fn load_quarantine(&mut self, at: Now, entry: &Entry) {
+        let Some((id, is_drained)) = self.quarantine.load(&entry.key, &entry.value) else {
+            return;
+        };
+        let left = self.quarantine.pause_left(&id, at.wall);
+        let machine = self.cluster.register_machine(at.time, &id, self.intents);
+        machine.aside = left.map(|left| at.time + left);
+        if is_drained && machine.lifecycle == MachineLifecycle::InService {
+            machine.lifecycle = MachineLifecycle::Draining;
+        }
+    }
+}
+
+impl ClusterState {
+    /// After a load: has machines hold the tasks that the records place on them, and
+    /// notes jobs that are done or can be deleted. Returns ended jobs that still have
+    /// tasks somewhere.
+    fn inherit_assignments(&mut self, now: Time) -> Vec<JobId> {
+        let mut ended_with_tasks = Vec::new();
+        for (id, job) in &mut self.jobs {
+            for (&index, assignment) in &mut job.assignments {
+                assignment.placed = now;
+                let job_id = id.clone();
+                let task = TaskId { job: job_id, index };
+                self.machines
+                    .entry(assignment.machine.clone())
+                    .or_insert_with(|| Machine::new(now))
+                    .take(task, job.spec.needs());
+            }
+            if job.end.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
+                job.end = Some(JobOutcome::Done { written: false });
+                self.unwritten.finished_jobs.insert(id.clone());
+            }
+            if job.is_open() {
+                continue;
+            }
+            if job.assignments.is_empty() {
+                self.unwritten.jobs_to_delete.insert(id.clone());
+            } else {
+                ended_with_tasks.push(id.clone());
+            }
+        }
+        ended_with_tasks
+    }
+}
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -1,15 +1,33 @@
 //! Reading what is recorded: all of it page by page when a leader starts, and
-//! after that the changes as they come.
+//! after that the changes as they come. What the records mean is in `record_load`.
 
-use crate::core::job_records::SubmissionAssembler;
-use crate::types::{JobId, Time, Version};
+use super::outcome::LeadershipOutcome;
+use super::pending_call::PendingCall;
+use super::record_load::RecordContext;
+use crate::core::effects::{Effects, PendingCalls};
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::job_records::{self, HeaderStage, Job, SubmissionAssembler, Watched};
+use crate::core::leader_authority::LeaderAuthority;
+use crate::core::{Now, Reply, Target, keys};
+use crate::types::{FencingToken, JobId, Time, TimeSpan, Version};
+use crate::wire;
 use crate::wire::backoff::Backoff;
-use crate::wire::kvstore::Entry;
+use crate::wire::kvstore::{Entry, EntryPage, WatchEvent, WatchResponse};
 use std::collections::BTreeSet;
 
+/// How long a read may take, beyond the time that a watch is held.
+const READ_TIMEOUT: TimeSpan = TimeSpan::millis(3000);
+/// Pauses after reads that failed.
+const SHORTEST_BACKOFF: TimeSpan = TimeSpan::millis(150);
+const LONGEST_BACKOFF: TimeSpan = TimeSpan::millis(1000);
+/// Changes of the key-value store that no rate bounds, as when leases end.
+const MAX_UNBOUNDED_CHANGES: u64 = 10_000;
+/// How much faster than its limit the key-value store may take changes.
+const RATE_MARGIN: f64 = 2.0;
+
 /// Which records are being loaded, with the entries read so far.
 #[derive(Debug)]
-pub(super) enum LoadPhase {
+enum LoadPhase {
     /// Leader keys, submissions and outcomes.
     Watched(Vec<Entry>),
     /// Progress records of jobs.
@@ -22,19 +40,19 @@
 
 /// The leader's one read of records or changes.
 #[derive(Debug)]
-pub(super) struct RecordWatcher {
-    pub load: LoadPhase,
+pub(in crate::core) struct RecordWatcher {
+    phase: LoadPhase,
     /// The revision of the load's first page: changes are followed from there.
-    pub first_page_revision: Option<Version>,
+    first_page_revision: Option<Version>,
     /// Puts submissions together from their parts.
     pub assembler: SubmissionAssembler,
     /// Everything up to this revision has been seen.
-    pub revision: Version,
+    revision: Version,
     /// Whether a read is under way.
-    pub reading: bool,
+    reading: bool,
     /// No read before this time.
-    pub next_read: Time,
-    pub backoff: Backoff,
+    next_read: Time,
+    backoff: Backoff,
     /// Submissions that were read, whether or not they could be understood.
     pub submitted: BTreeSet<JobId>,
 }
@@ -43,7 +61,7 @@
     /// One that has read nothing yet.
     pub fn new(now: Time) -> RecordWatcher {
         RecordWatcher {
-            load: LoadPhase::Watched(Vec::new()),
+            phase: LoadPhase::Watched(Vec::new()),
             first_page_revision: None,
             assembler: SubmissionAssembler::default(),
             revision: Version(0),
@@ -53,4 +71,222 @@
             submitted: BTreeSet::new(),
         }
     }
+
+    /// Whether another node may hold this token: one that was given before what is
+    /// known by now would be known too, and in this time, at `write_rps` changes a
+    /// second, there cannot be so many since.
+    pub fn may_have_been_issued(
+        &self,
+        token: FencingToken,
+        since_contact: TimeSpan,
+        write_rps: f64,
+    ) -> bool {
+        let rate = write_rps * RATE_MARGIN;
+        let changes = (since_contact.as_secs() * rate) as u64;
+        let latest = self
+            .revision
+            .0
+            .saturating_add(changes + MAX_UNBOUNDED_CHANGES);
+        (self.revision.0 + 1..=latest).contains(&token.0)
+    }
+
+    /// Makes the next read, if none is under way.
+    pub fn read_next(
+        &mut self,
+        effects: &mut Effects,
+        authority: &LeaderAuthority,
+        pending_calls: &mut PendingCalls<PendingCall>,
+    ) {
+        let sent = effects.now.time;
+        if self.reading || sent < self.next_read {
+            return;
+        }
+        let (path, timeout) = match &self.phase {
+            LoadPhase::Watched(read) => (page_path(job_records::WATCHED, read), READ_TIMEOUT),
+            LoadPhase::ProgressRecords(read) => {
+                (page_path(job_records::PROGRESS_RECORDS, read), READ_TIMEOUT)
+            }
+            LoadPhase::LeaderRecords(read) => (page_path(keys::LEADER_RECORDS, read), READ_TIMEOUT),
+            LoadPhase::Done => {
+                let hold = authority.watch(sent);
+                (self.changes_path(hold), hold + READ_TIMEOUT)
+            }
+        };
+        self.reading = true;
+        let call = effects.call(Target::State, "GET", path, Vec::new(), timeout);
+        pending_calls.add(call, PendingCall::Read { sent });
+    }
+
+    fn changes_path(&self, hold: TimeSpan) -> String {
+        format!(
+            "/changes?starts={}&since={}&hold_ms={}",
+            job_records::WATCHED,
+            self.revision,
+            hold.as_millis()
+        )
+    }
+
+    /// A read that was sent then was answered, or not.
+    pub fn handle_read_reply(
+        &mut self,
+        effects: &mut Effects,
+        context: &mut RecordContext<'_>,
+        sent: Time,
+        reply: Reply,
+    ) -> LeadershipOutcome {
+        let now = effects.now.time;
+        self.reading = false;
+        let body = match reply {
+            Reply::Answer(200, body) => body,
+            // Fell behind by more than the service keeps: start over.
+            Reply::Answer(410, _) => return LeadershipOutcome::StepDown("changes were missed"),
+            Reply::Answer(..) | Reply::NotSent | Reply::Lost => {
+                let jitter = effects.jitter();
+                let pause = self
+                    .backoff
+                    .failed(SHORTEST_BACKOFF, LONGEST_BACKOFF, jitter);
+                self.next_read = now + pause;
+                return LeadershipOutcome::Continue;
+            }
+        };
+        self.backoff.succeeded();
+        self.next_read = now;
+        if !context.authority.is_loaded() {
+            return self.handle_page(effects.now, context, sent, &body);
+        }
+        let Some(changes) = wire::decode::<WatchResponse>(&body) else {
+            return LeadershipOutcome::StepDown("changes could not be read");
+        };
+        let outcome = self.apply_changes(now, context, changes);
+        context.authority.showed(sent);
+        for id in context.authority.refuted() {
+            if context.cluster.jobs.get(&id).is_some_and(Job::is_open) {
+                tracing::error!(job = %id, "job reported cancelled by a peer is not; it goes on");
+            }
+        }
+        outcome
+    }
+
+    /// A page of the load was read.
+    fn handle_page(
+        &mut self,
+        at: Now,
+        context: &mut RecordContext<'_>,
+        sent: Time,
+        body: &[u8],
+    ) -> LeadershipOutcome {
+        let Some(page) = wire::decode::<EntryPage>(body) else {
+            return LeadershipOutcome::StepDown("records could not be read");
+        };
+        // Changes are followed from the first page on; what a later page
+        // already shows is applied twice without harm.
+        let first_revision = *self.first_page_revision.get_or_insert(page.revision);
+        context.authority.page(sent);
+        let read = match &mut self.phase {
+            LoadPhase::Watched(read)
+            | LoadPhase::ProgressRecords(read)
+            | LoadPhase::LeaderRecords(read) => read,
+            LoadPhase::Done => return LeadershipOutcome::Continue,
+        };
+        read.extend(page.items);
+        if page.more {
+            return LeadershipOutcome::Continue;
+        }
+        match std::mem::replace(&mut self.phase, LoadPhase::Done) {
+            LoadPhase::Watched(entries) => {
+                self.revision = first_revision;
+                if !context.load_watched(self, &entries) {
+                    let why = "the lease ran out while loading";
+                    self.phase = LoadPhase::Watched(Vec::new());
+                    return LeadershipOutcome::StepDown(why);
+                }
+                self.phase = LoadPhase::ProgressRecords(Vec::new());
+            }
+            LoadPhase::ProgressRecords(entries) => {
+                let submitted = std::mem::take(&mut self.submitted);
+                context.load_progress_records(at.time, &submitted, entries);
+                self.phase = LoadPhase::LeaderRecords(Vec::new());
+            }
+            LoadPhase::LeaderRecords(entries) => {
+                context.load_leader_records(at, entries);
+                if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
+                    self.revision = page.revision;
+                }
+                context.authority.loaded(sent);
+                let cluster = &context.cluster;
+                tracing::info!(token = %context.token, jobs = cluster.jobs.len(), machines = cluster.machines.len(), "leading");
+            }
+            LoadPhase::Done => {}
+        }
+        LeadershipOutcome::Continue
+    }
+
+    /// Applies the changes that the watch shows.
+    fn apply_changes(
+        &mut self,
+        now: Time,
+        context: &mut RecordContext<'_>,
+        changes: WatchResponse,
+    ) -> LeadershipOutcome {
+        for event in &changes.events {
+            let written = event.put.as_deref().map(job_records::watched);
+            if let Some(Watched::Part(id, number)) = written {
+                self.assembler.part(id, number, &event.value);
+            }
+        }
+        for event in &changes.events {
+            let outcome = self.apply_change(now, context, event);
+            if outcome != LeadershipOutcome::Continue {
+                return outcome;
+            }
+        }
+        self.revision = self.revision.max(changes.revision);
+        LeadershipOutcome::Continue
+    }
+
+    fn apply_change(
+        &mut self,
+        now: Time,
+        context: &mut RecordContext<'_>,
+        event: &WatchEvent,
+    ) -> LeadershipOutcome {
+        if let Some(key) = &event.delete {
+            if key == context.holder {
+                return LeadershipOutcome::StepDown("the lease ran out");
+            }
+            return LeadershipOutcome::Continue;
+        }
+        let Some(key) = event.put.as_deref() else {
+            return LeadershipOutcome::Continue;
+        };
+        match job_records::watched(key) {
+            Watched::Office => {
+                context.news.push(event.clone());
+                if key == context.holder && event.version.0 != context.token.0 {
+                    return LeadershipOutcome::Deposed(FencingToken(event.version.0));
+                }
+            }
+            Watched::Job(id) => {
+                context.add_job(&mut self.assembler, &id, event.version, &event.value);
+                let machines = context.cluster.machines.len();
+                context.scheduler.request_cycle(now, machines);
+            }
+            Watched::JobOutcome(id) => {
+                let header = job_records::read::<job_records::JobHeader>(&event.value);
+                if header.is_some_and(|header| header.s == HeaderStage::Cancelled) {
+                    context.cancel_job(now, &id);
+                }
+            }
+            _ => {}
+        }
+        LeadershipOutcome::Continue
+    }
+}
+
+/// Path of the next page of keys below a prefix.
+fn page_path(prefix: &str, read: &[Entry]) -> String {
+    match read.last() {
+        Some(last) => format!("/keys?starts={prefix}&since={}&most=500", last.key),
+        None => format!("/keys?starts={prefix}&most=500"),
+    }
 }
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -2,10 +2,14 @@
 use super::*;
 use crate::core::failpoints::{SafetyCheck, disable_check};
 use crate::core::format_version::member_versions;
+use crate::core::job_records::{self, Job};
 use crate::testing::{effects_at, leader};
-use crate::types::{Attempt, Team, WallTime};
+use crate::types::{Attempt, Team, Version, WallTime};
+use crate::wire;
+use crate::wire::kvstore::{Entry, EntryPage};
 use crate::wire::rate_limit::TokenBucket;
 use crate::wire::workers::TaskState;
+use std::collections::BTreeSet;
 
 /// How old its contact is when a leader has loaded, where the pages of the
 /// load took so many seconds each, and what it may do then.
@@ -57,13 +61,16 @@
     let spec = crate::testing::submission("wk-1", crate::wire::users::JobShape::Array, 3);
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
     leader.cluster.jobs.insert("wk-1".into(), job);
-    leader.records.submitted.insert("wk-1".into());
+    let submitted = BTreeSet::from([JobId::from("wk-1")]);
     let record = Entry {
         key: job_records::chunk_key(&"wk-1".into(), 0),
         value: stored,
         version: Version(8),
     };
-    leader.load_records(Time(0), vec![record]);
+    leader
+        .records()
+        .context
+        .load_progress_records(Time(0), &submitted, vec![record]);
     leader
 }
 
