--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -367,7 +367,7 @@
     fn check_machine_health(&mut self, at: Now) {
         self.expire_leases(at);
         self.cluster
-            .retire_machines(at.time, self.autoscaler.listed);
+            .retire_machines(at.time, self.autoscaler.last_list);
         self.autoscaler
             .record_releases(&self.cluster.machines, at.wall);
     }
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -74,14 +74,14 @@
         cluster: &ClusterState,
         quarantine: &mut Quarantine,
     ) {
-        if at.time < self.tend_due {
+        if at.time < self.next_settle {
             return;
         }
-        self.tend_due = at.time + SETTLE_INTERVAL;
+        self.next_settle = at.time + SETTLE_INTERVAL;
         let machines = &cluster.machines;
         let is_heard_of = |id: &MachineId| {
             let machine = machines.get(id);
-            machine.is_none_or(|m| m.reported.is_some() || m.listed_at.is_some())
+            machine.is_none_or(|m| m.last_heartbeat.is_some() || m.last_listed.is_some())
         };
         self.intents.tend(at.time, is_heard_of);
         let is_known = |id: &MachineId| machines.contains_key(id);
@@ -98,16 +98,16 @@
         pending_calls: &mut PendingCalls<PendingCall>,
     ) {
         let now = effects.now.time;
-        if self.calling || now < self.not_before || self.calls.level(now) < 1.0 {
+        if self.call_in_flight || now < self.not_before || self.rate_limit.level(now) < 1.0 {
             return;
         }
         let Some(call) = self.next_call(now, cluster.machine_types.is_empty()) else {
             return;
         };
-        self.calls.take(now, 1.0);
-        self.calling = true;
+        self.rate_limit.take(now, 1.0);
+        self.call_in_flight = true;
         let CloudRequest { method, path, body } = self.request_for(&call);
-        let by = self.hands.peer(now).cloned();
+        let by = self.cloud_proxy.peer(now).cloned();
         let mut peers = cluster.settings.peers.iter();
         let peer = by
             .as_ref()
@@ -143,7 +143,7 @@
         match call {
             CloudCall::Types => get("/machine_types".to_string()),
             CloudCall::List => {
-                let last = self.listing.last();
+                let last = self.partial_list.last();
                 let since = last.map_or(String::new(), |machine| format!("since={}&", machine.id));
                 get(format!("/machines?{since}most=500"))
             }
@@ -179,7 +179,9 @@
                 && !intents.is_leaving(id)
         };
         let new = machines.iter().filter(is_new);
-        let new: Vec<_> = new.map(|(id, machine)| (id.clone(), machine.why)).collect();
+        let new: Vec<_> = new
+            .map(|(id, machine)| (id.clone(), machine.termination_reason))
+            .collect();
         if !new.is_empty() {
             self.intents.release(new.into_iter(), wall);
         }
@@ -206,7 +208,7 @@
     }
 
     fn other_call(&self, now: Time) -> Option<CloudCall> {
-        let is_list_late = now >= self.list_due + self.list_every;
+        let is_list_late = now >= self.list_due + self.list_interval;
         if is_list_late {
             return Some(CloudCall::List);
         }
@@ -229,7 +231,7 @@
         reply: Reply,
     ) -> LeadershipOutcome {
         let now = effects.now.time;
-        self.calling = false;
+        self.call_in_flight = false;
         if by.is_some() && matches!(reply, Reply::Answer(CONFLICT, _)) {
             return LeadershipOutcome::StepDown("a peer knows a later leader");
         }
@@ -274,10 +276,10 @@
             Reply::NotSent | Reply::Lost => None,
         };
         let Some((status, body)) = answered.filter(|(status, _)| *status != 0) else {
-            self.hands.unanswered(now, by);
+            self.cloud_proxy.unanswered(now, by);
             return CloudAnswer::Unanswered;
         };
-        self.hands.answered(now, by);
+        self.cloud_proxy.answered(now, by);
         match status {
             200 => CloudAnswer::Accepted(body),
             503 if is_no_capacity(&body) => CloudAnswer::NoCapacity(body),
@@ -314,19 +316,19 @@
 
     /// A page of the machine list was read; after the last one the list counts.
     fn apply_list_page(&mut self, now: Time, context: &mut CloudContext<'_>, body: &[u8]) {
-        let next_list = now + self.list_every;
+        let next_list = now + self.list_interval;
         let Some(page) = wire::decode::<MachineList>(body) else {
             self.list_due = next_list;
             return;
         };
         let is_last = !page.more || page.machines.is_empty();
-        self.listing.extend(page.machines);
+        self.partial_list.extend(page.machines);
         if !is_last {
             return;
         }
         self.list_due = next_list;
-        self.listed = Some(now);
-        for listed in std::mem::take(&mut self.listing) {
+        self.last_list = Some(now);
+        for listed in std::mem::take(&mut self.partial_list) {
             // One that was taken in again would count as coming up, and
             // nothing would be provisioned for the work that waits for it.
             if !self.intents.is_gone(&listed.id) {
@@ -355,7 +357,7 @@
                 continue;
             }
             let machine = cluster.register_machine(now, &id, &self.intents);
-            machine.kind.get_or_insert(request.kind.clone());
+            machine.machine_type.get_or_insert(request.kind.clone());
             machine.zone.get_or_insert(request.zone.clone());
             machine.spot = request.spot;
         }
@@ -371,7 +373,7 @@
     fn pause_pool(&mut self, now: Time, cluster: &ClusterState, request: &ProvisionRequest) {
         let pause = TimeSpan::secs(cluster.policy.no_capacity_pause_s);
         let pool = (request.kind.clone(), request.zone.clone(), request.spot);
-        self.paused.insert(pool, now + pause);
+        self.paused_pools.insert(pool, now + pause);
     }
 
     /// Machines were terminated: by now they and everything on them are gone.
@@ -404,16 +406,16 @@
 ) {
     let cluster = &mut context.cluster;
     let machine = cluster.register_machine(now, &listed.id, intents);
-    machine.kind.get_or_insert(listed.kind);
+    machine.machine_type.get_or_insert(listed.kind);
     machine.zone.get_or_insert(listed.zone);
     machine.spot = listed.spot;
     let mut stopping = Vec::new();
-    if machine.addr.is_none() {
-        machine.addr = listed.addr.parse().ok();
+    if machine.address.is_none() {
+        machine.address = listed.addr.parse().ok();
         stopping.extend(machine.tasks.iter().cloned());
     }
     machine.listed = Some((listed.stage, TimeSpan::secs(listed.age_s)));
-    machine.listed_at = Some(now);
+    machine.last_listed = Some(now);
     if listed.stage == MachineStage::Failed && machine.tasks.is_empty() {
         machine.mark_for_termination("failed");
     }
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -71,7 +71,7 @@
         let room = may_boot.saturating_sub(coming.len() as u32);
         let mut teams = cluster.team_use();
         let unplaced = unplaced_beyond(at.time, cluster, &cycle.unplaced, &mut coming, &mut teams);
-        self.paused.retain(|_, until| *until > at.time);
+        self.paused_pools.retain(|_, until| *until > at.time);
         if self.intents.may_provision() && self.knows_fleet(at.time, cluster, leading_since) {
             let zones = cluster.machines_per_zone();
             let mut orders = self.orders_for(cluster, &unplaced, &teams, &zones);
@@ -90,7 +90,7 @@
     /// The machines that are booting or asked for, as rows.
     fn coming_machines(&self, now: Time, cluster: &ClusterState) -> Vec<MachineRow> {
         let booting = cluster.machines.iter().filter(|(_, machine)| {
-            machine.reported.is_none()
+            machine.last_heartbeat.is_none()
                 && machine.lifecycle == MachineLifecycle::InService
                 && !machine.listed_as_failed()
         });
@@ -106,7 +106,7 @@
     fn knows_fleet(&self, now: Time, cluster: &ClusterState, leading_since: Time) -> bool {
         let interval = cluster.settings.workers.report;
         let heartbeats = interval.scaled(FIRST_HEARTBEATS) + FIRST_HEARTBEAT_SLACK;
-        self.listed.is_some() || now.since(leading_since) > heartbeats
+        self.last_list.is_some() || now.since(leading_since) > heartbeats
     }
 
     /// The machines that requests need, by the pool that is cheapest for each.
@@ -174,7 +174,7 @@
                 }
                 for spot in [true, false] {
                     let pool = (machine_type.name.clone(), zone.clone(), spot);
-                    if (spot && !request.spot) || self.paused.contains_key(&pool) {
+                    if (spot && !request.spot) || self.paused_pools.contains_key(&pool) {
                         continue;
                     }
                     let price = price_of(machine_type, spot) / f64::from(tasks);
@@ -199,7 +199,7 @@
             for zone in &machine_type.zones {
                 for spot in [true, false] {
                     let pool = (machine_type.name.clone(), zone.clone(), spot);
-                    if self.paused.contains_key(&pool) {
+                    if self.paused_pools.contains_key(&pool) {
                         continue;
                     }
                     let cost = price_of(machine_type, spot) + crowding_cost(zones, zone);
@@ -335,7 +335,7 @@
             if !machine.tasks.is_empty() {
                 continue;
             }
-            let idle_for = now.since(*machine.idle.get_or_insert(now));
+            let idle_for = now.since(*machine.idle_since.get_or_insert(now));
             let is_wanted = || {
                 let mut requests = unplaced.iter();
                 requests.any(|request| request.allows(row) && request.need.fits(&row.whole))
--- a/crates/controller/src/core/leader/cluster_state.rs
+++ b/crates/controller/src/core/leader/cluster_state.rs
@@ -89,7 +89,7 @@
 
     /// The type of a machine, if both are known.
     pub fn type_of(&self, machine: &Machine) -> Option<&MachineType> {
-        self.machine_types.get(machine.kind.as_ref()?)
+        self.machine_types.get(machine.machine_type.as_ref()?)
     }
 
     /// How long a machine may be silent and still get work.
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -110,7 +110,7 @@
         }
         let commands = self.commands_for(now, cluster, authority, id);
         if let Some(machine) = cluster.machines.get_mut(id) {
-            machine.answered = Some(now);
+            machine.last_answer = Some(now);
             machine.delivery.answered(now);
         }
         let body = wire::encode(&HeartbeatResponse {
@@ -154,7 +154,7 @@
             let Some(machine) = cluster.machines.get(&id) else {
                 continue;
             };
-            let Some(address) = machine.addr else {
+            let Some(address) = machine.address else {
                 continue;
             };
             // A machine that only a list has shown so far has its agent epoch in
@@ -178,7 +178,7 @@
     /// heartbeat yet, it is told who leads.
     pub fn announce_to(&mut self, now: Time, cluster: &ClusterState, id: &MachineId) {
         let machine = cluster.machines.get(id);
-        let machine = machine.filter(|m| m.reported.is_none() && m.addr.is_some());
+        let machine = machine.filter(|m| m.last_heartbeat.is_none() && m.address.is_some());
         let Some(machine) = machine.filter(|_| self.announcer.goes_on(now)) else {
             return;
         };
@@ -198,7 +198,7 @@
         let now = effects.now.time;
         for id in self.announcer.next(now, cluster.machines.len()) {
             let machine = cluster.machines.get(&id);
-            let Some(machine) = machine.filter(|machine| machine.reported.is_none()) else {
+            let Some(machine) = machine.filter(|machine| machine.last_heartbeat.is_none()) else {
                 continue;
             };
             let placed_in = |task: &TaskId| {
@@ -206,7 +206,7 @@
                 Some(job.assignments.get(&task.index)?.epoch)
             };
             let epoch = machine.tasks.iter().filter_map(placed_in).max();
-            if let (Some(address), Some(epoch)) = (machine.addr, epoch) {
+            if let (Some(address), Some(epoch)) = (machine.address, epoch) {
                 effects.direct(address, self.token, epoch, Vec::new());
             }
         }
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -39,7 +39,7 @@
 const LONGEST_BACKOFF: TimeSpan = TimeSpan::millis(1000);
 /// Operations that the rate limit must allow for a transaction to be built.
 const LEAST_OPERATIONS: usize = 4;
-/// Share of the store's write rate that the leader uses; the rest is users'.
+/// Share of the store's write rate that the leader uses.
 const WRITE_SHARE: f64 = 0.7;
 
 /// Writes the leader's changes, one transaction at a time.
--- a/crates/controller/src/core/leader/cycle_inputs.rs
+++ b/crates/controller/src/core/leader/cycle_inputs.rs
@@ -23,7 +23,7 @@
 
     /// One machine as a row, if its type and zone are known.
     pub fn machine_row(&self, now: Time, id: &MachineId, machine: &Machine) -> Option<MachineRow> {
-        let kind = machine.kind.clone()?;
+        let kind = machine.machine_type.clone()?;
         let machine_type = self.machine_types.get(&kind)?;
         let whole = machine_type.has();
         Some(MachineRow {
@@ -32,9 +32,9 @@
             zone: machine.zone.clone()?,
             spot: machine.spot,
             whole,
-            free: whole - machine.unrecorded_usage - machine.used,
+            free: whole - machine.unrecorded_usage - machine.allocated,
             available: now,
-            last_high: machine.last_high,
+            last_high: machine.last_high_priority,
             cache: machine.cache.clone(),
             fetch_rate: machine_type.fetch_gb_per_s,
             aside: machine.is_quarantined(now),
@@ -95,7 +95,7 @@
     pub fn fleet_resources(&self) -> Resources {
         let mut fleet = Resources::default();
         let machines = self.machines.values();
-        for machine in machines.filter(|machine| machine.reported.is_some()) {
+        for machine in machines.filter(|machine| machine.last_heartbeat.is_some()) {
             if let Some(machine_type) = self.type_of(machine) {
                 fleet += machine_type.has();
             }
--- a/crates/controller/src/core/leader/fleet_health.rs
+++ b/crates/controller/src/core/leader/fleet_health.rs
@@ -52,7 +52,7 @@
         };
         let mut forgotten = Vec::new();
         for (id, machine) in &mut self.machines {
-            let machine_type = machine.kind.as_ref();
+            let machine_type = machine.machine_type.as_ref();
             let boot_s = machine_type
                 .and_then(|name| self.machine_types.get(name))
                 .map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
@@ -104,7 +104,7 @@
             // It is paid, and nothing can be had of it.
             return terminate_and_log("does not hear");
         }
-        if machine.lost && machine.listed_as_failed() {
+        if machine.presumed_dead && machine.listed_as_failed() {
             return terminate("failed");
         }
         self.judge_silence(machine, boot_limit)
@@ -112,12 +112,12 @@
 
     /// Judges a machine by how long it has been silent.
     fn judge_silence(&self, machine: &Machine, boot_limit: TimeSpan) -> HealthResult {
-        let last_heard = machine.reported.unwrap_or(machine.known);
+        let last_heard = machine.last_heartbeat.unwrap_or(machine.first_seen);
         let silence = self.now.since(last_heard);
         let is_unlisted = self.is_unlisted(machine, last_heard);
-        if machine.reported.is_none() {
+        if machine.last_heartbeat.is_none() {
             let is_late = silence > boot_limit;
-            if is_late && machine.listed_at.is_some() {
+            if is_late && machine.last_listed.is_some() {
                 return terminate_and_log("did not come up");
             }
             if is_late && is_unlisted && machine.tasks.is_empty() {
@@ -142,7 +142,7 @@
     }
 
     fn is_quarantined_for_long(&self, machine: &Machine) -> bool {
-        let until = machine.aside;
+        let until = machine.quarantined_until;
         until.is_some_and(|until| until.since(self.now) > self.idle_limit)
     }
 
@@ -156,8 +156,8 @@
     fn is_unlisted(&self, machine: &Machine, last_heard: Time) -> bool {
         self.last_list.is_some_and(|list| {
             list > last_heard + self.list_lag
-                && machine.listed_at.is_none_or(|listed| list > listed)
-                && machine.known + self.list_lag < list
+                && machine.last_listed.is_none_or(|listed| list > listed)
+                && machine.first_seen + self.list_lag < list
         })
     }
 }
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -350,17 +350,17 @@
 ) {
     if heartbeat.epoch > machine.epoch {
         machine.cache.give_up(|_| false);
-        machine.lost = false;
+        machine.presumed_dead = false;
     }
     machine.epoch = heartbeat.epoch;
     machine.sequence = heartbeat.sequence;
-    machine.reported = Some(now);
+    machine.last_heartbeat = Some(now);
     machine.has_our_token = heartbeat.token == own_token;
     if machine.has_our_token {
         machine.our_token_since.get_or_insert(now);
     }
-    machine.addr = heartbeat.addr.parse().ok();
-    machine.kind = Some(heartbeat.kind.clone());
+    machine.address = heartbeat.addr.parse().ok();
+    machine.machine_type = Some(heartbeat.kind.clone());
     machine.zone = Some(heartbeat.zone.clone());
     machine.spot = heartbeat.spot;
     let notice = heartbeat.notice_s;
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -20,14 +20,14 @@
     let mut leader = leader();
     let mut m = Machine::new(Time(0));
     let task = TaskId::parse("wk-1/0").unwrap();
-    m.take(task, Resources::default());
-    m.answered = Some(Time(10_000_000));
+    m.assign(task, Resources::default());
+    m.last_answer = Some(Time(10_000_000));
     m.our_token_since = Some(Time(100_000_000));
     let id = MachineId::from("host-1");
     leader.cluster.machines.insert(id.clone(), m);
     let mut lost_at = |secs: f64| {
         leader.expire_leases(effects_at(secs).now);
-        leader.cluster.machines[&id].lost
+        leader.cluster.machines[&id].presumed_dead
     };
     // The fixture's lease is 10 s.
     assert!(!lost_at(105.0));
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -85,7 +85,7 @@
     fn duties(&self) -> Value {
         let scheduler = self.scheduler;
         let last_cycle = Some(scheduler.last_cycle).filter(|_| scheduler.cycles > 0);
-        let last_call = self.autoscaler.hands.progress;
+        let last_call = self.autoscaler.cloud_proxy.progress;
         let last_commit = self.writer.pipeline.committed;
         json!([
             self.duty("placing", last_cycle, json!({})),
@@ -103,7 +103,7 @@
     }
 
     fn renting(&self) -> Value {
-        let proxy = &self.autoscaler.hands;
+        let proxy = &self.autoscaler.cloud_proxy;
         let [provisions, releases, machines] = self.autoscaler.intents.open();
         let by = proxy.peer(self.at.time);
         json!({
@@ -178,10 +178,10 @@
         let unreachable_for = machine.delivery.deaf_for(now);
         let notice = machine.termination_notice_at;
         json!({
-            "machine": id, "kind": machine.kind, "zone": machine.zone, "spot": machine.spot,
-            "session": machine.epoch, "reported_s_ago": self.seconds_since(machine.reported),
+            "machine": id, "kind": machine.machine_type, "zone": machine.zone, "spot": machine.spot,
+            "session": machine.epoch, "reported_s_ago": self.seconds_since(machine.last_heartbeat),
             "usable": machine.is_schedulable(now, self.cluster.max_silence()),
-            "lost": machine.lost,
+            "lost": machine.presumed_dead,
             "deaf_s": unreachable_for.map(|span| span.as_secs()),
             "leaving": machine.lifecycle != MachineLifecycle::InService,
             "taken_in_s": notice.map(|at| at.since(now).as_secs()),
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -203,7 +203,7 @@
         };
         let left = self.quarantine.pause_left(&id, at.wall);
         let machine = self.cluster.register_machine(at.time, &id, self.intents);
-        machine.aside = left.map(|left| at.time + left);
+        machine.quarantined_until = left.map(|left| at.time + left);
         if is_drained && machine.lifecycle == MachineLifecycle::InService {
             machine.lifecycle = MachineLifecycle::Draining;
         }
@@ -224,7 +224,7 @@
                 self.machines
                     .entry(assignment.machine.clone())
                     .or_insert_with(|| Machine::new(now))
-                    .take(task, job.spec.needs());
+                    .assign(task, job.spec.needs());
             }
             if job.end.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
                 job.end = Some(JobOutcome::Done { written: false });
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -128,11 +128,11 @@
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        machine.faults.insert(task.job.clone(), now);
+        machine.failed_jobs.insert(task.job.clone(), now);
         machine
-            .faults
+            .failed_jobs
             .retain(|_, failed| now.since(*failed) < FAILURE_LIFETIME);
-        let is_suspect = machine.faults.len() >= SUSPECT_FAILURES;
+        let is_suspect = machine.failed_jobs.len() >= SUSPECT_FAILURES;
         if is_suspect && machine.lifecycle == MachineLifecycle::InService {
             tracing::info!(machine = %id, "machine draining: several jobs failed on it");
             machine.lifecycle = MachineLifecycle::Draining;
@@ -190,14 +190,14 @@
         let lease = self.settings.workers.lease;
         let mut expired = Vec::new();
         for (id, machine) in &mut self.machines {
-            if machine.lost || machine.tasks.is_empty() {
+            if machine.presumed_dead || machine.tasks.is_empty() {
                 continue;
             }
             let Some(reason) = lease_expiry(at.time, machine, lease, inherited_until) else {
                 continue;
             };
             tracing::info!(machine = %id, %reason, tasks = machine.tasks.len(), "machine presumed dead");
-            machine.lost = true;
+            machine.presumed_dead = true;
             machine.has_our_token = false;
             machine.cache.clear();
             let id = id.clone();
@@ -235,7 +235,7 @@
             };
             if let Some(machine) = self.machines.get_mut(id) {
                 tracing::info!(machine = %id, pause_s = pause.as_secs(), "machine quarantined: silent again and again");
-                machine.aside = Some(at.time + pause);
+                machine.quarantined_until = Some(at.time + pause);
             }
         }
     }
@@ -274,12 +274,12 @@
         // seen our token, so only our own renew its lease.
         // Before it had our token an older leader may have done so:
         // a direct command can bring the token without a 200 of ours.
-        let last_renewal = machine.answered.max(Some(since)).unwrap_or(now);
+        let last_renewal = machine.last_answer.max(Some(since)).unwrap_or(now);
         (last_renewal + lease, RemovalReason::LeaseExpired)
     } else {
         // An older leader may have answered it until it noticed.
         let own_answer_expires = machine
-            .answered
+            .last_answer
             .map_or(Time(0), |answered| answered + lease);
         (
             inherited_until.max(own_answer_expires),
--- a/crates/controller/src/core/leader/task_lifecycle.rs
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -80,7 +80,7 @@
         };
         let spec = job.spec.clone();
         let cached = machine.cache.remaining(&spec.image, now).is_some();
-        let machine_type = machine.kind.as_ref();
+        let machine_type = machine.machine_type.as_ref();
         let fetch_rate = machine_type
             .and_then(|name| self.machine_types.get(name))
             .map(|machine_type| machine_type.fetch_gb_per_s);
@@ -89,10 +89,10 @@
             .of(&spec.image, spec.image_gb, fetch_rate);
         machine.cache.used(&spec.image, spec.image_gb, now, fetch);
         if spec.priority >= Priority::High {
-            machine.last_high = Some(now);
+            machine.last_high_priority = Some(now);
         }
-        machine.idle = None;
-        machine.take(task.clone(), spec.needs());
+        machine.idle_since = None;
+        machine.assign(task.clone(), spec.needs());
         job.waiting.remove(task.index);
         job.attempt = job.attempt.max(attempt);
         let change = job.touch(self.chunk_size, task.index);
@@ -170,7 +170,7 @@
         if let Some(machine) = self.machines.get_mut(&assignment.machine) {
             machine.release(task, needs);
             if machine.tasks.is_empty() {
-                machine.idle = Some(now);
+                machine.idle_since = Some(now);
             }
             let (jobs, tasks) = (&self.jobs, &machine.tasks);
             let is_needed = |image: &_| {
--- a/crates/controller/src/core/machine.rs
+++ b/crates/controller/src/core/machine.rs
@@ -1,4 +1,5 @@
-//! A machine as the leader knows it.
+//! A machine as the leader knows it: what its heartbeats, the cloud's lists and the
+//! placements say of it. Decides nothing.
 
 use super::delivery::DeliveryMonitor;
 use super::placement_tables::ImageCache;
@@ -9,129 +10,129 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// How far a machine's return has come.
+/// Whether a machine stays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineLifecycle {
-    /// It stays.
+    /// It gets work.
     InService,
     /// It gets no new work; it goes when empty.
     Draining,
-    /// Its release is due or asked for, whatever is on it.
+    /// The cloud is, or is to be, asked to terminate it, whatever is on it.
     Terminating,
 }
 
 /// A machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Where direct commands go.
-    pub addr: Option<SocketAddrV4>,
+    /// Where direct commands are sent.
+    pub address: Option<SocketAddrV4>,
     /// Its type, once known.
-    pub kind: Option<MachineTypeName>,
+    pub machine_type: Option<MachineTypeName>,
     /// Its zone, once known.
     pub zone: Option<Zone>,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Newest message: its session.
+    /// The agent epoch of its newest heartbeat.
     pub epoch: AgentEpoch,
-    /// Newest message: its number.
+    /// The number of its newest heartbeat.
     pub sequence: HeartbeatSequence,
-    /// When it last reported.
-    pub reported: Option<Time>,
-    /// When we last answered a report with 200.
-    pub answered: Option<Time>,
-    /// Whether its newest report carried our token.
+    /// When its last heartbeat came.
+    pub last_heartbeat: Option<Time>,
+    /// When we last answered a heartbeat with 200, which renews its lease.
+    pub last_answer: Option<Time>,
+    /// Whether its newest heartbeat carried our fencing token.
     pub has_our_token: bool,
-    /// When the first report did.
+    /// When the first heartbeat with our token came.
     pub our_token_since: Option<Time>,
-    /// Whether it hears what it is answered.
+    /// Whether it receives the answers to its heartbeats.
     pub delivery: DeliveryMonitor,
-    /// Unrecorded tasks on it, and what they take.
+    /// What tasks take that run there without being recorded there.
     pub unrecorded_usage: Resources,
-    /// When the cloud takes it, if noticed.
+    /// When the cloud takes it, if it has given notice.
     pub termination_notice_at: Option<Time>,
     /// Its state in the cloud's list, and its age there.
     pub listed: Option<(MachineStage, TimeSpan)>,
-    /// When a list last had it.
-    pub listed_at: Option<Time>,
-    /// When we first heard of it.
-    pub known: Time,
-    /// Whether its tasks were written off.
-    pub lost: bool,
-    /// Whether it is being returned.
+    /// When a list last showed it.
+    pub last_listed: Option<Time>,
+    /// When this leader first heard of it.
+    pub first_seen: Time,
+    /// Whether its lease has expired and its tasks were written off.
+    pub presumed_dead: bool,
+    /// Whether it stays.
     pub lifecycle: MachineLifecycle,
-    /// Why.
-    pub why: &'static str,
-    /// Its images.
+    /// Why it is to be terminated; empty if it is not.
+    pub termination_reason: &'static str,
+    /// The images that it should hold.
     pub cache: ImageCache,
-    /// It gets no work before this time.
-    pub aside: Option<Time>,
+    /// It is quarantined, and gets no work before this time.
+    pub quarantined_until: Option<Time>,
     /// When high-priority work was last placed here.
-    pub last_high: Option<Time>,
+    pub last_high_priority: Option<Time>,
     /// Since when it has nothing to do.
-    pub idle: Option<Time>,
-    /// Jobs that failed here, and when.
-    pub faults: BTreeMap<JobId, Time>,
+    pub idle_since: Option<Time>,
+    /// Jobs that failed here, and when each last did.
+    pub failed_jobs: BTreeMap<JobId, Time>,
     /// Tasks placed here.
     pub tasks: BTreeSet<TaskId>,
-    /// What they take together.
-    pub used: Resources,
+    /// What the tasks placed here take together.
+    pub allocated: Resources,
 }
 
 impl Machine {
-    /// One just heard of.
+    /// One that was just heard of.
     pub fn new(now: Time) -> Machine {
         Machine {
-            addr: None,
-            kind: None,
+            address: None,
+            machine_type: None,
             zone: None,
             spot: false,
             epoch: AgentEpoch(0),
             sequence: HeartbeatSequence(0),
-            reported: None,
-            answered: None,
+            last_heartbeat: None,
+            last_answer: None,
             has_our_token: false,
             our_token_since: None,
             delivery: DeliveryMonitor::default(),
             unrecorded_usage: Resources::default(),
             termination_notice_at: None,
             listed: None,
-            listed_at: None,
-            known: now,
-            lost: false,
+            last_listed: None,
+            first_seen: now,
+            presumed_dead: false,
             lifecycle: MachineLifecycle::InService,
-            why: "",
-            aside: None,
+            termination_reason: "",
+            quarantined_until: None,
             cache: ImageCache::default(),
-            last_high: None,
-            idle: None,
-            faults: BTreeMap::new(),
+            last_high_priority: None,
+            idle_since: None,
+            failed_jobs: BTreeMap::new(),
             tasks: BTreeSet::new(),
-            used: Resources::default(),
+            allocated: Resources::default(),
         }
     }
 
-    /// It is to be released.
+    /// It is to be terminated; the first reason stays.
     pub fn mark_for_termination(&mut self, why: &'static str) {
         if self.lifecycle != MachineLifecycle::Terminating {
-            (self.lifecycle, self.why) = (MachineLifecycle::Terminating, why);
+            (self.lifecycle, self.termination_reason) = (MachineLifecycle::Terminating, why);
         }
     }
 
     /// Notes a task placed here.
-    pub fn take(&mut self, task: TaskId, needs: Resources) {
+    pub fn assign(&mut self, task: TaskId, needs: Resources) {
         if self.tasks.insert(task) {
-            self.used += needs;
+            self.allocated += needs;
         }
     }
 
     /// Notes that a task is not here any more.
     pub fn release(&mut self, task: &TaskId, needs: Resources) {
         if self.tasks.remove(task) {
-            self.used -= needs;
+            self.allocated -= needs;
         }
         if self.tasks.is_empty() {
             // What rounding leaves must not add up.
-            self.used = Resources::default();
+            self.allocated = Resources::default();
         }
     }
 
@@ -140,9 +141,9 @@
         matches!(self.listed, Some((MachineStage::Failed, _)))
     }
 
-    /// Whether it is put aside.
+    /// Whether it is quarantined.
     pub fn is_quarantined(&self, now: Time) -> bool {
-        self.aside.is_some_and(|t| now < t)
+        self.quarantined_until.is_some_and(|t| now < t)
     }
 
     /// Whether new work may go here.
@@ -150,14 +151,14 @@
         self.is_healthy(now, silence) && !self.is_quarantined(now)
     }
 
-    /// Whether new work may go here if there is nothing better: it is well now, whatever
-    /// it was before.
+    /// Whether new work may go here if there is nothing better: it is healthy now, even if
+    /// quarantined for what it was before.
     pub fn is_healthy(&self, now: Time, silence: TimeSpan) -> bool {
         self.has_our_token
             && self.delivery.hears()
-            && !self.lost
+            && !self.presumed_dead
             && self.lifecycle == MachineLifecycle::InService
             && self.termination_notice_at.is_none()
-            && self.reported.is_some_and(|t| now.since(t) < silence)
+            && self.last_heartbeat.is_some_and(|t| now.since(t) < silence)
     }
 }
