--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -167,10 +167,7 @@
                 }
                 self.clear(&key);
             }
-            Effect::Record(..)
-            | Effect::Strike(_)
-            | Effect::Token(_)
-            | Effect::Epoch(_) => {}
+            Effect::Record(..) | Effect::Strike(_) | Effect::Token(_) | Effect::Epoch(_) => {}
         }
         Ok(())
     }
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -1,188 +1,93 @@
-//! The leading controller: loads what is recorded, follows changes, places
-//! work every cycle and writes its decisions ahead of sending them.
+//! The leading controller: owns the parts that load what is recorded, follow changes,
+//! place work every cycle and write decisions ahead of sending them, and passes each
+//! input to the part that it concerns. Decides nothing itself.
 
+mod arrival_recorder;
 mod autoscaling;
+mod capacity_planning;
+mod cluster_state;
 mod command_dispatch;
 mod commit_pipeline;
+mod cycle_inputs;
+mod fleet_health;
 mod heartbeat_reconciliation;
+mod inspection;
+mod job_objectives;
+mod outcome;
+mod pending_call;
+mod placement_requests;
+mod preemption_search;
+mod record_load;
+mod record_watch;
 mod scheduler;
+mod service_levels;
 mod status_broadcast;
 mod task_completion;
-
+mod task_lifecycle;
+mod task_reconciliation;
+
+use self::arrival_recorder::ArrivalRecorder;
+use self::autoscaling::CloudContext;
+use self::cluster_state::ClusterState;
+use self::command_dispatch::CommandDispatcher;
+use self::commit_pipeline::{TransactionWriter, WriteContext};
+use self::heartbeat_reconciliation::{HeartbeatContext, HeartbeatReconciler};
+use self::inspection::Inspection;
+pub use self::outcome::LeadershipOutcome;
+pub use self::pending_call::PendingCall;
+use self::record_load::RecordContext;
+use self::record_watch::RecordWatcher;
+use self::scheduler::Scheduler;
+use self::status_broadcast::StatusBroadcaster;
+pub use self::status_broadcast::TaskCounts;
+use self::task_completion::QuarantineRecorder;
 use super::autoscaler::state::{Autoscaler, CloudCall};
 use super::effects::{Effects, PendingCalls};
-use super::failpoints::{self, SafetyCheck};
-use super::format_version::chunk_progress::ChunkProgress;
 use super::format_version::{FormatVersion, WITH_HISTORY};
-use super::garbage_collection::GarbageCollector;
-use super::job_records::{
-    self, ChunkSize, CommitPipeline, DirtyChunks, HeaderStage, Job, JobOutcome,
-    SubmissionAssembler, Watched,
-};
-use super::leader_announcement::LeaderAnnouncer;
 use super::leader_authority::{Bounds, LeaderAuthority};
-use super::machine::{DeferredHeartbeat, Machine, MachineLifecycle};
-use super::placement_tables::FetchEstimates;
 use super::quarantine::Quarantine;
-use super::quota::arrival_history::{self, ArrivalHistory};
-use super::{Reply, Target};
+use super::{Now, Reply, RequestId};
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::types::{
-    Attempt, Class, FencingToken, Image, JobId, MachineId, MachineTypeName, NodeId, TaskId, Team,
-    Time, TimeSpan, Version, WallTime,
-};
-use crate::wire;
-use crate::wire::cloud::{MachineType, MachineTypes};
-use crate::wire::kvstore::{Entry, EntryPage, Operation, WatchEvent, WatchResponse};
-use crate::wire::workers::{StopReason, TaskState};
-use crate::wire::{backoff::Backoff, rate_limit::TokenBucket};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use crate::types::{FencingToken, Image, JobId, MachineId, NodeId, Time, TimeSpan};
+use crate::wire::cloud::MachineTypes;
+use crate::wire::kvstore::{Operation, WatchEvent};
+use crate::wire::workers::Heartbeat;
 use std::rc::Rc;
 
-/// What is to become of this leadership.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeadershipOutcome {
-    /// It goes on.
-    Continue,
-    /// Somebody holds a higher token.
-    Deposed(FencingToken),
-    /// It gives itself up, to start over from what is recorded.
-    StepDown(&'static str),
-}
-
-/// Time between looks for machines that fell silent or are gone.
-const LOOK_EVERY: TimeSpan = TimeSpan::millis(200);
-/// Least time between two cycles.
-const CYCLE_GAP: TimeSpan = TimeSpan::millis(80);
-/// By how much each machine lengthens it.
-const GAP_PER_MACHINE: TimeSpan = TimeSpan(150);
-/// A cycle that seems to have taken less may have been followed by nothing to do.
-const LONG_CYCLE: TimeSpan = TimeSpan::millis(80);
-/// From the beginning of a cycle to the next, in times of what it took.
-const CYCLES_LEAVE: f64 = 3.0;
-/// And at most this.
-const LONGEST_REST: TimeSpan = TimeSpan::millis(4000);
-/// Changes of the state service that no rate bounds, as when leases end.
-const MOST_AT_ONCE: u64 = 10_000;
-/// Time between two times at which what came of late is stored.
-const MEMORY_EVERY: TimeSpan = TimeSpan::millis(30_000);
-/// Arrivals kept per class.
-const MOST_ARRIVALS: usize = 2048;
-
-/// A job's arrival, for what is to be expected.
-#[derive(Clone, Debug)]
-pub(super) struct Arrival {
-    pub at: WallTime,
-    pub team: Team,
-    /// Machines that its tasks fill, and for how long.
-    pub machines: f64,
-    pub run_s: f64,
-}
-
-type ReportedTasks = Vec<(String, Attempt, TaskState, Option<StopReason>)>;
-
-#[derive(Debug)]
-enum Load {
-    Watched(Vec<Entry>),
-    Records(Vec<Entry>),
-    Duties(Vec<Entry>),
-    Done,
-}
-
-/// What a leader waits for. It goes with its leader: replies for an earlier
-/// one are void.
-#[derive(Clone, Debug)]
-pub enum PendingCall {
-    /// Records or changes.
-    Read {
-        /// When they were asked for.
-        sent: Time,
-    },
-    /// The transaction of its one lane of writes.
-    Commit,
-    /// A record that the transaction in flight writes, to learn whether it was carried out.
-    Written(Operation),
-    /// A call to the cloud, and the peer that makes it.
-    Cloud(CloudCall, Option<NodeId>),
-}
+/// Time between checks for machines that fell silent or are gone.
+const HEALTH_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(200);
 
-/// The leader.
+/// The leader: what its term rests on, and the parts that do its work.
 #[derive(Debug)]
 pub struct Leader {
-    pub(super) settings: Rc<Settings>,
-    pub(super) policy: Rc<Policy>,
-    /// The token.
+    /// The fencing token.
     pub token: FencingToken,
-    /// The key whose version it is.
+    /// The key whose version is the token.
     pub holder: &'static str,
-    /// The level in force.
+    /// The format version in force.
     pub level: FormatVersion,
-    /// Changes of the levels' keys that its watch told.
+    /// Changes of leader and format-version keys that the watch showed.
     pub news: Vec<WatchEvent>,
     /// The lease that the token hangs on.
     pub lease: u64,
     /// Calls under way.
     pub pending_calls: PendingCalls<PendingCall>,
-    /// When it took office.
+    /// When it began to lead.
     pub office: Time,
-    /// Until when its word counts.
+    /// Until when it may answer heartbeats and start tasks.
     pub authority: LeaderAuthority,
-    load: Load,
-    /// The revision of the load's first page: changes are followed from there.
-    first_read: Option<Version>,
-    assembly: SubmissionAssembler,
-    revision: Version,
-    watching: bool,
-    watch_again: Time,
-    watch_backoff: Backoff,
-    pub(super) jobs: BTreeMap<JobId, Job>,
-    pub(super) machines: BTreeMap<MachineId, Machine>,
-    pub(super) types: BTreeMap<MachineTypeName, MachineType>,
-    pub(super) estimates: FetchEstimates,
-    pub(super) chunk_size: ChunkSize,
-    pub(super) commit_pipeline: CommitPipeline,
-    pub(super) commit_backoff: Backoff,
-    pub(super) writes: TokenBucket,
-    pub(super) dirty: DirtyChunks,
-    pub(super) finishing: BTreeSet<JobId>,
-    pub(super) dropping: BTreeSet<JobId>,
-    look_due: Time,
-    next_cycle: Time,
-    pub(super) last_cycle: Time,
-    /// Whether the last input ran a cycle.
-    cycled: bool,
-    /// Least time from one cycle to the next, by what the last one took.
-    rest: TimeSpan,
-    /// Cycles run.
-    pub cycles: u64,
-    pub(super) held: BTreeMap<MachineId, DeferredHeartbeat>,
-    /// When held reports are next looked through, and the cycle after which
-    /// they last were.
-    pub(super) held_due: Time,
-    pub(super) held_cycle: u64,
-    /// Machines for which starts were stored since.
-    pub(super) stored: BTreeSet<MachineId>,
-    pub(super) listed: BTreeMap<MachineId, ReportedTasks>,
-    pub(super) direct: BTreeMap<MachineId, Vec<TaskId>>,
-    pub(super) announcer: LeaderAnnouncer,
+    next_health_check: Time,
+    pub(super) cluster: ClusterState,
+    records: RecordWatcher,
+    pub(super) writer: TransactionWriter,
+    pub(super) scheduler: Scheduler,
+    pub(super) heartbeats: HeartbeatReconciler,
+    pub(super) commands: CommandDispatcher,
     pub(super) autoscaler: Autoscaler,
     pub(super) quarantine: Quarantine,
-    pub(super) garbage_collector: GarbageCollector,
-    /// When work was last stopped for other work.
-    pub(super) reclaimed: Option<Time>,
-    /// Submissions that were read, whether or not they could be understood.
-    submitted: BTreeSet<JobId>,
-    pub(super) arrivals: BTreeMap<Class, VecDeque<Arrival>>,
-    /// Chunks whose record has an older form than the level in force writes.
-    pub(super) older: BTreeSet<(JobId, u32)>,
-    pub(super) rewrite_due: Time,
-    /// When what came of late is next stored.
-    memory_due: Time,
-    memory_stored: serde_json::Value,
-    pub(super) told: BTreeMap<JobId, (u32, u32)>,
-    pub(super) told_caches: BTreeMap<MachineId, Vec<(Image, f64)>>,
-    pub(super) told_fetches: BTreeMap<Image, u64>,
+    pub(super) arrivals: ArrivalRecorder,
+    pub(super) status: StatusBroadcaster,
 }
 
 impl Leader {
@@ -195,8 +100,6 @@
         now: Time,
         types: &MachineTypes,
     ) -> Leader {
-        let bounds = Bounds::new(&settings.workers);
-        let limits = settings.state_limits;
         let mut leader = Leader {
             token,
             holder,
@@ -205,53 +108,18 @@
             lease,
             pending_calls: PendingCalls::default(),
             office: now,
-            authority: LeaderAuthority::new(bounds, now),
-            load: Load::Watched(Vec::new()),
-            first_read: None,
-            assembly: SubmissionAssembler::default(),
-            revision: Version(0),
-            watching: false,
-            watch_again: now,
-            watch_backoff: Backoff::default(),
-            jobs: BTreeMap::new(),
-            machines: BTreeMap::new(),
-            types: BTreeMap::new(),
-            estimates: FetchEstimates::new(TimeSpan::secs(policy.first_fetch_s)),
-            chunk_size: ChunkSize::for_value(limits.value_bytes),
-            commit_pipeline: CommitPipeline::default(),
-            commit_backoff: Backoff::default(),
-            writes: TokenBucket::new(limits.write_rps * 0.7, limits.write_rps * 0.7),
-            dirty: DirtyChunks::default(),
-            finishing: BTreeSet::new(),
-            dropping: BTreeSet::new(),
-            look_due: now,
-            next_cycle: now,
-            last_cycle: now,
-            cycled: false,
-            rest: TimeSpan::ZERO,
-            cycles: 0,
-            held: BTreeMap::new(),
-            held_due: now,
-            held_cycle: 0,
-            stored: BTreeSet::new(),
-            listed: BTreeMap::new(),
-            direct: BTreeMap::new(),
-            announcer: LeaderAnnouncer::new(now, settings.workers.report),
+            authority: LeaderAuthority::new(Bounds::new(&settings.workers), now),
+            next_health_check: now,
+            records: RecordWatcher::new(now),
+            writer: TransactionWriter::new(holder, token, settings.state_limits.write_rps, now),
+            scheduler: Scheduler::new(now),
+            heartbeats: HeartbeatReconciler::new(now),
+            commands: CommandDispatcher::new(token, now, settings.workers.report),
             autoscaler: Autoscaler::new(&settings, token, now),
             quarantine: Quarantine::default(),
-            garbage_collector: GarbageCollector::default(),
-            reclaimed: None,
-            submitted: BTreeSet::new(),
-            arrivals: BTreeMap::new(),
-            older: BTreeSet::new(),
-            rewrite_due: now,
-            memory_due: now,
-            memory_stored: serde_json::Value::Null,
-            told: BTreeMap::new(),
-            told_caches: BTreeMap::new(),
-            told_fetches: BTreeMap::new(),
-            settings,
-            policy,
+            arrivals: ArrivalRecorder::new(now),
+            status: StatusBroadcaster::default(),
+            cluster: ClusterState::new(settings, policy),
         };
         leader.set_types(types);
         leader
@@ -259,9 +127,7 @@
 
     /// Takes over machine types read from the cloud or the state service.
     pub fn set_types(&mut self, types: &MachineTypes) {
-        for t in &types.kinds {
-            self.types.insert(t.name.clone(), t.clone());
-        }
+        self.cluster.set_machine_types(types);
     }
 
     /// Whether everything recorded has been read.
@@ -269,7 +135,7 @@
         self.authority.is_loaded()
     }
 
-    /// Whether reports may be answered.
+    /// Whether heartbeats may be answered.
     pub fn may_answer(&self, now: Time) -> bool {
         self.authority.may_answer(now)
     }
@@ -279,116 +145,70 @@
         self.authority.may_start(now)
     }
 
-    /// Machines that it knows of, and those that have reported under its token.
+    /// Machines that it knows of, and those that have sent a heartbeat under its token.
     pub fn machines_heard(&self) -> (usize, usize) {
-        let heard = self
-            .machines
-            .values()
-            .filter(|m| m.our_token_since.is_some());
-        (self.machines.len(), heard.count())
+        let machines = self.cluster.machines.values();
+        let heard = machines.filter(|machine| machine.our_token_since.is_some());
+        (self.cluster.machines.len(), heard.count())
     }
 
     /// Whether it knows of a machine.
     pub fn knows(&self, machine: &MachineId) -> bool {
-        self.machines.contains_key(machine)
-    }
-
-    /// Has the next cycle run soon.
-    pub fn cycle_soon(&mut self, now: Time) {
-        // The more machines a cycle looks at, the rarer cycles have to be.
-        let gap = CYCLE_GAP + TimeSpan(GAP_PER_MACHINE.0 * self.machines.len() as u64);
-        let gap = gap.max(self.rest);
-        self.next_cycle = self.next_cycle.min(now.max(self.last_cycle + gap));
+        self.cluster.machines.contains_key(machine)
     }
 
-    /// An input has come: the last cycle, if one ran since the one before, took
-    /// no longer than until now. What a cycle takes depends on the work that
-    /// waits and on the processor's share, so cycles leave most of the time to
-    /// everything else whatever they take.
-    fn note_pace(&mut self, now: Time) {
-        if !std::mem::take(&mut self.cycled) {
-            return;
-        }
-        let took = now.since(self.last_cycle);
-        let long = took > LONG_CYCLE;
-        self.rest = if long {
-            took.scaled(CYCLES_LEAVE).min(LONGEST_REST)
-        } else {
-            TimeSpan::ZERO
-        };
-        self.next_cycle = self.next_cycle.max(self.last_cycle + self.rest);
+    /// Whether another node may hold this token.
+    pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
+        let since_contact = self.authority.age(now);
+        let write_rps = self.cluster.settings.state_limits.write_rps;
+        self.records
+            .may_have_been_issued(token, since_contact, write_rps)
     }
 
     /// Does what is due as time passes.
     pub fn tick(&mut self, effects: &mut Effects) {
-        if !self.watching && effects.now.time >= self.watch_again {
-            self.read_on(effects);
+        self.records
+            .read_next(effects, &self.authority, &mut self.pending_calls);
+        if !self.is_loaded() {
+            return;
         }
-        if self.is_loaded() {
-            if effects.now.time >= self.look_due {
-                self.look_due = effects.now.time + LOOK_EVERY;
-                self.expire(effects);
-                self.give_up_machines(effects.now.time);
-                self.mean_releases(effects.now.wall);
-            }
-            self.rental_tick(effects);
-            self.send_announcements(effects);
-            self.rewrite(effects.now.time);
-            self.store_memory(effects.now);
+        let at = effects.now;
+        if at.time >= self.next_health_check {
+            self.next_health_check = at.time + HEALTH_CHECK_INTERVAL;
+            self.check_machine_health(at);
         }
+        self.call_cloud(effects);
+        self.commands.send_announcements(effects, &self.cluster);
+        self.queue_outdated_chunks(at.time);
+        self.store_arrivals(at);
     }
 
     /// Does what any input may have made due.
     pub fn advance(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
-        self.note_pace(now);
-        if now >= self.next_cycle && self.may_start(now) {
-            self.last_cycle = now;
-            self.cycled = true;
-            self.next_cycle = now + TimeSpan::secs(self.policy.cycle_s);
-            self.cycle(effects);
-            self.cycles += 1;
+        self.scheduler.adjust_pace(now);
+        if self.scheduler.is_cycle_due(now) && self.may_start(now) {
+            self.run_cycle(effects.now);
         }
-        self.pump(effects);
-        self.send_direct(effects);
-        self.answer_held(effects);
-    }
-
-    fn read_on(&mut self, effects: &mut Effects) {
-        let (path, timeout) = match &self.load {
-            Load::Watched(got) => (page(job_records::WATCHED, got), TimeSpan::secs(3.0)),
-            Load::Records(got) => (
-                page(job_records::PROGRESS_RECORDS, got),
-                TimeSpan::secs(3.0),
-            ),
-            Load::Duties(got) => (page(super::keys::LEADER_RECORDS, got), TimeSpan::secs(3.0)),
-            Load::Done => {
-                let hold = self.authority.watch(effects.now.time);
-                (
-                    format!(
-                        "/changes?starts={}&since={}&hold_ms={}",
-                        job_records::WATCHED,
-                        self.revision,
-                        hold.as_millis()
-                    ),
-                    hold + TimeSpan::secs(3.0),
-                )
-            }
-        };
-        self.watching = true;
-        let sent = effects.now.time;
-        let id = effects.call(Target::State, "GET", path, Vec::new(), timeout);
-        self.pending_calls.add(id, PendingCall::Read { sent });
+        self.submit_next_transaction(effects);
+        self.commands.send_direct_stops(effects, &mut self.cluster);
+        self.heartbeats.answer_deferred(
+            effects,
+            &mut self.cluster,
+            &mut self.commands,
+            &self.authority,
+            self.scheduler.cycles,
+        );
     }
 
     /// Takes a reply to one of its calls.
     pub fn on_reply(
         &mut self,
         effects: &mut Effects,
-        what: PendingCall,
+        call: PendingCall,
         reply: Reply,
     ) -> LeadershipOutcome {
-        match what {
+        match call {
             PendingCall::Read { sent } => self.on_read(effects, sent, reply),
             PendingCall::Commit => self.on_commit(effects, reply),
             PendingCall::Written(op) => self.on_written(&op, reply),
@@ -403,436 +223,262 @@
         sent: Time,
         reply: Reply,
     ) -> LeadershipOutcome {
-        let now = effects.now.time;
-        self.watching = false;
-        let (status, body) = match reply {
-            Reply::Answer(status, body) => (status, body),
-            Reply::NotSent | Reply::Lost => (0, Vec::new()),
-        };
-        if status == 410 {
-            // Fell behind by more than the service keeps: start over.
-            return LeadershipOutcome::StepDown("changes were missed");
-        }
-        if status != 200 {
-            let jitter = effects.jitter();
-            self.watch_again = now
-                + self
-                    .watch_backoff
-                    .failed(TimeSpan::millis(150), TimeSpan::secs(1.0), jitter);
-            return LeadershipOutcome::Continue;
-        }
-        self.watch_backoff.succeeded();
-        self.watch_again = now;
-        if !self.is_loaded() {
-            return self.on_page(effects.now, sent, &body);
-        }
-        let Some(changes) = wire::decode::<WatchResponse>(&body) else {
-            return LeadershipOutcome::StepDown("changes could not be read");
-        };
-        let fate = self.apply(effects, changes);
-        self.authority.showed(sent);
-        for id in self.authority.refuted() {
-            if self.jobs.get(&id).is_some_and(Job::is_open) {
-                tracing::error!(job = %id, "said to be cancelled by a peer, and is not; it goes on");
-            }
-        }
-        fate
+        let mut parts = self.records();
+        parts
+            .records
+            .handle_read_reply(effects, &mut parts.context, sent, reply)
     }
 
-    fn on_page(&mut self, now: super::Now, sent: Time, body: &[u8]) -> LeadershipOutcome {
-        let Some(page) = wire::decode::<EntryPage>(body) else {
-            return LeadershipOutcome::StepDown("records could not be read");
+    /// The cloud answered, or not; `by` is the peer that made the call, if one did.
+    pub fn on_cloud(
+        &mut self,
+        effects: &mut Effects,
+        call: CloudCall,
+        by: Option<NodeId>,
+        reply: Reply,
+    ) -> LeadershipOutcome {
+        let mut context = CloudContext {
+            cluster: &mut self.cluster,
+            commands: &mut self.commands,
+            heartbeats: &mut self.heartbeats,
         };
-        let more = page.more;
-        // Changes are followed from the first page on; what a later page
-        // already shows is applied twice without harm.
-        let revision = *self.first_read.get_or_insert(page.revision);
-        self.authority.page(sent);
-        match &mut self.load {
-            Load::Watched(got) => {
-                got.extend(page.items);
-                if !more {
-                    self.revision = revision;
-                    let got = std::mem::take(got);
-                    if let Some(fate) = self.load_watched(got) {
-                        return fate;
-                    }
-                    self.load = Load::Records(Vec::new());
-                }
-            }
-            Load::Records(got) => {
-                got.extend(page.items);
-                if !more {
-                    let got = std::mem::take(got);
-                    self.load_records(now.time, got);
-                    self.load = Load::Duties(Vec::new());
-                }
-            }
-            Load::Duties(got) => {
-                got.extend(page.items);
-                if !more {
-                    let got = std::mem::take(got);
-                    self.load_duties(now, got);
-                    if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
-                        self.revision = page.revision;
-                    }
-                    self.load = Load::Done;
-                    self.authority.loaded(sent);
-                    tracing::info!(token = %self.token, jobs = self.jobs.len(), machines = self.machines.len(), "leading");
-                }
+        self.autoscaler
+            .handle_cloud_reply(effects, &mut context, call, by.as_ref(), reply)
+    }
+
+    /// Handles a worker's heartbeat; `may_defer`: its answer may wait for work.
+    pub fn on_report(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        heartbeat: Heartbeat,
+        may_defer: bool,
+    ) -> LeadershipOutcome {
+        if heartbeat.token > self.token {
+            effects.answer_status(request, 421);
+            if self.may_be(effects.now.time, heartbeat.token) {
+                return LeadershipOutcome::Deposed(heartbeat.token);
             }
-            Load::Done => {}
+            tracing::error!(machine = %heartbeat.machine, token = %heartbeat.token, "heartbeat with a token that nobody was given ignored");
+            return LeadershipOutcome::Continue;
         }
+        let mut context = HeartbeatContext {
+            token: self.token,
+            authority: &self.authority,
+            cluster: &mut self.cluster,
+            intents: &mut self.autoscaler.intents,
+            quarantine: &mut self.quarantine,
+            commands: &mut self.commands,
+            scheduler: &mut self.scheduler,
+        };
+        self.heartbeats
+            .handle_heartbeat(effects, &mut context, request, &heartbeat, may_defer);
         LeadershipOutcome::Continue
     }
 
-    fn load_watched(&mut self, entries: Vec<Entry>) -> Option<LeadershipOutcome> {
-        let mut holds = false;
-        for e in &entries {
-            match job_records::watched(&e.key) {
-                Watched::Office => {
-                    holds |= e.key == self.holder && e.version.0 == self.token.0;
-                    self.news.push(WatchEvent {
-                        put: Some(e.key.clone()),
-                        delete: None,
-                        value: e.value.clone(),
-                        version: e.version,
-                    });
-                }
-                Watched::Part(id, n) => self.assembly.part(id, n, &e.value),
-                _ => {}
-            }
-        }
-        if !holds {
-            return Some(LeadershipOutcome::StepDown(
-                "the lease ran out while loading",
-            ));
-        }
-        let submitted = entries
-            .iter()
-            .filter_map(|e| match job_records::watched(&e.key) {
-                Watched::Job(id) => Some(id),
-                _ => None,
-            });
-        self.submitted = submitted.collect();
-        for e in &entries {
-            let there = |id: &JobId| self.submitted.contains(id);
-            self.garbage_collector.look(&e.key, e.version, there);
-        }
-        for e in &entries {
-            if let Watched::Job(id) = job_records::watched(&e.key) {
-                self.add_job(&id, e.version, &e.value);
-            }
-        }
-        for e in &entries {
-            if let Watched::JobOutcome(id) = job_records::watched(&e.key)
-                && let Some(job) = self.jobs.get_mut(&id)
-            {
-                job.end = Some(
-                    match job_records::read::<job_records::JobHeader>(&e.value) {
-                        Some(h) if h.s == HeaderStage::Done => JobOutcome::Done { written: true },
-                        _ => JobOutcome::Cancelled,
-                    },
-                );
-            }
-        }
-        None
+    /// Gives up deferred heartbeats, when leadership ends.
+    pub fn drop_held(&mut self, effects: &mut Effects) {
+        self.heartbeats.drop_deferred(effects);
     }
 
-    fn add_job(&mut self, id: &JobId, version: Version, value: &serde_json::Value) {
-        if self.jobs.contains_key(id) {
+    /// A peer told a job's user that it is cancelled: nothing of it is wanted any more,
+    /// whether or not the key-value store can be read. Nothing is deleted for it.
+    pub fn hear_cancelled(&mut self, now: Time, id: &JobId) {
+        let job = self.cluster.jobs.get(id);
+        let Some(job) = job.filter(|job| job.is_open()) else {
             return;
-        }
-        match self.assembly.job(id, version, value) {
-            Some(job) => {
-                self.note_arrival(&job);
-                // A new leader reads all open jobs at once: that is no news.
-                if self.is_loaded() {
-                    tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, tasks = job.spec.tasks, image = %job.spec.image, "accepted");
-                }
-                self.jobs.insert(id.clone(), job);
-            }
-            None => tracing::error!(job = %id, "record of the submission cannot be read"),
+        };
+        let tasks: Vec<u32> = job.assignments.keys().copied().collect();
+        if self.authority.told(now, id) {
+            tracing::info!(job = %id, tasks = tasks.len(), "job cancelled, as a peer says");
+            let why = "a peer says that it is cancelled";
+            self.cluster.stop_tasks(now, id, &tasks, 0.0, why);
         }
     }
 
-    fn note_arrival(&mut self, job: &Job) {
-        let needs = job.spec.needs();
-        let per_machine = self
-            .types
-            .values()
-            .map(|t| needs.count_in(&t.has(), u32::MAX))
-            .max()
-            .unwrap_or(1)
-            .max(1);
-        let machines = f64::from(job.spec.tasks) / f64::from(per_machine);
-        let all = self.arrivals.entry(job.spec.class.clone()).or_default();
-        all.push_back(Arrival {
-            at: job.at,
-            team: job.spec.team.clone(),
-            machines,
-            run_s: job.spec.estimate_s,
-        });
-        if all.len() > MOST_ARRIVALS {
-            all.pop_front();
-        }
+    /// Task counts of a job, for display.
+    pub fn counts(&self, id: &JobId) -> Option<TaskCounts> {
+        self.cluster.task_counts(id)
     }
 
-    fn memory(&self) -> ArrivalHistory {
-        let mut memory = ArrivalHistory::new(TimeSpan::secs(self.policy.floor_window_s));
-        for (class, arrivals) in &self.arrivals {
-            for a in arrivals {
-                memory.note(a.at, class, &a.team, a.machines, a.run_s);
-            }
-        }
-        memory
+    /// Counts of done and running tasks that changed since the last call, at most
+    /// `most`.
+    pub fn changed_counts(&mut self, most: usize) -> Vec<(JobId, u32, u32)> {
+        self.status.changed_counts(&self.cluster, most)
     }
 
-    /// Stores what came of late now and then, if the level in force has it.
-    fn store_memory(&mut self, at: super::Now) {
-        if self.level < WITH_HISTORY || at.time < self.memory_due {
-            return;
-        }
-        self.memory_due = at.time + MEMORY_EVERY;
-        let bytes = self.settings.state_limits.value_bytes;
-        let value = self.memory().store(at.wall, bytes);
-        if value != self.memory_stored {
-            self.memory_stored = value.clone();
-            self.autoscaler
-                .intents
-                .pending_writes
-                .put(arrival_history::KEY.into(), value);
-        }
+    /// Images of machines, with sizes in GB, where they changed since the last call.
+    pub fn changed_caches(&mut self) -> Vec<(MachineId, Vec<(Image, f64)>)> {
+        self.status.changed_caches(&self.cluster)
     }
 
-    /// Takes over what an earlier leader saw come, and that is over by now.
-    fn recall(&mut self, stored: &serde_json::Value) {
-        let Some(missing) = self.memory().missing(stored) else {
-            tracing::error!(
-                key = arrival_history::KEY,
-                "cannot be read; floors begin anew"
-            );
-            return;
-        };
-        for m in missing {
-            let all = self.arrivals.entry(m.class).or_default();
-            let place = all.partition_point(|a| a.at < m.at);
-            let arrival = Arrival {
-                at: m.at,
-                team: m.team,
-                machines: m.machines,
-                run_s: m.run_s,
-            };
-            all.insert(place, arrival);
-            if all.len() > MOST_ARRIVALS {
-                all.pop_front();
-            }
-        }
+    /// Fetch times, in milliseconds, that changed since the last call.
+    pub fn changed_fetches(&mut self) -> Vec<(Image, u64)> {
+        self.status.changed_fetch_times(&self.cluster)
     }
 
-    fn load_records(&mut self, now: Time, entries: Vec<Entry>) {
-        let submitted = std::mem::take(&mut self.submitted);
-        for e in entries {
-            let Some((id, chunk)) = job_records::record(&e.key) else {
-                continue;
-            };
-            // Without its submission a record is a remnant of an ended job.
-            self.garbage_collector
-                .look(&e.key, e.version, |id| submitted.contains(id));
-            let Some(job) = self.jobs.get_mut(&id) else {
-                continue;
-            };
-            if !ChunkProgress::is_of(&e.value, WITH_HISTORY) {
-                self.older.insert((id.clone(), chunk));
-            }
-            if let Err(why) = job.load_chunk(chunk, e.version, &e.value) {
-                tracing::error!(job = %id, key = e.key, %why, "a record cannot be read; its job is left as it is");
-            }
-        }
-        let mut stop = Vec::new();
-        for (id, job) in &mut self.jobs {
-            for (&index, p) in &mut job.assignments {
-                p.placed = now;
-                let task = TaskId {
-                    job: id.clone(),
-                    index,
-                };
-                self.machines
-                    .entry(p.machine.clone())
-                    .or_insert_with(|| Machine::new(now))
-                    .take(task, job.spec.needs());
-            }
-            if job.end.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
-                job.end = Some(JobOutcome::Done { written: false });
-                self.finishing.insert(id.clone());
-            }
-            if !job.is_open() {
-                if job.assignments.is_empty() {
-                    self.dropping.insert(id.clone());
-                } else {
-                    stop.push(id.clone());
-                }
-            }
-        }
-        for id in stop {
-            self.stop_all(now, &id, "its job is over");
-        }
+    /// A peer missed what was sent: everything is sent once more.
+    pub fn tell_again(&mut self) {
+        self.status.resend_everything();
     }
 
-    /// Takes over what earlier leaders meant to have done.
-    pub(super) fn load_duties(&mut self, now: super::Now, entries: Vec<Entry>) {
-        for e in entries {
-            if e.key == arrival_history::KEY {
-                self.recall(&e.value);
-                self.memory_stored = e.value;
-                continue;
-            }
-            let go = self.autoscaler.intents.load(&e.key, &e.value, now.wall);
-            for id in go {
-                self.meet(now.time, &id)
-                    .mark_for_termination("an earlier leader meant to release it");
-            }
-            if let Some((id, drained)) = self.quarantine.load(&e.key, &e.value) {
-                let left = self.quarantine.pause_left(&id, now.wall);
-                let m = self.meet(now.time, &id);
-                m.aside = left.map(|left| now.time + left);
-                if drained && m.lifecycle == MachineLifecycle::InService {
-                    m.lifecycle = MachineLifecycle::Draining;
-                }
-            }
-        }
-        let [provisions, releases, going] = self.autoscaler.intents.open();
-        if provisions + releases > 0 {
-            tracing::info!(
-                provisions,
-                releases,
-                machines = going,
-                "finishing what earlier leaders meant"
-            );
-        }
+    /// Takes over what the last leader sent of a machine's images.
+    pub fn inherit_cache(&mut self, now: Time, id: &MachineId, images: &[(Image, f64)]) {
+        self.cluster.inherit_cache(now, id, images);
     }
 
-    /// A machine that was heard of. One that is to go stays so, whoever
-    /// decided it and whatever brought the machine up again.
-    pub(super) fn meet(&mut self, now: Time, id: &MachineId) -> &mut Machine {
-        let lifecycle = self.autoscaler.intents.is_leaving(id);
-        let m = self
-            .machines
-            .entry(id.clone())
-            .or_insert_with(|| Machine::new(now));
-        if lifecycle {
-            m.lifecycle = MachineLifecycle::Terminating;
+    /// Everything an operator may ask for, of machines and jobs whose names
+    /// begin like this.
+    pub fn inspect(&self, at: Now, machine: &str, job: &str) -> serde_json::Value {
+        let inspection = Inspection {
+            at,
+            token: self.token,
+            leading_since: self.office,
+            authority: &self.authority,
+            cluster: &self.cluster,
+            scheduler: &self.scheduler,
+            writer: &self.writer,
+            autoscaler: &self.autoscaler,
+            quarantine: &self.quarantine,
+            arrivals: &self.arrivals,
+        };
+        inspection.report(machine, job)
+    }
+
+    /// Whether all that is stored has the format in force.
+    pub fn is_rewritten(&self) -> bool {
+        self.writer.is_rewritten(self.level)
+    }
+
+    fn run_cycle(&mut self, at: Now) {
+        let interval = TimeSpan::secs(self.cluster.policy.cycle_s);
+        self.scheduler.begin_cycle(at.time, interval);
+        let (cluster, arrivals) = (&mut self.cluster, &self.arrivals);
+        let result = self
+            .scheduler
+            .run_cycle(at, cluster, &self.authority, arrivals);
+        self.autoscaler
+            .plan_capacity(at, cluster, arrivals, self.office, &result);
+        self.scheduler.cycles += 1;
+    }
+
+    /// Writes off machines whose leases have expired, and has those terminated that are
+    /// of no use any more.
+    fn check_machine_health(&mut self, at: Now) {
+        self.expire_leases(at);
+        self.cluster
+            .retire_machines(at.time, self.autoscaler.last_list);
+        self.autoscaler
+            .record_releases(&self.cluster.machines, at.wall);
+    }
+
+    /// Makes the next call to the cloud, if one is due.
+    fn call_cloud(&mut self, effects: &mut Effects) {
+        let cluster = &self.cluster;
+        self.autoscaler
+            .settle_intents(effects.now, cluster, &mut self.quarantine);
+        if self.may_start(effects.now.time) {
+            self.autoscaler
+                .make_next_call(effects, cluster, self.token, &mut self.pending_calls);
         }
-        m
     }
 
-    fn stop_all(&mut self, now: Time, id: &JobId, why: &'static str) {
-        let Some(job) = self.jobs.get(id) else {
+    /// Stores recent arrivals now and then, if the format in force has them.
+    fn store_arrivals(&mut self, at: Now) {
+        if self.level < WITH_HISTORY {
             return;
-        };
-        let all: Vec<u32> = job.assignments.keys().copied().collect();
-        self.stop_tasks(now, id, &all, 0.0, why);
-        if self.jobs[id].assignments.is_empty() {
-            self.dropping.insert(id.clone());
         }
+        let window = TimeSpan::secs(self.cluster.policy.floor_window_s);
+        let value_bytes = self.cluster.settings.state_limits.value_bytes;
+        let pending_writes = &mut self.autoscaler.intents.pending_writes;
+        self.arrivals
+            .store_if_due(at, window, value_bytes, pending_writes);
     }
 
-    fn apply(&mut self, effects: &mut Effects, changes: WatchResponse) -> LeadershipOutcome {
-        let now = effects.now.time;
-        for e in &changes.events {
-            if let Some(Watched::Part(id, n)) = e.put.as_deref().map(job_records::watched) {
-                self.assembly.part(id, n, &e.value);
-            }
-        }
-        for e in &changes.events {
-            if let Some(key) = &e.delete {
-                if key == self.holder {
-                    return LeadershipOutcome::StepDown("the lease ran out");
-                }
-                continue;
-            }
-            match e.put.as_deref().map(job_records::watched) {
-                Some(Watched::Office) => {
-                    self.news.push(e.clone());
-                    let key = e.put.as_deref() == Some(self.holder);
-                    if key && e.version.0 != self.token.0 {
-                        return LeadershipOutcome::Deposed(FencingToken(e.version.0));
-                    }
-                }
-                Some(Watched::Job(id)) => {
-                    self.add_job(&id, e.version, &e.value);
-                    self.cycle_soon(now);
-                }
-                Some(Watched::JobOutcome(id)) => {
-                    let cancelled = job_records::read::<job_records::JobHeader>(&e.value)
-                        .is_some_and(|h| h.s == HeaderStage::Cancelled);
-                    if cancelled {
-                        self.cancelled(now, &id);
-                    }
-                }
-                _ => {}
-            }
-        }
-        self.revision = self.revision.max(changes.revision);
-        LeadershipOutcome::Continue
+    /// Writes off machines whose leases have expired.
+    fn expire_leases(&mut self, at: Now) {
+        let inherited_until = self.office + self.authority.inherited();
+        let mut recorder = QuarantineRecorder {
+            quarantine: &mut self.quarantine,
+            pending_writes: &mut self.autoscaler.intents.pending_writes,
+        };
+        self.cluster
+            .expire_leases(at, &mut recorder, inherited_until);
     }
 
-    fn cancelled(&mut self, now: Time, id: &JobId) {
-        if let Some(job) = self.jobs.get(id) {
-            tracing::info!(job = %id, team = %job.spec.team, "cancelled by its user");
-            self.end(now, id, "its user cancelled it");
+    fn records(&mut self) -> RecordParts<'_> {
+        RecordParts {
+            records: &mut self.records,
+            context: RecordContext {
+                holder: self.holder,
+                token: self.token,
+                authority: &mut self.authority,
+                news: &mut self.news,
+                cluster: &mut self.cluster,
+                writer: &mut self.writer,
+                scheduler: &mut self.scheduler,
+                intents: &mut self.autoscaler.intents,
+                quarantine: &mut self.quarantine,
+                arrivals: &mut self.arrivals,
+            },
         }
     }
 
-    /// A peer told a job's user that it is cancelled: nothing of it is wanted any more,
-    /// whether or not the state service can be read. Nothing is deleted on a word.
-    pub fn hear_cancelled(&mut self, now: Time, id: &JobId) {
-        let Some(job) = self.jobs.get(id).filter(|j| j.is_open()) else {
-            return;
-        };
-        let tasks: Vec<u32> = job.assignments.keys().copied().collect();
-        if self.authority.told(now, id) {
-            tracing::info!(job = %id, tasks = tasks.len(), "cancelled, as a peer says");
-            self.stop_tasks(now, id, &tasks, 0.0, "a peer says that it is cancelled");
+    fn writer(&mut self) -> WriterParts<'_> {
+        WriterParts {
+            writer: &mut self.writer,
+            pending_calls: &mut self.pending_calls,
+            context: WriteContext {
+                cluster: &mut self.cluster,
+                intents: &mut self.autoscaler.intents,
+                machines_with_stored_starts: &mut self.heartbeats.machines_with_stored_starts,
+                status: &mut self.status,
+                format: self.level,
+            },
         }
     }
 
-    /// Whether somebody may hold this token: one that was given before what is known
-    /// by now would be known too, and so many changes there cannot be since.
-    pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
-        let rate = self.settings.state_limits.write_rps * 2.0;
-        let since = (self.authority.age(now).as_secs() * rate) as u64;
-        let most = self.revision.0.saturating_add(since + MOST_AT_ONCE);
-        (self.revision.0 + 1..=most).contains(&token.0)
+    /// Sends the next transaction, if there is anything to write.
+    fn submit_next_transaction(&mut self, effects: &mut Effects) {
+        let mut parts = self.writer();
+        parts
+            .writer
+            .submit_next_transaction(effects, &mut parts.context, parts.pending_calls);
     }
 
-    /// A commit found that a job's head is not open any more.
-    pub(super) fn ended_elsewhere(&mut self, now: Time, id: &JobId) {
-        if self.jobs.get(id).is_some_and(Job::is_open) {
-            tracing::info!(job = %id, "found to be over when its starts were to be stored");
-            self.end(now, id, "its job is over");
-        }
+    /// A transaction was answered, or not.
+    pub fn on_commit(&mut self, effects: &mut Effects, reply: Reply) -> LeadershipOutcome {
+        let mut parts = self.writer();
+        parts
+            .writer
+            .handle_commit_reply(effects, &mut parts.context, parts.pending_calls, reply)
     }
 
-    /// Nothing of a job is wanted any more.
-    fn end(&mut self, now: Time, id: &JobId, why: &'static str) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        job.end = Some(JobOutcome::Cancelled);
-        job.waiting = Default::default();
-        self.finishing.remove(id);
-        self.stop_all(now, id, why);
+    fn on_written(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
+        let mut parts = self.writer();
+        parts
+            .writer
+            .handle_own_write_read(&mut parts.context, op, reply)
     }
-}
 
-/// Path of the next page of keys below a prefix.
-fn page(prefix: &str, got: &[Entry]) -> String {
-    match got.last() {
-        Some(e) => format!("/keys?starts={prefix}&since={}&most=500", e.key),
-        None => format!("/keys?starts={prefix}&most=500"),
+    fn queue_outdated_chunks(&mut self, now: Time) {
+        self.writer
+            .queue_outdated_chunks(now, &mut self.cluster, self.level);
     }
 }
 
+/// The reader of records with everything that it acts on.
+struct RecordParts<'a> {
+    records: &'a mut RecordWatcher,
+    context: RecordContext<'a>,
+}
+
+/// The transaction writer with everything that it acts on.
+struct WriterParts<'a> {
+    writer: &'a mut TransactionWriter,
+    pending_calls: &'a mut PendingCalls<PendingCall>,
+    context: WriteContext<'a>,
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::core::autoscaler::intents::CapacityPool;
 use crate::testing::{effects_at, leader};
 use crate::types::WallTime;
 use crate::wire::cloud::ListedMachine;
@@ -32,7 +33,7 @@
         None,
         list(&["host-1", "host-2"]),
     );
-    assert_eq!(leader.machines.len(), 2);
+    assert_eq!(leader.cluster.machines.len(), 2);
     let release = CloudCall::Release(vec!["host-1".into()]);
     leader.on_cloud(
         &mut effects_at(2.0),
@@ -46,7 +47,12 @@
         None,
         list(&["host-1", "host-2"]),
     );
-    let left: Vec<_> = leader.machines.keys().map(|m| m.to_string()).collect();
+    let left: Vec<_> = leader
+        .cluster
+        .machines
+        .keys()
+        .map(|m| m.to_string())
+        .collect();
     assert_eq!(left, ["host-2"]);
 }
 
@@ -60,25 +66,37 @@
     let mut made = Vec::new();
     for n in 0..6 {
         let id = MachineId::from(format!("host-{n}"));
-        leader.meet(Time(0), &id).mark_for_termination("idle");
-        leader.mean_releases(WallTime(0));
+        leader
+            .cluster
+            .register_machine(Time(0), &id, &leader.autoscaler.intents)
+            .mark_for_termination("idle");
+        leader
+            .autoscaler
+            .record_releases(&leader.cluster.machines, WallTime(0));
         for (key, _) in leader.autoscaler.intents.pending_writes.take_puts(9) {
             leader.autoscaler.intents.stored(&key);
         }
-        made.push(match leader.next_call(Time(1)) {
-            Some(CloudCall::Release(names)) => {
-                leader.autoscaler.intents.release_asked(&names);
-                leader.autoscaler.intents.released(&names, Time(1));
-                names.iter().for_each(|m| drop(leader.machines.remove(m)));
-                "release"
-            }
-            Some(CloudCall::ProvisionRequest(r)) => {
-                leader.autoscaler.intents.filled(&r.request, &[], Time(1));
-                "rent"
-            }
-            Some(CloudCall::List) => "list",
-            _ => "other",
-        });
+        made.push(
+            match leader
+                .autoscaler
+                .next_call(Time(1), leader.cluster.machine_types.is_empty())
+            {
+                Some(CloudCall::Release(names)) => {
+                    leader.autoscaler.intents.release_asked(&names);
+                    leader.autoscaler.intents.released(&names, Time(1));
+                    names
+                        .iter()
+                        .for_each(|m| drop(leader.cluster.machines.remove(m)));
+                    "release"
+                }
+                Some(CloudCall::ProvisionRequest(r)) => {
+                    leader.autoscaler.intents.filled(&r.request, &[], Time(1));
+                    "rent"
+                }
+                Some(CloudCall::List) => "list",
+                _ => "other",
+            },
+        );
     }
     assert_eq!(made[..4], ["release", "rent", "release", "list"]);
 }
@@ -96,12 +114,16 @@
         .intents
         .provision(("g4".into(), "z0".into(), true), 3, WallTime(0));
     first
-        .meet(Time(0), &"host-1".into())
+        .cluster
+        .register_machine(Time(0), &"host-1".into(), &first.autoscaler.intents)
         .mark_for_termination("idle");
-    first.mean_releases(WallTime(0));
+    first
+        .autoscaler
+        .record_releases(&first.cluster.machines, WallTime(0));
     assert!(
         first
-            .next_call(Time(1))
+            .autoscaler
+            .next_call(Time(1), false)
             .is_some_and(|c| matches!(c, CloudCall::List))
     );
     let stored = first.autoscaler.intents.pending_writes.take_puts(9);
@@ -113,13 +135,20 @@
             value,
             version: crate::types::Version(7),
         });
-    next.load_duties(now, entries.collect());
+    next.records()
+        .context
+        .load_leader_records(now, entries.collect());
     // It starts nothing there, whatever brings the machine up again.
     assert_eq!(
-        next.meet(Time(2), &"host-1".into()).lifecycle,
+        next.cluster
+            .register_machine(Time(2), &"host-1".into(), &next.autoscaler.intents)
+            .lifecycle,
         MachineLifecycle::Terminating
     );
-    let Some(CloudCall::Release(names)) = next.next_call(Time(2)) else {
+    let Some(CloudCall::Release(names)) = next
+        .autoscaler
+        .next_call(Time(2), next.cluster.machine_types.is_empty())
+    else {
         panic!("the release is not asked for")
     };
     next.on_cloud(
@@ -134,8 +163,14 @@
         None,
         list(&["host-1"]),
     );
-    assert!(next.machines.is_empty(), "a late list brought it back");
-    let Some(CloudCall::ProvisionRequest(rent)) = next.next_call(Time(3)) else {
+    assert!(
+        next.cluster.machines.is_empty(),
+        "a late list brought it back"
+    );
+    let Some(CloudCall::ProvisionRequest(rent)) = next
+        .autoscaler
+        .next_call(Time(3), next.cluster.machine_types.is_empty())
+    else {
         panic!("the hire is not repeated")
     };
     assert_eq!((rent.request.as_str(), rent.count), ("5-1", 3));
@@ -148,11 +183,17 @@
     for (status, by) in [(400, None), (400, Some("node-1")), (404, Some("node-1"))] {
         let mut leader = leader();
         let id = MachineId::from("host-1");
-        leader.meet(Time(0), &id).mark_for_termination("idle");
+        leader
+            .cluster
+            .register_machine(Time(0), &id, &leader.autoscaler.intents)
+            .mark_for_termination("idle");
         let call = CloudCall::Release(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
         leader.on_cloud(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
-        assert!(leader.machines.contains_key(&id), "{status} by {by:?}");
+        assert!(
+            leader.cluster.machines.contains_key(&id),
+            "{status} by {by:?}"
+        );
         assert!(!leader.autoscaler.intents.is_gone(&id));
     }
 }
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -23,7 +23,7 @@
             leader.inherit_cache(now, &machine, &images);
         }
         for (image, took) in hints.fetches {
-            leader.estimates.note(&image, took);
+            leader.cluster.fetch_estimates.note(&image, took);
         }
         self.election
             .keep_lease_alive(&mut self.effects, lease, token);
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -191,7 +191,10 @@
             .record_peer_build(now, &heartbeat.node_id, heartbeat.levels);
         if let Some(leader) = &mut self.leader {
             for (image, ms) in &heartbeat.fetches {
-                leader.estimates.learn(image, TimeSpan::millis(*ms));
+                leader
+                    .cluster
+                    .fetch_estimates
+                    .learn(image, TimeSpan::millis(*ms));
             }
             for job in &heartbeat.cancelled {
                 leader.hear_cancelled(now, job);
--- a/crates/controller/src/core/node/requests.rs
+++ b/crates/controller/src/core/node/requests.rs
@@ -4,6 +4,7 @@
 use super::routes::{Route, VersionedService};
 use crate::core::autoscaler::state::BAD_GATEWAY;
 use crate::core::format_version::member_versions::NotServing;
+use crate::core::leader::TaskCounts;
 use crate::core::{Listener, RequestId};
 use crate::http;
 use crate::types::JobId;
@@ -79,7 +80,7 @@
             return;
         };
         let id = JobId::from(job);
-        if let Some((done, running)) = leader.counts(&id) {
+        if let Some(TaskCounts { done, running }) = leader.counts(&id) {
             self.job_api.note_counts(vec![(id, done, running)]);
         }
     }
