--- a/crates/controller/src/core/cache_hints.rs
+++ b/crates/controller/src/core/cache_hints.rs
@@ -1,147 +1,160 @@
-//! What a node remembers of what leaders told: the images on machines and what fetching
-//! them takes. No record has it. A node that is elected takes it over; a leader that
-//! does not have it, as its process was started again, is given it back by its peers,
-//! in parts, each of them beginning at another place.
+//! Hints about agents' image caches and image fetch times, as leaders sent them.
+//! They are stored nowhere. A controller that is elected takes its own over; a
+//! leader that has none, as its process was restarted, gets them back from its
+//! peers, in parts, each peer beginning at another place.
 
 use crate::types::{FencingToken, Image, MachineId, Time, TimeSpan};
 use std::collections::BTreeMap;
 
-/// Machines remembered.
-const MOST_MACHINES: usize = 4000;
-/// Images whose fetch time is remembered.
-const MOST_IMAGES: usize = 4096;
-/// Machines given back at once.
-pub const MOST_GIVEN: usize = 100;
+/// Most machines remembered.
+const MAX_MACHINES: usize = 4000;
+/// Most images whose fetch time is remembered.
+const MAX_IMAGES: usize = 4096;
+/// Most machines given back at once.
+pub const MAX_MACHINES_PER_PART: usize = 100;
 
 /// Images on a machine, with their sizes in gigabytes.
 pub type Images = Vec<(Image, f64)>;
 
+/// The images on one machine, as a leader sent them.
 #[derive(Clone, Debug)]
-struct Kept {
-    told: Time,
-    by: FencingToken,
+struct MachineHint {
+    received: Time,
+    /// The token of that leader.
+    token: FencingToken,
     images: Images,
 }
 
-/// How far giving back has come.
+/// How far giving hints back to a leader has come.
 #[derive(Clone, Debug)]
 struct HintTransfer {
+    /// The leader's token.
     to: FencingToken,
+    /// The last machine given.
     after: Option<MachineId>,
-    left: usize,
+    machines_left: usize,
 }
 
-/// All that was remembered.
+/// All hints.
 #[derive(Debug)]
-pub struct Taken {
+pub struct AllHints {
     /// Images on machines.
     pub machines: Vec<(MachineId, Images)>,
     /// What fetching images takes.
     pub fetches: Vec<(Image, TimeSpan)>,
 }
 
-/// What is remembered.
+/// The hints that a controller remembers.
 #[derive(Clone, Debug, Default)]
 pub struct CacheHints {
-    machines: BTreeMap<MachineId, Kept>,
+    machines: BTreeMap<MachineId, MachineHint>,
     fetches: BTreeMap<Image, TimeSpan>,
-    giving: Option<HintTransfer>,
+    transfer: Option<HintTransfer>,
 }
 
 impl CacheHints {
-    /// A leader told this.
-    pub fn note(
+    /// Records what the leader of this token sent; fetch times are in milliseconds.
+    pub fn record(
         &mut self,
         now: Time,
-        by: FencingToken,
+        token: FencingToken,
         machines: Vec<(MachineId, Images)>,
         fetches: Vec<(Image, u64)>,
     ) {
         for (id, images) in machines {
-            let told = now;
-            self.machines.insert(id, Kept { told, by, images });
-        }
-        while self.machines.len() > MOST_MACHINES
-            && let Some((old, _)) = self.machines.iter().min_by_key(|(_, k)| k.told)
-        {
-            let old = old.clone();
-            self.machines.remove(&old);
+            let hint = MachineHint {
+                received: now,
+                token,
+                images,
+            };
+            self.machines.insert(id, hint);
         }
+        self.forget_oldest();
         for (image, ms) in fetches {
-            if self.fetches.len() < MOST_IMAGES || self.fetches.contains_key(&image) {
+            if self.fetches.len() < MAX_IMAGES || self.fetches.contains_key(&image) {
                 self.fetches.insert(image, TimeSpan::millis(ms));
             }
         }
     }
 
-    /// All of it, for a node that is elected.
-    pub fn take(&mut self) -> Taken {
+    fn forget_oldest(&mut self) {
+        while self.machines.len() > MAX_MACHINES {
+            let oldest = self.machines.iter().min_by_key(|(_, hint)| hint.received);
+            let Some((id, _)) = oldest else { return };
+            let id = id.clone();
+            self.machines.remove(&id);
+        }
+    }
+
+    /// Takes all hints, for a controller that is elected.
+    pub fn take_all(&mut self) -> AllHints {
         let all = std::mem::take(self);
-        let machines = all.machines.into_iter().map(|(id, k)| (id, k.images));
-        Taken {
-            machines: machines.collect(),
+        let machines = all.machines.into_iter();
+        AllHints {
+            machines: machines.map(|(id, hint)| (id, hint.images)).collect(),
             fetches: all.fetches.into_iter().collect(),
         }
     }
 
-    /// Takes out what is remembered of machines that are known by now.
-    pub fn take_known(&mut self, known: impl Fn(&MachineId) -> bool) -> Vec<(MachineId, Images)> {
-        let ids: Vec<MachineId> = self
-            .machines
-            .keys()
-            .filter(|id| known(id))
-            .cloned()
-            .collect();
-        let taken = ids.into_iter();
-        taken
+    /// Takes the hints about machines that are known by now.
+    pub fn take_known(
+        &mut self,
+        is_known: impl Fn(&MachineId) -> bool,
+    ) -> Vec<(MachineId, Images)> {
+        let ids = self.machines.keys();
+        let known: Vec<MachineId> = ids.filter(|id| is_known(id)).cloned().collect();
+        known
+            .into_iter()
             .filter_map(|id| self.machines.remove_entry(&id))
-            .map(|(id, k)| (id, k.images))
+            .map(|(id, hint)| (id, hint.images))
             .collect()
     }
 
     /// What fetching images takes.
-    pub fn fetches(&self) -> impl Iterator<Item = (&Image, TimeSpan)> {
-        self.fetches.iter().map(|(i, s)| (i, *s))
+    pub fn fetch_times(&self) -> impl Iterator<Item = (&Image, TimeSpan)> {
+        self.fetches.iter().map(|(image, took)| (image, *took))
     }
 
-    /// The next part of what earlier leaders told, for the leader of this token; each
-    /// part once. `from`: at which share of it this node begins, 0 to 1.
-    pub fn give(&mut self, to: FencingToken, from: f64) -> Vec<(MachineId, Images)> {
-        let earlier = |k: &Kept| k.by < to;
-        if self.giving.as_ref().is_none_or(|g| g.to != to) {
-            let ids: Vec<&MachineId> = self
-                .machines
-                .iter()
-                .filter(|(_, k)| earlier(k))
-                .map(|(id, _)| id)
-                .collect();
-            let begin = (ids.len() as f64 * from.clamp(0.0, 1.0)) as usize;
-            self.giving = Some(HintTransfer {
-                to,
-                after: begin.checked_sub(1).map(|n| ids[n].clone()),
-                left: ids.len(),
-            });
+    /// The next part of what earlier leaders sent, for the leader of this token; each
+    /// part once. `start`: at which share of it this controller begins, 0 to 1.
+    pub fn next_part(&mut self, to: FencingToken, start: f64) -> Vec<(MachineId, Images)> {
+        if self.transfer.as_ref().is_none_or(|t| t.to != to) {
+            self.transfer = Some(self.start_transfer(to, start));
         }
-        let Some(giving) = self.giving.as_mut().filter(|g| g.left > 0) else {
+        let Some(transfer) = self.transfer.as_mut().filter(|t| t.machines_left > 0) else {
             return Vec::new();
         };
-        let after = giving.after.clone();
-        let beyond = |id: &&MachineId| after.as_ref().is_none_or(|a| *id > a);
-        let behind = self.machines.iter().filter(|(id, _)| beyond(id));
-        let before = self.machines.iter().filter(|(id, _)| !beyond(id));
-        let part: Vec<(MachineId, Images)> = behind
-            .chain(before)
-            .filter(|(_, k)| earlier(k))
-            .take(MOST_GIVEN.min(giving.left))
-            .map(|(id, k)| (id.clone(), k.images.clone()))
+        let after = transfer.after.clone();
+        let is_beyond = |id: &MachineId| after.as_ref().is_none_or(|a| id > a);
+        let beyond = self.machines.iter().filter(|(id, _)| is_beyond(id));
+        let wrapped = self.machines.iter().filter(|(id, _)| !is_beyond(id));
+        let part: Vec<(MachineId, Images)> = beyond
+            .chain(wrapped)
+            .filter(|(_, hint)| hint.token < to)
+            .take(MAX_MACHINES_PER_PART.min(transfer.machines_left))
+            .map(|(id, hint)| (id.clone(), hint.images.clone()))
             .collect();
-        giving.left = match part.len() {
+        transfer.machines_left = match part.len() {
             0 => 0,
-            n => giving.left - n,
+            given => transfer.machines_left - given,
         };
-        giving.after = part.last().map(|(id, _)| id.clone());
+        transfer.after = part.last().map(|(id, _)| id.clone());
         part
     }
+
+    fn start_transfer(&self, to: FencingToken, start: f64) -> HintTransfer {
+        let hints = self.machines.iter();
+        let ids: Vec<&MachineId> = hints
+            .filter(|(_, hint)| hint.token < to)
+            .map(|(id, _)| id)
+            .collect();
+        let first = (ids.len() as f64 * start.clamp(0.0, 1.0)) as usize;
+        HintTransfer {
+            to,
+            after: first.checked_sub(1).map(|last| ids[last].clone()),
+            machines_left: ids.len(),
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/controller/src/core/cache_hints/tests.rs
+++ b/crates/controller/src/core/cache_hints/tests.rs
@@ -7,7 +7,7 @@
         let id = format!("host-{i:04}").as_str().into();
         (id, vec![(Image::from("img"), 5.0)])
     };
-    k.note(
+    k.record(
         Time(1),
         FencingToken(5),
         (0..n).map(machine).collect(),
@@ -25,8 +25,8 @@
     let mut rounds = 0;
     while heard.len() < 950 {
         for (i, p) in peers.iter_mut().enumerate() {
-            let part = p.give(FencingToken(9), i as f64 / 3.0);
-            assert!(part.len() <= MOST_GIVEN);
+            let part = p.next_part(FencingToken(9), i as f64 / 3.0);
+            assert!(part.len() <= MAX_MACHINES_PER_PART);
             heard.extend(part.into_iter().map(|(id, _)| id));
         }
         rounds += 1;
@@ -34,13 +34,13 @@
     assert!(rounds <= 4, "{rounds}: each begins elsewhere");
     let mut one = told(250);
     let parts: Vec<usize> = (0..5)
-        .map(|_| one.give(FencingToken(9), 0.5).len())
+        .map(|_| one.next_part(FencingToken(9), 0.5).len())
         .collect();
     assert_eq!(parts, [100, 100, 50, 0, 0]);
     // To itself, or to one that it hears it from, nothing is given back.
-    assert!(told(50).give(FencingToken(5), 0.0).is_empty());
+    assert!(told(50).next_part(FencingToken(5), 0.0).is_empty());
     assert_eq!(
-        one.give(FencingToken(12), 0.0).len(),
+        one.next_part(FencingToken(12), 0.0).len(),
         100,
         "a later leader asks anew"
     );
@@ -52,8 +52,8 @@
     let known = k.take_known(|id| id.as_str() < "host-0004");
     assert_eq!((known.len(), k.take_known(|_| true).len()), (4, 6));
     assert_eq!(
-        k.fetches().next().map(|(_, s)| s),
+        k.fetch_times().next().map(|(_, s)| s),
         Some(TimeSpan::secs(7.0))
     );
-    assert_eq!(told(3).take().machines.len(), 3);
+    assert_eq!(told(3).take_all().machines.len(), 3);
 }
--- a/crates/controller/src/core/election/lease.rs
+++ b/crates/controller/src/core/election/lease.rs
@@ -30,7 +30,7 @@
         }
         self.keep_alive_due = now + KEEP_ALIVE_FOR.scaled(EXTEND_AFTER);
         let period = self.lease_ttl.scaled(RENEWAL_SHARE_OF_TTL);
-        effects.keep(LeaseKeepAlive {
+        effects.keep_lease_alive(LeaseKeepAlive {
             lease,
             every: period.min(MAX_RENEWAL_PERIOD),
             until: now + KEEP_ALIVE_FOR,
@@ -47,7 +47,7 @@
     /// Revokes the lease of a leader that stepped down, and ends its renewals: were
     /// the revocation lost, they would keep the key from everybody.
     pub fn release_lease(&mut self, effects: &mut Effects, lease: u64, token: FencingToken) {
-        effects.keep(LeaseKeepAlive {
+        effects.keep_lease_alive(LeaseKeepAlive {
             lease,
             every: MAX_RENEWAL_PERIOD,
             until: effects.now.time,
--- /dev/null
+++ b/crates/controller/src/core/job_api/poll.rs
@@ -0,0 +1,97 @@
+//! Status polls. Polls of jobs that were seen open share reads; the others read
+//! the job's header each for itself.
+
+use super::answers::refuse;
+use super::{JobApi, NO_SUCH_JOB, PendingCall, STORE_SILENT, Step};
+use crate::core::effects::Effects;
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::job_records::{HeaderStage, JobHeader};
+use crate::core::read_coalescing::VersionComparison;
+use crate::core::{Reply, RequestId, Target};
+use crate::types::{JobId, TimeSpan};
+use crate::wire;
+use crate::wire::users::valid_id;
+
+/// The part of the users' rate limit that shared reads may take.
+const SHARED_READ_SHARE: f64 = 0.4;
+/// How long a shared read may take: short, so that one that is lost can be repeated
+/// while the user waits.
+const SHARED_READ_TIMEOUT: TimeSpan = TimeSpan::millis(700);
+
+impl JobApi {
+    /// Handles `GET /submissions/{id}`.
+    pub fn poll(&mut self, effects: &mut Effects, request: RequestId, id: &str) {
+        if !valid_id(id) {
+            return refuse(effects, request, 404, NO_SUCH_JOB);
+        }
+        let id = JobId::from(id);
+        if self.answer_if_finished(effects, request, &id) {
+            return;
+        }
+        if self.open_jobs.is_open(&id) && !failpoints::enforced(SafetyCheck::AnswersAreFresh) {
+            let open = JobHeader {
+                s: HeaderStage::Open,
+                n: 0,
+            };
+            return self.answer_status(effects, request, &id, open);
+        }
+        if self.open_jobs.enqueue(effects.now.time, request, &id) {
+            self.send_shared_read(effects);
+        } else {
+            self.read_header(effects, request, &id, Step::Poll(id.clone()));
+        }
+    }
+
+    /// Sends the next shared read, if one is due, and refuses polls that have waited
+    /// too long for one.
+    pub fn send_shared_read(&mut self, effects: &mut Effects) {
+        let now = effects.now.time;
+        for poll in self.open_jobs.take_overdue(now) {
+            refuse(effects, poll.request, 503, STORE_SILENT);
+        }
+        let next = self.open_jobs.next_comparison(now, effects.most_conditions);
+        let Some((txn, comparison)) = next else {
+            return;
+        };
+        if !effects.user_calls.take(now, 1.0) {
+            return self.handle_shared_read(effects, comparison, &Reply::NotSent);
+        }
+        let call = effects.call(
+            Target::State,
+            "POST",
+            "/commit".into(),
+            wire::encode(&txn),
+            SHARED_READ_TIMEOUT,
+        );
+        self.pending_calls
+            .add(call, PendingCall::SharedRead(comparison));
+    }
+
+    /// Answers the polls that shared a read.
+    pub(super) fn handle_shared_read(
+        &mut self,
+        effects: &mut Effects,
+        comparison: VersionComparison,
+        reply: &Reply,
+    ) {
+        let reads_per_second = (effects.user_calls.burst() * SHARED_READ_SHARE).max(1.0);
+        let pause = TimeSpan::secs(1.0 / reads_per_second);
+        let now = effects.now.time;
+        let result = self.open_jobs.handle_reply(now, pause, comparison, reply);
+        for poll in result.open {
+            // The job may have been cancelled, at this very controller, while the reply
+            // was on its way.
+            if !self.answer_if_finished(effects, poll.request, &poll.id) {
+                self.answer_status(effects, poll.request, &poll.id, poll.header);
+            }
+        }
+        for poll in result.changed {
+            let step = Step::Poll(poll.id.clone());
+            self.read_header(effects, poll.request, &poll.id, step);
+        }
+        for poll in result.failed {
+            refuse(effects, poll.request, 503, STORE_SILENT);
+        }
+        self.send_shared_read(effects);
+    }
+}
--- /dev/null
+++ b/crates/controller/src/core/job_api/submit.rs
@@ -0,0 +1,189 @@
+//! Submissions: checked, then accepted by one transaction.
+
+use super::answers::{answer_job, refuse};
+use super::{JobApi, Rejection, STORE_SILENT, Step};
+use crate::core::effects::Effects;
+use crate::core::failpoints::{self, SafetyCheck};
+use crate::core::job_records::{self, HeaderStage, JobHeader, TransactionLimits};
+use crate::core::{Reply, RequestId};
+use crate::settings::Settings;
+use crate::types::{JobId, Resources};
+use crate::wire;
+use crate::wire::cloud::MachineTypes;
+use crate::wire::kvstore::TransactionResponse;
+use crate::wire::users::{JobShape, JobStage, JobStatus, Submission, valid_id};
+
+/// What can be read of a submission that is malformed otherwise.
+#[derive(serde::Deserialize)]
+struct SubmissionId {
+    #[serde(rename = "ref")]
+    id: JobId,
+}
+
+/// Why a job can never run, if so.
+fn unschedulable(
+    job: &Submission,
+    settings: &Settings,
+    types: &MachineTypes,
+) -> Option<&'static str> {
+    let Some(team) = settings.teams.get(&job.team) else {
+        return Some("unknown team");
+    };
+    let task = job.needs();
+    let fits_somewhere = types.kinds.iter().any(|machine_type| {
+        let names = job.kinds.as_ref();
+        let zone = job.zone.as_ref();
+        names.is_none_or(|names| names.contains(&machine_type.name))
+            && zone.is_none_or(|zone| machine_type.zones.contains(zone))
+            && task.fits(&machine_type.has())
+    });
+    if !fits_somewhere {
+        return Some("a task fits no allowed machine type");
+    }
+    let at_once: Resources = match job.shape {
+        JobShape::Array => task,
+        JobShape::Gang | JobShape::Service => task.times(f64::from(job.tasks)),
+    };
+    (!team.allows(&at_once)).then_some("the job needs more than its team's limit")
+}
+
+impl JobApi {
+    /// Handles `POST /submissions`.
+    pub fn submit(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        body: &[u8],
+        settings: &Settings,
+        types: Option<&MachineTypes>,
+    ) {
+        let Some(job) = wire::decode::<Submission>(body) else {
+            return self.reject_undecodable(effects, request, body);
+        };
+        if let Some(field) = job.fault() {
+            let why = format!("{field} is invalid");
+            if !valid_id(job.id.as_str()) {
+                return refuse(effects, request, 400, &why);
+            }
+            return self.reject_unless_known(effects, request, &job.id, Rejection::Malformed(why));
+        }
+        if self.answer_if_finished(effects, request, &job.id) {
+            return;
+        }
+        let rejection = match types {
+            None => Some(Rejection::MachineTypesUnknown),
+            Some(types) => unschedulable(&job, settings, types).map(Rejection::Unschedulable),
+        };
+        if let Some(rejection) = rejection {
+            return self.reject_unless_known(effects, request, &job.id, rejection);
+        }
+        self.accept(effects, request, &job, settings);
+    }
+
+    fn accept(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        job: &Submission,
+        settings: &Settings,
+    ) {
+        let limits = TransactionLimits {
+            ops: settings.state_limits.txn_ops,
+            value_bytes: settings.state_limits.value_bytes,
+        };
+        let Some(txn) = job_records::accept_txn(job, effects.now.wall, limits) else {
+            let rejection = Rejection::Malformed("the submission is too large".into());
+            return self.reject_unless_known(effects, request, &job.id, rejection);
+        };
+        let step = Step::Accept {
+            id: job.id.clone(),
+            tasks: job.tasks,
+        };
+        self.commit(effects, request, txn, step);
+    }
+
+    fn reject_undecodable(&mut self, effects: &mut Effects, request: RequestId, body: &[u8]) {
+        let why = "not a submission: a field is missing or of the wrong kind";
+        let named = wire::decode::<SubmissionId>(body);
+        match named.filter(|named| valid_id(named.id.as_str())) {
+            Some(named) => {
+                let rejection = Rejection::Malformed(why.into());
+                self.reject_unless_known(effects, request, &named.id, rejection);
+            }
+            None => refuse(effects, request, 400, why),
+        }
+    }
+
+    /// A job that is known already stays accepted, whatever the machine types or teams
+    /// are today and whatever is sent under its id: a submission is refused for good
+    /// only once no such job is found.
+    fn reject_unless_known(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        id: &JobId,
+        rejection: Rejection,
+    ) {
+        if !self.answer_if_finished(effects, request, id) {
+            let step = Step::RejectUnlessKnown(id.clone(), rejection);
+            self.read_header(effects, request, id, step);
+        }
+    }
+
+    pub(super) fn handle_accept(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        id: JobId,
+        tasks: u32,
+        reply: Reply,
+    ) {
+        let reply = match reply {
+            Reply::Lost if !failpoints::enforced(SafetyCheck::LostIsUnknown) => {
+                Reply::Answer(200, wire::encode(&TransactionResponse::default()))
+            }
+            reply => reply,
+        };
+        let open = JobHeader {
+            s: HeaderStage::Open,
+            n: tasks,
+        };
+        match reply {
+            Reply::Answer(200, body) => self.answer_accepted(effects, request, id, open, &body),
+            // Its own first copy, or another controller's, or a later end of the job:
+            // only a read tells.
+            Reply::Answer(409, _) if !failpoints::enforced(SafetyCheck::ConflictIsRead) => {
+                self.answer_status(effects, request, &id, open);
+            }
+            Reply::Answer(409, _) | Reply::Lost => {
+                self.read_header(effects, request, &id, Step::ReadAccepted(id.clone()));
+            }
+            Reply::Answer(..) | Reply::NotSent => refuse(effects, request, 503, STORE_SILENT),
+        }
+    }
+
+    fn answer_accepted(
+        &mut self,
+        effects: &mut Effects,
+        request: RequestId,
+        id: JobId,
+        open: JobHeader,
+        body: &[u8],
+    ) {
+        // The user may have been answered elsewhere, and have cancelled the job here,
+        // before this reply came.
+        if self.answer_if_finished(effects, request, &id) {
+            return;
+        }
+        if let Some(response) = wire::decode::<TransactionResponse>(body) {
+            self.open_jobs.remember(&id, open, response.revision);
+        }
+        let accepted = JobStatus {
+            id,
+            stage: JobStage::Queued,
+            done: None,
+            running: None,
+        };
+        answer_job(effects, request, 201, &accepted);
+    }
+}
--- a/crates/controller/src/core/job_api/tests.rs
+++ b/crates/controller/src/core/job_api/tests.rs
@@ -1,6 +1,8 @@
 use super::super::Output;
 use super::*;
 use crate::testing::effects_at;
+use crate::wire::kvstore::TransactionResponse;
+use crate::wire::users::{JobStage, JobStatus};
 
 // A poll's read that was answered only after a cancellation had been told
 // brought the older state.
@@ -9,15 +11,18 @@
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
     let ended = Reply::Answer(200, wire::encode(&TransactionResponse::default()));
-    let cancel = Step::Cancel(id.clone(), 1);
-    job_api.on_step(&mut effects, RequestId(1), cancel, ended);
+    let cancel = Step::Cancel {
+        id: id.clone(),
+        tries_left: 1,
+    };
+    job_api.handle_step_reply(&mut effects, RequestId(1), cancel, ended);
     let head = Entry {
         key: job_records::job_header_key(&id),
         value: job_records::job_header_value(HeaderStage::Open, 3),
         version: Version(4),
     };
     let late = Reply::Answer(200, wire::encode(&head));
-    job_api.on_step(&mut effects, RequestId(2), Step::Poll(id), late);
+    job_api.handle_step_reply(&mut effects, RequestId(2), Step::Poll(id), late);
     let told: Vec<JobStage> = effects
         .take_outputs()
         .into_iter()
@@ -59,16 +64,19 @@
 fn an_acceptance_answered_late_is_no_newer_than_the_end() {
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
-    job_api.on_step(
+    job_api.handle_step_reply(
         &mut effects,
         RequestId(1),
         Step::Poll(id.clone()),
         cancelled(),
     );
-    job_api.on_step(
+    job_api.handle_step_reply(
         &mut effects,
         RequestId(2),
-        Step::Accept(id.clone(), 3),
+        Step::Accept {
+            id: id.clone(),
+            tasks: 3,
+        },
         accepted(),
     );
     assert_eq!(
@@ -79,7 +87,7 @@
         ]
     );
     // Nor does it bring the job back among the open ones.
-    assert!(!job_api.polls.is_open(&id));
+    assert!(!job_api.open_jobs.is_open(&id));
 }
 
 // A read sent before a job was accepted may be answered after that was told.
@@ -87,23 +95,29 @@
 fn an_accepted_job_is_not_unknown_to_a_read_sent_before() {
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
-    job_api.on_step(
+    job_api.handle_step_reply(
         &mut effects,
         RequestId(1),
-        Step::Accept(id.clone(), 3),
+        Step::Accept {
+            id: id.clone(),
+            tasks: 3,
+        },
         accepted(),
     );
     let none = || Reply::Answer(404, Vec::new());
     for (n, step) in [
         Step::Poll(id.clone()),
-        Step::CancelRead(id.clone(), 1),
-        Step::Known(id.clone(), Rejection::Never("unknown team")),
-        Step::Known(id.clone(), Rejection::Malformed("pieces is invalid".into())),
+        Step::ReadForCancel {
+            id: id.clone(),
+            tries_left: 1,
+        },
+        Step::RejectUnlessKnown(id.clone(), Rejection::Unschedulable("unknown team")),
+        Step::RejectUnlessKnown(id.clone(), Rejection::Malformed("pieces is invalid".into())),
     ]
     .into_iter()
     .enumerate()
     {
-        job_api.on_step(&mut effects, RequestId(2 + n as u64), step, none());
+        job_api.handle_step_reply(&mut effects, RequestId(2 + n as u64), step, none());
     }
     let statuses: Vec<u16> = told(&mut effects).iter().map(|(_, s, _)| *s).collect();
     assert_eq!(statuses, [201, 503, 503, 503, 503]);
@@ -130,7 +144,7 @@
             };
             assert_eq!((call.method, call.path.as_str()), ("GET", "/keys/job/wk-1"));
             let what = job_api.pending_calls.take(call.id).unwrap();
-            job_api.on_reply(&mut effects, what, found);
+            job_api.handle_reply(&mut effects, what, found);
             let answers = told(&mut effects);
             assert_eq!((answers.len(), answers[0].1), (1, status));
         }
--- a/crates/controller/src/core/leader_announcement.rs
+++ b/crates/controller/src/core/leader_announcement.rs
@@ -1,93 +1,102 @@
-//! Machines that are told who leads now, those first whose tasks can wait least.
+//! Announcement of a new leader to agents, those first whose tasks can wait least.
 //!
-//! A worker with tasks reports every few seconds, and if its controller is gone it
-//! learns that only then. One that is told of a higher token reports at once, so it
-//! finds its way to the successor that much sooner. What it is told is a token and
-//! nothing else: it neither starts nor stops anything, and renews no lease.
+//! An agent with tasks sends a heartbeat every few seconds, and if its controller is
+//! gone it notices only then. One that learns of a higher token sends a heartbeat at
+//! once, so it finds its way to the successor that much sooner. The announcement
+//! carries a token and nothing else: it neither starts nor stops anything, and
+//! renews no lease.
 
 use crate::types::{MachineId, Time, TimeSpan};
 use std::collections::BTreeSet;
 
-/// All machines are told within this time, if there are neither few nor many.
-const WITHIN_S: f64 = 4.0;
-/// Least and most of them in a second: each costs a connection.
-const LEAST: f64 = 20.0;
-const MOST: f64 = 250.0;
-/// Where workers report as often as this, nothing is gained.
-const OFTEN: TimeSpan = TimeSpan::millis(2000);
+/// All agents are told within this time, in seconds, if there are neither few nor
+/// many.
+const TARGET_S: f64 = 4.0;
+/// Least and most agents a second: each costs a connection.
+const MIN_PER_SECOND: f64 = 20.0;
+const MAX_PER_SECOND: f64 = 250.0;
+/// Largest burst, as a share of the agents of one second.
+const BURST_SHARE: f64 = 0.1;
+/// Where heartbeats come at least this often, an announcement gains nothing.
+const FREQUENT_HEARTBEATS: TimeSpan = TimeSpan::millis(2000);
+/// Announcements end after this many heartbeat periods: by then all agents have
+/// come by themselves.
+const HEARTBEAT_PERIODS: f64 = 1.25;
 
 /// How little a machine's tasks can wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnnouncementPriority {
-    /// Something on it is being stopped, for other work or for good.
+    /// A task on it is being stopped, for another task or for good.
     Stopping,
-    /// Urgent work is on it.
+    /// A task of high priority is on it.
     Urgent,
-    /// Other work is.
+    /// Another task is on it.
     Busy,
 }
 
-/// Those that are still to be told.
+/// The agents that are still to be told.
 #[derive(Debug)]
 pub struct LeaderAnnouncer {
     waiting: BTreeSet<(AnnouncementPriority, MachineId)>,
-    /// Machines that may be told now, and when that was reckoned.
+    /// Agents that may be told now, as of `credit_at`.
     credit: f64,
-    at: Time,
-    /// Until when machines are told: later all have reported by themselves.
-    until: Time,
-    /// Machines told so far.
+    credit_at: Time,
+    /// When announcements end.
+    ends_at: Time,
+    /// Agents told so far.
     pub told: u64,
 }
 
 impl LeaderAnnouncer {
-    /// For a leader that takes office, whose workers report so often.
-    pub fn new(now: Time, report: TimeSpan) -> LeaderAnnouncer {
-        let until = if report > OFTEN {
-            now + report.scaled(1.25)
+    /// For a leader that was just elected; `heartbeat_period` is that of its agents.
+    pub fn new(now: Time, heartbeat_period: TimeSpan) -> LeaderAnnouncer {
+        let ends_at = if heartbeat_period > FREQUENT_HEARTBEATS {
+            now + heartbeat_period.scaled(HEARTBEAT_PERIODS)
         } else {
             now
         };
         LeaderAnnouncer {
             waiting: BTreeSet::new(),
             credit: 0.0,
-            at: now,
-            until,
+            credit_at: now,
+            ends_at,
             told: 0,
         }
     }
 
-    /// Whether machines are still told.
+    /// Whether agents are still told.
     pub fn goes_on(&self, now: Time) -> bool {
-        now < self.until
+        now < self.ends_at
     }
 
-    /// A machine with tasks that has not reported to this leader yet.
-    pub fn note(&mut self, now: Time, need: AnnouncementPriority, machine: MachineId) {
+    /// Adds a machine with tasks whose agent has sent this leader no heartbeat yet.
+    pub fn note(&mut self, now: Time, priority: AnnouncementPriority, machine: MachineId) {
         if self.goes_on(now) {
-            self.waiting.insert((need, machine));
+            self.waiting.insert((priority, machine));
         }
     }
 
-    /// Those whose turn has come, where a leader knows of so many in all.
+    /// The machines whose agents are to be told now, where the leader knows of this
+    /// many machines in all.
     pub fn next(&mut self, now: Time, machines: usize) -> Vec<MachineId> {
-        let rate = (machines as f64 / WITHIN_S).clamp(LEAST, MOST);
-        let passed = now.since(self.at).as_secs();
-        self.at = now;
-        // What was not used is not saved up: it would make a herd.
-        self.credit = (self.credit + passed * rate).min(rate * 0.1).max(1.0);
+        let rate = (machines as f64 / TARGET_S).clamp(MIN_PER_SECOND, MAX_PER_SECOND);
+        let elapsed = now.since(self.credit_at).as_secs();
+        self.credit_at = now;
+        // Unused credit is not saved up: it would make a burst.
+        let credit = self.credit + elapsed * rate;
+        self.credit = credit.min(rate * BURST_SHARE).max(1.0);
         if !self.goes_on(now) {
             self.waiting.clear();
         }
-        let mut out = Vec::new();
+        let mut due = Vec::new();
         while self.credit >= 1.0
             && let Some((_, machine)) = self.waiting.pop_first()
         {
             self.credit -= 1.0;
-            out.push(machine);
+            due.push(machine);
         }
-        self.told += out.len() as u64;
-        out
+        self.told += due.len() as u64;
+        due
     }
 }
 
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -178,7 +178,7 @@
             Input::Tick => self.tick(),
             Input::Request(id, listener, request) => self.handle_request(id, listener, request),
             Input::Reply(id, reply) => self.handle_reply(id, reply),
-            Input::SpeedSample(took) => self.self_health.effort_us = took.0.max(1),
+            Input::SpeedSample(took) => self.self_health.calibration_us = took.0.max(1),
             Input::Stop => self.begin_shutdown(),
             Input::LeaseExpired(lease) => self.handle_lease_expiry(lease),
         }
@@ -199,7 +199,7 @@
                 .keep_lease_alive(&mut self.effects, leader.lease, leader.token);
             leader.tick(&mut self.effects);
         }
-        self.job_api.compare(&mut self.effects);
+        self.job_api.send_shared_read(&mut self.effects);
         if now >= self.peer_heartbeat_due {
             self.peer_heartbeat_due = now + PEER_HEARTBEAT_PERIOD;
             self.forwarded_agents.forget_absent(now);
@@ -207,7 +207,7 @@
             self.advance_format_version();
         }
         self.read_machine_types_if_due();
-        self.effects.forget_given_up();
+        self.effects.forget_abandoned_requests();
     }
 
     fn begin_shutdown(&mut self) {
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -18,7 +18,7 @@
         tracing::info!(%token, "elected leader");
         self.drop_previous_leadership();
         let mut leader = self.new_leader(token, lease);
-        let hints = self.cache_hints.take();
+        let hints = self.cache_hints.take_all();
         for (machine, images) in hints.machines {
             leader.inherit_cache(now, &machine, &images);
         }
--- a/crates/controller/src/core/node/leadership_transfer.rs
+++ b/crates/controller/src/core/node/leadership_transfer.rs
@@ -19,9 +19,10 @@
     pub(super) fn check_self_health(&mut self) {
         let now = self.effects.now.time;
         let peers = self.peers.values().filter(|peer| peer.is_fresh(now));
-        self.self_health.compare(peers.map(|p| p.calibration_us));
+        self.self_health
+            .compare_with_peers(peers.map(|p| p.calibration_us));
         let shuts_down = self.shutdown_since.is_some() && self.transfer_deadline.is_none();
-        let is_overloaded = self.self_health.beat(now, self.leader.is_some());
+        let is_overloaded = self.self_health.tick(now, self.leader.is_some());
         let Some(token) = self.token() else {
             self.transfer_deadline = None;
             return;
@@ -51,7 +52,7 @@
         tracing::info!(
             %token,
             to = %successor.node_id,
-            slow = self.self_health.slow,
+            slow = self.self_health.is_slow,
             shutdown = self.shutdown_since.is_some(),
             "transferring leadership"
         );
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -67,8 +67,8 @@
             loaded: self.leads() || self.peers.values().any(is_loaded_leader),
             cancelled: self.cancellations.newest(),
             state_ok: self.is_store_reachable(),
-            strained: self.self_health.strained || self.shutdown_since.is_some(),
-            effort_us: self.self_health.effort_us,
+            strained: self.self_health.is_overloaded || self.shutdown_since.is_some(),
+            effort_us: self.self_health.calibration_us,
             levels: self.election.member_versions.own_build(),
             counts,
             caches: Vec::new(),
@@ -155,7 +155,9 @@
         let names = self.settings.peers.iter().map(|peer| &peer.node_id);
         let position = names.filter(|name| **name < self.settings.node_id).count();
         let controllers = self.settings.peers.len() as f64 + 1.0;
-        answer.caches = self.cache_hints.give(token, position as f64 / controllers);
+        answer.caches = self
+            .cache_hints
+            .next_part(token, position as f64 / controllers);
         if !answer.caches.is_empty() {
             answer.fetches = self.fetch_times();
         }
@@ -163,7 +165,7 @@
 
     /// What fetching images takes, in milliseconds.
     fn fetch_times(&self) -> Vec<(Image, u64)> {
-        let fetches = self.cache_hints.fetches().take(MAX_COUNTS);
+        let fetches = self.cache_hints.fetch_times().take(MAX_COUNTS);
         fetches
             .map(|(image, took)| (image.clone(), took.as_millis()))
             .collect()
@@ -198,7 +200,7 @@
             }
         }
         self.cache_hints
-            .note(now, heartbeat.token, heartbeat.caches, heartbeat.fetches);
+            .record(now, heartbeat.token, heartbeat.caches, heartbeat.fetches);
         self.peers.insert(heartbeat.node_id, view.clone());
         self.yield_to_loaded_successor(&view);
     }
--- a/crates/controller/src/core/node/peers.rs
+++ b/crates/controller/src/core/node/peers.rs
@@ -66,7 +66,7 @@
     /// How many peers are preferred to this controller as successors of a leader.
     pub(super) fn succession_rank(&self, leader: &NodeId) -> u32 {
         let own = Candidate {
-            is_overloaded: self.self_health.strained,
+            is_overloaded: self.self_health.is_overloaded,
             node_id: &self.settings.node_id,
         };
         let candidates = self.candidates(leader).into_iter();
--- a/crates/controller/src/core/node/readiness.rs
+++ b/crates/controller/src/core/node/readiness.rs
@@ -38,8 +38,8 @@
             .peers
             .values()
             .any(|peer| peer.could_lead(now) && !peer.is_overloaded);
-        let is_slow = self.self_health.slow && has_free_peer;
-        let is_busy = self.self_health.strained && (self.leader.is_some() || is_slow);
+        let is_slow = self.self_health.is_slow && has_free_peer;
+        let is_busy = self.self_health.is_overloaded && (self.leader.is_some() || is_slow);
         !is_busy || !has_better_peer
     }
 
--- a/crates/controller/src/core/node/replies.rs
+++ b/crates/controller/src/core/node/replies.rs
@@ -22,7 +22,7 @@
             let outcome = self.election.handle_reply(&mut self.effects, call, reply);
             self.handle_election_outcome(outcome);
         } else if let Some(call) = self.job_api.pending_calls.take(id) {
-            self.job_api.on_reply(&mut self.effects, call, reply);
+            self.job_api.handle_reply(&mut self.effects, call, reply);
         } else if let Some(call) = self.pending_calls.take(id) {
             match call {
                 PendingCall::ForwardedHeartbeat { request } => {
--- a/crates/controller/src/core/node/requests.rs
+++ b/crates/controller/src/core/node/requests.rs
@@ -24,7 +24,7 @@
         let segments: Vec<&str> = request.path.split('/').skip(1).collect();
         let route = Route::of(listener, &request.method, &segments);
         if let Some(kind) = route.timed_as()
-            && !self.effects.begin(id, kind)
+            && !self.effects.start_request(id, kind)
         {
             return self.effects.answer_later(id, 503, RETRY_WHEN_CROWDED_S);
         }
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -35,7 +35,7 @@
     assert!(!node.is_ready(), "a peer has the state service");
     node.election.last_contact = Some(Time(0));
     assert!(node.is_ready());
-    node.self_health.strained = true;
+    node.self_health.is_overloaded = true;
     assert!(node.is_ready(), "a follower stays");
     node.leader = Some(testing::leader());
     assert!(!node.is_ready(), "a leader that is behind does not");
@@ -43,7 +43,7 @@
     assert!(node.is_ready(), "unless nobody is better");
     // A follower with a slow processor kept its users, who waited for it.
     node.leader = None;
-    node.self_health.slow = true;
+    node.self_health.is_slow = true;
     node.record_peer_heartbeat(peer(true));
     assert!(!node.is_ready(), "a slow follower leaves users to others");
     node.record_peer_heartbeat(PeerHeartbeat {
@@ -135,7 +135,7 @@
     let id = MachineId::from("host-1");
     let images = vec![(Image::from("img"), 5.0)];
     let fetches = vec![(Image::from("img"), 9000)];
-    peer.cache_hints.note(
+    peer.cache_hints.record(
         Time(1),
         FencingToken(4),
         vec![(id.clone(), images)],
--- a/crates/controller/src/core/read_coalescing/tests.rs
+++ b/crates/controller/src/core/read_coalescing/tests.rs
@@ -13,7 +13,7 @@
         p.remember(&id.into(), head, Version(version));
     }
     for (n, id) in ["a", "b", "a"].iter().enumerate() {
-        assert!(p.take(Time(0), RequestId(n as u64), &(*id).into()));
+        assert!(p.enqueue(Time(0), RequestId(n as u64), &(*id).into()));
     }
     p
 }
@@ -27,40 +27,43 @@
 #[test]
 fn polls_share_a_comparison() {
     let mut p = polls();
-    assert!(!p.take(Time(0), RequestId(9), &"unseen".into()));
-    let (txn, asked) = p.next(Time(1), 192).unwrap();
+    assert!(!p.enqueue(Time(0), RequestId(9), &"unseen".into()));
+    let (txn, asked) = p.next_comparison(Time(1), 192).unwrap();
     assert_eq!((txn.conditions.len(), txn.ops.len()), (2, 0));
-    p.take(Time(1), RequestId(4), &"b".into());
-    assert!(p.next(Time(1), 192).is_none(), "one at a time");
-    let out = p.answered(
+    assert!(p.enqueue(Time(1), RequestId(4), &"b".into()));
+    assert!(p.next_comparison(Time(1), 192).is_none(), "one at a time");
+    let out = p.handle_reply(
         Time(2),
         TimeSpan(10),
         asked,
         &Reply::Answer(200, wire::encode(&0)),
     );
     assert_eq!(out.open.len(), 3);
-    assert!(p.next(Time(11), 192).is_none(), "not before the pause");
-    assert_eq!(ids(&p.next(Time(12), 192).unwrap().1.asked), [4]);
+    assert!(
+        p.next_comparison(Time(11), 192).is_none(),
+        "not before the pause"
+    );
+    assert_eq!(ids(&p.next_comparison(Time(12), 192).unwrap().1.reads), [4]);
 }
 
 #[test]
 fn only_an_unchanged_head_is_called_open() {
     let mut p = polls();
-    let (_, asked) = p.next(Time(1), 192).unwrap();
+    let (_, asked) = p.next_comparison(Time(1), 192).unwrap();
     let body = wire::encode(&TransactionResponse {
         revision: Version(9),
         failed: vec!["job/a".into()],
     });
-    let out = p.answered(Time(2), TimeSpan(0), asked, &Reply::Answer(409, body));
+    let out = p.handle_reply(Time(2), TimeSpan(0), asked, &Reply::Answer(409, body));
     assert_eq!((ids(&out.changed), out.open.len()), (vec![0, 2], 0));
     // The other one is compared again, with what comes meanwhile.
-    let (_, again) = p.next(Time(3), 192).unwrap();
-    assert_eq!(ids(&again.asked), [1]);
-    p.take(Time(3), RequestId(7), &"b".into());
+    let (_, again) = p.next_comparison(Time(3), 192).unwrap();
+    assert_eq!(ids(&again.reads), [1]);
+    assert!(p.enqueue(Time(3), RequestId(7), &"b".into()));
     let refused = Reply::Answer(503, Vec::new());
-    let out = p.answered(Time(4), TimeSpan(0), again, &refused);
+    let out = p.handle_reply(Time(4), TimeSpan(0), again, &refused);
     assert_eq!(ids(&out.failed), [1, 7], "all are told at once");
-    assert!(p.next(Time(5), 192).is_none());
+    assert!(p.next_comparison(Time(5), 192).is_none());
 }
 
 // With two in five answers lost, a job was not answered for 90 s: a lost comparison left
@@ -69,25 +72,25 @@
 fn a_lost_comparison_is_made_again_and_holds_nobody_up() {
     let ms = |n: u64| Time(n * 1000);
     let mut p = polls();
-    let (_, lost) = p.next(ms(0), 192).unwrap();
-    p.take(ms(50), RequestId(7), &"b".into());
+    let (_, lost) = p.next_comparison(ms(0), 192).unwrap();
+    assert!(p.enqueue(ms(50), RequestId(7), &"b".into()));
     assert!(
-        p.next(ms(60), 192).is_none(),
+        p.next_comparison(ms(60), 192).is_none(),
         "an answer may come any moment"
     );
-    let (_, second) = p.next(ms(110), 192).unwrap();
-    assert_eq!(ids(&second.asked), [7], "one that is late holds nobody up");
-    let out = p.answered(ms(700), TimeSpan(0), lost, &Reply::Lost);
+    let (_, second) = p.next_comparison(ms(110), 192).unwrap();
+    assert_eq!(ids(&second.reads), [7], "one that is late holds nobody up");
+    let out = p.handle_reply(ms(700), TimeSpan(0), lost, &Reply::Lost);
     assert_eq!(out, ComparisonResult::default());
-    let (_, again) = p.next(ms(700), 192).unwrap();
-    assert_eq!(ids(&again.asked), [0, 1, 2]);
+    let (_, again) = p.next_comparison(ms(700), 192).unwrap();
+    assert_eq!(ids(&again.reads), [0, 1, 2]);
     // No poll is kept for longer than its user waits.
-    let out = p.answered(ms(1400), TimeSpan(0), again, &Reply::Lost);
+    let out = p.handle_reply(ms(1400), TimeSpan(0), again, &Reply::Lost);
     assert_eq!(ids(&out.failed), [0, 1, 2]);
-    p.answered(ms(1400), TimeSpan(0), second, &Reply::Lost);
-    p.take(ms(1400), RequestId(8), &"a".into());
-    assert!(p.overdue(ms(2800)).is_empty());
-    assert_eq!(ids(&p.overdue(ms(2900))), [8]);
+    p.handle_reply(ms(1400), TimeSpan(0), second, &Reply::Lost);
+    assert!(p.enqueue(ms(1400), RequestId(8), &"a".into()));
+    assert!(p.take_overdue(ms(2800)).is_empty());
+    assert_eq!(ids(&p.take_overdue(ms(2900))), [8]);
 }
 
 // A job that is forgotten while its poll waits is not compared. A head that another
@@ -101,11 +104,11 @@
         n: 3,
     };
     p.forget(&"a".into());
-    let (txn, asked) = p.next(Time(1), 192).unwrap();
+    let (txn, asked) = p.next_comparison(Time(1), 192).unwrap();
     assert_eq!(txn.conditions.len(), 1, "only what is there is compared");
     p.remember(&"a".into(), head, Version(5));
     let yes = Reply::Answer(200, wire::encode(&0));
-    let out = p.answered(Time(2), TimeSpan(0), asked, &yes);
+    let out = p.handle_reply(Time(2), TimeSpan(0), asked, &yes);
     assert_eq!(ids(&out.changed), [0, 2], "they are read by themselves");
     assert_eq!(out.open.len(), 1);
 }
--- a/crates/controller/src/core/self_health/tests.rs
+++ b/crates/controller/src/core/self_health/tests.rs
@@ -6,7 +6,7 @@
     let (mut t, mut out) = (0.0, Vec::new());
     while t < secs {
         t += gap;
-        if self_health.beat(Time(0) + TimeSpan::secs(t), true) {
+        if self_health.tick(Time(0) + TimeSpan::secs(t), true) {
             out.push(t);
         }
     }
@@ -33,9 +33,9 @@
     let mut beat = |gap: f64, times: u32| {
         for _ in 0..times {
             t = t + TimeSpan::secs(gap);
-            self_health.beat(t, true);
+            let _ = self_health.tick(t, true);
         }
-        self_health.strained
+        self_health.is_overloaded
     };
     assert!(!beat(0.05, 100));
     assert!(!beat(0.9, 2), "a busy moment is none");
@@ -51,29 +51,29 @@
 fn a_slow_processor_is_reason_enough_and_much_work_is_not() {
     let over = |effort_us: u64| {
         let mut self_health = SelfHealth {
-            effort_us,
+            calibration_us: effort_us,
             ..SelfHealth::default()
         };
-        self_health.compare([60, 0, 50, 45].into_iter());
+        self_health.compare_with_peers([60, 0, 50, 45].into_iter());
         let mut times = (1..2000).map(|n| f64::from(n) * 0.8);
-        times.find(|t| self_health.beat(Time(0) + TimeSpan::secs(*t), true))
+        times.find(|t| self_health.tick(Time(0) + TimeSpan::secs(*t), true))
     };
     assert!(over(300).is_some_and(|t| t < 5.0));
     assert!(over(120).is_some_and(|t| t > 30.0));
     assert!(over(0).is_some_and(|t| t > 30.0));
     // Alone it knows no better.
     let mut self_health = SelfHealth {
-        effort_us: 10_000,
+        calibration_us: 10_000,
         ..SelfHealth::default()
     };
-    self_health.compare(std::iter::empty());
-    assert!(!self_health.slow);
+    self_health.compare_with_peers(std::iter::empty());
+    assert!(!self_health.is_slow);
 }
 
 #[test]
 fn one_long_stop_is_no_sign() {
     let mut self_health = SelfHealth::default();
     for t in [0.0, 10.0, 70.0, 70.1, 95.0] {
-        assert!(!self_health.beat(Time(0) + TimeSpan::secs(t), true));
+        assert!(!self_health.tick(Time(0) + TimeSpan::secs(t), true));
     }
 }
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -364,11 +364,11 @@
         let mut kept = CacheHints::default();
         let images = vec![("image-1".into(), 7.0), ("image-2".into(), 9.0)];
         let all = ids.iter().map(|id| (id.clone(), images.clone())).collect();
-        kept.note(Time(1), FencingToken(1), all, Vec::new());
+        kept.record(Time(1), FencingToken(1), all, Vec::new());
         let begun = Instant::now();
         let (mut parts, mut bytes) = (0u32, 0);
         loop {
-            let part = kept.give(FencingToken(2), 0.25);
+            let part = kept.next_part(FencingToken(2), 0.25);
             if part.is_empty() {
                 break;
             }
