--- a/crates/controller/src/core/node/routes.rs
+++ b/crates/controller/src/core/node/routes.rs
@@ -76,8 +76,8 @@
     fn of_api(method: &str, segments: &[&'a str]) -> Route<'a> {
         match (method, segments) {
             ("POST", [JOBS]) => Route::Submit,
-            ("GET", [JOBS, job]) => Route::Poll(*job),
-            ("POST", [JOBS, job, CANCEL]) => Route::Cancel(*job),
+            ("GET", [JOBS, job]) => Route::Poll(job),
+            ("POST", [JOBS, job, CANCEL]) => Route::Cancel(job),
             ("POST", [AGENT_HEARTBEAT]) => Route::AgentHeartbeat,
             ("GET", [READY]) => Route::Ready,
             (_, [JOBS] | [JOBS, _] | [JOBS, _, CANCEL]) => Route::MethodNotAllowed,
@@ -93,7 +93,7 @@
             ("POST", [LEADER_HEARTBEAT]) => Route::LeaderHeartbeat,
             ("POST", [SUSPICION_QUERY]) => Route::SuspicionQuery,
             ("POST", [LEADERSHIP_TRANSFER]) => Route::LeadershipTransfer,
-            ("GET" | "POST", [CLOUD_PROXY, token, ..]) => Route::CloudProxy(*token),
+            ("GET" | "POST", [CLOUD_PROXY, token, ..]) => Route::CloudProxy(token),
             ("GET", [INSPECT]) => Route::Inspect,
             (_, [AGENT_HEARTBEAT | PEER_HEARTBEAT | LEADER_HEARTBEAT]) => Route::MethodNotAllowed,
             (_, [SUSPICION_QUERY | LEADERSHIP_TRANSFER | INSPECT]) => Route::MethodNotAllowed,
