--- a/crates/controller/src/core/cache_hints/tests.rs
+++ b/crates/controller/src/core/cache_hints/tests.rs
@@ -19,7 +19,7 @@
 // A leader whose process was started again at once took its own key and knew of
 // no image on any machine: everything was cold, for as long as it led.
 #[test]
-fn a_leader_gets_back_what_was_told_each_part_once() {
+fn each_hint_is_given_back_once() {
     let mut peers = [told(950), told(950), told(950)];
     let mut heard = BTreeSet::new();
     let mut rounds = 0;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn machines_are_taken_over_once_they_are_known() {
+fn takes_hints_of_known_machines_only() {
     let mut k = told(10);
     let known = k.take_known(|id| id.as_str() < "host-0004");
     assert_eq!((known.len(), k.take_known(|_| true).len()), (4, 6));
--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -103,7 +103,7 @@
 // would go on under a key that leads nowhere, one that took it for done would
 // act on a token that nobody has.
 #[test]
-fn a_rise_whose_answer_is_lost_is_looked_up() {
+fn lost_reply_to_activation_is_resolved_by_a_read() {
     for applied in [true, false] {
         let mut effects = effects_at(5.0);
         let (mut e, what, written) = rising(&mut effects);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_rise_that_is_refused_leaves_the_leader_as_it_was() {
+fn refused_activation_leaves_leader_unchanged() {
     let mut effects = effects_at(5.0);
     let (mut e, what, _) = rising(&mut effects);
     let refused = TransactionResponse::default();
--- a/crates/controller/src/core/failure_detector/accrual/tests.rs
+++ b/crates/controller/src/core/failure_detector/accrual/tests.rs
@@ -17,7 +17,7 @@
 // One time-out for all would be too long where signs come regularly, and
 // too short where they do not.
 #[test]
-fn suspicion_grows_by_what_was_usual() {
+fn phi_adapts_to_interval_spread() {
     let (regular, t) = after([0.25; 40]);
     assert!(phi(&regular, t + 0.3) < 1.0);
     assert!(phi(&regular, t + 0.7) > 8.0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn nothing_is_said_of_what_was_hardly_heard_or_could_not_be() {
+fn phi_is_zero_with_few_intervals_or_excluded_time() {
     let (young, t) = after([0.25, 0.25]);
     assert_eq!(phi(&young, t + 60.0), 0.0);
     let (mut a, t) = after([0.25; 40]);
@@ -37,7 +37,7 @@
 
 // However long the silence was, and however odd the intervals.
 #[test]
-fn it_is_always_a_number() {
+fn phi_is_always_finite() {
     let (mut a, t) = after([0.0, 0.0, 1e6, 0.0, 0.25, 3e5]);
     for later in [0.0, 1e-6, 1.0, 1e9] {
         let p = phi(&a, t + later);
--- a/crates/controller/src/core/failure_detector/detector/tests.rs
+++ b/crates/controller/src/core/failure_detector/detector/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_silent_leader_is_replaced_once_it_was_asked_and_others_agree() {
+fn replaces_silent_leader_after_failed_probe_and_quorum() {
     let mut detector = failure_detector();
     let (t, step) = until_step(&mut detector, 9.95, 12.0, 0).unwrap();
     assert_eq!(step, Action::Investigate(Suspicion::Silent));
@@ -73,7 +73,7 @@
 
 // Each of these once is enough against a verdict.
 #[test]
-fn a_doubt_can_be_refuted() {
+fn any_refutation_stops_replacement() {
     let ripe = || {
         let mut detector = failure_detector();
         let (t, _) = until_step(&mut detector, 9.95, 12.0, 0).unwrap();
@@ -113,7 +113,7 @@
 // A leader that ended for good with its port refused kept its place until its
 // lease was over, as a refusal says nothing: what its workers do says the rest.
 #[test]
-fn a_refusal_counts_once_workers_come_over() {
+fn refused_probe_counts_once_agents_migrate() {
     let deposed = |came: &[(usize, f64)], told: u32| {
         let mut detector = failure_detector();
         let (t, _) = until_step(&mut detector, 9.95, 12.0, 0).unwrap();
@@ -142,7 +142,7 @@
 
 // A judge that was frozen, or is behind, misses what waits for it unread.
 #[test]
-fn who_was_not_there_doubts_nobody() {
+fn stopped_detector_suspects_nobody_until_settled() {
     let mut detector = failure_detector();
     detector.tick(at(70.0));
     assert_eq!(detector.next_action(at(70.0), 0), Action::None);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_leader_without_the_state_service_is_replaced_by_one_that_has_it() {
+fn replaces_leader_that_cannot_reach_the_store() {
     let mut detector = failure_detector();
     let mut t = 10.0;
     let mut deposed = None;
@@ -186,7 +186,7 @@
 
 // Two that suspect one another in turn must not pass the key to and fro.
 #[test]
-fn verdicts_get_rarer() {
+fn pause_between_replacements_doubles() {
     let mut detector = failure_detector();
     let mut verdicts = Vec::new();
     let mut t = 10.0;
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn two_nodes_have_the_lease_alone() {
+fn two_nodes_never_replace_by_suspicion() {
     let mut detector = failure_detector();
     detector.quorum = FailureDetector::new(2, 8.0).quorum;
     let (t, _) = until_step(&mut detector, 9.95, 12.0, 0).unwrap();
--- a/crates/controller/src/core/format_version/chunk_progress/tests.rs
+++ b/crates/controller/src/core/format_version/chunk_progress/tests.rs
@@ -35,7 +35,7 @@
 ];
 
 #[test]
-fn every_level_reads_what_was_once_stored() {
+fn every_version_reads_older_forms() {
     assert_eq!(
         GOLDEN.len(),
         super::super::KNOWN_VERSIONS.len(),
@@ -59,7 +59,7 @@
 // A record that is damaged, or says more than this build knows, must not be
 // taken for an empty one: its tasks would be run a second time.
 #[test]
-fn what_is_damaged_or_from_the_future_is_refused() {
+fn rejects_damaged_or_future_forms() {
     for text in [
         "null",
         "{}",
@@ -111,7 +111,7 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(12), ..Default::default()
     })]
     #[test]
-    fn what_is_written_at_any_level_is_read_at_every_later_one(p in progress()) {
+    fn round_trips_at_every_later_version(p in progress()) {
         for step in super::super::KNOWN_VERSIONS {
             let stored = p.write(step.level);
             prop_assert_eq!(ChunkProgress::read(&stored), Ok(p.clone()));
--- a/crates/controller/src/core/format_version/member_versions/tests.rs
+++ b/crates/controller/src/core/format_version/member_versions/tests.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn it_rises_once_all_have_been_there_and_says_what_it_waits_for() {
+fn activates_once_all_members_are_present_and_names_blockers() {
     let good = || registry(Vec::new());
     assert_eq!(waits(good(), 12, told(2, 1)), None);
     let text = |r, secs, said| waits(r, secs, said).unwrap_or_default();
@@ -104,7 +104,7 @@
 // A key that is damaged must neither be taken for an absent one, nor stop nodes
 // that know better.
 #[test]
-fn damaged_keys_are_named_and_nothing_is_lost() {
+fn unreadable_keys_are_reported_and_version_never_decreases() {
     let bad = || entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": "two"}), 9);
     let starting = registry(vec![bad()]);
     assert_eq!(starting.check_serving(), Err(NotServing::UnreadableVersion));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn another_policy_is_named() {
+fn reports_member_with_differing_policy() {
     assert_eq!(registry(Vec::new()).differing_policy(), None);
     let mut said = member("c", 2, 4);
     said.value["policy"] = serde_json::json!({"doubt": 0.0});
@@ -162,7 +162,7 @@
 
 // It woke up after the rise with an older build's eyes.
 #[test]
-fn beyond_its_build_a_node_does_nothing_and_says_why() {
+fn refuses_to_serve_unsupported_active_version() {
     let r = registry(vec![entry(
         ACTIVE_VERSION_KEY,
         serde_json::json!({"level": 7}),
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_store_is_new_only_if_nothing_but_nodes_words_was_ever_written() {
+fn store_is_empty_only_with_nothing_but_member_records() {
     let mut r = MemberVersions::new("a".into(), Some(TWO), BTreeMap::new(), 1);
     let all = [member("b", 2, 1), member("c", 2, 2)];
     r.load(&all);
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -3,7 +3,7 @@
 // Every record but a chunk's (`progress`) has one form in all levels so far, as it
 // was first stored. A change of one is a new level, or stored work is lost.
 #[test]
-fn every_record_is_read_as_it_was_first_stored() {
+fn reads_every_record_in_its_first_stored_form() {
     use crate::core::job_records::{
         self, HeaderStage, JobHeader, LeaderRecord, SubmissionAssembler,
     };
@@ -53,7 +53,7 @@
 
 // A level left out, or two with one number, would be skipped by a rise.
 #[test]
-fn the_table_has_every_level_once() {
+fn version_table_lists_each_version_once() {
     for (i, step) in KNOWN_VERSIONS.iter().enumerate() {
         assert_eq!(step.level, FormatVersion(i as u32));
         assert!(!step.since.is_empty() && !step.older.is_empty());
--- a/crates/controller/src/core/job_api/tests.rs
+++ b/crates/controller/src/core/job_api/tests.rs
@@ -7,7 +7,7 @@
 // A poll's read that was answered only after a cancellation had been told
 // brought the older state.
 #[test]
-fn a_read_answered_late_does_not_bring_back_an_older_state() {
+fn late_read_does_not_revert_finished_job() {
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
     let ended = Reply::Answer(200, wire::encode(&TransactionResponse::default()));
@@ -61,7 +61,7 @@
 // The answer to an acceptance may take seconds. Its user, who was told by another node
 // meanwhile and called the job off, once heard "pending" here after "withdrawn".
 #[test]
-fn an_acceptance_answered_late_is_no_newer_than_the_end() {
+fn late_acceptance_does_not_revert_cancelled_job() {
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
     job_api.handle_step_reply(
@@ -92,7 +92,7 @@
 
 // A read sent before a job was accepted may be answered after that was told.
 #[test]
-fn an_accepted_job_is_not_unknown_to_a_read_sent_before() {
+fn earlier_read_does_not_report_accepted_job_as_unknown() {
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
     job_api.handle_step_reply(
@@ -126,7 +126,7 @@
 // Whatever is sent under an accepted job's id, its user is not told that it is malformed
 // or can never run; what is no job is refused once none is found, and nothing is stored.
 #[test]
-fn a_malformed_repeat_is_answered_by_the_job() {
+fn malformed_resubmission_is_answered_with_job_status() {
     let settings = crate::testing::settings(0);
     let no = serde_json::json!({"ref": "wk-1", "lane": "a", "pieces": 0});
     let whole = serde_json::json!({"ref": "wk-1", "lane": "a", "crew": "red", "shape": "batch", "urgency": "low",
--- a/crates/controller/src/core/leader_announcement/tests.rs
+++ b/crates/controller/src/core/leader_announcement/tests.rs
@@ -31,7 +31,7 @@
 // connections; one that told them in the order of their names would leave
 // a gang that is being stopped half told.
 #[test]
-fn all_are_told_in_order_of_need_and_in_no_herd() {
+fn announces_by_priority_without_bursts() {
     let (all, last) = told(600, 8.0);
     assert_eq!(all.len(), 600);
     assert!((3.0..5.0).contains(&last), "{last}");
@@ -44,7 +44,7 @@
 
 // At ten times the size it stays within its rate; what is left reports by itself.
 #[test]
-fn it_stays_within_its_rate_and_its_time() {
+fn announcements_respect_rate_and_deadline() {
     let (all, last) = told(18_000, 8.0);
     assert!(last <= 10.0 && all.len() <= 2600, "{} {last}", all.len());
     assert_eq!(
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -10,7 +10,7 @@
 // Nodes that were started again during an outage said for all of it that they
 // were not ready, and were left out for seconds to a minute after its end.
 #[test]
-fn a_node_is_ready_unless_a_peer_would_serve_better() {
+fn node_stays_ready_unless_a_peer_would_serve_better() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
@@ -55,7 +55,7 @@
 
 // An operator who restarted the leader's process left a gap of a lease.
 #[test]
-fn a_process_that_is_to_end_hands_over_first() {
+fn shutdown_transfers_leadership_before_exit() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
@@ -101,7 +101,7 @@
 // Renewals go on by themselves: where the word that a lease is over was lost, a
 // leader that had stepped down would have kept the key from all others.
 #[test]
-fn a_leader_that_is_none_any_more_has_its_lease_kept_no_longer() {
+fn stepping_down_ends_lease_renewals() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
@@ -125,7 +125,7 @@
 
 // A leader whose process was back at once led on without knowing of any image.
 #[test]
-fn peers_give_a_leader_back_what_it_told_them_in_an_earlier_life() {
+fn restarted_leader_gets_cache_hints_back_from_peers() {
     let node = |n| {
         let settings = testing::settings(n);
         let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
@@ -167,7 +167,7 @@
 // While one peer was down everything was told from the beginning again
 // every second, and the others never heard of more than the first machines.
 #[test]
-fn a_peer_that_is_down_does_not_keep_the_others_from_hearing() {
+fn unreachable_peer_does_not_restart_broadcast_to_others() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
@@ -204,7 +204,7 @@
 // A successor whose load an outage had cut off deposed the old leader with its first
 // greeting; nobody answered the workers then, for as long as the outage lasted.
 #[test]
-fn a_successor_deposes_once_it_has_loaded() {
+fn leader_yields_to_successor_once_it_has_loaded() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
@@ -252,7 +252,7 @@
 // A leader cut from the state service and its peers, but not from users, called itself
 // ready, and each user sent to it waited for nothing.
 #[test]
-fn a_node_that_hears_nobody_is_not_ready() {
+fn isolated_node_is_not_ready() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
@@ -271,7 +271,7 @@
 // The node that confirmed a cancellation tells the leader, which stops the job though it
 // cannot read it, and goes on with one that is not cancelled after all.
 #[test]
-fn a_cancellation_is_told_and_nothing_is_deleted_on_a_word() {
+fn announced_cancellation_deletes_nothing_without_a_read() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
--- a/crates/controller/src/core/read_coalescing/tests.rs
+++ b/crates/controller/src/core/read_coalescing/tests.rs
@@ -25,7 +25,7 @@
 // With a read for each poll, a backlog of jobs used up the state service's
 // rate, and submissions were refused for it.
 #[test]
-fn polls_share_a_comparison() {
+fn polls_share_one_comparison() {
     let mut p = polls();
     assert!(!p.enqueue(Time(0), RequestId(9), &"unseen".into()));
     let (txn, asked) = p.next_comparison(Time(1), 192).unwrap();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn only_an_unchanged_head_is_called_open() {
+fn only_unchanged_headers_are_reported_open() {
     let mut p = polls();
     let (_, asked) = p.next_comparison(Time(1), 192).unwrap();
     let body = wire::encode(&TransactionResponse {
@@ -69,7 +69,7 @@
 // With two in five answers lost, a job was not answered for 90 s: a lost comparison left
 // all without an answer who shared it, and all who had come since.
 #[test]
-fn a_lost_comparison_is_made_again_and_holds_nobody_up() {
+fn lost_comparison_is_repeated_without_blocking_others() {
     let ms = |n: u64| Time(n * 1000);
     let mut p = polls();
     let (_, lost) = p.next_comparison(ms(0), 192).unwrap();
@@ -97,7 +97,7 @@
 // read, sent before the poll came, then brings says nothing of what has ended since:
 // the poll was once answered by it, after another node had told the job's end.
 #[test]
-fn a_head_that_comes_in_during_a_comparison_is_not_compared() {
+fn header_recorded_after_sending_is_not_vouched_for() {
     let mut p = polls();
     let head = JobHeader {
         s: HeaderStage::Open,
--- a/crates/controller/src/core/self_health/tests.rs
+++ b/crates/controller/src/core/self_health/tests.rs
@@ -16,7 +16,7 @@
 // A holder out of processor time kept its lease and did everything late,
 // for as long as it lived. All being slow must not make them flap.
 #[test]
-fn a_slow_holder_hands_over_ever_rarer() {
+fn overloaded_leader_transfers_with_growing_patience() {
     assert_eq!(handed_over(0.05, 3000.0).len(), 0);
     assert_eq!(handed_over(0.4, 3000.0).len(), 0);
     let slow = handed_over(0.8, 3000.0);
@@ -27,7 +27,7 @@
 // Users stayed with a leader that was behind, and waited, while others had
 // time for them.
 #[test]
-fn strain_shows_within_seconds_and_passes_slowly() {
+fn overload_is_detected_quickly_and_decays_slowly() {
     let mut self_health = SelfHealth::default();
     let mut t = Time(0);
     let mut beat = |gap: f64, times: u32| {
@@ -48,7 +48,7 @@
 // A leader whose processor was six times slower kept office for 18 s, until
 // its lease ran out by itself. One with much to do must not go as soon.
 #[test]
-fn a_slow_processor_is_reason_enough_and_much_work_is_not() {
+fn slow_processor_transfers_sooner_than_overload() {
     let over = |effort_us: u64| {
         let mut self_health = SelfHealth {
             calibration_us: effort_us,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn one_long_stop_is_no_sign() {
+fn single_long_stop_is_ignored() {
     let mut self_health = SelfHealth::default();
     for t in [0.0, 10.0, 70.0, 70.1, 95.0] {
         assert!(!self_health.tick(Time(0) + TimeSpan::secs(t), true));
--- a/crates/controller/src/policy/tests.rs
+++ b/crates/controller/src/policy/tests.rs
@@ -2,7 +2,7 @@
 use crate::testing;
 
 #[test]
-fn the_shipped_script_sets_every_field() {
+fn default_script_sets_every_field() {
     let settings = testing::settings(0);
     let (_lua, table) = run(DEFAULT_SCRIPT, &settings).unwrap();
     for field in Policy::FIELDS {
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_script_is_checked_and_bounded() {
+fn script_is_validated_and_resource_limited() {
     let settings = testing::settings(0);
     let told = |script: &str| match Policy::from_script(script, &settings) {
         Ok(p) => format!("{}", p.idle_s),
