--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -44,6 +44,25 @@
     pub exit_reason: Option<StopReason>,
 }
 
+impl ReportedTaskState {
+    /// The command that has its worker forget an exited task.
+    fn into_forget(self) -> Command {
+        Command::Forget {
+            task: self.name,
+            attempt: self.attempt,
+        }
+    }
+
+    /// The command that stops it, with so many seconds to save a checkpoint.
+    fn into_stop(self, grace_s: f64) -> Command {
+        Command::Stop {
+            task: self.name,
+            attempt: self.attempt,
+            grace_s,
+        }
+    }
+}
+
 /// The commands of one answer to a heartbeat, in the order they are sent.
 #[derive(Debug, Default)]
 struct CommandList {
@@ -229,19 +248,15 @@
         return;
     };
     let job = cluster.jobs.get(&task.job);
-    let is_placed = job
-        .and_then(|job| job.assignments.get(&task.index))
-        .is_some_and(|assignment| {
-            &assignment.machine == id
-                && assignment.attempt == reported.attempt
-                && assignment.epoch == machine.epoch
-        });
+    let assignment = job.and_then(|job| job.assignments.get(&task.index));
+    let is_placed = assignment.is_some_and(|assignment| {
+        &assignment.machine == id
+            && assignment.attempt == reported.attempt
+            && assignment.epoch == machine.epoch
+    });
     if reported.state == TaskState::Exited {
         if machine.has_our_token && !is_placed && !must_be_kept(job, &task, &reported) {
-            list.forgets.push(Command::Forget {
-                task: reported.name,
-                attempt: reported.attempt,
-            });
+            list.forgets.push(reported.into_forget());
         }
         return;
     }
@@ -249,22 +264,14 @@
         Some(job) if is_placed => {
             *usage += job.spec.needs();
             if let Some(stop) = job.stop_to_send(cluster.chunk_size, task.index) {
-                list.stops.push(Command::Stop {
-                    task: reported.name,
-                    attempt: reported.attempt,
-                    grace_s: stop.grace_s,
-                });
+                list.stops.push(reported.into_stop(stop.grace_s));
             }
         }
         // The record that says where it should be cannot be read: it may be right here.
         Some(job) if job.is_open() && job.unreadable => {}
         _ => {
             tracing::info!(task = %task, attempt = %reported.attempt, machine = %id, "unrecorded task stopped");
-            list.stops.push(Command::Stop {
-                task: reported.name,
-                attempt: reported.attempt,
-                grace_s: 0.0,
-            });
+            list.stops.push(reported.into_stop(0.0));
         }
     }
 }
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -8,7 +8,6 @@
 use super::task_completion::QuarantineRecorder;
 use super::task_lifecycle::RemovalReason;
 use super::task_reconciliation::ReceivedHeartbeat;
-use crate::core::RequestId;
 use crate::core::assignment::Assignment;
 use crate::core::autoscaler::intents::Intents;
 use crate::core::delivery::DeliveryEvidence;
@@ -17,6 +16,7 @@
 use crate::core::leader_authority::LeaderAuthority;
 use crate::core::machine::Machine;
 use crate::core::quarantine::Quarantine;
+use crate::core::{Now, RequestId};
 use crate::types::{AgentEpoch, FencingToken, MachineId, TaskId, Time, TimeSpan};
 use crate::wire::workers::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet};
@@ -93,6 +93,33 @@
         Some(previous)
     }
 
+    /// Compares a heartbeat with the placements; true if that freed room.
+    fn apply_heartbeat(
+        &mut self,
+        at: Now,
+        heartbeat: &Heartbeat,
+        previous: PreviousHeartbeat,
+    ) -> bool {
+        let received = ReceivedHeartbeat {
+            at,
+            own_token: self.token,
+            heartbeat,
+        };
+        let mut recorder = QuarantineRecorder {
+            quarantine: self.quarantine,
+            pending_writes: &mut self.intents.pending_writes,
+        };
+        let result = self.cluster.reconcile_tasks(&received, &mut recorder);
+        self.commands.note_reported_tasks(heartbeat);
+        self.check_delivery(at.time, heartbeat, previous, result.delivery);
+        // One without our token may be an old copy, and its notice another's.
+        if heartbeat.notice_s.is_some() && heartbeat.token == self.token {
+            let id = &heartbeat.machine;
+            self.cluster.stop_tasks_before_termination(at.time, id);
+        }
+        result.freed_room
+    }
+
     /// Notes whether a machine receives its answers. Starts that never reached one
     /// that does not go elsewhere: that they did not arrive is proven.
     fn check_delivery(
@@ -199,30 +226,8 @@
         if let Some(superseded) = self.deferred.remove(id) {
             effects.answer_later(superseded.request, 503, 1);
         }
-        let received = ReceivedHeartbeat {
-            at: effects.now,
-            own_token: context.token,
-            heartbeat,
-        };
-        let mut recorder = QuarantineRecorder {
-            quarantine: context.quarantine,
-            pending_writes: &mut context.intents.pending_writes,
-        };
-        let result = context.cluster.reconcile_tasks(&received, &mut recorder);
-        context.commands.note_reported_tasks(heartbeat);
-        context.check_delivery(now, heartbeat, previous, result.delivery);
-        // One without our token may be an old copy, and its notice another's.
-        if heartbeat.notice_s.is_some() && heartbeat.token == context.token {
-            context.cluster.stop_tasks_before_termination(now, id);
-        }
-        self.answer_or_defer(
-            effects,
-            context,
-            request,
-            heartbeat,
-            may_defer,
-            result.freed_room,
-        );
+        let freed_room = context.apply_heartbeat(effects.now, heartbeat, previous);
+        self.answer_or_defer(effects, context, request, heartbeat, may_defer, freed_room);
     }
 
     /// Answers a heartbeat at once, unless work for its machine may come soon.
--- a/crates/controller/src/core/leader/preemption_search.rs
+++ b/crates/controller/src/core/leader/preemption_search.rs
@@ -72,11 +72,7 @@
         let mut failed: Vec<FailedSearch> = Vec::new();
         let mut searches = 0;
         for index in urgent {
-            let is_hopeless = failed.iter().any(|earlier| {
-                requests[index].tasks.len() >= earlier.tasks
-                    && requests[index].is_like(&requests[earlier.request])
-            });
-            if is_hopeless || !is_within_quota(cycle, &requests[index]) {
+            if is_hopeless(&failed, requests, index) || !is_within_quota(cycle, &requests[index]) {
                 continue;
             }
             searches += 1;
@@ -159,6 +155,14 @@
     }
 }
 
+/// Whether an earlier search that failed shows that one for this request would too.
+fn is_hopeless(failed: &[FailedSearch], requests: &[PlacementRequest], index: usize) -> bool {
+    let request = &requests[index];
+    failed.iter().any(|earlier| {
+        request.tasks.len() >= earlier.tasks && request.is_like(&requests[earlier.request])
+    })
+}
+
 /// Whether a request's team may use what it needs.
 fn is_within_quota(cycle: &SchedulingCycle<'_>, request: &PlacementRequest) -> bool {
     let needs = request.need.times(request.tasks.len() as f64);
@@ -178,7 +182,6 @@
             if job.is_gang() && !job.assignments.values().all(is_reachable) {
                 continue;
             }
-            let has_start_objective = self.has_start_objective(job);
             for (&task, assignment) in &job.assignments {
                 let Some(&row) = index.get(&assignment.machine) else {
                     continue;
@@ -188,14 +191,7 @@
                 }
                 let share = job.spec.needs().share_of(&rows[row].whole);
                 let settled = is_settled(now, assignment, settle);
-                // A start that is stopped soon does not count for its users,
-                // if they have an objective about starting.
-                let fresh = if settled || !has_start_objective {
-                    0.0
-                } else {
-                    FRESH_START_COST_S
-                };
-                let lost = lost_seconds(now, job, assignment);
+                let cost_s = self.preemption_cost_s(now, job, assignment, settled);
                 candidates.push(Victim {
                     job: id.clone(),
                     task,
@@ -206,7 +202,7 @@
                     need: job.spec.needs(),
                     gang: job.is_gang(),
                     row,
-                    cost: (lost + STOP_COST_S + fresh) * share,
+                    cost: cost_s * share,
                     settled,
                 });
             }
@@ -214,6 +210,24 @@
         Victims::new(candidates, rows.len())
     }
 
+    /// What stopping a task costs, in seconds of its work.
+    fn preemption_cost_s(
+        &self,
+        now: Time,
+        job: &Job,
+        assignment: &Assignment,
+        is_settled: bool,
+    ) -> f64 {
+        // A start that is stopped soon does not count for its users,
+        // if they have an objective about starting.
+        let fresh = if is_settled || !self.has_start_objective(job) {
+            0.0
+        } else {
+            FRESH_START_COST_S
+        };
+        lost_seconds(now, job, assignment) + STOP_COST_S + fresh
+    }
+
     /// Whether users have an objective about when this job starts.
     fn has_start_objective(&self, job: &Job) -> bool {
         let mut objectives = self.settings.objectives.iter();
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -54,12 +54,7 @@
             match job_records::watched(&entry.key) {
                 Watched::Office => {
                     is_holder |= entry.key == self.holder && entry.version.0 == self.token.0;
-                    self.news.push(WatchEvent {
-                        put: Some(entry.key.clone()),
-                        delete: None,
-                        value: entry.value.clone(),
-                        version: entry.version,
-                    });
+                    self.news.push(as_event(entry));
                 }
                 Watched::Part(id, number) => records.assembler.part(id, number, &entry.value),
                 _ => {}
@@ -210,6 +205,16 @@
     }
 }
 
+/// An entry as the watch would have shown it.
+fn as_event(entry: &Entry) -> WatchEvent {
+    WatchEvent {
+        put: Some(entry.key.clone()),
+        delete: None,
+        value: entry.value.clone(),
+        version: entry.version,
+    }
+}
+
 impl ClusterState {
     /// After a load: has machines hold the tasks that the records place on them, and
     /// notes jobs that are done or can be deleted. Returns ended jobs that still have
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -196,9 +196,8 @@
             LoadPhase::Watched(entries) => {
                 self.revision = first_revision;
                 if !context.load_watched(self, &entries) {
-                    let why = "the lease ran out while loading";
                     self.phase = LoadPhase::Watched(Vec::new());
-                    return LeadershipOutcome::StepDown(why);
+                    return LeadershipOutcome::StepDown("the lease ran out while loading");
                 }
                 self.phase = LoadPhase::ProgressRecords(Vec::new());
             }
@@ -209,18 +208,23 @@
             }
             LoadPhase::LeaderRecords(entries) => {
                 context.load_leader_records(at, entries);
-                if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
-                    self.revision = page.revision;
-                }
-                context.authority.loaded(sent);
-                let cluster = &context.cluster;
-                tracing::info!(token = %context.token, jobs = cluster.jobs.len(), machines = cluster.machines.len(), "leading");
+                self.finish_load(context, sent, page.revision);
             }
             LoadPhase::Done => {}
         }
         LeadershipOutcome::Continue
     }
 
+    /// The last page of the load, asked for at `sent`, was taken over.
+    fn finish_load(&mut self, context: &mut RecordContext<'_>, sent: Time, last_revision: Version) {
+        if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
+            self.revision = last_revision;
+        }
+        context.authority.loaded(sent);
+        let cluster = &context.cluster;
+        tracing::info!(token = %context.token, jobs = cluster.jobs.len(), machines = cluster.machines.len(), "leading");
+    }
+
     /// Applies the changes that the watch shows.
     fn apply_changes(
         &mut self,
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -117,14 +117,7 @@
         };
         let estimates = cluster.fetch_estimates.clone();
         let mut cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
-        let services = cluster.service_levels(at.wall, arrivals);
-        let policy = cluster.policy.clone();
-        let machines = cycle.rows.len() as f64;
-        let (share, window) = (policy.floor_share, policy.floor_window_s);
-        let mut bounds = Bounds {
-            account: cluster.quota_usage(),
-            floors: MinimumShares::new(&services, machines, share, window),
-        };
+        let mut bounds = preemption_bounds(at, cluster, arrivals, cycle.rows.len());
         cycle.run_floors(&mut requests, &mut bounds.floors);
         cycle.run_warm(&mut requests);
         let mut preemption = PreemptionSearch::new(bounds);
@@ -167,6 +160,21 @@
     pub rows: Vec<MachineRow>,
 }
 
+/// How much may be taken from each team and class, where there are so many machines.
+fn preemption_bounds(
+    at: Now,
+    cluster: &ClusterState,
+    arrivals: &ArrivalRecorder,
+    machines: usize,
+) -> Bounds {
+    let services = cluster.service_levels(at.wall, arrivals);
+    let (share, window) = (cluster.policy.floor_share, cluster.policy.floor_window_s);
+    Bounds {
+        account: cluster.quota_usage(),
+        floors: MinimumShares::new(&services, machines as f64, share, window),
+    }
+}
+
 /// Puts tasks where the cycle has placed them; tasks of one job get the same attempt.
 fn place_starts(
     now: Time,
--- a/crates/controller/src/core/leader/task_reconciliation.rs
+++ b/crates/controller/src/core/leader/task_reconciliation.rs
@@ -140,25 +140,16 @@
             result.delivery = DeliveryEvidence::Took;
         }
         let is_wanted = is_open && assignment.stop.is_none();
-        match assignment.check_presence(
+        let presence = assignment.check_presence(
             heartbeat.epoch,
             heartbeat.sequence,
             heartbeat.token,
             received.own_token,
             reported,
-        ) {
-            PresenceProof::Absent
-                if assignment.phase == AssignmentPhase::Inherited && is_wanted =>
-            {
-                result.freed_room = true;
-                assignment.phase = AssignmentPhase::Kept;
-                self.resume_inherited_start(now, task);
-            }
-            // It waits for the rest of its gang.
-            PresenceProof::Absent if assignment.phase == AssignmentPhase::Kept && is_wanted => {}
+        );
+        match presence {
             PresenceProof::Absent => {
-                result.freed_room = true;
-                self.record_task_gone(now, task, RemovalReason::NotReported);
+                result.freed_room |= self.handle_absent_task(now, task, is_wanted);
             }
             // What is not wanted any more is not sent again; it never
             // arrived, so it is nowhere.
@@ -180,6 +171,28 @@
         }
     }
 
+    /// A placed task is proven not to be on its machine; true if that freed room.
+    fn handle_absent_task(&mut self, now: Time, task: &TaskId, is_wanted: bool) -> bool {
+        let job = self.jobs.get_mut(&task.job);
+        let assignment = job.and_then(|job| job.assignments.get_mut(&task.index));
+        let Some(assignment) = assignment else {
+            return false;
+        };
+        match assignment.phase {
+            AssignmentPhase::Inherited if is_wanted => {
+                assignment.phase = AssignmentPhase::Kept;
+                self.resume_inherited_start(now, task);
+                true
+            }
+            // It waits for the rest of its gang.
+            AssignmentPhase::Kept if is_wanted => false,
+            _ => {
+                self.record_task_gone(now, task, RemovalReason::NotReported);
+                true
+            }
+        }
+    }
+
     /// A placed task was reported; true if it exited.
     fn handle_task_report(
         &mut self,
