--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -7,6 +7,7 @@
 mod capacity_planning;
 mod cluster_state;
 mod command_dispatch;
+mod commit_effects;
 mod commit_pipeline;
 mod cycle_inputs;
 mod fleet_health;
@@ -25,6 +26,7 @@
 mod task_completion;
 mod task_lifecycle;
 mod task_reconciliation;
+mod transaction_contents;
 
 use self::arrival_recorder::ArrivalRecorder;
 use self::autoscaling::CloudContext;
--- /dev/null
+++ b/crates/controller/src/core/leader/commit_effects.rs
@@ -0,0 +1,80 @@
+//! What follows from records that are stored by now: starts and stops may be sent, ended
+//! jobs deleted. Sends nothing itself.
+
+use super::cluster_state::ClusterState;
+use super::commit_pipeline::WriteContext;
+use crate::core::job_records::{self, Job, JobOutcome};
+use crate::types::{JobId, TaskId, Version};
+use crate::wire::kvstore::{Operation, Transaction};
+
+/// A chunk is stored as it was at `change`: starts and stops in it may be sent.
+pub(super) fn apply_stored_chunk(
+    context: &mut WriteContext<'_>,
+    id: &JobId,
+    chunk: u32,
+    change: u64,
+    revision: Version,
+) {
+    let size = context.cluster.chunk_size;
+    let Some(job) = context.cluster.jobs.get_mut(id) else {
+        return;
+    };
+    let mut stored_before = change;
+    if let Some(stored) = job.chunks.get_mut(&chunk) {
+        stored_before = stored.stored;
+        stored.version = revision;
+        stored.stored = stored.stored.max(change);
+    }
+    let first = chunk * size.0;
+    let assignments = job.assignments.range(first..first + size.0);
+    let is_newly_stored = |c: u64| stored_before < c && c <= change;
+    for (&index, assignment) in assignments.clone() {
+        let stop_change = assignment.stop.and_then(|stop| stop.change);
+        if stop_change.is_some_and(is_newly_stored) {
+            let machine = assignment.machine.clone();
+            let stops = context.cluster.direct_stops.entry(machine).or_default();
+            let job = id.clone();
+            stops.push(TaskId { job, index });
+        }
+    }
+    let starts = assignments.filter(|(_, start)| start.unsent() && start.change <= change);
+    context
+        .machines_with_stored_starts
+        .extend(starts.map(|(_, start)| start.machine.clone()));
+    job.done_not_stored
+        .retain(|&task, done_change| size.of(task) != chunk || *done_change > change);
+}
+
+/// A job's header says that it is done: its keys can be deleted.
+pub(super) fn apply_stored_outcome(cluster: &mut ClusterState, id: JobId) {
+    let Some(job) = cluster.jobs.get_mut(&id) else {
+        return;
+    };
+    if job.end != Some(JobOutcome::Done { written: false }) {
+        return;
+    }
+    job.end = Some(JobOutcome::Done { written: true });
+    job.done_not_stored.clear();
+    log_done(&id, job);
+    cluster.unwritten.jobs_to_delete.insert(id);
+}
+
+/// Part of an ended job's records are deleted.
+pub(super) fn forget_deleted_chunks(
+    cluster: &mut ClusterState,
+    id: &JobId,
+    transaction: &Transaction,
+) {
+    let Some(job) = cluster.jobs.get_mut(id) else {
+        return;
+    };
+    job.chunks.retain(|&chunk, _| {
+        let chunk_key = job_records::chunk_key(id, chunk);
+        let mut ops = transaction.ops.iter();
+        !ops.any(|op| matches!(op, Operation::Delete { key } if *key == chunk_key))
+    });
+}
+
+pub(super) fn log_done(id: &JobId, job: &Job) {
+    tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, "job done");
+}
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -2,28 +2,31 @@
 //! time, ahead of everything that depends on them. Decides nothing about the content.
 
 use super::cluster_state::ClusterState;
+use super::commit_effects::{
+    apply_stored_chunk, apply_stored_outcome, forget_deleted_chunks, log_done,
+};
 use super::outcome::LeadershipOutcome;
 use super::pending_call::PendingCall;
 use super::status_broadcast::StatusBroadcaster;
+use super::transaction_contents::{
+    add_dirty_chunks, add_finished_jobs, add_job_deletions, add_pending_deletes, add_pending_puts,
+};
 use crate::core::autoscaler::intents::Intents;
 use crate::core::effects::{Effects, PendingCalls};
 use crate::core::format_version::chunk_progress::ChunkProgress;
 use crate::core::format_version::{FormatVersion, WITH_HISTORY};
 use crate::core::garbage_collection::GarbageCollector;
 use crate::core::job_records::{
-    self, CommitItem, CommitPipeline, Job, JobOutcome, TransactionBuilder, TransactionLimits,
+    self, CommitItem, CommitPipeline, Job, TransactionBuilder, TransactionLimits,
 };
-use crate::core::pending_writes::PendingWrites;
 use crate::core::{Reply, Target};
-use crate::types::{FencingToken, JobId, MachineId, TaskId, Time, TimeSpan, Version};
+use crate::types::{FencingToken, JobId, MachineId, Time, TimeSpan, Version};
 use crate::wire;
 use crate::wire::backoff::Backoff;
 use crate::wire::kvstore::{Entry, Operation, Transaction, TransactionResponse};
 use crate::wire::rate_limit::TokenBucket;
 use std::collections::BTreeSet;
 
-/// Settled intents deleted in one transaction.
-const MAX_SETTLED_DELETES: usize = 8;
 /// Records rewritten in a newer format at once, and time between two such steps.
 const MAX_REWRITTEN: usize = 4;
 const REWRITE_INTERVAL: TimeSpan = TimeSpan::millis(250);
@@ -439,179 +442,5 @@
         .failed
 }
 
-/// Adds write-ahead intents and other small records: calls wait for them, and they
-/// are few.
-fn add_pending_puts(builder: &mut TransactionBuilder, pending_writes: &mut PendingWrites) {
-    for (key, value) in pending_writes.take_puts(builder.room() / 2) {
-        let op = Operation::Put {
-            key: key.clone(),
-            value: value.clone(),
-            lease: None,
-        };
-        let item = CommitItem::Note(key.clone(), Some(value.clone()));
-        if !builder.add(item, Vec::new(), vec![op]) {
-            pending_writes.again(key, Some(value));
-        }
-    }
-}
-
-/// Adds the outcomes of jobs whose tasks are all done.
-fn add_finished_jobs(builder: &mut TransactionBuilder, cluster: &mut ClusterState) {
-    for id in std::mem::take(&mut cluster.unwritten.finished_jobs) {
-        let Some(job) = cluster.jobs.get(&id) else {
-            continue;
-        };
-        if job.end != Some(JobOutcome::Done { written: false }) {
-            continue;
-        }
-        // If nothing of it is anywhere any more, it ends and goes at once.
-        if job.assignments.is_empty() {
-            let (conditions, ops) = job.close_write();
-            if builder.add(CommitItem::Close(id.clone()), conditions, ops) {
-                continue;
-            }
-        }
-        let (conditions, ops) = job.finish_write();
-        if !builder.add(CommitItem::Finish(id.clone()), conditions, ops) {
-            cluster.unwritten.finished_jobs.insert(id);
-        }
-    }
-}
-
-/// Adds the progress records that are out of date, most urgent first.
-fn add_dirty_chunks(
-    builder: &mut TransactionBuilder,
-    now: Time,
-    cluster: &mut ClusterState,
-    format: FormatVersion,
-) {
-    let dirty_chunks = &mut cluster.unwritten.dirty_chunks;
-    // Some need no writing any more, so a few more are looked at.
-    for due in dirty_chunks.due(now, builder.room() * 2) {
-        if builder.room() == 0 {
-            break;
-        }
-        let (id, chunk) = due.clone();
-        // Records of an ended job are only ever deleted, and those of one with
-        // a record that cannot be read stay as they are.
-        let job = cluster.jobs.get(&id);
-        let job = job.filter(|job| job.is_open() && !job.unreadable);
-        let state = job.and_then(|job| Some((job, job.chunks.get(&chunk)?.change)));
-        let Some((job, change)) = state else {
-            dirty_chunks.forget(&due);
-            continue;
-        };
-        let (conditions, ops) = job.chunk_write(cluster.chunk_size, chunk, format);
-        if !builder.add(CommitItem::Chunk(id, chunk, change), conditions, ops) {
-            break;
-        }
-        dirty_chunks.forget(&due);
-    }
-}
-
-/// Adds the deletion of ended jobs. In a rush hundreds of them wait: only those that
-/// there is room for are looked at.
-fn add_job_deletions(builder: &mut TransactionBuilder, cluster: &mut ClusterState) {
-    let mut postponed = None;
-    while builder.room() > 1
-        && let Some(id) = cluster.unwritten.jobs_to_delete.pop_first()
-    {
-        let Some(job) = cluster.jobs.get(&id) else {
-            continue;
-        };
-        // It comes back here once its end is stored, or its last task gone.
-        let is_end_stored = matches!(
-            job.end,
-            Some(JobOutcome::Cancelled | JobOutcome::Done { written: true })
-        );
-        if !is_end_stored || !job.assignments.is_empty() {
-            continue;
-        }
-        let (ops, is_last) = job.drop_write(builder.room());
-        let item = CommitItem::Drop(id.clone(), is_last);
-        if ops.is_empty() || !builder.add(item, Vec::new(), ops) {
-            postponed = Some(id);
-            break;
-        }
-    }
-    cluster.unwritten.jobs_to_delete.extend(postponed);
-}
-
-/// Adds the deletion of settled intents.
-fn add_pending_deletes(builder: &mut TransactionBuilder, pending_writes: &mut PendingWrites) {
-    for key in pending_writes.take_deletes(builder.room().min(MAX_SETTLED_DELETES)) {
-        let op = Operation::Delete { key: key.clone() };
-        builder.add(CommitItem::Note(key, None), Vec::new(), vec![op]);
-    }
-}
-
-/// A chunk is stored as it was at `change`: starts and stops in it may be sent.
-fn apply_stored_chunk(
-    context: &mut WriteContext<'_>,
-    id: &JobId,
-    chunk: u32,
-    change: u64,
-    revision: Version,
-) {
-    let size = context.cluster.chunk_size;
-    let Some(job) = context.cluster.jobs.get_mut(id) else {
-        return;
-    };
-    let mut stored_before = change;
-    if let Some(stored) = job.chunks.get_mut(&chunk) {
-        stored_before = stored.stored;
-        stored.version = revision;
-        stored.stored = stored.stored.max(change);
-    }
-    let first = chunk * size.0;
-    let assignments = job.assignments.range(first..first + size.0);
-    let is_newly_stored = |c: u64| stored_before < c && c <= change;
-    for (&index, assignment) in assignments.clone() {
-        let stop_change = assignment.stop.and_then(|stop| stop.change);
-        if stop_change.is_some_and(is_newly_stored) {
-            let machine = assignment.machine.clone();
-            let stops = context.cluster.direct_stops.entry(machine).or_default();
-            let job = id.clone();
-            stops.push(TaskId { job, index });
-        }
-    }
-    let starts = assignments.filter(|(_, start)| start.unsent() && start.change <= change);
-    context
-        .machines_with_stored_starts
-        .extend(starts.map(|(_, start)| start.machine.clone()));
-    job.done_not_stored
-        .retain(|&task, done_change| size.of(task) != chunk || *done_change > change);
-}
-
-/// A job's header says that it is done: its keys can be deleted.
-fn apply_stored_outcome(cluster: &mut ClusterState, id: JobId) {
-    let Some(job) = cluster.jobs.get_mut(&id) else {
-        return;
-    };
-    if job.end != Some(JobOutcome::Done { written: false }) {
-        return;
-    }
-    job.end = Some(JobOutcome::Done { written: true });
-    job.done_not_stored.clear();
-    log_done(&id, job);
-    cluster.unwritten.jobs_to_delete.insert(id);
-}
-
-/// Part of an ended job's records are deleted.
-fn forget_deleted_chunks(cluster: &mut ClusterState, id: &JobId, transaction: &Transaction) {
-    let Some(job) = cluster.jobs.get_mut(id) else {
-        return;
-    };
-    job.chunks.retain(|&chunk, _| {
-        let chunk_key = job_records::chunk_key(id, chunk);
-        let mut ops = transaction.ops.iter();
-        !ops.any(|op| matches!(op, Operation::Delete { key } if *key == chunk_key))
-    });
-}
-
-fn log_done(id: &JobId, job: &Job) {
-    tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, "job done");
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/controller/src/core/leader/transaction_contents.rs
@@ -0,0 +1,124 @@
+//! What a transaction carries, most urgent first, as far as there is room in it. Sends
+//! nothing, and takes nothing back: that is the writer's.
+
+use super::cluster_state::ClusterState;
+use crate::core::format_version::FormatVersion;
+use crate::core::job_records::{CommitItem, JobOutcome, TransactionBuilder};
+use crate::core::pending_writes::PendingWrites;
+use crate::types::Time;
+use crate::wire::kvstore::Operation;
+
+/// Settled intents deleted in one transaction.
+const MAX_SETTLED_DELETES: usize = 8;
+
+/// Adds write-ahead intents and other small records: calls wait for them, and they
+/// are few.
+pub(super) fn add_pending_puts(
+    builder: &mut TransactionBuilder,
+    pending_writes: &mut PendingWrites,
+) {
+    for (key, value) in pending_writes.take_puts(builder.room() / 2) {
+        let op = Operation::Put {
+            key: key.clone(),
+            value: value.clone(),
+            lease: None,
+        };
+        let item = CommitItem::Note(key.clone(), Some(value.clone()));
+        if !builder.add(item, Vec::new(), vec![op]) {
+            pending_writes.again(key, Some(value));
+        }
+    }
+}
+
+/// Adds the outcomes of jobs whose tasks are all done.
+pub(super) fn add_finished_jobs(builder: &mut TransactionBuilder, cluster: &mut ClusterState) {
+    for id in std::mem::take(&mut cluster.unwritten.finished_jobs) {
+        let Some(job) = cluster.jobs.get(&id) else {
+            continue;
+        };
+        if job.end != Some(JobOutcome::Done { written: false }) {
+            continue;
+        }
+        // If nothing of it is anywhere any more, it ends and goes at once.
+        if job.assignments.is_empty() {
+            let (conditions, ops) = job.close_write();
+            if builder.add(CommitItem::Close(id.clone()), conditions, ops) {
+                continue;
+            }
+        }
+        let (conditions, ops) = job.finish_write();
+        if !builder.add(CommitItem::Finish(id.clone()), conditions, ops) {
+            cluster.unwritten.finished_jobs.insert(id);
+        }
+    }
+}
+
+/// Adds the progress records that are out of date, most urgent first.
+pub(super) fn add_dirty_chunks(
+    builder: &mut TransactionBuilder,
+    now: Time,
+    cluster: &mut ClusterState,
+    format: FormatVersion,
+) {
+    let dirty_chunks = &mut cluster.unwritten.dirty_chunks;
+    // Some need no writing any more, so a few more are looked at.
+    for due in dirty_chunks.due(now, builder.room() * 2) {
+        if builder.room() == 0 {
+            break;
+        }
+        let (id, chunk) = due.clone();
+        // Records of an ended job are only ever deleted, and those of one with
+        // a record that cannot be read stay as they are.
+        let job = cluster.jobs.get(&id);
+        let job = job.filter(|job| job.is_open() && !job.unreadable);
+        let state = job.and_then(|job| Some((job, job.chunks.get(&chunk)?.change)));
+        let Some((job, change)) = state else {
+            dirty_chunks.forget(&due);
+            continue;
+        };
+        let (conditions, ops) = job.chunk_write(cluster.chunk_size, chunk, format);
+        if !builder.add(CommitItem::Chunk(id, chunk, change), conditions, ops) {
+            break;
+        }
+        dirty_chunks.forget(&due);
+    }
+}
+
+/// Adds the deletion of ended jobs. In a rush hundreds of them wait: only those that
+/// there is room for are looked at.
+pub(super) fn add_job_deletions(builder: &mut TransactionBuilder, cluster: &mut ClusterState) {
+    let mut postponed = None;
+    while builder.room() > 1
+        && let Some(id) = cluster.unwritten.jobs_to_delete.pop_first()
+    {
+        let Some(job) = cluster.jobs.get(&id) else {
+            continue;
+        };
+        // It comes back here once its end is stored, or its last task gone.
+        let is_end_stored = matches!(
+            job.end,
+            Some(JobOutcome::Cancelled | JobOutcome::Done { written: true })
+        );
+        if !is_end_stored || !job.assignments.is_empty() {
+            continue;
+        }
+        let (ops, is_last) = job.drop_write(builder.room());
+        let item = CommitItem::Drop(id.clone(), is_last);
+        if ops.is_empty() || !builder.add(item, Vec::new(), ops) {
+            postponed = Some(id);
+            break;
+        }
+    }
+    cluster.unwritten.jobs_to_delete.extend(postponed);
+}
+
+/// Adds the deletion of settled intents.
+pub(super) fn add_pending_deletes(
+    builder: &mut TransactionBuilder,
+    pending_writes: &mut PendingWrites,
+) {
+    for key in pending_writes.take_deletes(builder.room().min(MAX_SETTLED_DELETES)) {
+        let op = Operation::Delete { key: key.clone() };
+        builder.add(CommitItem::Note(key, None), Vec::new(), vec![op]);
+    }
+}
