--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -25,7 +25,7 @@
 // back as a machine that never came up, and for minutes nothing was rented
 // for work that this phantom seemed to have room for.
 #[test]
-fn a_late_list_does_not_bring_back_a_released_machine() {
+fn stale_list_does_not_bring_back_released_machine() {
     let mut leader = leader();
     leader.on_cloud(
         &mut effects_at(1.0),
@@ -59,7 +59,7 @@
 // While spot machines were taken back all the time every call to the cloud
 // was a release, and for minutes nothing was rented.
 #[test]
-fn releases_leave_turns_to_renting_and_listing() {
+fn releases_alternate_with_other_calls() {
     let mut leader = leader();
     let market: CapacityPool = ("g4".into(), "z0".into(), true);
     leader.autoscaler.intents.provision(market, 3, WallTime(0));
@@ -103,7 +103,7 @@
 
 // What a leader had under way with the cloud once died with its process.
 #[test]
-fn a_successor_finishes_what_was_meant() {
+fn successor_continues_recorded_intents() {
     let now = crate::core::Now {
         time: Time(1),
         wall: WallTime(5000),
@@ -179,7 +179,7 @@
 // Only 200 proves that released machines are gone. A 400 once did too, and a
 // peer that calls for us may give one, or a 404, of its own.
 #[test]
-fn a_release_that_is_refused_proves_nothing() {
+fn refused_release_keeps_machine() {
     for (status, by) in [(400, None), (400, Some("node-1")), (404, Some("node-1"))] {
         let mut leader = leader();
         let id = MachineId::from("host-1");
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -17,7 +17,7 @@
 
 /// What a cancelled job's deletion leaves behind after each transaction,
 /// where the state service's rate cuts them short.
-fn left_after_each(room: usize) -> Vec<(bool, bool)> {
+fn keys_left_after_each_transaction(room: usize) -> Vec<(bool, bool)> {
     let mut leader = leader();
     with_job(&mut leader, "wk-1", 1);
     let id = JobId::from("wk-1");
@@ -62,11 +62,14 @@
 // cancelled job looking open: the next leader ran it, long after its user
 // had been told that it was cancelled.
 #[test]
-fn a_submission_never_outlives_its_end() {
-    let torn = || (4..9).any(|n| left_after_each(n).contains(&(true, false)));
+fn deletes_submission_before_outcome() {
+    let torn = || (4..9).any(|n| keys_left_after_each_transaction(n).contains(&(true, false)));
     assert!(!torn());
     for room in 4..9 {
-        assert_eq!(left_after_each(room).last(), Some(&(false, false)));
+        assert_eq!(
+            keys_left_after_each_transaction(room).last(),
+            Some(&(false, false))
+        );
     }
     disable_check(&[SafetyCheck::EndOutlivesSubmission]);
     let caught = torn();
@@ -77,7 +80,7 @@
 // A job that was done took five changes to end and go, of the ninety a second
 // that there are; a part of one must never be left.
 #[test]
-fn a_job_that_is_nowhere_ends_and_goes_in_one_transaction() {
+fn closes_job_without_assignments_in_one_transaction() {
     let ended = |place: bool| {
         let mut leader = leader();
         with_job(&mut leader, "wk-1", 1);
@@ -139,7 +142,7 @@
 // However late a leader hears of a cancellation, and whatever it believes
 // of a job, the state service refuses its starts; all else goes on.
 #[test]
-fn no_start_is_stored_once_a_job_is_over() {
+fn stores_no_start_of_ended_job() {
     let mut leader = leader();
     for id in ["wk-1", "wk-2"] {
         with_job(&mut leader, id, 2);
@@ -185,7 +188,9 @@
 }
 
 /// A leader whose first start is in flight and whose answer was lost, once repeated.
-fn repeated(failed: &[&str]) -> (Leader, crate::core::effects::Effects, LeadershipOutcome) {
+fn leader_after_repeated_commit(
+    failed: &[&str],
+) -> (Leader, crate::core::effects::Effects, LeadershipOutcome) {
     let mut leader = leader();
     with_job(&mut leader, "wk-1", 2);
     let id = JobId::from("wk-1");
@@ -220,9 +225,9 @@
 // somebody else's change and gave office up: with one answer in five lost nothing was
 // started for minutes. It reads what is recorded and decides by that.
 #[test]
-fn a_repeat_that_finds_its_own_first_copy_goes_on() {
+fn repeated_commit_recognizes_its_own_write() {
     let own = "r/wk-1/0";
-    let (mut leader, mut effects, fate) = repeated(&[own]);
+    let (mut leader, mut effects, fate) = leader_after_repeated_commit(&[own]);
     assert_eq!(fate, LeadershipOutcome::Continue);
     let calls = effects.take_outputs();
     let [crate::core::Output::Call(call)] = calls.as_slice() else {
@@ -265,11 +270,14 @@
 
 // What is not plainly its own is not taken for it: everything starts over from the records.
 #[test]
-fn what_is_not_plainly_its_own_is_not_taken_for_it() {
+fn repeated_commit_steps_down_on_any_other_write() {
     let gives_up = |fate| matches!(fate, LeadershipOutcome::StepDown(_));
     let holder = leader().holder;
     for failed in [&["job/wk-1"][..], &[holder, "r/wk-1/0"], &[]] {
-        assert!(gives_up(repeated(failed).2), "{failed:?}");
+        assert!(
+            gives_up(leader_after_repeated_commit(failed).2),
+            "{failed:?}"
+        );
     }
     let entry = |value: serde_json::Value, version| Entry {
         key: "r/wk-1/0".into(),
@@ -287,7 +295,7 @@
         .unwrap()
     };
     for case in 0..4 {
-        let (mut leader, _, _) = repeated(&["r/wk-1/0"]);
+        let (mut leader, _, _) = leader_after_repeated_commit(&["r/wk-1/0"]);
         let value = own(&leader);
         let op = leader.writer.pipeline.flight.as_ref().unwrap().0.ops[0].clone();
         let reply = match case {
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -16,7 +16,7 @@
 // leader renewed after our last 200: its lease ends later than that 200
 // says, and its tasks run on after they were written off.
 #[test]
-fn a_lease_counts_from_the_first_report_with_our_token() {
+fn lease_counts_from_first_heartbeat_with_own_token() {
     let mut leader = leader();
     let mut m = Machine::new(Time(0));
     let task = TaskId::parse("wk-1/0").unwrap();
@@ -37,7 +37,7 @@
 
 /// A leader that has loaded, with a job of two tasks on a machine that has reported
 /// under its token.
-fn leading() -> (Leader, MachineId) {
+fn loaded_leader() -> (Leader, MachineId) {
     let mut leader = leader();
     leader.authority.page(Time(0));
     leader.authority.loaded(Time(0));
@@ -45,7 +45,7 @@
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
     leader.cluster.jobs.insert("wk-1".into(), job);
     let id = MachineId::from("host-1");
-    hears(&mut leader, 1.0, report(1, 5));
+    send_heartbeat(&mut leader, 1.0, report(1, 5));
     for index in 0..2 {
         let job = "wk-1".into();
         leader
@@ -92,7 +92,7 @@
 }
 
 /// What it answers, and what becomes of it.
-fn hears(leader: &mut Leader, secs: f64, report: Heartbeat) -> (u16, LeadershipOutcome) {
+fn send_heartbeat(leader: &mut Leader, secs: f64, report: Heartbeat) -> (u16, LeadershipOutcome) {
     let mut effects = effects_at(secs);
     let fate = leader.on_report(&mut effects, RequestId(1), report, false);
     let answer = effects.take_outputs().into_iter().find_map(|o| match o {
@@ -105,16 +105,16 @@
 // A successor that heard an old copy of a report first took its notice for the
 // machine's, and stopped what ran there.
 #[test]
-fn a_notice_counts_only_with_our_token() {
+fn termination_notice_counts_only_with_own_token() {
     for (token, stopped) in [(4, 0), (5, 2)] {
-        let (mut leader, _) = leading();
+        let (mut leader, _) = loaded_leader();
         let running = |i| task(&format!("wk-1/{i}"), 1, TaskState::Running, None);
         let told = Heartbeat {
             notice_s: Some(8.0),
             tasks: (0..2).map(running).collect(),
             ..report(2, token)
         };
-        hears(&mut leader, 2.0, told);
+        send_heartbeat(&mut leader, 2.0, told);
         let assignments = leader.cluster.jobs[&"wk-1".into()].assignments.values();
         assert_eq!(
             assignments.filter(|p| p.stop.is_some()).count(),
@@ -127,15 +127,15 @@
 // A report with a token that nobody was given deposed a healthy leader, which took its
 // key again, and was deposed by the next report.
 #[test]
-fn a_token_that_nobody_was_given_deposes_nobody() {
-    let (mut leader, _) = leading();
+fn ignores_token_that_was_never_issued() {
+    let (mut leader, _) = loaded_leader();
     assert_eq!(
-        hears(&mut leader, 2.0, report(2, u64::MAX)),
+        send_heartbeat(&mut leader, 2.0, report(2, u64::MAX)),
         (421, LeadershipOutcome::Continue)
     );
     // One that may have been given since the last read does.
     let later = FencingToken(9);
-    let deposed = hears(&mut leader, 2.0, report(3, later.0));
+    let deposed = send_heartbeat(&mut leader, 2.0, report(3, later.0));
     assert_eq!(deposed, (421, LeadershipOutcome::Deposed(later)));
     // A read has shown everything up to its revision, and no other leader.
     let none = WatchResponse {
@@ -145,21 +145,21 @@
     let read = Reply::Answer(200, wire::encode(&none));
     leader.on_read(&mut effects_at(2.5), Time(2_000_000), read);
     assert_eq!(
-        hears(&mut leader, 2.0, report(4, later.0)),
+        send_heartbeat(&mut leader, 2.0, report(4, later.0)),
         (421, LeadershipOutcome::Continue)
     );
 }
 
 #[test]
-fn what_cannot_be_proves_nothing() {
-    let (mut leader, id) = leading();
+fn ignores_impossible_heartbeats() {
+    let (mut leader, id) = loaded_leader();
     let before = leader.cluster.machines[&id].sequence;
     let no_session = Heartbeat {
         epoch: AgentEpoch(0),
         ..report(9, 5)
     };
     assert_eq!(
-        hears(&mut leader, 2.0, no_session),
+        send_heartbeat(&mut leader, 2.0, no_session),
         (400, LeadershipOutcome::Continue)
     );
     assert_eq!(leader.cluster.machines[&id].sequence, before);
@@ -171,7 +171,7 @@
         done("wk-1/7", 1),
         done("wk-9/0", 1),
     ];
-    hears(
+    send_heartbeat(
         &mut leader,
         2.0,
         Heartbeat {
@@ -187,21 +187,21 @@
         tasks,
         ..report(1, 4)
     };
-    hears(&mut leader, 2.0, elsewhere);
+    send_heartbeat(&mut leader, 2.0, elsewhere);
     assert!(leader.cluster.jobs[&"wk-1".into()].done.contains(0));
 }
 
 // A machine whose answers are lost got the same starts again and again, and the tasks
 // waited there for a lease.
 #[test]
-fn starts_leave_a_machine_that_does_not_hear() {
-    let (mut leader, id) = leading();
+fn moves_starts_off_unreachable_machine() {
+    let (mut leader, id) = loaded_leader();
     for n in 0..4u32 {
         let secs = 3.0 + 3.0 * f64::from(n);
         leader.authority.showed(Time(0) + TimeSpan::secs(secs));
         let placed = leader.cluster.jobs[&"wk-1".into()].assignments.len();
         assert_eq!(placed, 2, "at {secs} s");
-        hears(&mut leader, secs, report(u64::from(n) + 2, 5));
+        send_heartbeat(&mut leader, secs, report(u64::from(n) + 2, 5));
     }
     let job = &leader.cluster.jobs[&"wk-1".into()];
     assert!(job.assignments.is_empty() && job.waiting.len() == 2);
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -13,7 +13,7 @@
 
 /// How old its contact is when a leader has loaded, where the pages of the
 /// load took so many seconds each, and what it may do then.
-fn after_a_load(page_s: f64) -> (f64, bool, bool) {
+fn authority_after_load(page_s: f64) -> (f64, bool, bool) {
     let mut leader = leader();
     let key = |key: &str| Entry {
         key: key.into(),
@@ -45,18 +45,18 @@
 // though what it knew of cancellations, and of later leaders, was as old as
 // the first: leases were kept alive for that much longer than allowed.
 #[test]
-fn a_load_is_as_old_as_its_first_page() {
-    assert_eq!(after_a_load(0.1), (0.3, true, true));
-    let (age, answers, starts) = after_a_load(20.0);
+fn load_counts_as_contact_from_its_first_page() {
+    assert_eq!(authority_after_load(0.1), (0.3, true, true));
+    let (age, answers, starts) = authority_after_load(20.0);
     assert!(age > 59.0 && !answers && !starts);
     disable_check(&[SafetyCheck::LoadIsAsOldAsItsFirstRead]);
-    let (_, answers, _) = after_a_load(20.0);
+    let (_, answers, _) = authority_after_load(20.0);
     disable_check(&[]);
     assert!(answers, "a load that dragged on was not missed");
 }
 
 /// A leader with a job of three tasks, one of its records this one.
-fn with_record(stored: serde_json::Value) -> Leader {
+fn leader_with_record(stored: serde_json::Value) -> Leader {
     let mut leader = leader();
     let spec = crate::testing::submission("wk-1", crate::wire::users::JobShape::Array, 3);
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
@@ -77,10 +77,10 @@
 // A record that could not be read was taken for an empty one: tasks that ran
 // were halted, run a second time elsewhere, and their record written over.
 #[test]
-fn a_job_with_a_record_from_the_future_is_left_alone() {
+fn leaves_job_with_unreadable_record_alone() {
     let future = serde_json::json!({"n": 1, "m": [], "later": true});
     let seen = |stored: serde_json::Value| {
-        let mut leader = with_record(stored);
+        let mut leader = leader_with_record(stored);
         let id = MachineId::from("host-1");
         let m = leader
             .cluster
@@ -123,10 +123,10 @@
 // A record that names what cannot be was taken at its word: a place of a task that the
 // job does not have held room for ever, a result beyond its last task was dropped.
 #[test]
-fn a_record_of_what_cannot_be_is_left_alone() {
+fn leaves_job_with_impossible_record_alone() {
     let record = |n: u64, d: serde_json::Value, p: serde_json::Value| {
         let stored = serde_json::json!({"n": n, "d": d, "p": p});
-        with_record(stored).cluster.jobs[&JobId::from("wk-1")].unreadable
+        leader_with_record(stored).cluster.jobs[&JobId::from("wk-1")].unreadable
     };
     let (none, one) = (
         serde_json::json!([]),
@@ -147,9 +147,9 @@
 // While the state service takes few changes a second, new forms must not
 // keep starts waiting; and all records get theirs in the end.
 #[test]
-fn old_records_get_their_form_by_and_by() {
+fn rewrites_outdated_records_within_rate_limit() {
     let old = serde_json::json!({"n": 1, "d": [], "p": [[0, 1, "host-1", 1]]});
-    let mut leader = with_record(old);
+    let mut leader = leader_with_record(old);
     let written = |leader: &mut Leader, secs: f64| {
         let mut effects = effects_at(secs);
         leader.queue_outdated_chunks(effects.now.time);
--- a/crates/controller/tests/layout.rs
+++ b/crates/controller/tests/layout.rs
@@ -89,7 +89,7 @@
 
 // Five files once needed one another, and everything could touch everything.
 #[test]
-fn the_core_has_no_circle() {
+fn core_modules_have_no_circular_uses() {
     let mut left = uses();
     assert!(
         left.len() > 20 && left["node"].contains("leader"),
