--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -76,7 +76,7 @@
     /// Calls under way.
     pub pending_calls: PendingCalls<PendingCall>,
     /// When it began to lead.
-    pub office: Time,
+    pub leading_since: Time,
     /// Until when it may answer heartbeats and start tasks.
     pub authority: LeaderAuthority,
     next_health_check: Time,
@@ -109,7 +109,7 @@
             news: Vec::new(),
             lease,
             pending_calls: PendingCalls::default(),
-            office: now,
+            leading_since: now,
             authority: LeaderAuthority::new(Bounds::new(&settings.workers), now),
             next_health_check: now,
             records: RecordWatcher::new(now),
@@ -335,7 +335,7 @@
         let inspection = Inspection {
             at,
             token: self.token,
-            leading_since: self.office,
+            leading_since: self.leading_since,
             authority: &self.authority,
             cluster: &self.cluster,
             scheduler: &self.scheduler,
@@ -360,7 +360,7 @@
             .scheduler
             .run_cycle(at, cluster, &self.authority, arrivals);
         self.autoscaler
-            .plan_capacity(at, cluster, arrivals, self.office, &result);
+            .plan_capacity(at, cluster, arrivals, self.leading_since, &result);
         self.scheduler.cycles += 1;
     }
 
@@ -399,7 +399,7 @@
 
     /// Writes off machines whose leases have expired.
     fn expire_leases(&mut self, at: Now) {
-        let inherited_until = self.office + self.authority.inherited();
+        let inherited_until = self.leading_since + self.authority.inherited();
         let mut recorder = QuarantineRecorder {
             quarantine: &mut self.quarantine,
             pending_writes: &mut self.autoscaler.intents.pending_writes,
