--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -1,8 +1,8 @@
 //! The daemon's command line. What people use is `pebblectl`.
 
 use crate::core::leader_authority::Bounds;
-use crate::policy::Policy;
-use crate::settings::Settings;
+use crate::policy::{Policy, PolicyError};
+use crate::settings::{Settings, SettingsError};
 use crate::{driver, logging};
 use clap::{Parser, Subcommand};
 use std::path::{Path, PathBuf};
@@ -21,11 +21,11 @@
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
     #[command(subcommand)]
-    command: Option<Verb>,
+    command: Option<DaemonCommand>,
 }
 
 #[derive(Subcommand, Debug)]
-enum Verb {
+enum DaemonCommand {
     /// Checks settings and policy and prints the policy in force.
     Check {
         /// Settings file (JSON).
@@ -39,24 +39,37 @@
 
 /// Exit status for settings or policy that cannot be used.
 const BAD_INPUT: u8 = 2;
+/// Exit status for a listener that cannot be opened.
+const CANNOT_LISTEN: u8 = 1;
 
 fn fail(status: u8, message: impl std::fmt::Display) -> ExitCode {
     eprintln!("pebblefold: {message}");
     ExitCode::from(status)
 }
 
-fn load(config: &Path, policy: Option<&Path>) -> Result<(Settings, Policy), String> {
-    let settings = Settings::load(config).map_err(|e| e.to_string())?;
-    let policy = Policy::load(policy, &settings).map_err(|e| e.to_string())?;
+/// Why settings or policy cannot be used; the text names the field.
+#[derive(Debug, thiserror::Error)]
+pub enum InputError {
+    /// The settings file.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The policy script.
+    #[error(transparent)]
+    Policy(#[from] PolicyError),
+}
+
+fn load(config: &Path, policy: Option<&Path>) -> Result<(Settings, Policy), InputError> {
+    let settings = Settings::load(config)?;
+    let policy = Policy::load(policy, &settings)?;
     Ok((settings, policy))
 }
 
 /// Why a controller does not serve.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// Settings or policy cannot be used; the text names the field.
-    #[error("{0}")]
-    Input(String),
+    /// Settings or policy cannot be used.
+    #[error(transparent)]
+    Input(#[from] InputError),
     /// A listener cannot be opened.
     #[error(transparent)]
     Listen(#[from] std::io::Error),
@@ -67,9 +80,9 @@
 /// # Errors
 /// See [`ServeError`].
 pub fn serve(config: &Path, policy: Option<&Path>) -> Result<(), ServeError> {
-    let (settings, policy) = load(config, policy).map_err(ServeError::Input)?;
+    let (settings, policy) = load(config, policy)?;
     let json = logging::start(tracing::Level::INFO);
-    // Many nodes' logs may be gathered in one place: each line says whose it is.
+    // Many controllers' logs may be collected in one place: each line names its own.
     let _span = json.then(|| tracing::info_span!("controller", node = %settings.node_id).entered());
     Ok(driver::serve(settings, policy)?)
 }
@@ -85,24 +98,26 @@
             match serve(&config, args.policy.as_deref()) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e @ ServeError::Input(_)) => fail(BAD_INPUT, e),
-                Err(e @ ServeError::Listen(_)) => fail(1, e),
+                Err(e @ ServeError::Listen(_)) => fail(CANNOT_LISTEN, e),
             }
         }
-        Some(Verb::Check { config, policy }) => match load(&config, policy.as_deref()) {
-            Err(e) => fail(BAD_INPUT, e),
-            Ok((settings, policy)) => {
-                let bounds = Bounds::new(&settings.workers);
-                println!(
-                    "{}",
-                    serde_json::json!({
-                        "node": settings.node_id,
-                        "answers_without_contact_s": bounds.hold().as_secs(),
-                        "cancelled_may_run_over_s": bounds.over().as_secs(),
-                        "policy": policy,
-                    })
-                );
-                ExitCode::SUCCESS
-            }
-        },
+        Some(DaemonCommand::Check { config, policy }) => check(&config, policy.as_deref()),
     }
 }
+
+/// Prints the policy in force, and what follows from the settings.
+fn check(config: &Path, policy: Option<&Path>) -> ExitCode {
+    let (settings, policy) = match load(config, policy) {
+        Ok(loaded) => loaded,
+        Err(e) => return fail(BAD_INPUT, e),
+    };
+    let bounds = Bounds::new(&settings.workers);
+    let report = serde_json::json!({
+        "node": settings.node_id,
+        "answers_without_contact_s": bounds.hold().as_secs(),
+        "cancelled_may_run_over_s": bounds.over().as_secs(),
+        "policy": policy,
+    });
+    println!("{report}");
+    ExitCode::SUCCESS
+}
