--- /dev/null
+++ b/crates/controller/src/driver/listener.rs
@@ -0,0 +1,142 @@
+//! The listeners: connections are accepted up to a limit, and their requests are
+//! passed to the core one after the other.
+
+use super::Driver;
+use crate::core::node::routes;
+use crate::core::{Answer, Input, Listener, RequestId};
+use crate::http::{self, HttpError, Request, Response};
+use pebblefold_net::{Next, next_request, sender_is_gone};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::oneshot;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+/// How long a response may take to be sent.
+const SEND_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long the core may take over an answer before the connection is dropped.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Pause before the next try to accept a connection.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Read buffers shrink to this many bytes between requests.
+const IDLE_BUFFER_BYTES: usize = 2048;
+
+/// The connections of one listener.
+pub(super) struct Connections {
+    open: Cell<u32>,
+    max: u32,
+}
+
+impl Connections {
+    pub(super) fn new(max: u32) -> Connections {
+        Connections {
+            open: Cell::new(0),
+            max,
+        }
+    }
+
+    fn is_full(&self) -> bool {
+        self.open.get() >= self.max
+    }
+
+    /// Whether more than three quarters of the allowed connections are open.
+    fn is_crowded(&self) -> bool {
+        self.open.get() * 4 > self.max * 3
+    }
+}
+
+impl Driver {
+    fn connections(&self, listener: Listener) -> &Connections {
+        match listener {
+            Listener::Api => &self.api_connections,
+            Listener::Internal => &self.internal_connections,
+        }
+    }
+
+    /// Accepts connections for ever.
+    pub(super) async fn listen(self: Rc<Self>, socket: TcpListener, listener: Listener) {
+        loop {
+            if self.connections(listener).is_full() {
+                sleep(ACCEPT_PAUSE).await;
+                continue;
+            }
+            let Ok((stream, _)) = socket.accept().await else {
+                sleep(ACCEPT_PAUSE).await;
+                continue;
+            };
+            let _ = stream.set_nodelay(true);
+            let open = &self.connections(listener).open;
+            open.set(open.get() + 1);
+            let driver = Rc::clone(&self);
+            spawn_local(async move {
+                Rc::clone(&driver).serve_connection(stream, listener).await;
+                let open = &driver.connections(listener).open;
+                open.set(open.get() - 1);
+            });
+        }
+    }
+
+    async fn serve_connection(self: Rc<Self>, mut stream: TcpStream, listener: Listener) {
+        let mut buffer: Vec<u8> = Vec::new();
+        loop {
+            let request = match next_request(&mut stream, &mut buffer).await {
+                Next::Request(request) => request,
+                Next::Closed => return,
+                Next::Bad(error) => return refuse_malformed(&mut stream, error).await,
+            };
+            if self.is_behind.get() && sender_is_gone(&stream) {
+                return;
+            }
+            let is_users =
+                listener == Listener::Api && request.path != routes::path(routes::AGENT_HEARTBEAT);
+            // Under pressure users' connections are closed after each answer, so that
+            // agents always find a socket.
+            let is_crowded = is_users && self.api_connections.is_crowded();
+            let asked_to_close = request.close || is_crowded;
+            let Some(answer) = self.answer(listener, request).await else {
+                return;
+            };
+            // A user that is refused here may fare better elsewhere: its next connection
+            // goes to a controller with fewer.
+            let close = asked_to_close || (is_users && answer.status == 503);
+            let response = http::write_response(&Response {
+                status: answer.status,
+                retry_after: answer.retry_after,
+                body: answer.body,
+                close,
+            });
+            match timeout(SEND_TIMEOUT, stream.write_all(&response)).await {
+                Ok(Ok(())) if !close => {}
+                _ => return,
+            }
+            if buffer.is_empty() {
+                buffer.shrink_to(IDLE_BUFFER_BYTES);
+            }
+        }
+    }
+
+    /// The core's answer to a request, if it comes in time.
+    async fn answer(self: &Rc<Self>, listener: Listener, request: Request) -> Option<Answer> {
+        let id = RequestId(self.next_request.get());
+        self.next_request.set(id.0 + 1);
+        let (sender, receiver) = oneshot::channel();
+        self.waiting.borrow_mut().insert(id, sender);
+        self.feed(Input::Request(id, listener, request));
+        let answer = timeout(ANSWER_TIMEOUT, receiver).await;
+        self.waiting.borrow_mut().remove(&id);
+        answer.ok()?.ok()
+    }
+}
+
+async fn refuse_malformed(stream: &mut TcpStream, error: HttpError) {
+    let refusal = Response {
+        status: error.status(),
+        retry_after: None,
+        body: Vec::new(),
+        close: true,
+    };
+    let _ = stream.write_all(&http::write_response(&refusal)).await;
+}
--- /dev/null
+++ b/crates/controller/src/driver/shutdown.rs
@@ -0,0 +1,16 @@
+//! Signals that ask the process to shut down.
+
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+
+/// A flag that is set once the process is asked to shut down (SIGTERM, SIGINT). Where
+/// there are no signals it never is.
+pub(super) fn shutdown_flag() -> Arc<AtomicBool> {
+    let requested = Arc::new(AtomicBool::new(false));
+    for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
+        if let Err(e) = signal_hook::flag::register(signal, Arc::clone(&requested)) {
+            tracing::debug!(signal, error = %e, "signal handler not available");
+        }
+    }
+    requested
+}
