--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -79,16 +79,27 @@
     pub leading_since: Time,
     /// Until when it may answer heartbeats and start tasks.
     pub authority: LeaderAuthority,
+    /// When machines are next checked for being silent or gone.
     next_health_check: Time,
+    /// Jobs, machines, and their changes to write.
     pub(super) cluster: ClusterState,
+    /// Reads records and changes.
     records: RecordWatcher,
+    /// Writes changes.
     pub(super) writer: TransactionWriter,
+    /// Runs cycles.
     pub(super) scheduler: Scheduler,
+    /// Answers heartbeats.
     pub(super) heartbeats: HeartbeatReconciler,
+    /// Builds what workers are told.
     pub(super) commands: CommandDispatcher,
+    /// Provisions and terminates machines.
     pub(super) autoscaler: Autoscaler,
+    /// Knows machines that failed.
     pub(super) quarantine: Quarantine,
+    /// Records arrivals of jobs.
     pub(super) arrivals: ArrivalRecorder,
+    /// Tells peers what changed.
     pub(super) status: StatusBroadcaster,
 }
 
--- a/crates/controller/src/core/leader/fleet_health.rs
+++ b/crates/controller/src/core/leader/fleet_health.rs
@@ -3,7 +3,7 @@
 
 use super::cluster_state::ClusterState;
 use crate::core::machine::{Machine, MachineLifecycle};
-use crate::types::{MachineId, Time, TimeSpan};
+use crate::types::{Time, TimeSpan};
 
 /// Boot time of a machine whose type is not known, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
@@ -16,11 +16,10 @@
     Keep,
     /// It was never there: nothing is known of it but that it was asked for.
     Forget,
-    /// It is terminated, for this reason; `log` says whether operators should know.
-    Terminate {
-        reason: &'static str,
-        log: Option<&'static str>,
-    },
+    /// It is terminated, for this reason, without a log line: it is expected.
+    Terminate(&'static str),
+    /// It is terminated, for this reason, and the log says so.
+    TerminateAndLog(&'static str),
 }
 
 /// How machines are judged in one check.
@@ -60,8 +59,9 @@
             match check.judge(machine, boot_limit) {
                 HealthResult::Keep => {}
                 HealthResult::Forget => forgotten.push(id.clone()),
-                HealthResult::Terminate { reason, log } => {
-                    log_termination(id, log);
+                HealthResult::Terminate(reason) => machine.mark_for_termination(reason),
+                HealthResult::TerminateAndLog(reason) => {
+                    tracing::info!(machine = %id, reason, "machine terminated");
                     machine.mark_for_termination(reason);
                 }
             }
@@ -72,40 +72,25 @@
     }
 }
 
-fn log_termination(id: &MachineId, log: Option<&'static str>) {
-    if let Some(reason) = log {
-        tracing::info!(machine = %id, reason, "machine terminated");
-    }
-}
-
-fn terminate(reason: &'static str) -> HealthResult {
-    HealthResult::Terminate { reason, log: None }
-}
-
-fn terminate_and_log(reason: &'static str) -> HealthResult {
-    let log = Some(reason);
-    HealthResult::Terminate { reason, log }
-}
-
 impl HealthCheck {
     fn judge(&self, machine: &Machine, boot_limit: TimeSpan) -> HealthResult {
         match machine.lifecycle {
             MachineLifecycle::Terminating => return HealthResult::Keep,
             MachineLifecycle::Draining if machine.tasks.is_empty() => {
-                return terminate("put aside");
+                return HealthResult::Terminate("put aside");
             }
             MachineLifecycle::Draining | MachineLifecycle::InService => {}
         }
         if machine.tasks.is_empty() && self.is_quarantined_for_long(machine) {
             // It is paid for nothing, as an idle machine is.
-            return terminate("put aside");
+            return HealthResult::Terminate("put aside");
         }
         if machine.tasks.is_empty() && self.is_unreachable_for_long(machine) {
             // It is paid, and nothing can be had of it.
-            return terminate_and_log("does not hear");
+            return HealthResult::TerminateAndLog("does not hear");
         }
         if machine.presumed_dead && machine.listed_as_failed() {
-            return terminate("failed");
+            return HealthResult::Terminate("failed");
         }
         self.judge_silence(machine, boot_limit)
     }
@@ -118,7 +103,7 @@
         if machine.last_heartbeat.is_none() {
             let is_late = silence > boot_limit;
             if is_late && machine.last_listed.is_some() {
-                return terminate_and_log("did not come up");
+                return HealthResult::TerminateAndLog("did not come up");
             }
             if is_late && is_unlisted && machine.tasks.is_empty() {
                 return HealthResult::Forget;
@@ -131,12 +116,12 @@
             // before the lease would.
             let reason = "silent and not listed";
             if machine.tasks.is_empty() {
-                return terminate(reason);
+                return HealthResult::Terminate(reason);
             }
-            return terminate_and_log(reason);
+            return HealthResult::TerminateAndLog(reason);
         }
         if silence > self.silent_release {
-            return terminate_and_log("silent for long");
+            return HealthResult::TerminateAndLog("silent for long");
         }
         HealthResult::Keep
     }
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -32,16 +32,25 @@
 
 /// The parts of the leader that operators may look at, at one moment.
 pub(super) struct Inspection<'a> {
+    /// The moment.
     pub at: Now,
+    /// The leader's fencing token.
     pub token: FencingToken,
     /// When this leader began to lead.
     pub leading_since: Time,
+    /// How recent the contact with the key-value store is.
     pub authority: &'a LeaderAuthority,
+    /// Jobs and machines.
     pub cluster: &'a ClusterState,
+    /// Which cycles ran.
     pub scheduler: &'a Scheduler,
+    /// What was written.
     pub writer: &'a TransactionWriter,
+    /// What the cloud is to do.
     pub autoscaler: &'a Autoscaler,
+    /// Machines that failed.
     pub quarantine: &'a Quarantine,
+    /// Which classes there are.
     pub arrivals: &'a ArrivalRecorder,
 }
 
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -41,6 +41,7 @@
 /// The leader's one read of records or changes.
 #[derive(Debug)]
 pub(in crate::core) struct RecordWatcher {
+    /// How far the load has come.
     phase: LoadPhase,
     /// The revision of the load's first page: changes are followed from there.
     first_page_revision: Option<Version>,
@@ -52,6 +53,7 @@
     reading: bool,
     /// No read before this time.
     next_read: Time,
+    /// Pause after reads that failed.
     backoff: Backoff,
     /// Submissions that were read, whether or not they could be understood.
     pub submitted: BTreeSet<JobId>,
