--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -228,7 +228,7 @@
         else {
             return;
         };
-        // A read sent before the job finished may be answered after a user was told
+        // A read sent before the job finished may be answered after a user learned
         // that it did.
         let finished = self.finished.get(id).map(|header| StoredHeader {
             header,
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -76,9 +76,9 @@
         }
     }
 
-    /// Peers are told at once that a user was told that a job is cancelled, so that the
-    /// leader stops it also while it cannot read so; and again for a while, as
-    /// heartbeats get lost.
+    /// Announces at once that a cancellation was confirmed to a user, so that the leader
+    /// stops the job also while it cannot read so; and again for a while, as heartbeats
+    /// get lost.
     pub(super) fn announce_cancellations(&mut self) {
         let now = self.effects.now.time;
         self.cancellations.forget_old(now);
