--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -93,7 +93,7 @@
                 kinds: None,
                 zone: None,
                 one_zone: gang,
-                most_in_zone: None,
+                max_per_zone: None,
                 in_zones: BTreeMap::new(),
                 spot: true,
                 run: TimeSpan::secs(60.0),
@@ -140,7 +140,7 @@
 fn main() {
     let parameters = CycleParameters {
         now: NOW,
-        most_skew: TimeSpan::secs(30.0),
+        max_fetch_skew: TimeSpan::secs(30.0),
     };
     let estimates = FetchEstimates::new(TimeSpan::secs(30.0));
     let teams = || {
--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -12,8 +12,8 @@
 mod records;
 mod terminations;
 
-pub use provisions::MOST_RENTED;
-pub use terminations::MOST_RELEASED;
+pub use provisions::MAX_MACHINES_PER_PROVISION;
+pub use terminations::MAX_MACHINES_PER_TERMINATION;
 
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::pending_writes::PendingWrites;
@@ -81,13 +81,13 @@
     pub fn load(&mut self, key: &str, stored: &Value, wall: WallTime) -> Vec<MachineId> {
         match IntentKey::parse(key) {
             Some(IntentKey::Provision(name))
-                if failpoints::enforced(SafetyCheck::HiresAreRepeated) =>
+                if failpoints::enforced(SafetyCheck::ProvisionsAreRepeated) =>
             {
                 self.load_provision(key, name, stored, wall);
                 Vec::new()
             }
             Some(IntentKey::Termination(name))
-                if failpoints::enforced(SafetyCheck::ReleasesStand) =>
+                if failpoints::enforced(SafetyCheck::TerminationsAreFinal) =>
             {
                 self.load_termination(name, stored)
             }
--- a/crates/controller/src/core/autoscaler/intents/provisions.rs
+++ b/crates/controller/src/core/autoscaler/intents/provisions.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// Most machines of one provision request.
-pub const MOST_RENTED: u32 = 50;
+pub const MAX_MACHINES_PER_PROVISION: u32 = 50;
 
 /// Provision intents older than this are not repeated: what they brought is listed.
 const PROVISION_STALE_AFTER: TimeSpan = TimeSpan::millis(120_000);
@@ -87,7 +87,7 @@
         self.provisions.insert(name.into(), intent);
     }
 
-    /// Decides to provision `count` machines, at most [`MOST_RENTED`].
+    /// Decides to provision `count` machines, at most [`MAX_MACHINES_PER_PROVISION`].
     pub fn provision(&mut self, (kind, zone, spot): CapacityPool, count: u32, wall: WallTime) {
         let name = self.next_name();
         let request = ProvisionRequest {
@@ -95,7 +95,7 @@
             kind,
             zone,
             spot,
-            count: count.clamp(1, MOST_RENTED),
+            count: count.clamp(1, MAX_MACHINES_PER_PROVISION),
         };
         let record = ProvisionRecord {
             request: request.clone(),
@@ -126,7 +126,7 @@
     }
 
     /// A provision is being requested.
-    pub fn provision_asked(&mut self, name: &str) {
+    pub fn mark_provision_requested(&mut self, name: &str) {
         if let Some(intent) = self.provisions.get_mut(name)
             && intent.is_unrequested()
         {
@@ -148,7 +148,7 @@
     }
 
     /// A provision was requested and the answer lost.
-    pub fn provision_lost(&mut self, name: &str) {
+    pub fn mark_provision_uncertain(&mut self, name: &str) {
         if let Some(intent) = self.provisions.get_mut(name) {
             intent.stage = ProvisionStage::Uncertain;
         }
@@ -164,7 +164,7 @@
 
     /// A provision was refused and not carried out. One that may have been requested
     /// before keeps its name.
-    pub fn provision_refused(&mut self, name: &str) {
+    pub fn settle_refused_provision(&mut self, name: &str) {
         let intent = self.provisions.get(name);
         if intent.is_some_and(|intent| intent.stage != ProvisionStage::Uncertain) {
             self.settle_provision(name);
@@ -223,7 +223,7 @@
     }
 
     /// Machines provisioned that were not seen yet, for tests.
-    pub fn unheard(&self) -> BTreeSet<MachineId> {
+    pub fn unseen_machines(&self) -> BTreeSet<MachineId> {
         let unseen = self
             .provisions
             .values()
--- a/crates/controller/src/core/autoscaler/intents/terminations.rs
+++ b/crates/controller/src/core/autoscaler/intents/terminations.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// Most machines named in one call to terminate.
-pub const MOST_RELEASED: usize = 100;
+pub const MAX_MACHINES_PER_TERMINATION: usize = 100;
 
 /// Terminations decided and not yet requested that may exist at once where work waits
 /// for the proof that its machine is gone.
@@ -63,7 +63,7 @@
     /// Whether one more termination may be decided: once all there are have been
     /// requested. What is to go meanwhile is grouped, as calls and writes are scarce;
     /// where work waits for the proof (`presses`) a few more may be decided.
-    pub fn may_release(&self, presses: bool) -> bool {
+    pub fn may_terminate(&self, presses: bool) -> bool {
         let unrequested = self.terminations.values().filter(|i| !i.requested);
         let limit = match presses {
             true => MAX_UNREQUESTED_URGENT,
@@ -73,7 +73,7 @@
     }
 
     /// The termination of these machines is being requested.
-    pub fn release_asked(&mut self, machines: &[MachineId]) {
+    pub fn mark_termination_requested(&mut self, machines: &[MachineId]) {
         for intent in self.terminations.values_mut() {
             intent.requested |= intent.machines.iter().any(|m| machines.contains(m));
         }
@@ -94,7 +94,7 @@
             if !machines_by_reason.contains_key(reason) {
                 bytes += reason.len() + REASON_FRAMING_BYTES;
             }
-            if chosen.len() >= MOST_RELEASED || bytes > self.value_bytes {
+            if chosen.len() >= MAX_MACHINES_PER_TERMINATION || bytes > self.value_bytes {
                 break;
             }
             let of_reason = machines_by_reason.entry(reason.into()).or_default();
@@ -122,7 +122,7 @@
     }
 
     /// The machines whose termination to request next.
-    pub fn next_release(&self) -> Vec<MachineId> {
+    pub fn next_termination(&self) -> Vec<MachineId> {
         let is_ready = |intent: &&TerminationIntent| {
             intent.confirmed_at.is_none()
                 && (intent.stored || !failpoints::enforced(SafetyCheck::IntentBeforeAct))
@@ -131,8 +131,8 @@
             .values()
             .filter(is_ready)
             .flat_map(|intent| &intent.machines)
-            .filter(|machine| !self.is_gone(machine))
-            .take(MOST_RELEASED)
+            .filter(|machine| !self.is_terminated(machine))
+            .take(MAX_MACHINES_PER_TERMINATION)
             .cloned()
             .collect()
     }
@@ -143,22 +143,22 @@
             self.terminating.insert(machine.clone(), Some(now));
         }
         let terminating = &self.terminating;
-        let is_gone = |machine: &MachineId| matches!(terminating.get(machine), Some(Some(_)));
+        let is_terminated = |machine: &MachineId| matches!(terminating.get(machine), Some(Some(_)));
         for intent in self.terminations.values_mut() {
-            if intent.confirmed_at.is_none() && intent.machines.iter().all(is_gone) {
+            if intent.confirmed_at.is_none() && intent.machines.iter().all(is_terminated) {
                 intent.confirmed_at = Some(now);
             }
         }
     }
 
     /// Whether a machine is to be terminated or was, whoever decided it.
-    pub fn is_leaving(&self, machine: &MachineId) -> bool {
+    pub fn is_terminating(&self, machine: &MachineId) -> bool {
         self.terminating.contains_key(machine)
     }
 
     /// Whether a machine was terminated not long ago, so that a list or heartbeat that
     /// names it is old.
-    pub fn is_gone(&self, machine: &MachineId) -> bool {
+    pub fn is_terminated(&self, machine: &MachineId) -> bool {
         matches!(self.terminating.get(machine), Some(Some(_)))
     }
 
--- a/crates/controller/src/core/delivery.rs
+++ b/crates/controller/src/core/delivery.rs
@@ -150,7 +150,7 @@
     }
 
     /// For how long answers have counted as lost.
-    pub fn deaf_for(&self, now: Time) -> Option<TimeSpan> {
+    pub fn loss_duration(&self, now: Time) -> Option<TimeSpan> {
         self.lost.map(|lost| now.since(lost.since))
     }
 }
--- a/crates/controller/src/core/delivery/tests.rs
+++ b/crates/controller/src/core/delivery/tests.rs
@@ -26,7 +26,7 @@
     assert!(!heartbeat(&mut monitor, 8.0, DeliveryEvidence::Missed));
     assert!(heartbeat(&mut monitor, 12.0, DeliveryEvidence::Missed));
     assert!(heartbeat(&mut monitor, 16.0, DeliveryEvidence::None));
-    assert_eq!(monitor.deaf_for(at(20.0)), Some(TimeSpan::secs(8.0)));
+    assert_eq!(monitor.loss_duration(at(20.0)), Some(TimeSpan::secs(8.0)));
     assert!(!heartbeat(&mut monitor, 20.0, DeliveryEvidence::Took));
     assert!(
         !heartbeat(&mut monitor, 24.0, DeliveryEvidence::Missed),
@@ -70,7 +70,7 @@
     // Answers are lost for another whole epoch.
     assert!(heartbeat(&mut monitor, 29.0, DeliveryEvidence::None));
     assert!(heartbeat(&mut monitor, 30.5, DeliveryEvidence::NewSession));
-    assert_eq!(monitor.deaf_for(at(30.5)), Some(TimeSpan::secs(22.0)));
+    assert_eq!(monitor.loss_duration(at(30.5)), Some(TimeSpan::secs(22.0)));
     assert!(heartbeat(&mut monitor, 53.0, DeliveryEvidence::None));
     assert!(
         !heartbeat(&mut monitor, 54.0, DeliveryEvidence::None),
--- a/crates/controller/src/core/failpoints.rs
+++ b/crates/controller/src/core/failpoints.rs
@@ -10,7 +10,7 @@
     WriteAhead,
     /// The tasks of a silent machine are given up only once its lease has expired.
     /// Until then the agent may still run them.
-    LeaseBeforeWriteOff,
+    LeaseExpiryBeforeGivingUp,
     /// Without contact to the key-value store, heartbeats are answered only for a
     /// bounded time. Otherwise cancelled tasks would be kept alive.
     BoundedHold,
@@ -19,22 +19,22 @@
     IntentBeforeAct,
     /// A successor repeats its predecessors' provision requests under their names.
     /// Under new names the same machines would be provisioned twice.
-    HiresAreRepeated,
+    ProvisionsAreRepeated,
     /// A successor starts nothing on machines that a predecessor decided to terminate:
     /// they may go at any time.
-    ReleasesStand,
+    TerminationsAreFinal,
     /// A preemption is stored before it is sent, so that a successor completes it and
     /// does not preempt other tasks for the same work.
     StopsAreStored,
     /// All reclaims for guaranteed quotas together take no more than a team uses beyond
     /// its own guarantee.
-    ClaimsAreBounded,
+    ReclaimsAreBounded,
     /// A key is garbage-collected only while its job's submission does not exist.
     /// Otherwise records of a live job would be lost.
     OrphansOnly,
     /// A job's outcome is deleted only together with its submission. A submission
     /// without an outcome looks like an open job and would run again.
-    EndOutlivesSubmission,
+    OutcomeOutlivesSubmission,
     /// A start is stored only while its job's header is as it was accepted, so that no
     /// task starts after the job was done or cancelled.
     StartsNeedAnOpenJob,
@@ -43,27 +43,27 @@
     LoadIsAsOldAsItsFirstRead,
     /// A write whose format depends on the format version in force has that version as
     /// a precondition. Otherwise a late write could use a format no longer in force.
-    WritesCompareTheLevel,
+    WritesCompareFormatVersion,
     /// A node stores which format versions it supports before it does anything else, so
     /// that no version is activated that it cannot read.
     RegisterBeforeActing,
     /// Each process of a node stores that anew: an older build may have been started
     /// since the last time.
-    EachLifeRegisters,
+    EachProcessRegisters,
     /// Activating a format version has what every node stored about itself as a
     /// precondition, so that none changes its build meanwhile.
-    RiseComparesMembers,
+    ActivationComparesMembers,
     /// A job with a record that cannot be read is neither run nor written: what the
     /// record says would be lost, and its tasks may run.
     UnreadableIsLeftAlone,
     /// What a silent machine was assigned by an earlier leader is kept for as long as
     /// that leader may have answered it, and for a lease after that.
-    OldLeadersAnswersCount,
+    EarlierLeadersAnswersCount,
     /// A heartbeat proves a task's absence only if it carries our own fencing token.
     /// Otherwise a start of an older leader may still be on its way.
     AbsenceNeedsOurToken,
     /// A heartbeat older than one that was processed proves nothing.
-    NewestReportCounts,
+    NewestHeartbeatCounts,
     /// A task's result is stored before its agent may forget it. Otherwise a failover
     /// would lose the result and run the task again.
     DoneBeforeClear,
@@ -81,21 +81,21 @@
     LostIsUnknown,
     /// A team's quota usage includes the tasks of ended jobs that may still be on
     /// machines.
-    EndedJobsHoldPlaces,
+    EndedJobsCountForQuota,
     /// A new leader follows changes from the first page of its load on. Otherwise it
     /// would miss changes made while it loads.
     FollowsFromTheFirstPage,
     /// Of a job's completion and its cancellation only one is committed.
-    OneEndDecides,
+    OneOutcomeIsCommitted,
     /// A rule that only makes work wait for a better machine no longer applies to work
     /// that has waited for long. Otherwise it could wait for ever.
-    HoldsEndWithAge,
+    AgedWorkSkipsPreferences,
     /// Tasks that may still be on machines restrict the zones of their job's other
     /// tasks, so that a job bound to one zone is never in two.
-    OldPlacesBindZones,
+    AssignmentsBindZones,
     /// The next format version is activated only once everything stored has the format
     /// of the present one, so that formats older than that are never met.
-    RewrittenBeforeNext,
+    RewrittenBeforeActivation,
 }
 
 #[cfg(any(test, feature = "failpoints"))]
--- a/crates/controller/src/core/format_version/member_versions.rs
+++ b/crates/controller/src/core/format_version/member_versions.rs
@@ -209,8 +209,8 @@
     /// The version of the active version's key, which every write compares whose
     /// form depends on the active version.
     pub fn fence(&self) -> Option<Version> {
-        let compares =
-            self.supported.is_some() && failpoints::enforced(SafetyCheck::WritesCompareTheLevel);
+        let compares = self.supported.is_some()
+            && failpoints::enforced(SafetyCheck::WritesCompareFormatVersion);
         compares.then_some(self.active_key_version)
     }
 
@@ -249,7 +249,7 @@
     fn is_registered(&self, own_record: &MemberRecord) -> bool {
         let stored = self.members.get(&self.node_id);
         let stored = stored.and_then(|member| member.record.as_ref());
-        if failpoints::enforced(SafetyCheck::EachLifeRegisters) {
+        if failpoints::enforced(SafetyCheck::EachProcessRegisters) {
             stored == Some(own_record)
         } else {
             stored.is_some_and(|record| record.levels == own_record.levels)
--- a/crates/controller/src/core/format_version/member_versions/activation.rs
+++ b/crates/controller/src/core/format_version/member_versions/activation.rs
@@ -82,7 +82,7 @@
             if *node_id != self.node_id {
                 self.check_peer_presence(now, node_id, next)?;
             }
-            if failpoints::enforced(SafetyCheck::RiseComparesMembers) {
+            if failpoints::enforced(SafetyCheck::ActivationComparesMembers) {
                 conditions.push(Precondition {
                     key: member_key(node_id),
                     version,
@@ -110,7 +110,9 @@
         if next > max_version {
             return Err(ActivationBlocked::HeldByPolicy(max_version));
         }
-        if self.rewritten < self.active && failpoints::enforced(SafetyCheck::RewrittenBeforeNext) {
+        if self.rewritten < self.active
+            && failpoints::enforced(SafetyCheck::RewrittenBeforeActivation)
+        {
             return Err(ActivationBlocked::RewriteUnfinished(self.active));
         }
         Ok(next)
--- a/crates/controller/src/core/job_api/cancel.rs
+++ b/crates/controller/src/core/job_api/cancel.rs
@@ -46,7 +46,7 @@
         stored: StoredHeader,
         tries_left: u32,
     ) {
-        let txn = job_records::cancel_txn(id, stored.header, stored.version);
+        let txn = job_records::cancel_transaction(id, stored.header, stored.version);
         let step = Step::Cancel {
             id: id.clone(),
             tries_left,
--- a/crates/controller/src/core/job_api/submit.rs
+++ b/crates/controller/src/core/job_api/submit.rs
@@ -91,7 +91,7 @@
             ops: settings.state_limits.txn_ops,
             value_bytes: settings.state_limits.value_bytes,
         };
-        let Some(txn) = job_records::accept_txn(job, effects.now.wall, limits) else {
+        let Some(txn) = job_records::accept_transaction(job, effects.now.wall, limits) else {
             let rejection = Rejection::Malformed("the submission is too large".into());
             return self.reject_unless_known(effects, request, &job.id, rejection);
         };
--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -21,8 +21,8 @@
 pub use index_ranges::IndexRanges;
 pub use job::{Chunk, Job, JobNotes};
 pub use leader_record::{LeaderRecord, leader_record};
-pub use submission::{SubmissionAssembler, accept_txn, cancel_txn};
+pub use submission::{SubmissionAssembler, accept_transaction, cancel_transaction};
 pub use transaction::{
-    CommitItem, CommitPipeline, ConditionalWrite, TransactionBuilder, TransactionLimits, Write,
+    CommitItem, CommitPipeline, ConditionalWrite, TransactionBuilder, TransactionLimits,
 };
 pub use value::{json_len, read};
--- a/crates/controller/src/core/job_records/job.rs
+++ b/crates/controller/src/core/job_records/job.rs
@@ -66,7 +66,7 @@
     pub chunks: BTreeMap<u32, Chunk>,
     /// Done tasks whose completion is not stored yet, with the change of their chunk
     /// that records it.
-    pub done_not_stored: BTreeMap<u32, u64>,
+    pub unstored_done: BTreeMap<u32, u64>,
     /// The highest attempt ever used by any of its tasks.
     pub attempt: Attempt,
     /// Whether one of its records cannot be read: the job is then left as it is.
@@ -90,7 +90,7 @@
             waiting: IndexRanges::below(tasks),
             assignments: BTreeMap::new(),
             chunks: BTreeMap::new(),
-            done_not_stored: BTreeMap::new(),
+            unstored_done: BTreeMap::new(),
             attempt: Attempt(0),
             unreadable: false,
             notes: JobNotes::default(),
@@ -133,7 +133,7 @@
             self.end,
             Some(JobOutcome::Done { written: true } | JobOutcome::Cancelled)
         );
-        self.done.contains(task) && (end_is_stored || !self.done_not_stored.contains_key(&task))
+        self.done.contains(task) && (end_is_stored || !self.unstored_done.contains_key(&task))
     }
 
     /// Takes over a stored chunk of an earlier leader. One that cannot be read keeps
--- a/crates/controller/src/core/job_records/job_writes.rs
+++ b/crates/controller/src/core/job_records/job_writes.rs
@@ -5,7 +5,7 @@
 use super::header::{HeaderStage, job_header_value};
 use super::index_ranges::IndexRanges;
 use super::job::Job;
-use super::transaction::{ConditionalWrite, Write};
+use super::transaction::ConditionalWrite;
 use super::value::put;
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::format_version::FormatVersion;
@@ -47,11 +47,6 @@
         stopping
     }
 
-    /// Stores a chunk, as [`Job::write_chunk`] does.
-    pub fn chunk_write(&self, size: ChunkSize, chunk: u32, format: FormatVersion) -> Write {
-        self.write_chunk(size, chunk, format).into()
-    }
-
     /// Stores a chunk.
     pub fn write_chunk(
         &self,
@@ -97,17 +92,12 @@
     /// What must hold to mark the job as done. A job ends once: whatever this node
     /// does not know yet, a cancellation is not overwritten.
     fn preconditions_of_end(&self) -> Vec<Precondition> {
-        match failpoints::enforced(SafetyCheck::OneEndDecides) {
+        match failpoints::enforced(SafetyCheck::OneOutcomeIsCommitted) {
             true => vec![self.header_is_unchanged()],
             false => Vec::new(),
         }
     }
 
-    /// Marks the job as done, as [`Job::write_done`] does.
-    pub fn finish_write(&self) -> Write {
-        self.write_done().into()
-    }
-
     /// Marks the job as done; the records of tasks that may still run are kept.
     pub fn write_done(&self) -> ConditionalWrite {
         let id = &self.spec.id;
@@ -121,12 +111,6 @@
         }
     }
 
-    /// Marks the job as done and deletes its records, as
-    /// [`Job::write_done_and_delete`] does.
-    pub fn close_write(&self) -> Write {
-        self.write_done_and_delete().into()
-    }
-
     /// Marks the job as done and deletes all its other keys: where none of its tasks
     /// can be on a machine, the header answers all that can still be asked.
     pub fn write_done_and_delete(&self) -> ConditionalWrite {
@@ -144,14 +128,14 @@
 
     /// Deletes the keys of a job that has ended, at most `room` of them in this
     /// transaction; whether these are the last.
-    pub fn drop_write(&self, room: usize) -> (Vec<Operation>, bool) {
+    pub fn delete_records(&self, room: usize) -> (Vec<Operation>, bool) {
         let keys = self.keys();
         let mut count = keys.len().min(room);
         let is_last = count == keys.len();
         // A submission without its job's outcome looks open to a successor, which would
         // start it again: both are deleted together, or neither yet.
         let would_split_them = count + 1 == keys.len();
-        if would_split_them && failpoints::enforced(SafetyCheck::EndOutlivesSubmission) {
+        if would_split_them && failpoints::enforced(SafetyCheck::OutcomeOutlivesSubmission) {
             count -= 1;
         }
         let deletes = keys
--- a/crates/controller/src/core/job_records/submission.rs
+++ b/crates/controller/src/core/job_records/submission.rs
@@ -35,7 +35,7 @@
 
 /// The transaction that accepts a job, unless a job of its name was accepted before.
 /// `None`: the submission is too large to be stored.
-pub fn accept_txn(
+pub fn accept_transaction(
     job: &Submission,
     at: WallTime,
     limits: TransactionLimits,
@@ -120,7 +120,7 @@
 /// The transaction that cancels a job whose header was read as open at `version`. The
 /// transaction that marks the job as done compares the same version, so only one of
 /// the two is committed.
-pub fn cancel_txn(id: &JobId, header: JobHeader, version: Version) -> Transaction {
+pub fn cancel_transaction(id: &JobId, header: JobHeader, version: Version) -> Transaction {
     let value = job_header_value(HeaderStage::Cancelled, header.n);
     let key = job_header_key(id);
     Transaction {
--- a/crates/controller/src/core/job_records/submission/tests.rs
+++ b/crates/controller/src/core/job_records/submission/tests.rs
@@ -12,7 +12,7 @@
     };
     let mut spec = testing::submission("wk-1", JobShape::Array, 3);
     spec.kinds = Some((0..300).map(|i| format!("kind-\"{i}\"").into()).collect());
-    let txn = accept_txn(&spec, WallTime(5), limits).unwrap();
+    let txn = accept_transaction(&spec, WallTime(5), limits).unwrap();
     let mut assembler = SubmissionAssembler::default();
     let mut first = None;
     for op in &txn.ops {
--- a/crates/controller/src/core/job_records/transaction.rs
+++ b/crates/controller/src/core/job_records/transaction.rs
@@ -47,12 +47,13 @@
     pub operations: Vec<Operation>,
 }
 
-/// The parts of a [`ConditionalWrite`], as [`TransactionBuilder::add`] takes them.
-pub type Write = (Vec<Precondition>, Vec<Operation>);
-
-impl From<ConditionalWrite> for Write {
-    fn from(write: ConditionalWrite) -> Write {
-        (write.preconditions, write.operations)
+impl From<Vec<Operation>> for ConditionalWrite {
+    /// Operations without preconditions of their own.
+    fn from(operations: Vec<Operation>) -> ConditionalWrite {
+        ConditionalWrite {
+            preconditions: Vec::new(),
+            operations,
+        }
     }
 }
 
@@ -131,23 +132,18 @@
         self.limits.ops - self.transaction.ops.len()
     }
 
-    /// Adds an item with its preconditions and operations, all or nothing; false if
+    /// Adds an item with its write, all or nothing; false if
     /// it does not fit.
-    pub fn add(
-        &mut self,
-        item: CommitItem,
-        conditions: Vec<Precondition>,
-        ops: Vec<Operation>,
-    ) -> bool {
-        let operations: usize = ops.iter().map(operation_bytes).sum();
-        let preconditions: usize = conditions.iter().map(precondition_bytes).sum();
+    pub fn add(&mut self, item: CommitItem, write: ConditionalWrite) -> bool {
+        let operations: usize = write.operations.iter().map(operation_bytes).sum();
+        let preconditions: usize = write.preconditions.iter().map(precondition_bytes).sum();
         let bytes = self.bytes + operations + preconditions;
-        if ops.len() > self.room() || bytes > MAX_TRANSACTION_BYTES {
+        if write.operations.len() > self.room() || bytes > MAX_TRANSACTION_BYTES {
             return false;
         }
         self.bytes = bytes;
-        self.transaction.conditions.extend(conditions);
-        self.transaction.ops.extend(ops);
+        self.transaction.conditions.extend(write.preconditions);
+        self.transaction.ops.extend(write.operations);
         self.items.push(item);
         true
     }
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -149,11 +149,11 @@
             }
             CloudCall::ProvisionRequest(request) => {
                 tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, count = request.count, "provisioning machines");
-                self.intents.provision_asked(&request.request);
+                self.intents.mark_provision_requested(&request.request);
                 post("/machines", wire::encode(request))
             }
             CloudCall::Release(machines) => {
-                self.intents.release_asked(machines);
+                self.intents.mark_termination_requested(machines);
                 let machines = machines.clone();
                 let body = wire::encode(&MachineNames { machines });
                 post("/machines/release", body)
@@ -168,15 +168,15 @@
         wall: WallTime,
     ) {
         let intents = &self.intents;
-        let (may_release, may_release_busy) =
-            (intents.may_release(false), intents.may_release(true));
+        let (may_terminate, may_release_busy) =
+            (intents.may_terminate(false), intents.may_terminate(true));
         if !may_release_busy {
             return;
         }
         let is_new = |(id, machine): &(&MachineId, &Machine)| {
             machine.lifecycle == MachineLifecycle::Terminating
-                && (may_release || !machine.tasks.is_empty())
-                && !intents.is_leaving(id)
+                && (may_terminate || !machine.tasks.is_empty())
+                && !intents.is_terminating(id)
         };
         let new = machines.iter().filter(is_new);
         let new: Vec<_> = new
@@ -203,7 +203,7 @@
     }
 
     fn release_call(&self) -> Option<CloudCall> {
-        let machines = self.intents.next_release();
+        let machines = self.intents.next_termination();
         (!machines.is_empty()).then_some(CloudCall::Release(machines))
     }
 
@@ -300,8 +300,8 @@
             // Answered by a refusal, it was not carried out; otherwise it
             // may have been, or may yet be: only its own name may ask again.
             match answer {
-                CloudAnswer::Unanswered => self.intents.provision_lost(&request.request),
-                _ => self.intents.provision_refused(&request.request),
+                CloudAnswer::Unanswered => self.intents.mark_provision_uncertain(&request.request),
+                _ => self.intents.settle_refused_provision(&request.request),
             }
         }
     }
@@ -331,7 +331,7 @@
         for listed in std::mem::take(&mut self.partial_list) {
             // One that was taken in again would count as coming up, and
             // nothing would be provisioned for the work that waits for it.
-            if !self.intents.is_gone(&listed.id) {
+            if !self.intents.is_terminated(&listed.id) {
                 apply_listed_machine(now, context, &self.intents, listed);
             }
         }
@@ -353,7 +353,7 @@
         }
         self.intents.filled(&request.request, &names.machines, now);
         for id in names.machines {
-            if self.intents.is_gone(&id) {
+            if self.intents.is_terminated(&id) {
                 continue;
             }
             let machine = cluster.register_machine(now, &id, &self.intents);
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -82,7 +82,7 @@
                 .next_call(Time(1), leader.cluster.machine_types.is_empty())
             {
                 Some(CloudCall::Release(names)) => {
-                    leader.autoscaler.intents.release_asked(&names);
+                    leader.autoscaler.intents.mark_termination_requested(&names);
                     leader.autoscaler.intents.released(&names, Time(1));
                     names
                         .iter()
@@ -194,6 +194,6 @@
             leader.cluster.machines.contains_key(&id),
             "{status} by {by:?}"
         );
-        assert!(!leader.autoscaler.intents.is_gone(&id));
+        assert!(!leader.autoscaler.intents.is_terminated(&id));
     }
 }
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -5,7 +5,7 @@
 use super::cluster_state::ClusterState;
 use super::scheduler::CycleResult;
 use crate::core::Now;
-use crate::core::autoscaler::intents::{CapacityPool, MOST_RENTED};
+use crate::core::autoscaler::intents::{CapacityPool, MAX_MACHINES_PER_PROVISION};
 use crate::core::autoscaler::state::Autoscaler;
 use crate::core::machine::MachineLifecycle;
 use crate::core::placement_tables::{ImageCache, MachineRow};
@@ -145,7 +145,7 @@
             let mut left = (machines.ceil() as u32).min(room);
             room -= left;
             while left > 0 {
-                let count = left.min(MOST_RENTED);
+                let count = left.min(MAX_MACHINES_PER_PROVISION);
                 left -= count;
                 self.intents.provision(pool.clone(), count, wall);
             }
@@ -372,7 +372,7 @@
     let estimates = cluster.fetch_estimates.clone();
     let parameters = CycleParameters {
         now,
-        most_skew: TimeSpan::secs(1e6),
+        max_fetch_skew: TimeSpan::secs(1e6),
     };
     SchedulingCycle::new(parameters, coming, teams, &estimates).run(&mut left);
     left.retain(|request| !request.tasks.is_empty());
--- a/crates/controller/src/core/leader/cluster_state.rs
+++ b/crates/controller/src/core/leader/cluster_state.rs
@@ -109,7 +109,7 @@
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(now));
-        if intents.is_leaving(id) {
+        if intents.is_terminating(id) {
             machine.lifecycle = MachineLifecycle::Terminating;
         }
         machine
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -301,7 +301,7 @@
         let Some(job) = cluster.jobs.get_mut(&task.job) else {
             continue;
         };
-        let is_wanted = job.is_open() && !authority.is_told(&task.job);
+        let is_wanted = job.is_open() && !authority.is_reported_cancelled(&task.job);
         let needs = job.spec.needs();
         let Some(assignment) = job.assignments.get(&task.index) else {
             continue;
--- a/crates/controller/src/core/leader/commit_effects.rs
+++ b/crates/controller/src/core/leader/commit_effects.rs
@@ -41,7 +41,7 @@
     context
         .machines_with_stored_starts
         .extend(starts.map(|(_, start)| start.machine.clone()));
-    job.done_not_stored
+    job.unstored_done
         .retain(|&task, done_change| size.of(task) != chunk || *done_change > change);
 }
 
@@ -54,7 +54,7 @@
         return;
     }
     job.end = Some(JobOutcome::Done { written: true });
-    job.done_not_stored.clear();
+    job.unstored_done.clear();
     log_done(&id, job);
     cluster.unwritten.jobs_to_delete.insert(id);
 }
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -17,7 +17,7 @@
 use crate::core::format_version::{FormatVersion, WITH_HISTORY};
 use crate::core::garbage_collection::GarbageCollector;
 use crate::core::job_records::{
-    self, CommitItem, CommitPipeline, Job, TransactionBuilder, TransactionLimits,
+    self, CommitItem, CommitPipeline, ConditionalWrite, Job, TransactionBuilder, TransactionLimits,
 };
 use crate::core::{Reply, Target};
 use crate::types::{FencingToken, JobId, MachineId, Time, TimeSpan, Version};
@@ -157,7 +157,11 @@
         if builder.is_empty() {
             // Nothing else is to be written: time to clean up.
             for (orphan, conditions, op) in self.garbage_collector.next(builder.room()) {
-                builder.add(CommitItem::GarbageCollector(orphan), conditions, vec![op]);
+                let write = ConditionalWrite {
+                    preconditions: conditions,
+                    operations: vec![op],
+                };
+                builder.add(CommitItem::GarbageCollector(orphan), write);
             }
         }
         let built = builder.finish()?;
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -71,7 +71,7 @@
             Some(&(false, false))
         );
     }
-    disable_check(&[SafetyCheck::EndOutlivesSubmission]);
+    disable_check(&[SafetyCheck::OutcomeOutlivesSubmission]);
     let caught = torn();
     disable_check(&[]);
     assert!(caught, "a deletion cut short was not missed");
--- a/crates/controller/src/core/leader/cycle_inputs.rs
+++ b/crates/controller/src/core/leader/cycle_inputs.rs
@@ -70,7 +70,7 @@
         let mut teams: BTreeMap<Team, TeamUse> = teams
             .map(|(team, share)| (team.clone(), unused(*share)))
             .collect();
-        let ended_count = failpoints::enforced(SafetyCheck::EndedJobsHoldPlaces);
+        let ended_count = failpoints::enforced(SafetyCheck::EndedJobsCountForQuota);
         for job in self.jobs.values().filter(|j| ended_count || j.is_open()) {
             if let Some(team) = teams.get_mut(&job.spec.team) {
                 team.used += job.spec.needs().times(job.held() as f64);
--- a/crates/controller/src/core/leader/fleet_health.rs
+++ b/crates/controller/src/core/leader/fleet_health.rs
@@ -132,7 +132,7 @@
     }
 
     fn is_unreachable_for_long(&self, machine: &Machine) -> bool {
-        let unreachable = machine.delivery.deaf_for(self.now);
+        let unreachable = machine.delivery.loss_duration(self.now);
         unreachable.is_some_and(|span| span > self.silent_release)
     }
 
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -82,7 +82,7 @@
             .register_machine(now, &heartbeat.machine, self.intents);
         let newest = (machine.epoch, machine.sequence);
         let is_stale = (heartbeat.epoch, heartbeat.sequence) <= newest;
-        if is_stale && failpoints::enforced(SafetyCheck::NewestReportCounts) {
+        if is_stale && failpoints::enforced(SafetyCheck::NewestHeartbeatCounts) {
             return None;
         }
         let previous = PreviousHeartbeat {
@@ -214,7 +214,7 @@
             return;
         }
         // One of a machine that is gone was delayed by the network.
-        if !context.authority.may_answer(now) || context.intents.is_gone(id) {
+        if !context.authority.may_answer(now) || context.intents.is_terminated(id) {
             effects.answer_later(request, 503, 1);
             return;
         }
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -184,7 +184,7 @@
         let now = self.at.time;
         let tasks: Vec<Value> = machine.tasks.iter().map(|task| self.task(task)).collect();
         let images: Vec<_> = machine.cache.images().map(|(image, _)| image).collect();
-        let unreachable_for = machine.delivery.deaf_for(now);
+        let unreachable_for = machine.delivery.loss_duration(now);
         let notice = machine.termination_notice_at;
         json!({
             "machine": id, "kind": machine.machine_type, "zone": machine.zone, "spot": machine.spot,
--- a/crates/controller/src/core/leader/placement_requests.rs
+++ b/crates/controller/src/core/leader/placement_requests.rs
@@ -105,7 +105,7 @@
             kinds: spec.kinds.clone(),
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
-            most_in_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
+            max_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
             in_zones,
             spot: spec.spot,
             run: TimeSpan::secs(spec.estimate_s),
@@ -115,7 +115,7 @@
             // fetch would wait for ever on machines that have room. And where all
             // machines are quarantined, one of those is better than none.
             overdue: waited_longer_than(self.patience)
-                && failpoints::enforced(SafetyCheck::HoldsEndWithAge),
+                && failpoints::enforced(SafetyCheck::AgedWorkSkipsPreferences),
             avoid: job.notes.failed_on.clone(),
         }
     }
@@ -135,7 +135,7 @@
     if job.unreadable {
         return Some("a record of it cannot be read");
     }
-    if authority.is_told(id) {
+    if authority.is_reported_cancelled(id) {
         return Some("it is cancelled, as a peer says");
     }
     if now < job.notes.not_before {
@@ -154,7 +154,7 @@
     job: &Job,
 ) -> Option<BTreeMap<Zone, u32>> {
     let mut in_zones = BTreeMap::new();
-    let counted = failpoints::enforced(SafetyCheck::OldPlacesBindZones);
+    let counted = failpoints::enforced(SafetyCheck::AssignmentsBindZones);
     for assignment in job.assignments.values().filter(|_| counted) {
         let machine = machines.get(&assignment.machine);
         match machine.and_then(|machine| machine.zone.clone()) {
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -113,16 +113,16 @@
         let gang_wait = cluster.settings.workers.gang_wait;
         let parameters = CycleParameters {
             now: at.time,
-            most_skew: TimeSpan(gang_wait.0 * 6 / 10),
+            max_fetch_skew: TimeSpan(gang_wait.0 * 6 / 10),
         };
         let estimates = cluster.fetch_estimates.clone();
         let mut cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
         let mut bounds = preemption_bounds(at, cluster, arrivals, cycle.rows.len());
-        cycle.run_floors(&mut requests, &mut bounds.floors);
-        cycle.run_warm(&mut requests);
+        cycle.place_up_to_minimum_shares(&mut requests, &mut bounds.floors);
+        cycle.place_warm_high_priority(&mut requests);
         let mut preemption = PreemptionSearch::new(bounds);
         preemption.make_room(cluster, &mut cycle, &mut requests, Priority::High);
-        cycle.run_rest(&mut requests);
+        cycle.place_remaining(&mut requests);
         preemption.make_room(cluster, &mut cycle, &mut requests, Priority::Low);
         let starts = std::mem::take(&mut cycle.starts);
         place_starts(at.time, cluster, starts, &rows);
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -264,7 +264,7 @@
     if machine.listed_as_failed() {
         return Some(RemovalReason::MachineFailed);
     }
-    let lease = if failpoints::enforced(SafetyCheck::LeaseBeforeWriteOff) {
+    let lease = if failpoints::enforced(SafetyCheck::LeaseExpiryBeforeGivingUp) {
         lease.scaled(LEASE_DRIFT) + LEASE_SLACK
     } else {
         TimeSpan::secs(3.0)
--- a/crates/controller/src/core/leader/task_lifecycle.rs
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -123,7 +123,7 @@
         job.waiting.remove(task.index);
         job.notes.failures = 0;
         let change = job.touch(self.chunk_size, task.index);
-        job.done_not_stored.insert(task.index, change);
+        job.unstored_done.insert(task.index, change);
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
         self.unwritten.dirty_chunks.note(chunk, now, false);
         if job.done.len() == job.spec.tasks && job.end.is_none() {
--- a/crates/controller/src/core/leader/transaction_contents.rs
+++ b/crates/controller/src/core/leader/transaction_contents.rs
@@ -24,7 +24,7 @@
             lease: None,
         };
         let item = CommitItem::Note(key.clone(), Some(value.clone()));
-        if !builder.add(item, Vec::new(), vec![op]) {
+        if !builder.add(item, vec![op].into()) {
             pending_writes.again(key, Some(value));
         }
     }
@@ -41,13 +41,13 @@
         }
         // If nothing of it is anywhere any more, it ends and goes at once.
         if job.assignments.is_empty() {
-            let (conditions, ops) = job.close_write();
-            if builder.add(CommitItem::Close(id.clone()), conditions, ops) {
+            let write = job.write_done_and_delete();
+            if builder.add(CommitItem::Close(id.clone()), write) {
                 continue;
             }
         }
-        let (conditions, ops) = job.finish_write();
-        if !builder.add(CommitItem::Finish(id.clone()), conditions, ops) {
+        let write = job.write_done();
+        if !builder.add(CommitItem::Finish(id.clone()), write) {
             cluster.unwritten.finished_jobs.insert(id);
         }
     }
@@ -76,8 +76,8 @@
             dirty_chunks.forget(&due);
             continue;
         };
-        let (conditions, ops) = job.chunk_write(cluster.chunk_size, chunk, format);
-        if !builder.add(CommitItem::Chunk(id, chunk, change), conditions, ops) {
+        let write = job.write_chunk(cluster.chunk_size, chunk, format);
+        if !builder.add(CommitItem::Chunk(id, chunk, change), write) {
             break;
         }
         dirty_chunks.forget(&due);
@@ -102,9 +102,9 @@
         if !is_end_stored || !job.assignments.is_empty() {
             continue;
         }
-        let (ops, is_last) = job.drop_write(builder.room());
+        let (ops, is_last) = job.delete_records(builder.room());
         let item = CommitItem::Drop(id.clone(), is_last);
-        if ops.is_empty() || !builder.add(item, Vec::new(), ops) {
+        if ops.is_empty() || !builder.add(item, ops.into()) {
             postponed = Some(id);
             break;
         }
@@ -119,6 +119,6 @@
 ) {
     for key in pending_writes.take_deletes(builder.room().min(MAX_SETTLED_DELETES)) {
         let op = Operation::Delete { key: key.clone() };
-        builder.add(CommitItem::Note(key, None), Vec::new(), vec![op]);
+        builder.add(CommitItem::Note(key, None), vec![op].into());
     }
 }
--- a/crates/controller/src/core/leader_authority.rs
+++ b/crates/controller/src/core/leader_authority.rs
@@ -27,7 +27,7 @@
 /// Without contact for this long, no task is started.
 const MAX_AGE_TO_START: TimeSpan = TimeSpan::millis(4000);
 /// Most cancellations reported by peers, and not confirmed by a read, that are kept.
-const MOST_TOLD: usize = 1000;
+const MAX_REPORTED_CANCELLATIONS: usize = 1000;
 
 fn saturating_difference(a: TimeSpan, b: TimeSpan) -> TimeSpan {
     TimeSpan(a.0.saturating_sub(b.0))
@@ -71,7 +71,7 @@
     /// For how long after a failover the answers of an earlier leader may keep alive
     /// what runs on a machine that is silent.
     pub fn inherited(&self) -> TimeSpan {
-        match failpoints::enforced(SafetyCheck::OldLeadersAnswersCount) {
+        match failpoints::enforced(SafetyCheck::EarlierLeadersAnswersCount) {
             true => self.hold + self.lease,
             false => TimeSpan::ZERO,
         }
@@ -182,7 +182,7 @@
     /// nothing follows from there being none, and nothing is deleted on one.
     pub fn told(&mut self, now: Time, job: &JobId) -> bool {
         let reported = &mut self.reported_cancelled;
-        let is_news = reported.len() < MOST_TOLD && !reported.contains_key(job);
+        let is_news = reported.len() < MAX_REPORTED_CANCELLATIONS && !reported.contains_key(job);
         if is_news {
             reported.insert(job.clone(), now);
         }
@@ -190,7 +190,7 @@
     }
 
     /// Whether a peer reports that a job is cancelled.
-    pub fn is_told(&self, job: &JobId) -> bool {
+    pub fn is_reported_cancelled(&self, job: &JobId) -> bool {
         self.reported_cancelled.contains_key(job)
     }
 
--- a/crates/controller/src/core/leader_authority/tests.rs
+++ b/crates/controller/src/core/leader_authority/tests.rs
@@ -114,7 +114,7 @@
 fn peer_report_stops_tasks_until_next_read() {
     let mut authority = loaded();
     let id = JobId::from("wk-1");
-    assert!(authority.told(at(2.0), &id) && authority.is_told(&id));
+    assert!(authority.told(at(2.0), &id) && authority.is_reported_cancelled(&id));
     assert!(!authority.told(at(3.0), &id), "told again");
     assert_eq!(authority.shown(), at(0.0), "it is no contact");
     authority.showed(at(2.0));
@@ -124,9 +124,12 @@
     );
     authority.showed(at(2.1));
     assert_eq!(authority.refuted(), ["wk-1".into()]);
-    assert!(!authority.is_told(&id));
-    for n in 0..2 * MOST_TOLD {
+    assert!(!authority.is_reported_cancelled(&id));
+    for n in 0..2 * MAX_REPORTED_CANCELLATIONS {
         authority.told(at(5.0), &format!("wk-{n}").as_str().into());
     }
-    assert_eq!(authority.reported_cancelled.len(), MOST_TOLD);
+    assert_eq!(
+        authority.reported_cancelled.len(),
+        MAX_REPORTED_CANCELLATIONS
+    );
 }
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -291,7 +291,7 @@
     leader.authority.page(Time(0));
     leader.authority.loaded(Time(0));
     leader.hear_cancelled(Time(5_000_000), &id);
-    assert!(leader.authority.is_told(&id));
+    assert!(leader.authority.is_reported_cancelled(&id));
     let job = &leader.cluster.jobs[&id];
     assert!(job.is_open() && !leader.cluster.unwritten.jobs_to_delete.contains(&id));
     let none = wire::kvstore::WatchResponse {
@@ -300,5 +300,5 @@
     };
     let reply = Reply::Answer(200, wire::encode(&none));
     leader.on_read(&mut testing::effects_at(6.0), Time(5_500_000), reply);
-    assert!(!leader.authority.is_told(&id), "it goes on");
+    assert!(!leader.authority.is_reported_cancelled(&id), "it goes on");
 }
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -49,7 +49,7 @@
         kinds: None,
         zone: None,
         one_zone: false,
-        most_in_zone: None,
+        max_per_zone: None,
         in_zones: BTreeMap::new(),
         spot: true,
         run: TimeSpan::secs(60.0),
@@ -179,7 +179,7 @@
     let estimates = FetchEstimates::new(TimeSpan::secs(1.0));
     let parameters = CycleParameters {
         now: NOW,
-        most_skew: TimeSpan::secs(30.0),
+        max_fetch_skew: TimeSpan::secs(30.0),
     };
     let mut cycle = SchedulingCycle::new(parameters, &mut fleet.rows, &mut teams, &estimates);
     let mut taken = BTreeSet::new();
@@ -292,7 +292,7 @@
     use crate::core::failpoints::{SafetyCheck, disable_check};
     let singles = four_tasks(|machine| machine as u8);
     let requests: Vec<PlacementRequest> = (0..4).map(|n| request(n, 1, 4.0)).collect();
-    disable_check(&[SafetyCheck::ClaimsAreBounded]);
+    disable_check(&[SafetyCheck::ReclaimsAreBounded]);
     let after = reclaim(12.0, 0.0, &singles, &requests);
     disable_check(&[]);
     assert_eq!(after.left, 0.0);
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -44,7 +44,7 @@
     /// team keeps its guaranteed quota, its class and team their minimum shares.
     pub fn allows(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
         if loss.for_guarantee
-            && failpoints::enforced(SafetyCheck::ClaimsAreBounded)
+            && failpoints::enforced(SafetyCheck::ReclaimsAreBounded)
             && !self.keeps_guarantee(spent, loss)
         {
             return false;
--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -57,7 +57,7 @@
     pub now: Time,
     /// By how much the fetch times of one gang's machines may differ: its first task
     /// waits for its last.
-    pub most_skew: TimeSpan,
+    pub max_fetch_skew: TimeSpan,
 }
 
 /// The state of a cycle.
@@ -148,14 +148,14 @@
 
     /// Runs the whole cycle; tasks that were placed are removed from `requests`.
     pub fn run(&mut self, requests: &mut [PlacementRequest]) {
-        self.run_warm(requests);
-        self.run_rest(requests);
+        self.place_warm_high_priority(requests);
+        self.place_remaining(requests);
     }
 
     /// The cycle's first part: high-priority work where its image is, or nearly is.
     /// Between the parts the caller may preempt tasks on machines that hold an image,
     /// which often lets work start sooner than a fetch elsewhere.
-    pub fn run_warm(&mut self, requests: &mut [PlacementRequest]) {
+    pub fn place_warm_high_priority(&mut self, requests: &mut [PlacementRequest]) {
         requests.sort_by_cached_key(PlacementRequest::rank);
         self.find_open_rows(requests);
         self.place_high_priority(requests, PlacementScope::Warm);
@@ -163,7 +163,11 @@
 
     /// Before the cycle: places work of classes and teams below their minimum share,
     /// up to it.
-    pub fn run_floors(&mut self, requests: &mut [PlacementRequest], shares: &mut MinimumShares) {
+    pub fn place_up_to_minimum_shares(
+        &mut self,
+        requests: &mut [PlacementRequest],
+        shares: &mut MinimumShares,
+    ) {
         if shares.is_empty() {
             return;
         }
@@ -203,7 +207,7 @@
     }
 
     /// The cycle's second part: everything that was not placed yet.
-    pub fn run_rest(&mut self, requests: &mut [PlacementRequest]) {
+    pub fn place_remaining(&mut self, requests: &mut [PlacementRequest]) {
         self.find_open_rows(requests);
         self.place_high_priority(requests, PlacementScope::Any);
         self.place_aged(requests);
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -131,7 +131,7 @@
             if request.gang {
                 let fetch_time = self.fetch(request, row);
                 let shortest = *shortest_fetch.get_or_insert(fetch_time);
-                if fetch_time.0 > shortest.0 + self.pace.most_skew.0 {
+                if fetch_time.0 > shortest.0 + self.pace.max_fetch_skew.0 {
                     continue;
                 }
             }
--- a/crates/controller/src/core/scheduling_cycle/request.rs
+++ b/crates/controller/src/core/scheduling_cycle/request.rs
@@ -41,7 +41,7 @@
     /// Whether all tasks must be in one zone.
     pub one_zone: bool,
     /// Most tasks in one zone, if limited.
-    pub most_in_zone: Option<u32>,
+    pub max_per_zone: Option<u32>,
     /// Number of tasks that are or may be in each zone.
     pub in_zones: BTreeMap<Zone, u32>,
     /// Whether it may use spot capacity.
@@ -92,7 +92,7 @@
         if self.one_zone && is_elsewhere {
             return 0;
         }
-        self.most_in_zone
+        self.max_per_zone
             .map_or(u32::MAX, |most| most.saturating_sub(in_zone))
     }
 
@@ -114,7 +114,7 @@
             && self.gang == other.gang
             && self.spot == other.spot
             && self.one_zone == other.one_zone
-            && self.most_in_zone == other.most_in_zone
+            && self.max_per_zone == other.max_per_zone
             && self.need == other.need
             && self.team == other.team
             && self.zone == other.zone
--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -68,7 +68,7 @@
         kinds: None,
         zone: None,
         one_zone,
-        most_in_zone: None,
+        max_per_zone: None,
         in_zones: BTreeMap::new(),
         spot,
         run: TimeSpan::secs(30.0),
@@ -316,7 +316,7 @@
         let mut teams = names.iter().map(|t| (t.clone(), TeamUse { used: Resources::default(), share })).collect();
         let mut left = rows.clone();
         let estimates = FetchEstimates::new(TimeSpan::secs(30.0));
-        let parameters = CycleParameters { now: NOW, most_skew: TimeSpan::secs(20.0) };
+        let parameters = CycleParameters { now: NOW, max_fetch_skew: TimeSpan::secs(20.0) };
         let mut cycle = SchedulingCycle::new(parameters, &mut left, &mut teams, &estimates);
         cycle.run(&mut requests);
         let starts = cycle.starts;
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -118,7 +118,11 @@
         n: 3,
     };
     assert_eq!(
-        sent(&job_records::cancel_txn(&"wk-1".into(), head, Version(7))),
+        sent(&job_records::cancel_transaction(
+            &"wk-1".into(),
+            head,
+            Version(7)
+        )),
         json!({"if": [{"key": "job/wk-1", "touched": 7}], "apply": [
             {"write": "job/wk-1", "value": {"s": "c", "n": 3}},
             {"write": "w/x/wk-1", "value": {"s": "c", "n": 3}},
@@ -132,7 +136,7 @@
         ops: 48,
         value_bytes: 8192,
     };
-    let txn = job_records::accept_txn(&submission(), WallTime(5), limits).expect("it fits");
+    let txn = job_records::accept_transaction(&submission(), WallTime(5), limits).expect("it fits");
     assert_eq!(
         sent(&txn),
         json!({"if": [{"key": "job/wk-1", "touched": 0}], "apply": [
@@ -152,7 +156,7 @@
         ops: 48,
         value_bytes: 420,
     };
-    let txn = job_records::accept_txn(&submission(), WallTime(5), limits).expect("it fits");
+    let txn = job_records::accept_transaction(&submission(), WallTime(5), limits).expect("it fits");
     let (one, rest) = SUBMITTED.split_at(FIRST);
     let (two, three) = rest.split_at(SECOND);
     assert_eq!(
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -17,9 +17,9 @@
 use std::rc::Rc;
 
 /// Most machines in one request.
-const MOST_RENTED: u32 = 50;
+const MAX_MACHINES_PER_PROVISION: u32 = 50;
 /// Most names in one release.
-const MOST_RELEASED: usize = 100;
+const MAX_MACHINES_PER_TERMINATION: usize = 100;
 /// Most machines in one page.
 const MOST_LISTED: usize = 500;
 /// How long a dead machine is still listed as running.
@@ -211,7 +211,7 @@
                 None => self.misuse("a hire cannot be read"),
             },
             ("POST", "/machines/release") => match decode::<MachineNames>(&r.body) {
-                Some(names) if names.machines.len() <= MOST_RELEASED => {
+                Some(names) if names.machines.len() <= MAX_MACHINES_PER_TERMINATION => {
                     for m in &names.machines {
                         self.remove(now, m.as_str());
                     }
@@ -243,7 +243,7 @@
         let kind = self.kinds.iter().find(|k| k.name == r.kind.as_str());
         let Some(boot) = kind
             .map(|k| TimeSpan::secs(k.boot_s))
-            .filter(|_| (1..=MOST_RENTED).contains(&r.count))
+            .filter(|_| (1..=MAX_MACHINES_PER_PROVISION).contains(&r.count))
         else {
             return self.misuse("a hire of an unknown type, or of no or over 50 machines");
         };
--- a/crates/simulator/src/stand.rs
+++ b/crates/simulator/src/stand.rs
@@ -199,7 +199,7 @@
     noted: Vec<Noted>,
     /// Whether it claims the leader's key, and whether its answer is lost.
     claims: bool,
-    unheard: bool,
+    unseen_machines: bool,
 }
 
 /// How things stood at one second.
@@ -578,7 +578,7 @@
             return self.give(call, Host::State, node, Returned::Refused);
         }
         let mut noted = Vec::new();
-        let (mut leads, mut claims, mut unheard) = (false, false, false);
+        let (mut leads, mut claims, mut unseen_machines) = (false, false, false);
         if r.path == "/commit"
             && let Some(txn) = decode::<Transaction>(&r.body)
         {
@@ -589,7 +589,7 @@
                 return self.give(call, Host::State, node, Returned::Silence);
             }
             let (share, until) = self.lost_answers;
-            unheard = now < until && self.rng.random_bool(share);
+            unseen_machines = now < until && self.rng.random_bool(share);
             let holds = [
                 member_versions::LEGACY_LEADER_KEY,
                 member_versions::LEADER_KEY,
@@ -616,7 +616,7 @@
             leads,
             noted,
             claims,
-            unheard,
+            unseen_machines,
         };
         self.state_calls.insert(call, open);
         self.flush(now);
@@ -693,7 +693,7 @@
                     self.moment(now, n.moment, class.as_deref(), &about);
                 }
             }
-            if open.unheard {
+            if open.unseen_machines {
                 // Carried out, and nothing is heard of it; some callers notice that the
                 // connection has ended, others wait for as long as they do.
                 self.answers_lost += 1;
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -287,7 +287,7 @@
 #[test]
 fn starting_what_was_cancelled_long_ago_is_caught() {
     let both = [
-        SafetyCheck::EndOutlivesSubmission,
+        SafetyCheck::OutcomeOutlivesSubmission,
         SafetyCheck::StartsNeedAnOpenJob,
     ];
     caught(&both, "ran_cancelled", cut_short);
@@ -316,7 +316,11 @@
 
 #[test]
 fn writing_off_early_is_caught() {
-    caught(&[SafetyCheck::LeaseBeforeWriteOff], "ran_twice", rough);
+    caught(
+        &[SafetyCheck::LeaseExpiryBeforeGivingUp],
+        "ran_twice",
+        rough,
+    );
 }
 
 #[test]
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -91,7 +91,7 @@
 
     /// Whether new work may go to a machine.
     fn uses(&self, m: &MachineId) -> bool {
-        self.known.contains(m) && !self.intents.is_leaving(m)
+        self.known.contains(m) && !self.intents.is_terminating(m)
     }
 }
 
@@ -127,7 +127,7 @@
             let holds = i + 1 == self.holders.len();
             // One want, for one machine beside the first.
             let has = h.known.iter().any(|m| m.as_str() != FIRST);
-            if !has && !h.intents.is_provisioning() && h.intents.unheard().is_empty() {
+            if !has && !h.intents.is_provisioning() && h.intents.unseen_machines().is_empty() {
                 step(&|w| {
                     let market = ("g4".into(), "z".into(), true);
                     w.holders[i].intents.provision(market, 1, WallTime(0));
@@ -165,7 +165,7 @@
                 if let Some(ProvisionRequest { request, .. }) = h.intents.next_provision() {
                     step(&|w| w.call(i, Sent::Hire(request.clone())));
                 }
-                let names = h.intents.next_release();
+                let names = h.intents.next_termination();
                 if !names.is_empty() {
                     step(&|w| w.call(i, Sent::Release(names.clone())));
                 }
@@ -191,7 +191,7 @@
                 // A list shows it, and its worker has reported.
                 w.machines.insert(m.clone(), true);
                 for h in &mut w.holders {
-                    if !h.intents.is_gone(m) {
+                    if !h.intents.is_terminated(m) {
                         h.known.insert(m.clone());
                     }
                     h.intents.tend(Time(0), |_| true);
@@ -231,7 +231,7 @@
         let h = &mut self.holders[m.from];
         h.calls = false;
         if let Sent::Hire(name) = &m.sent {
-            h.intents.provision_lost(name);
+            h.intents.mark_provision_uncertain(name);
         }
     }
 
@@ -267,7 +267,7 @@
                         h.intents.filled(&name, std::slice::from_ref(&new), Time(0));
                         h.known.insert(new);
                     } else {
-                        h.intents.provision_lost(&name);
+                        h.intents.mark_provision_uncertain(&name);
                     }
                 }
             }
@@ -352,12 +352,12 @@
 
 #[test]
 fn forgetting_a_predecessors_hires_is_caught() {
-    assert_ne!(missed(SafetyCheck::HiresAreRepeated), "");
+    assert_ne!(missed(SafetyCheck::ProvisionsAreRepeated), "");
 }
 
 #[test]
 fn using_what_a_predecessor_released_is_caught() {
-    let breach = missed(SafetyCheck::ReleasesStand);
+    let breach = missed(SafetyCheck::TerminationsAreFinal);
     assert_eq!(breach, "a machine with work of the holder was released");
 }
 
--- a/crates/simulator/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -292,7 +292,7 @@
                 let c = job.chunks.entry(0).or_default();
                 c.version = Version(revision);
                 c.stored = c.stored.max(change);
-                job.done_not_stored.retain(|_, n| *n > change);
+                job.unstored_done.retain(|_, n| *n > change);
             }
             Kind::Finish => job.end = Some(JobOutcome::Done { written: true }),
             Kind::Close | Kind::Drop(true) => l.job = None,
@@ -336,22 +336,26 @@
         let chunk = job.chunks.get(&0).copied().unwrap_or_default();
         let (mut conditions, ops, kind) = match job.end {
             Some(JobOutcome::Done { written: false }) if job.assignments.is_empty() => {
-                let (c, ops) = job.close_write();
-                (c, ops, Kind::Close)
+                let write = job.write_done_and_delete();
+                (write.preconditions, write.operations, Kind::Close)
             }
             Some(JobOutcome::Done { written: false }) => {
-                let (c, ops) = job.finish_write();
-                (c, ops, Kind::Finish)
+                let write = job.write_done();
+                (write.preconditions, write.operations, Kind::Finish)
             }
             Some(_) if job.assignments.is_empty() => {
                 // Room for a part of it only, where there is a part.
                 let room = (job.keys().len() - 1).max(2);
-                let (ops, last) = job.drop_write(room);
+                let (ops, last) = job.delete_records(room);
                 (Vec::new(), ops, Kind::Drop(last))
             }
             None if chunk.change > chunk.stored => {
-                let (c, ops) = job.chunk_write(SIZE, 0, level);
-                (c, ops, Kind::Chunk(chunk.change))
+                let write = job.write_chunk(SIZE, 0, level);
+                (
+                    write.preconditions,
+                    write.operations,
+                    Kind::Chunk(chunk.change),
+                )
             }
             _ => return None,
         };
@@ -407,7 +411,7 @@
                 ops: 48,
                 value_bytes: 8192,
             };
-            let txn = job_records::accept_txn(&spec(), WallTime(0), limits).unwrap();
+            let txn = job_records::accept_transaction(&spec(), WallTime(0), limits).unwrap();
             for outcome in outcomes() {
                 step(&|w| {
                     w.submits -= 1;
@@ -437,7 +441,7 @@
             step(&|w| w.read = Some((head, Version(*version))));
         }
         if let Some((head, version)) = self.read {
-            let txn = job_records::cancel_txn(&id(), head, version);
+            let txn = job_records::cancel_transaction(&id(), head, version);
             for outcome in outcomes() {
                 step(&|w| {
                     w.read = None;
@@ -659,7 +663,7 @@
     for off in [
         SafetyCheck::RecordsCompareVersions,
         SafetyCheck::StartsNeedAnOpenJob,
-        SafetyCheck::EndOutlivesSubmission,
+        SafetyCheck::OutcomeOutlivesSubmission,
     ] {
         disable_check(&[off]);
         let (worlds, broken) = explore(Wrong::Nothing, false);
--- a/crates/simulator/tests/levels.rs
+++ b/crates/simulator/tests/levels.rs
@@ -284,10 +284,10 @@
 #[test]
 fn each_decision_is_needed() {
     for off in [
-        SafetyCheck::WritesCompareTheLevel,
+        SafetyCheck::WritesCompareFormatVersion,
         SafetyCheck::RegisterBeforeActing,
-        SafetyCheck::EachLifeRegisters,
-        SafetyCheck::RiseComparesMembers,
+        SafetyCheck::EachProcessRegisters,
+        SafetyCheck::ActivationComparesMembers,
     ] {
         disable_check(&[off]);
         let (worlds, broken) = explore(2_000_000);
@@ -315,7 +315,7 @@
     alone.registered(Version(2));
     let rises = |r: &MemberVersions| r.next_activation(Time(0), &[], FormatVersion(9)).is_ok();
     assert!(!rises(&alone));
-    disable_check(&[SafetyCheck::RewrittenBeforeNext]);
+    disable_check(&[SafetyCheck::RewrittenBeforeActivation]);
     let early = rises(&alone);
     disable_check(&[]);
     assert!(early, "the decision was not missed");
--- a/crates/simulator/tests/meetings/answers.rs
+++ b/crates/simulator/tests/meetings/answers.rs
@@ -156,7 +156,7 @@
             done > 5 && cancelled > 5
         })
     };
-    guarded(SafetyCheck::OneEndDecides, "went_back", 1..5, day);
+    guarded(SafetyCheck::OneOutcomeIsCommitted, "went_back", 1..5, day);
 }
 
 // The state service answers slowly, refuses the leader alone and is then out for longer
--- a/crates/simulator/tests/meetings/cancels.rs
+++ b/crates/simulator/tests/meetings/cancels.rs
@@ -50,7 +50,7 @@
         let full = full_teams(&world) == 2;
         played(world, 300.0, 54.5, |w| full && !unwanted(w).is_empty())
     };
-    guarded(SafetyCheck::EndedJobsHoldPlaces, "quota", 1..6, day);
+    guarded(SafetyCheck::EndedJobsCountForQuota, "quota", 1..6, day);
 }
 
 // A team is at its limit when the leader changes, some of its machines can't be asked, and
@@ -73,7 +73,7 @@
             .push(at(40.0, cut(Side::Controllers, zone, CutMode::Lose, 25.0)));
         broken(s, seed, 300.0, 41.9, |w| full_teams(w) == 2)
     };
-    guarded(SafetyCheck::OldLeadersAnswersCount, "quota", 1..6, day);
+    guarded(SafetyCheck::EarlierLeadersAnswersCount, "quota", 1..6, day);
 }
 
 /// Cancellations in the seconds in which a controller's work changes hands, planned and
@@ -206,7 +206,7 @@
     println!(
         "{after} starts after a confirmed cancellation: stored before it, and sent by a leader that had not heard"
     );
-    disable_check(&[SafetyCheck::OneEndDecides]);
+    disable_check(&[SafetyCheck::OneOutcomeIsCommitted]);
     let caught = (1..3).any(|seed| day(seed).0.iter().any(|b| b == "went_back"));
     disable_check(&[]);
     assert!(caught, "ends written over cancellations were not missed");
--- a/crates/simulator/tests/meetings/machines.rs
+++ b/crates/simulator/tests/meetings/machines.rs
@@ -105,7 +105,12 @@
             marks.filter(|(_, f)| f == "kill").count() >= 2
         })
     };
-    guarded(SafetyCheck::OldLeadersAnswersCount, "ran_twice", 1..6, day);
+    guarded(
+        SafetyCheck::EarlierLeadersAnswersCount,
+        "ran_twice",
+        1..6,
+        day,
+    );
 }
 
 // Workers can't open connections to any controller, while direct commands still reach them:
@@ -134,7 +139,12 @@
             mute.count() > 2
         })
     };
-    guarded(SafetyCheck::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
+    guarded(
+        SafetyCheck::LeaseExpiryBeforeGivingUp,
+        "ran_twice",
+        1..6,
+        day,
+    );
 }
 
 // Jobs bound to one zone, arrays too, lose machines: what may still be somewhere binds the
@@ -167,7 +177,7 @@
             w.stand().fleet().running().count() > 6
         })
     };
-    guarded(SafetyCheck::OldPlacesBindZones, "wrong_place", 1..8, day);
+    guarded(SafetyCheck::AssignmentsBindZones, "wrong_place", 1..8, day);
 }
 
 // Leaders change ten times in two minutes, also inside an outage.
@@ -213,7 +223,12 @@
             w.stand().fleet().running().count() > 6
         })
     };
-    guarded(SafetyCheck::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
+    guarded(
+        SafetyCheck::LeaseExpiryBeforeGivingUp,
+        "ran_twice",
+        1..6,
+        day,
+    );
 }
 
 // All controllers are away for longer than `lease_s`: every task is gone by then, its job
@@ -278,5 +293,10 @@
             by_class.values().map(|(waiting, _)| *waiting).sum::<u32>() > 4
         })
     };
-    guarded(SafetyCheck::LeaseBeforeWriteOff, "ran_twice", 1..6, day);
+    guarded(
+        SafetyCheck::LeaseExpiryBeforeGivingUp,
+        "ran_twice",
+        1..6,
+        day,
+    );
 }
--- a/crates/simulator/tests/meetings/main.rs
+++ b/crates/simulator/tests/meetings/main.rs
@@ -178,7 +178,12 @@
                 == 3
         })
     };
-    guarded(SafetyCheck::LeaseBeforeWriteOff, "ran_twice", 1..5, day);
+    guarded(
+        SafetyCheck::LeaseExpiryBeforeGivingUp,
+        "ran_twice",
+        1..5,
+        day,
+    );
 }
 
 // 3. A leader ends while machines with long tasks can't be reached, or don't hear the
@@ -210,7 +215,12 @@
             leads && there.into_iter().any(|w| !w.tasks.is_empty())
         })
     };
-    guarded(SafetyCheck::OldLeadersAnswersCount, "ran_twice", 1..5, day);
+    guarded(
+        SafetyCheck::EarlierLeadersAnswersCount,
+        "ran_twice",
+        1..5,
+        day,
+    );
 }
 
 /// The state service refuses the leader alone, others confirm cancellations, then it
@@ -317,7 +327,7 @@
 #[test]
 fn an_old_report_proves_nothing() {
     guarded(
-        SafetyCheck::NewestReportCounts,
+        SafetyCheck::NewestHeartbeatCounts,
         "ran_twice",
         1..4,
         late_reports,
--- a/crates/simulator/tests/waiting.rs
+++ b/crates/simulator/tests/waiting.rs
@@ -45,7 +45,7 @@
 /// As [`held_with`], and with the hold's end switched off somebody is left waiting.
 fn ends(policy: &str, script: impl Fn() -> Script, most_s: f64) {
     held_with(policy, &script, most_s);
-    disable_check(&[SafetyCheck::HoldsEndWithAge]);
+    disable_check(&[SafetyCheck::AgedWorkSkipsPreferences]);
     let (_, broken) = longest(script(), 1, policy);
     disable_check(&[]);
     assert!(
