--- a/crates/controller/src/core/format_version/mod.rs
+++ b/crates/controller/src/core/format_version/mod.rs
@@ -28,6 +28,7 @@
 
 impl FormatVersion {
     /// The next version.
+    #[must_use]
     pub fn next(self) -> FormatVersion {
         FormatVersion(self.0 + 1)
     }
--- a/crates/controller/src/core/quota/usage.rs
+++ b/crates/controller/src/core/quota/usage.rs
@@ -35,6 +35,7 @@
     }
 
     /// These units `count` times.
+    #[must_use]
     pub fn times(self, count: usize) -> QuotaUnits {
         QuotaUnits {
             cpus: self.cpus * count as i64,
--- a/crates/controller/tests/settings_format.rs
+++ b/crates/controller/tests/settings_format.rs
@@ -96,7 +96,10 @@
         .objectives
         .iter()
         .map(|o| {
-            let class = o.class.as_ref().map(|c| c.as_str());
+            let class = o
+                .class
+                .as_ref()
+                .map(pebblefold_controller::types::Class::as_str);
             (o.kind, class, o.within.map(TimeSpan::as_secs), o.times)
         })
         .collect();
