--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -104,7 +104,7 @@
 // What a leader had under way with the cloud once died with its process.
 #[test]
 fn successor_continues_recorded_intents() {
-    let now = crate::core::Now {
+    let now = Now {
         time: Time(1),
         wall: WallTime(5000),
     };
@@ -128,13 +128,11 @@
     );
     let stored = first.autoscaler.intents.pending_writes.take_puts(9);
     let mut next = leader();
-    let entries = stored
-        .into_iter()
-        .map(|(key, value)| crate::wire::kvstore::Entry {
-            key,
-            value,
-            version: crate::types::Version(7),
-        });
+    let entries = stored.into_iter().map(|(key, value)| wire::kvstore::Entry {
+        key,
+        value,
+        version: crate::types::Version(7),
+    });
     next.records()
         .context
         .load_leader_records(now, entries.collect());
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -188,9 +188,7 @@
 }
 
 /// A leader whose first start is in flight and whose answer was lost, once repeated.
-fn leader_after_repeated_commit(
-    failed: &[&str],
-) -> (Leader, crate::core::effects::Effects, LeadershipOutcome) {
+fn leader_after_repeated_commit(failed: &[&str]) -> (Leader, Effects, LeadershipOutcome) {
     let mut leader = leader();
     with_job(&mut leader, "wk-1", 2);
     let id = JobId::from("wk-1");
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -58,7 +58,7 @@
 /// A leader with a job of three tasks, one of its records this one.
 fn leader_with_record(stored: serde_json::Value) -> Leader {
     let mut leader = leader();
-    let spec = crate::testing::submission("wk-1", crate::wire::users::JobShape::Array, 3);
+    let spec = crate::testing::submission("wk-1", wire::users::JobShape::Array, 3);
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
     leader.cluster.jobs.insert("wk-1".into(), job);
     let submitted = BTreeSet::from([JobId::from("wk-1")]);
@@ -166,7 +166,7 @@
     leader.writer.write_tokens = TokenBucket::new(50.0, 50.0);
     assert!(!written(&mut leader, 3.0), "it settles first");
     assert!(written(&mut leader, 4.5));
-    let answer = crate::wire::kvstore::TransactionResponse {
+    let answer = wire::kvstore::TransactionResponse {
         revision: Version(9),
         failed: Vec::new(),
     };
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -284,7 +284,7 @@
     let word = node.own_heartbeat(Vec::new());
     assert_eq!(word.cancelled, ["wk-1".into()]);
     let mut leader = testing::leader();
-    let spec = testing::submission("wk-1", crate::wire::users::JobShape::Array, 1);
+    let spec = testing::submission("wk-1", wire::users::JobShape::Array, 1);
     let wall = crate::types::WallTime(0);
     let job = job_records::Job::new(Rc::new(spec), wall, crate::types::Version(7), 1);
     leader.cluster.jobs.insert(id.clone(), job);
--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -226,7 +226,7 @@
     fn run(&mut self, requests: &mut [PlacementRequest]) {
         requests.sort_by_key(|request| {
             (
-                std::cmp::Reverse(request.priority),
+                Reverse(request.priority),
                 !request.entitled,
                 request.order,
                 request.job.clone(),
