--- a/crates/controller/tests/layout.rs
+++ b/crates/controller/tests/layout.rs
@@ -4,6 +4,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
+fn identifier(text: &str) -> String {
+    let is_name = |c: &char| c.is_alphanumeric() || *c == '_';
+    text.chars().take_while(is_name).collect()
+}
+
+/// The outermost items of a grouped import, up to its closing brace.
+fn group_items(group: &str) -> Vec<String> {
+    let (mut items, mut depth) = (vec![String::new()], 0);
+    for c in group.chars() {
+        match c {
+            '}' if depth == 0 => break,
+            '{' => depth += 1,
+            '}' => depth -= 1,
+            ',' if depth == 0 => items.push(String::new()),
+            c if depth == 0 && !c.is_whitespace() => items.last_mut().unwrap().push(c),
+            _ => {}
+        }
+    }
+    items.iter().map(|item| identifier(item)).collect()
+}
+
+/// The first names after `super::` and `crate::core::`, also those of grouped imports.
+fn named_modules(code: &str) -> BTreeSet<String> {
+    let mut names = BTreeSet::new();
+    for prefix in ["super::", "crate::core::"] {
+        for (at, _) in code.match_indices(prefix) {
+            let rest = &code[at + prefix.len()..];
+            match rest.strip_prefix('{') {
+                Some(group) => names.extend(group_items(group)),
+                None => drop(names.insert(identifier(rest))),
+            }
+        }
+    }
+    names
+}
+
 /// The core's modules and which others their code (not their tests) names.
 fn uses() -> BTreeMap<String, BTreeSet<String>> {
     let core = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/core");
@@ -27,15 +63,7 @@
             }
         }
         let used: &mut BTreeSet<String> = out.entry(name).or_default();
-        for part in ["use super::", "use crate::core::", "pub use super::"] {
-            for line in text.lines().filter_map(|l| l.trim().strip_prefix(part)) {
-                let first: String = line
-                    .chars()
-                    .take_while(|c| c.is_alphanumeric() || *c == '_')
-                    .collect();
-                used.insert(first);
-            }
-        }
+        used.extend(named_modules(&text));
     }
     let names: BTreeSet<String> = out.keys().cloned().collect();
     for (name, used) in &mut out {
