--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -115,7 +115,7 @@
     let report = serde_json::json!({
         "node": settings.node_id,
         "answers_without_contact_s": bounds.hold().as_secs(),
-        "cancelled_may_run_over_s": bounds.over().as_secs(),
+        "cancelled_may_run_over_s": bounds.cancel_overrun().as_secs(),
         "policy": policy,
     });
     println!("{report}");
--- a/crates/controller/src/core/assignment.rs
+++ b/crates/controller/src/core/assignment.rs
@@ -31,7 +31,7 @@
     Inherited,
     /// Stored by an earlier leader and proved not to be there: its room is
     /// kept until the rest of its gang is known about.
-    Kept,
+    Reserved,
     /// Seen in a heartbeat.
     Seen(TaskState),
 }
@@ -43,7 +43,7 @@
             AssignmentPhase::Unsent => f.write_str("Unsent"),
             AssignmentPhase::Sent(sequence) => write!(f, "Sent(Tally({sequence}))"),
             AssignmentPhase::Inherited => f.write_str("Inherited"),
-            AssignmentPhase::Kept => f.write_str("Kept"),
+            AssignmentPhase::Reserved => f.write_str("Kept"),
             AssignmentPhase::Seen(state) => write!(f, "Seen({state:?})"),
         }
     }
@@ -63,11 +63,11 @@
     /// How far the start has come.
     pub phase: AssignmentPhase,
     /// When it was decided.
-    pub placed: Time,
+    pub assigned_at: Time,
     /// Since when the task runs.
-    pub running: Option<Time>,
+    pub running_since: Option<Time>,
     /// Since when the machine fetches the image for it; `None`: it need not.
-    pub cold: Option<Time>,
+    pub fetching_since: Option<Time>,
     /// A stop, if ordered.
     pub stop: Option<Stop>,
 }
@@ -92,16 +92,16 @@
             attempt,
             change: 0,
             phase: AssignmentPhase::Inherited,
-            placed: Time(0),
-            running: None,
-            cold: None,
+            assigned_at: Time(0),
+            running_since: None,
+            fetching_since: None,
             stop: None,
         }
     }
 
     /// Whether the start was never sent, so that dropping the assignment is
     /// proof enough of absence.
-    pub fn unsent(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         self.phase == AssignmentPhase::Unsent
     }
 
@@ -135,7 +135,7 @@
             AssignmentPhase::Unsent => PresenceProof::Present,
             AssignmentPhase::Sent(at) if sequence > at => PresenceProof::Undelivered,
             AssignmentPhase::Sent(_) => PresenceProof::Present,
-            AssignmentPhase::Inherited | AssignmentPhase::Kept | AssignmentPhase::Seen(_) => {
+            AssignmentPhase::Inherited | AssignmentPhase::Reserved | AssignmentPhase::Seen(_) => {
                 PresenceProof::Absent
             }
         }
--- a/crates/controller/src/core/delivery.rs
+++ b/crates/controller/src/core/delivery.rs
@@ -35,13 +35,13 @@
     None,
     /// An answer was received: the heartbeat carries our fencing token for the first
     /// time, or a start has arrived.
-    Took,
+    Received,
     /// A start that was sent has not arrived.
     Missed,
     /// The agent still has an older fencing token than ours.
     OlderToken,
     /// The agent epoch is another one than before.
-    NewSession,
+    NewEpoch,
 }
 
 /// An ongoing loss of answers.
@@ -68,7 +68,7 @@
 
 impl DeliveryMonitor {
     /// Records that an answer was sent.
-    pub fn answered(&mut self, now: Time) {
+    pub fn record_answer(&mut self, now: Time) {
         if self.answers.len() == MAX_ANSWERS {
             self.answers.pop_front();
         }
@@ -77,13 +77,18 @@
 
     /// Records a heartbeat that is newer than all before it. True if answers to the
     /// machine count as lost from now on.
-    pub fn reported(&mut self, now: Time, lease: TimeSpan, evidence: DeliveryEvidence) -> bool {
+    pub fn record_heartbeat(
+        &mut self,
+        now: Time,
+        lease: TimeSpan,
+        evidence: DeliveryEvidence,
+    ) -> bool {
         let was_lost = self.lost.is_some();
         match evidence {
             DeliveryEvidence::None => {}
-            DeliveryEvidence::Took => self.mark_delivered(),
+            DeliveryEvidence::Received => self.mark_delivered(),
             DeliveryEvidence::Missed | DeliveryEvidence::OlderToken => self.count_missed(now),
-            DeliveryEvidence::NewSession => self.start_epoch(now, lease),
+            DeliveryEvidence::NewEpoch => self.start_epoch(now, lease),
         }
         if self.epoch_outlived_lease(now, lease) {
             self.mark_delivered();
@@ -145,7 +150,7 @@
     }
 
     /// Whether answers arrive, so that new work may go to the machine.
-    pub fn hears(&self) -> bool {
+    pub fn answers_arrive(&self) -> bool {
         self.lost.is_none()
     }
 
--- a/crates/controller/src/core/delivery/tests.rs
+++ b/crates/controller/src/core/delivery/tests.rs
@@ -8,9 +8,9 @@
 
 /// A heartbeat that is answered; true if answers count as lost by then.
 fn heartbeat(monitor: &mut DeliveryMonitor, secs: f64, evidence: DeliveryEvidence) -> bool {
-    monitor.reported(at(secs), LEASE, evidence);
-    monitor.answered(at(secs));
-    !monitor.hears()
+    monitor.record_heartbeat(at(secs), LEASE, evidence);
+    monitor.record_answer(at(secs));
+    !monitor.answers_arrive()
 }
 
 // A machine whose answers were lost was sent start after start, each of which
@@ -18,7 +18,7 @@
 #[test]
 fn three_missed_starts_count_as_lost_until_one_arrives() {
     let mut monitor = DeliveryMonitor::default();
-    assert!(!heartbeat(&mut monitor, 0.0, DeliveryEvidence::Took));
+    assert!(!heartbeat(&mut monitor, 0.0, DeliveryEvidence::Received));
     assert!(
         !heartbeat(&mut monitor, 4.0, DeliveryEvidence::Missed),
         "answers are lost now and then"
@@ -27,7 +27,7 @@
     assert!(heartbeat(&mut monitor, 12.0, DeliveryEvidence::Missed));
     assert!(heartbeat(&mut monitor, 16.0, DeliveryEvidence::None));
     assert_eq!(monitor.loss_duration(at(20.0)), Some(TimeSpan::secs(8.0)));
-    assert!(!heartbeat(&mut monitor, 20.0, DeliveryEvidence::Took));
+    assert!(!heartbeat(&mut monitor, 20.0, DeliveryEvidence::Received));
     assert!(
         !heartbeat(&mut monitor, 24.0, DeliveryEvidence::Missed),
         "it begins anew"
@@ -46,19 +46,19 @@
             DeliveryEvidence::None
         ));
     }
-    assert!(heartbeat(&mut lost, 22.5, DeliveryEvidence::NewSession));
+    assert!(heartbeat(&mut lost, 22.5, DeliveryEvidence::NewEpoch));
     let mut silent = DeliveryMonitor::default();
     for n in 0..6 {
         heartbeat(&mut silent, 4.0 * f64::from(n), DeliveryEvidence::None);
     }
     assert!(
-        !heartbeat(&mut silent, 43.0, DeliveryEvidence::NewSession),
+        !heartbeat(&mut silent, 43.0, DeliveryEvidence::NewEpoch),
         "silent for a lease"
     );
     // The answer to its very first heartbeat came too late for it.
     let mut new = DeliveryMonitor::default();
     heartbeat(&mut new, 0.0, DeliveryEvidence::None);
-    assert!(!heartbeat(&mut new, 5.0, DeliveryEvidence::NewSession));
+    assert!(!heartbeat(&mut new, 5.0, DeliveryEvidence::NewEpoch));
 }
 
 #[test]
@@ -66,10 +66,10 @@
     let mut monitor = DeliveryMonitor::default();
     heartbeat(&mut monitor, 0.0, DeliveryEvidence::None);
     heartbeat(&mut monitor, 4.0, DeliveryEvidence::None);
-    assert!(heartbeat(&mut monitor, 8.5, DeliveryEvidence::NewSession));
+    assert!(heartbeat(&mut monitor, 8.5, DeliveryEvidence::NewEpoch));
     // Answers are lost for another whole epoch.
     assert!(heartbeat(&mut monitor, 29.0, DeliveryEvidence::None));
-    assert!(heartbeat(&mut monitor, 30.5, DeliveryEvidence::NewSession));
+    assert!(heartbeat(&mut monitor, 30.5, DeliveryEvidence::NewEpoch));
     assert_eq!(monitor.loss_duration(at(30.5)), Some(TimeSpan::secs(22.0)));
     assert!(heartbeat(&mut monitor, 53.0, DeliveryEvidence::None));
     assert!(
@@ -104,5 +104,5 @@
             "{n}"
         );
     }
-    assert!(!heartbeat(&mut monitor, 40.5, DeliveryEvidence::NewSession));
+    assert!(!heartbeat(&mut monitor, 40.5, DeliveryEvidence::NewEpoch));
 }
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!(job_records::job_header_value(HeaderStage::Open, 3), head);
     for (s, stage) in [("d", HeaderStage::Done), ("c", HeaderStage::Cancelled)] {
         let read = job_records::read::<JobHeader>(&json!({"s": s, "n": 3}));
-        assert_eq!(read.map(|h| h.s), Some(stage));
+        assert_eq!(read.map(|h| h.stage), Some(stage));
     }
     let leader = json!({"label": "node-1", "nonce": 7});
     let read = job_records::read::<LeaderRecord>(&leader).unwrap();
@@ -31,7 +31,7 @@
     let stored = json!({"at": 5, "n": 2, "s": one});
     let job = parts.job(&"wk-1".into(), Version(9), &stored).unwrap();
     assert_eq!(
-        (job.at, job.spec.tasks, job.is_gang()),
+        (job.accepted_at, job.spec.tasks, job.is_gang()),
         (WallTime(5), 2, true)
     );
     let mut intents = Intents::new(FencingToken(9), TimeSpan::secs(4.0), 8192);
--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -238,7 +238,7 @@
             return self.answer_absent(effects, request, id, step);
         };
         match step {
-            Step::ReadForCancel { id, tries_left } if stored.header.s == HeaderStage::Open => {
+            Step::ReadForCancel { id, tries_left } if stored.header.stage == HeaderStage::Open => {
                 self.write_cancel(effects, request, id, stored, *tries_left);
             }
             _ => {
--- a/crates/controller/src/core/job_api/answers.rs
+++ b/crates/controller/src/core/job_api/answers.rs
@@ -52,7 +52,7 @@
 impl JobApi {
     /// Remembers a job's header as read or written.
     pub(super) fn record_header(&mut self, id: &JobId, header: JobHeader, version: Version) {
-        if header.s == HeaderStage::Open {
+        if header.stage == HeaderStage::Open {
             return self.open_jobs.remember(id, header, version);
         }
         self.open_jobs.forget(id);
@@ -60,7 +60,7 @@
             return;
         }
         self.counts.remove(id);
-        if header.s == HeaderStage::Cancelled {
+        if header.stage == HeaderStage::Cancelled {
             self.confirmed.push(id.clone());
         }
     }
@@ -93,8 +93,8 @@
 
     fn status(&self, id: &JobId, header: JobHeader) -> JobStatus {
         let TaskCounts { done, running } = self.counts.get(id).copied().unwrap_or_default();
-        let (stage, done, running) = match header.s {
-            HeaderStage::Done => (JobStage::Done, header.n, 0),
+        let (stage, done, running) = match header.stage {
+            HeaderStage::Done => (JobStage::Done, header.task_count, 0),
             HeaderStage::Cancelled => (JobStage::Cancelled, done, 0),
             HeaderStage::Open if running > 0 => (JobStage::Running, done, running),
             HeaderStage::Open => (JobStage::Queued, done, 0),
--- a/crates/controller/src/core/job_api/cancel.rs
+++ b/crates/controller/src/core/job_api/cancel.rs
@@ -65,8 +65,8 @@
         match reply {
             Reply::Answer(200, _) => {
                 let cancelled = JobHeader {
-                    s: HeaderStage::Cancelled,
-                    n: 0,
+                    stage: HeaderStage::Cancelled,
+                    task_count: 0,
                 };
                 self.record_header(&id, cancelled, Version(0));
                 self.answer_status(effects, request, &id, cancelled);
--- a/crates/controller/src/core/job_api/poll.rs
+++ b/crates/controller/src/core/job_api/poll.rs
@@ -30,8 +30,8 @@
         }
         if self.open_jobs.is_open(&id) && !failpoints::enforced(SafetyCheck::AnswersAreFresh) {
             let open = JobHeader {
-                s: HeaderStage::Open,
-                n: 0,
+                stage: HeaderStage::Open,
+                task_count: 0,
             };
             return self.answer_status(effects, request, &id, open);
         }
--- a/crates/controller/src/core/job_api/submit.rs
+++ b/crates/controller/src/core/job_api/submit.rs
@@ -145,8 +145,8 @@
             reply => reply,
         };
         let open = JobHeader {
-            s: HeaderStage::Open,
-            n: tasks,
+            stage: HeaderStage::Open,
+            task_count: tasks,
         };
         match reply {
             Reply::Answer(200, body) => self.answer_accepted(effects, request, id, open, &body),
--- a/crates/controller/src/core/job_records/header.rs
+++ b/crates/controller/src/core/job_records/header.rs
@@ -24,14 +24,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobHeader {
     /// The job's state.
-    pub s: HeaderStage,
+    #[serde(rename = "s")]
+    pub stage: HeaderStage,
     /// Number of the job's tasks.
-    pub n: u32,
+    #[serde(rename = "n")]
+    pub task_count: u32,
 }
 
 /// The header of a job with `tasks` tasks, as a value to be written.
 pub fn job_header_value(stage: HeaderStage, tasks: u32) -> Value {
-    to_value(&JobHeader { s: stage, n: tasks })
+    to_value(&JobHeader {
+        stage: stage,
+        task_count: tasks,
+    })
 }
 
 /// How a job ended.
--- a/crates/controller/src/core/job_records/job.rs
+++ b/crates/controller/src/core/job_records/job.rs
@@ -36,9 +36,9 @@
     /// Since when it has tasks waiting.
     pub waiting_since: Option<Time>,
     /// Why it waits, for operators.
-    pub why: &'static str,
+    pub waiting_reason: &'static str,
     /// Whether it counts within its team's guaranteed quota.
-    pub entitled: bool,
+    pub within_guarantee: bool,
     /// Why its tasks were last stopped, for operators.
     pub last_stop: Option<&'static str>,
 }
@@ -49,13 +49,13 @@
     /// The job as submitted.
     pub spec: Rc<Submission>,
     /// When it was accepted.
-    pub at: WallTime,
+    pub accepted_at: WallTime,
     /// Version of its header record while the job is open.
-    pub version: Version,
+    pub header_version: Version,
     /// Number of parts of its stored submission.
     pub parts: u32,
     /// How it ended, if it has.
-    pub end: Option<JobOutcome>,
+    pub outcome: Option<JobOutcome>,
     /// Tasks that are done.
     pub done: IndexRanges,
     /// Tasks that are neither done nor assigned.
@@ -76,16 +76,21 @@
 }
 
 impl Job {
-    /// A job just accepted, with all tasks waiting. `version` is that of its header,
-    /// `parts` the number of parts of its submission.
-    pub fn new(spec: Rc<Submission>, at: WallTime, version: Version, parts: u32) -> Job {
+    /// A job just accepted, with all tasks waiting. `header_version` is that of its
+    /// header, `parts` the number of parts of its submission.
+    pub fn new(
+        spec: Rc<Submission>,
+        accepted_at: WallTime,
+        header_version: Version,
+        parts: u32,
+    ) -> Job {
         let tasks = spec.tasks;
         Job {
             spec,
-            at,
-            version,
+            accepted_at,
+            header_version,
             parts,
-            end: None,
+            outcome: None,
             done: IndexRanges::default(),
             waiting: IndexRanges::below(tasks),
             assignments: BTreeMap::new(),
@@ -109,11 +114,11 @@
 
     /// Whether its tasks may still be started.
     pub fn is_open(&self) -> bool {
-        self.end.is_none()
+        self.outcome.is_none()
     }
 
     /// Counts a change of a task's record; returns the change's number.
-    pub fn touch(&mut self, size: ChunkSize, task: u32) -> u64 {
+    pub fn record_change(&mut self, size: ChunkSize, task: u32) -> u64 {
         let chunk = self.chunks.entry(size.of(task)).or_default();
         chunk.change += 1;
         chunk.change
@@ -130,7 +135,7 @@
     /// An agent that forgets it earlier would let it run again after a failover.
     pub fn done_is_stored(&self, task: u32) -> bool {
         let end_is_stored = matches!(
-            self.end,
+            self.outcome,
             Some(JobOutcome::Done { written: true } | JobOutcome::Cancelled)
         );
         self.done.contains(task) && (end_is_stored || !self.unstored_done.contains_key(&task))
@@ -194,7 +199,7 @@
 
     /// Number of tasks that may be on machines, for its team's quota usage: all, if one
     /// of its records cannot be read.
-    pub fn held(&self) -> usize {
+    pub fn tasks_possibly_running(&self) -> usize {
         match self.unreadable {
             true => self.spec.tasks as usize,
             false => self.assignments.len(),
@@ -206,6 +211,6 @@
         let stored = self.chunks.get(&chunk).map_or(0, |chunk| chunk.stored);
         self.assignments
             .range(size.tasks_of(chunk))
-            .any(|(_, assignment)| assignment.unsent() && assignment.change > stored)
+            .any(|(_, assignment)| assignment.is_unsent() && assignment.change > stored)
     }
 }
--- a/crates/controller/src/core/job_records/job_writes.rs
+++ b/crates/controller/src/core/job_records/job_writes.rs
@@ -85,7 +85,7 @@
     fn header_is_unchanged(&self) -> Precondition {
         Precondition {
             key: job_header_key(&self.spec.id),
-            version: self.version,
+            version: self.header_version,
         }
     }
 
--- a/crates/controller/src/core/job_records/submission.rs
+++ b/crates/controller/src/core/job_records/submission.rs
@@ -121,7 +121,7 @@
 /// transaction that marks the job as done compares the same version, so only one of
 /// the two is committed.
 pub fn cancel_transaction(id: &JobId, header: JobHeader, version: Version) -> Transaction {
-    let value = job_header_value(HeaderStage::Cancelled, header.n);
+    let value = job_header_value(HeaderStage::Cancelled, header.task_count);
     let key = job_header_key(id);
     Transaction {
         conditions: vec![Precondition { key, version }],
--- a/crates/controller/src/core/job_records/submission/tests.rs
+++ b/crates/controller/src/core/job_records/submission/tests.rs
@@ -29,5 +29,5 @@
     let (id, v) = first.unwrap();
     let job = assembler.job(&id, Version(9), &v).unwrap();
     assert_eq!((*job.spec).clone(), spec);
-    assert_eq!(job.at, WallTime(5));
+    assert_eq!(job.accepted_at, WallTime(5));
 }
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -302,7 +302,7 @@
             return;
         };
         let tasks: Vec<u32> = job.assignments.keys().copied().collect();
-        if self.authority.told(now, id) {
+        if self.authority.record_peer_cancellation(now, id) {
             tracing::info!(job = %id, tasks = tasks.len(), "job cancelled, as a peer says");
             let why = "a peer says that it is cancelled";
             self.cluster.stop_tasks(now, id, &tasks, 0.0, why);
--- a/crates/controller/src/core/leader/arrival_recorder.rs
+++ b/crates/controller/src/core/leader/arrival_recorder.rs
@@ -59,7 +59,7 @@
             .max(1);
         let arrivals = self.by_class.entry(job.spec.class.clone()).or_default();
         arrivals.push_back(Arrival {
-            at: job.at,
+            at: job.accepted_at,
             team: job.spec.team.clone(),
             machines: f64::from(job.spec.tasks) / f64::from(tasks_per_machine),
             run_s: job.spec.estimate_s,
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -164,7 +164,7 @@
             let tasks = request
                 .need
                 .count_in(&machine_type.has(), MAX_TASKS_PER_MACHINE);
-            let kinds = request.kinds.as_ref();
+            let kinds = request.machine_types.as_ref();
             if tasks == 0 || kinds.is_some_and(|kinds| !kinds.contains(&machine_type.name)) {
                 continue;
             }
@@ -222,16 +222,16 @@
         };
         let row = |number: u32| MachineRow {
             id: format!("{}#{number}", request.request).into(),
-            kind: request.kind.clone(),
+            machine_type: request.kind.clone(),
             zone: request.zone.clone(),
             spot: request.spot,
-            whole: machine_type.has(),
+            capacity: machine_type.has(),
             free: machine_type.has(),
-            available: now,
-            last_high: None,
+            available_at: now,
+            last_high_priority_start: None,
             cache: ImageCache::default(),
             fetch_rate: machine_type.fetch_gb_per_s,
-            aside: false,
+            quarantined: false,
         };
         (0..request.count).map(row).collect()
     }
@@ -328,7 +328,7 @@
         let factor = if is_quiet { QUIET_IDLE_FACTOR } else { 1.0 };
         let idle_limit = TimeSpan::secs(self.policy.idle_s).scaled(factor);
         let mut idle = Vec::new();
-        for row in rows.iter().filter(|row| !row.aside) {
+        for row in rows.iter().filter(|row| !row.quarantined) {
             let Some(machine) = self.machines.get_mut(&row.id) else {
                 continue;
             };
@@ -338,11 +338,11 @@
             let idle_for = now.since(*machine.idle_since.get_or_insert(now));
             let is_wanted = || {
                 let mut requests = unplaced.iter();
-                requests.any(|request| request.allows(row) && request.need.fits(&row.whole))
+                requests.any(|request| request.allows(row) && request.need.fits(&row.capacity))
             };
             let is_overdue = idle_for >= idle_limit.scaled(WANTED_IDLE_FACTOR);
             let may_go = idle_for >= idle_limit && (is_overdue || !is_wanted());
-            let machine_type = self.machine_types.get(&row.kind);
+            let machine_type = self.machine_types.get(&row.machine_type);
             idle.push(IdleMachine {
                 id: row.id.clone(),
                 price: machine_type.map_or(0.0, |t| price_of(t, row.spot)),
@@ -381,7 +381,7 @@
 
 /// Whether a request's rules allow machines in a zone.
 fn may_use_zone(request: &PlacementRequest, zone: &Zone) -> bool {
-    let mut in_zones = request.in_zones.iter();
+    let mut in_zones = request.tasks_in_zones.iter();
     let taken = in_zones.find(|(_, count)| **count > 0);
     let is_elsewhere = taken.is_some_and(|(taken, _)| taken != zone);
     request.zone.as_ref().is_none_or(|wanted| wanted == zone)
@@ -390,12 +390,12 @@
 }
 
 fn idle_rows(rows: &[MachineRow]) -> usize {
-    let usable = rows.iter().filter(|row| !row.aside);
+    let usable = rows.iter().filter(|row| !row.quarantined);
     usable.filter(|row| is_empty(row)).count()
 }
 
 fn is_empty(row: &MachineRow) -> bool {
-    row.free == row.whole
+    row.free == row.capacity
 }
 
 fn price_of(machine_type: &MachineType, spot: bool) -> f64 {
--- a/crates/controller/src/core/leader/cluster_state.rs
+++ b/crates/controller/src/core/leader/cluster_state.rs
@@ -126,10 +126,10 @@
     /// Expected remaining time of a task on its machine.
     pub fn remaining_time(&self, now: Time, job: &Job, assignment: &Assignment) -> TimeSpan {
         let run = TimeSpan::secs(job.spec.estimate_s);
-        if let Some(started) = assignment.running {
+        if let Some(started) = assignment.running_since {
             return TimeSpan(run.0.saturating_sub(now.since(started).0));
         }
-        let fetch = assignment.cold.map_or(TimeSpan::ZERO, |_| {
+        let fetch = assignment.fetching_since.map_or(TimeSpan::ZERO, |_| {
             self.fetch_estimates
                 .of(&job.spec.image, job.spec.image_gb, None)
         });
@@ -152,7 +152,7 @@
                 continue;
             };
             let assignment = job.assignments.get(&task.index);
-            let Some(unsent) = assignment.filter(|assignment| assignment.unsent()) else {
+            let Some(unsent) = assignment.filter(|assignment| assignment.is_unsent()) else {
                 continue;
             };
             if job.is_stored(self.chunk_size, task.index, unsent.change) {
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -130,7 +130,7 @@
         let commands = self.commands_for(now, cluster, authority, id);
         if let Some(machine) = cluster.machines.get_mut(id) {
             machine.last_answer = Some(now);
-            machine.delivery.answered(now);
+            machine.delivery.record_answer(now);
         }
         let body = wire::encode(&HeartbeatResponse {
             token: self.token,
@@ -306,7 +306,7 @@
         let Some(assignment) = job.assignments.get(&task.index) else {
             continue;
         };
-        let is_current = assignment.unsent() && assignment.epoch == machine.epoch;
+        let is_current = assignment.is_unsent() && assignment.epoch == machine.epoch;
         // Written ahead: only what is stored may be sent.
         let is_stored = job.is_stored(size, task.index, assignment.change)
             || !failpoints::enforced(SafetyCheck::WriteAhead);
@@ -330,8 +330,8 @@
     assignment: &mut Assignment,
 ) -> Command {
     assignment.phase = AssignmentPhase::Sent(sequence);
-    if assignment.cold.is_some() {
-        assignment.cold = Some(now);
+    if assignment.fetching_since.is_some() {
+        assignment.fetching_since = Some(now);
     }
     Command::Start {
         task: task.to_string(),
--- a/crates/controller/src/core/leader/commit_effects.rs
+++ b/crates/controller/src/core/leader/commit_effects.rs
@@ -37,7 +37,7 @@
             stops.push(TaskId { job, index });
         }
     }
-    let starts = assignments.filter(|(_, start)| start.unsent() && start.change <= change);
+    let starts = assignments.filter(|(_, start)| start.is_unsent() && start.change <= change);
     context
         .machines_with_stored_starts
         .extend(starts.map(|(_, start)| start.machine.clone()));
@@ -50,10 +50,10 @@
     let Some(job) = cluster.jobs.get_mut(&id) else {
         return;
     };
-    if job.end != Some(JobOutcome::Done { written: false }) {
+    if job.outcome != Some(JobOutcome::Done { written: false }) {
         return;
     }
-    job.end = Some(JobOutcome::Done { written: true });
+    job.outcome = Some(JobOutcome::Done { written: true });
     job.unstored_done.clear();
     log_done(&id, job);
     cluster.unwritten.jobs_to_delete.insert(id);
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -22,7 +22,7 @@
     with_job(&mut leader, "wk-1", 1);
     let id = JobId::from("wk-1");
     let job = leader.cluster.jobs.get_mut(&id).unwrap();
-    job.end = Some(JobOutcome::Cancelled);
+    job.outcome = Some(JobOutcome::Cancelled);
     for chunk in 0..6 {
         let stored = job_records::Chunk {
             version: Version(9),
@@ -86,7 +86,7 @@
         with_job(&mut leader, "wk-1", 1);
         let id = JobId::from("wk-1");
         let job = leader.cluster.jobs.get_mut(&id).unwrap();
-        (job.end, job.waiting) = (
+        (job.outcome, job.waiting) = (
             Some(JobOutcome::Done { written: false }),
             Default::default(),
         );
@@ -148,7 +148,7 @@
         with_job(&mut leader, id, 2);
         let job = leader.cluster.jobs.get_mut(&JobId::from(id)).unwrap();
         job.waiting.remove(0);
-        let change = job.touch(leader.cluster.chunk_size, 0);
+        let change = job.record_change(leader.cluster.chunk_size, 0);
         let place = Assignment {
             change,
             phase: crate::core::assignment::AssignmentPhase::Unsent,
@@ -196,7 +196,7 @@
     let id = JobId::from("wk-1");
     let job = leader.cluster.jobs.get_mut(&id).unwrap();
     job.waiting.remove(0);
-    let change = job.touch(leader.cluster.chunk_size, 0);
+    let change = job.record_change(leader.cluster.chunk_size, 0);
     let place = Assignment {
         change,
         phase: crate::core::assignment::AssignmentPhase::Unsent,
--- a/crates/controller/src/core/leader/cycle_inputs.rs
+++ b/crates/controller/src/core/leader/cycle_inputs.rs
@@ -28,16 +28,16 @@
         let whole = machine_type.has();
         Some(MachineRow {
             id: id.clone(),
-            kind,
+            machine_type: kind,
             zone: machine.zone.clone()?,
             spot: machine.spot,
-            whole,
+            capacity: whole,
             free: whole - machine.unrecorded_usage - machine.allocated,
-            available: now,
-            last_high: machine.last_high_priority,
+            available_at: now,
+            last_high_priority_start: machine.last_high_priority,
             cache: machine.cache.clone(),
             fetch_rate: machine_type.fetch_gb_per_s,
-            aside: machine.is_quarantined(now),
+            quarantined: machine.is_quarantined(now),
         })
     }
 
@@ -50,13 +50,13 @@
                 let Some(&row) = index.get(&assignment.machine) else {
                     continue;
                 };
-                let share = job.spec.needs().share_of(&rows[row].whole).min(1.0);
+                let share = job.spec.needs().share_of(&rows[row].capacity).min(1.0);
                 let remaining = self.remaining_time(now, job, assignment);
                 work[row] += remaining.as_secs() * share;
             }
         }
         for (row, work) in rows.iter_mut().zip(work) {
-            row.available = now + TimeSpan::secs(work);
+            row.available_at = now + TimeSpan::secs(work);
         }
     }
 
@@ -73,7 +73,7 @@
         let ended_count = failpoints::enforced(SafetyCheck::EndedJobsCountForQuota);
         for job in self.jobs.values().filter(|j| ended_count || j.is_open()) {
             if let Some(team) = teams.get_mut(&job.spec.team) {
-                team.used += job.spec.needs().times(job.held() as f64);
+                team.used += job.spec.needs().times(job.tasks_possibly_running() as f64);
             }
         }
         teams
@@ -82,11 +82,15 @@
     /// What teams hold of their quotas, and what of that is being stopped.
     pub fn quota_usage(&self) -> QuotaUsage {
         let mut usage = QuotaUsage::new(&self.settings.teams);
-        for job in self.jobs.values().filter(|job| job.held() > 0) {
+        for job in self
+            .jobs
+            .values()
+            .filter(|job| job.tasks_possibly_running() > 0)
+        {
             let assignments = job.assignments.values();
             let stopping = assignments.filter(|a| a.stop.is_some()).count();
             let each = QuotaUnits::of(&job.spec.needs());
-            usage.hold(&job.spec.team, each, job.held(), stopping);
+            usage.hold(&job.spec.team, each, job.tasks_possibly_running(), stopping);
         }
         usage
     }
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -135,25 +135,25 @@
         };
         let restarted = previous.epoch != AgentEpoch(0) && heartbeat.epoch > previous.epoch;
         let evidence = if restarted {
-            DeliveryEvidence::NewSession
+            DeliveryEvidence::NewEpoch
         } else if machine.has_our_token && !previous.had_our_token {
-            DeliveryEvidence::Took
+            DeliveryEvidence::Received
         } else if !machine.has_our_token {
             DeliveryEvidence::OlderToken
         } else {
             starts
         };
-        if machine.delivery.reported(now, lease, evidence) {
+        if machine.delivery.record_heartbeat(now, lease, evidence) {
             tracing::info!(machine = %heartbeat.machine, ?evidence, "machine sends heartbeats and does not receive the answers; no new work goes there");
         }
-        if machine.delivery.hears() {
+        if machine.delivery.answers_arrive() {
             return;
         }
         let tasks: Vec<TaskId> = machine.tasks.iter().cloned().collect();
         for task in tasks {
             let job = self.cluster.jobs.get(&task.job);
             let assignment = job.and_then(|job| job.assignments.get(&task.index));
-            if assignment.is_some_and(Assignment::unsent) {
+            if assignment.is_some_and(Assignment::is_unsent) {
                 let reason = RemovalReason::MachineUnreachable;
                 self.cluster.record_task_gone(now, &task, reason);
             }
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -39,8 +39,8 @@
 /// under its token.
 fn loaded_leader() -> (Leader, MachineId) {
     let mut leader = leader();
-    leader.authority.page(Time(0));
-    leader.authority.loaded(Time(0));
+    leader.authority.record_load_page(Time(0));
+    leader.authority.record_load_complete(Time(0));
     let spec = submission("wk-1", JobShape::Array, 2);
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
     leader.cluster.jobs.insert("wk-1".into(), job);
@@ -198,7 +198,7 @@
     let (mut leader, id) = loaded_leader();
     for n in 0..4u32 {
         let secs = 3.0 + 3.0 * f64::from(n);
-        leader.authority.showed(Time(0) + TimeSpan::secs(secs));
+        leader.authority.record_read(Time(0) + TimeSpan::secs(secs));
         let placed = leader.cluster.jobs[&"wk-1".into()].assignments.len();
         assert_eq!(placed, 2, "at {secs} s");
         send_heartbeat(&mut leader, secs, report(u64::from(n) + 2, 5));
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -214,9 +214,9 @@
             "job": id, "owner": job.spec.team, "class": job.spec.class,
             "priority": job.spec.priority, "tasks": job.spec.tasks, "done": job.done.len(),
             "placed": job.assignments.len(), "waiting": job.waiting.len(),
-            "waits_s": self.seconds_since(job.notes.waiting_since), "why": job.notes.why,
-            "within_guarantee": job.notes.entitled, "last_stop": job.notes.last_stop,
-            "end": job.end.map(|end| end.to_string()),
+            "waits_s": self.seconds_since(job.notes.waiting_since), "why": job.notes.waiting_reason,
+            "within_guarantee": job.notes.within_guarantee, "last_stop": job.notes.last_stop,
+            "end": job.outcome.map(|end| end.to_string()),
         })
     }
 
--- a/crates/controller/src/core/leader/job_objectives.rs
+++ b/crates/controller/src/core/leader/job_objectives.rs
@@ -56,7 +56,7 @@
     /// late too. Large jobs go later by what they would take of the fleet: when
     /// not all can be on time, the small ones are more.
     pub fn order(&self, wall: WallTime, job: &Job) -> i64 {
-        let age = wall.0 as i64 - job.at.0 as i64;
+        let age = wall.0 as i64 - job.accepted_at.0 as i64;
         let due_times = self.due_times(job);
         let missed = due_times.iter().filter(|due| **due < age).count() as i64;
         let next = due_times.iter().filter(|due| **due >= age).min();
@@ -64,7 +64,7 @@
         let fleet_share = waiting * job.spec.needs().share_of(&self.fleet);
         let size = whole_ms(fleet_share * job.spec.estimate_s * self.small_first);
         // What has missed everything goes by age.
-        missed * MISSED_PENALTY_MS + job.at.0 as i64 + next.copied().unwrap_or(0) + size
+        missed * MISSED_PENALTY_MS + job.accepted_at.0 as i64 + next.copied().unwrap_or(0) + size
     }
 
     /// By when a job should start, in milliseconds after it was accepted: one time for
@@ -99,13 +99,13 @@
         if !job.done.is_empty() {
             return None;
         }
-        let age = TimeSpan::millis(wall.0.saturating_sub(job.at.0));
+        let age = TimeSpan::millis(wall.0.saturating_sub(job.accepted_at.0));
         let of_class = self
             .of(job)
             .filter(|objective| objective.kind == ObjectiveKind::Wait)
             .filter_map(|objective| objective.within);
         let of_guarantee = self.guarantees.iter().copied();
-        let of_guarantee = of_guarantee.filter(|_| job.notes.entitled);
+        let of_guarantee = of_guarantee.filter(|_| job.notes.within_guarantee);
         let ahead = of_class.chain(of_guarantee).filter(|within| *within > age);
         let next = ahead.min()?;
         Some(now + TimeSpan(next.0 - age.0))
--- a/crates/controller/src/core/leader/placement_requests.rs
+++ b/crates/controller/src/core/leader/placement_requests.rs
@@ -46,14 +46,14 @@
         for (id, job) in waiting.filter(|(_, job)| job.is_open() && !job.waiting.is_empty()) {
             job.notes.waiting_since.get_or_insert(at.time);
             if let Some(obstacle) = obstacle(at.time, authority, id, job) {
-                job.notes.why = obstacle;
+                job.notes.waiting_reason = obstacle;
                 continue;
             }
             let Some(in_zones) = tasks_in_zones(&self.machines, job) else {
-                job.notes.why = "the zone of one of its tasks is not known yet";
+                job.notes.waiting_reason = "the zone of one of its tasks is not known yet";
                 continue;
             };
-            job.notes.why = "no room";
+            job.notes.waiting_reason = "no room";
             requests.push(inputs.request(id, job, in_zones));
         }
         requests
@@ -64,7 +64,7 @@
     fn mark_entitled(&mut self) {
         let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.is_open()).collect();
         // Jobs come in the order of their ids, which decides among equals.
-        open.sort_by_key(|job| job.at);
+        open.sort_by_key(|job| job.accepted_at);
         let mut sums: HashMap<Team, Resources> = HashMap::new();
         for job in open {
             let Some(share) = self.settings.teams.get(&job.spec.team) else {
@@ -72,7 +72,7 @@
             };
             let sum = sums.entry(job.spec.team.clone()).or_default();
             let whole = *sum + job.spec.needs().times(f64::from(job.spec.tasks));
-            job.notes.entitled = share.guarantees(&whole);
+            job.notes.within_guarantee = share.guarantees(&whole);
             *sum = whole;
         }
     }
@@ -100,15 +100,15 @@
             tasks: tasks_to_place(job),
             gang: spec.shape == JobShape::Gang,
             priority: spec.priority,
-            entitled: job.notes.entitled,
+            within_guarantee: job.notes.within_guarantee,
             order: self.objectives.order(self.at.wall, job),
-            kinds: spec.kinds.clone(),
+            machine_types: spec.kinds.clone(),
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
             max_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
-            in_zones,
+            tasks_in_zones: in_zones,
             spot: spec.spot,
-            run: TimeSpan::secs(spec.estimate_s),
+            run_time: TimeSpan::secs(spec.estimate_s),
             start_by: self.objectives.start_by(self.at.time, self.at.wall, job),
             aged: waited_longer_than(aging),
             // The paper's gate has no end: beside a stream of urgent starts a cold
--- a/crates/controller/src/core/leader/preemption_search.rs
+++ b/crates/controller/src/core/leader/preemption_search.rs
@@ -63,7 +63,7 @@
         let may_preempt = |request: &PlacementRequest| {
             request.priority >= least
                 && !request.tasks.is_empty()
-                && (request.priority > Priority::Low || request.entitled)
+                && (request.priority > Priority::Low || request.within_guarantee)
         };
         // They stand in the order of their ranks since the cycle's first part.
         let urgent: Vec<usize> = (0..requests.len())
@@ -186,10 +186,10 @@
                 let Some(&row) = index.get(&assignment.machine) else {
                     continue;
                 };
-                if assignment.stop.is_some() || assignment.unsent() {
+                if assignment.stop.is_some() || assignment.is_unsent() {
                     continue;
                 }
-                let share = job.spec.needs().share_of(&rows[row].whole);
+                let share = job.spec.needs().share_of(&rows[row].capacity);
                 let settled = is_settled(now, assignment, settle);
                 let cost_s = self.preemption_cost_s(now, job, assignment, settled);
                 candidates.push(Victim {
@@ -231,7 +231,7 @@
     /// Whether users have an objective about when this job starts.
     fn has_start_objective(&self, job: &Job) -> bool {
         let mut objectives = self.settings.objectives.iter();
-        job.notes.entitled
+        job.notes.within_guarantee
             || objectives.any(|objective| {
                 objective.kind == ObjectiveKind::Wait
                     && objective.class.as_ref() == Some(&job.spec.class)
@@ -245,7 +245,7 @@
         assignment.phase,
         AssignmentPhase::Seen(_) | AssignmentPhase::Inherited
     );
-    has_arrived && now.since(assignment.placed) > settle
+    has_arrived && now.since(assignment.assigned_at) > settle
 }
 
 /// Seconds of work that stopping a task loses: saving a checkpoint, or all that it ran.
@@ -253,6 +253,6 @@
     if job.spec.checkpoint_s > 0.0 {
         return job.spec.save_s;
     }
-    let started = assignment.running;
+    let started = assignment.running_since;
     started.map_or(0.0, |started| now.since(started).as_secs())
 }
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -114,8 +114,8 @@
             return;
         };
         let header = job_records::read::<JobHeader>(value);
-        job.end = Some(match header {
-            Some(header) if header.s == HeaderStage::Done => JobOutcome::Done { written: true },
+        job.outcome = Some(match header {
+            Some(header) if header.stage == HeaderStage::Done => JobOutcome::Done { written: true },
             _ => JobOutcome::Cancelled,
         });
     }
@@ -223,7 +223,7 @@
         let mut ended_with_tasks = Vec::new();
         for (id, job) in &mut self.jobs {
             for (&index, assignment) in &mut job.assignments {
-                assignment.placed = now;
+                assignment.assigned_at = now;
                 let job_id = id.clone();
                 let task = TaskId { job: job_id, index };
                 self.machines
@@ -231,8 +231,8 @@
                     .or_insert_with(|| Machine::new(now))
                     .assign(task, job.spec.needs());
             }
-            if job.end.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
-                job.end = Some(JobOutcome::Done { written: false });
+            if job.outcome.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
+                job.outcome = Some(JobOutcome::Done { written: false });
                 self.unwritten.finished_jobs.insert(id.clone());
             }
             if job.is_open() {
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -160,8 +160,8 @@
             return LeadershipOutcome::StepDown("changes could not be read");
         };
         let outcome = self.apply_changes(now, context, changes);
-        context.authority.showed(sent);
-        for id in context.authority.refuted() {
+        context.authority.record_read(sent);
+        for id in context.authority.take_outdated_reports() {
             if context.cluster.jobs.get(&id).is_some_and(Job::is_open) {
                 tracing::error!(job = %id, "job reported cancelled by a peer is not; it goes on");
             }
@@ -183,7 +183,7 @@
         // Changes are followed from the first page on; what a later page
         // already shows is applied twice without harm.
         let first_revision = *self.first_page_revision.get_or_insert(page.revision);
-        context.authority.page(sent);
+        context.authority.record_load_page(sent);
         let read = match &mut self.phase {
             LoadPhase::Watched(read)
             | LoadPhase::ProgressRecords(read)
@@ -222,7 +222,7 @@
         if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
             self.revision = last_revision;
         }
-        context.authority.loaded(sent);
+        context.authority.record_load_complete(sent);
         let cluster = &context.cluster;
         tracing::info!(token = %context.token, jobs = cluster.jobs.len(), machines = cluster.machines.len(), "leading");
     }
@@ -279,7 +279,7 @@
             }
             Watched::JobOutcome(id) => {
                 let header = job_records::read::<job_records::JobHeader>(&event.value);
-                if header.is_some_and(|header| header.s == HeaderStage::Cancelled) {
+                if header.is_some_and(|header| header.stage == HeaderStage::Cancelled) {
                     context.cancel_job(now, &id);
                 }
             }
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -118,7 +118,7 @@
         let estimates = cluster.fetch_estimates.clone();
         let mut cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
         let mut bounds = preemption_bounds(at, cluster, arrivals, cycle.rows.len());
-        cycle.place_up_to_minimum_shares(&mut requests, &mut bounds.floors);
+        cycle.place_up_to_minimum_shares(&mut requests, &mut bounds.minimum_shares);
         cycle.place_warm_high_priority(&mut requests);
         let mut preemption = PreemptionSearch::new(bounds);
         preemption.make_room(cluster, &mut cycle, &mut requests, Priority::High);
@@ -170,8 +170,8 @@
     let services = cluster.service_levels(at.wall, arrivals);
     let (share, window) = (cluster.policy.floor_share, cluster.policy.floor_window_s);
     Bounds {
-        account: cluster.quota_usage(),
-        floors: MinimumShares::new(&services, machines as f64, share, window),
+        usage: cluster.quota_usage(),
+        minimum_shares: MinimumShares::new(&services, machines as f64, share, window),
     }
 }
 
@@ -207,6 +207,6 @@
     let jobs = cluster.jobs.values_mut();
     for job in jobs.filter(|job| job.waiting.is_empty()) {
         job.notes.waiting_since = None;
-        job.notes.why = "";
+        job.notes.waiting_reason = "";
     }
 }
--- a/crates/controller/src/core/leader/service_levels.rs
+++ b/crates/controller/src/core/leader/service_levels.rs
@@ -55,8 +55,9 @@
         let window = TimeSpan::secs(self.policy.floor_window_s);
         let overdue_after = window.scaled(1.0 - self.policy.floor_share);
         let age = |at: WallTime| TimeSpan::millis(wall.0.saturating_sub(at.0));
-        let is_overdue =
-            |job: &Job| job.is_open() && !job.waiting.is_empty() && age(job.at) >= overdue_after;
+        let is_overdue = |job: &Job| {
+            job.is_open() && !job.waiting.is_empty() && age(job.accepted_at) >= overdue_after
+        };
         let Some(largest) = self.largest_machine() else {
             return BTreeMap::new();
         };
--- a/crates/controller/src/core/leader/task_lifecycle.rs
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -95,16 +95,16 @@
         machine.assign(task.clone(), spec.needs());
         job.waiting.remove(task.index);
         job.attempt = job.attempt.max(attempt);
-        let change = job.touch(self.chunk_size, task.index);
+        let change = job.record_change(self.chunk_size, task.index);
         let assignment = Assignment {
             machine: id.clone(),
             epoch: machine.epoch,
             attempt,
             change,
             phase: AssignmentPhase::Unsent,
-            placed: now,
-            running: None,
-            cold: (!cached).then_some(now),
+            assigned_at: now,
+            running_since: None,
+            fetching_since: (!cached).then_some(now),
             stop: None,
         };
         job.assignments.insert(task.index, assignment);
@@ -122,17 +122,17 @@
         }
         job.waiting.remove(task.index);
         job.notes.failures = 0;
-        let change = job.touch(self.chunk_size, task.index);
+        let change = job.record_change(self.chunk_size, task.index);
         job.unstored_done.insert(task.index, change);
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
         self.unwritten.dirty_chunks.note(chunk, now, false);
-        if job.done.len() == job.spec.tasks && job.end.is_none() {
-            job.end = Some(JobOutcome::Done { written: false });
+        if job.done.len() == job.spec.tasks && job.outcome.is_none() {
+            job.outcome = Some(JobOutcome::Done { written: false });
             self.unwritten.finished_jobs.insert(task.job.clone());
         }
         // Another attempt of it may still be somewhere.
         let assignment = job.assignments.get(&task.index);
-        if assignment.is_some_and(Assignment::unsent) {
+        if assignment.is_some_and(Assignment::is_unsent) {
             self.record_task_gone(now, task, RemovalReason::DoneElsewhere);
         }
     }
@@ -162,7 +162,7 @@
         if !job.done.contains(task.index) && job.is_open() {
             job.waiting.insert(task.index);
         }
-        job.touch(self.chunk_size, task.index);
+        job.record_change(self.chunk_size, task.index);
         let deletable = job.assignments.is_empty() && !job.is_open();
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
         self.unwritten.dirty_chunks.note(chunk, now, false);
@@ -229,7 +229,7 @@
                 index,
             };
             let assignment = self.jobs[id].assignments.get(&index);
-            if assignment.is_some_and(Assignment::unsent) {
+            if assignment.is_some_and(Assignment::is_unsent) {
                 unsent.push(task);
             } else {
                 self.order_stop(now, task, grace_s, durability);
@@ -253,13 +253,13 @@
             let is_sooner = grace_s < stop.grace_s && grace_s == 0.0;
             // A gang that saves its checkpoint must not be cut short because one of
             // its tasks has ended, saved, before the others.
-            let is_saving = job.end != Some(JobOutcome::Cancelled);
+            let is_saving = job.outcome != Some(JobOutcome::Cancelled);
             if !is_sooner || is_saving {
                 return;
             }
         }
         let is_stored = durability != StopDurability::NotStored;
-        let change = is_stored.then(|| job.touch(size, task.index));
+        let change = is_stored.then(|| job.record_change(size, task.index));
         if change.is_some() {
             let chunk = (task.job.clone(), size.of(task.index));
             self.unwritten.dirty_chunks.note(chunk, now, true);
@@ -298,7 +298,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.end = Some(JobOutcome::Cancelled);
+        job.outcome = Some(JobOutcome::Cancelled);
         job.waiting = Default::default();
         self.unwritten.finished_jobs.remove(id);
         self.stop_ended_job(now, id, why);
--- a/crates/controller/src/core/leader/task_reconciliation.rs
+++ b/crates/controller/src/core/leader/task_reconciliation.rs
@@ -137,7 +137,7 @@
             return;
         };
         if matches!(assignment.phase, AssignmentPhase::Sent(_)) && reported.is_some() {
-            result.delivery = DeliveryEvidence::Took;
+            result.delivery = DeliveryEvidence::Received;
         }
         let is_wanted = is_open && assignment.stop.is_none();
         let presence = assignment.check_presence(
@@ -180,12 +180,12 @@
         };
         match assignment.phase {
             AssignmentPhase::Inherited if is_wanted => {
-                assignment.phase = AssignmentPhase::Kept;
+                assignment.phase = AssignmentPhase::Reserved;
                 self.resume_inherited_start(now, task);
                 true
             }
             // It waits for the rest of its gang.
-            AssignmentPhase::Kept if is_wanted => false,
+            AssignmentPhase::Reserved if is_wanted => false,
             _ => {
                 self.record_task_gone(now, task, RemovalReason::NotReported);
                 true
@@ -215,12 +215,12 @@
         };
         let was_inherited = assignment.phase == AssignmentPhase::Inherited;
         assignment.phase = AssignmentPhase::Seen(reported.state);
-        if reported.state == TaskState::Running && assignment.running.is_none() {
-            assignment.running = Some(now);
-            tracing::debug!(task = %task, machine = %assignment.machine, since_s = now.since(assignment.placed).as_secs(), "task runs");
+        if reported.state == TaskState::Running && assignment.running_since.is_none() {
+            assignment.running_since = Some(now);
+            tracing::debug!(task = %task, machine = %assignment.machine, since_s = now.since(assignment.assigned_at).as_secs(), "task runs");
         }
         if reported.state != TaskState::Fetching {
-            let fetch_began = assignment.cold.take();
+            let fetch_began = assignment.fetching_since.take();
             let machine = assignment.machine.clone();
             self.record_fetched(now, &machine, &spec.image, spec.image_gb, fetch_began);
         }
@@ -320,7 +320,7 @@
 }
 
 fn is_kept(assignment: &Assignment) -> bool {
-    assignment.phase == AssignmentPhase::Kept
+    assignment.phase == AssignmentPhase::Reserved
 }
 
 /// How far a gang has come whose start an earlier leader recorded.
@@ -332,7 +332,7 @@
     let is_started_or_stopping = |assignment: &Assignment| {
         let started = !matches!(
             assignment.phase,
-            AssignmentPhase::Inherited | AssignmentPhase::Kept
+            AssignmentPhase::Inherited | AssignmentPhase::Reserved
         );
         started || assignment.stop.is_some()
     };
--- a/crates/controller/src/core/leader/transaction_contents.rs
+++ b/crates/controller/src/core/leader/transaction_contents.rs
@@ -36,7 +36,7 @@
         let Some(job) = cluster.jobs.get(&id) else {
             continue;
         };
-        if job.end != Some(JobOutcome::Done { written: false }) {
+        if job.outcome != Some(JobOutcome::Done { written: false }) {
             continue;
         }
         // If nothing of it is anywhere any more, it ends and goes at once.
@@ -96,7 +96,7 @@
         };
         // It comes back here once its end is stored, or its last task gone.
         let is_end_stored = matches!(
-            job.end,
+            job.outcome,
             Some(JobOutcome::Cancelled | JobOutcome::Done { written: true })
         );
         if !is_end_stored || !job.assignments.is_empty() {
--- a/crates/controller/src/core/leader_authority.rs
+++ b/crates/controller/src/core/leader_authority.rs
@@ -3,9 +3,9 @@
 //! it. `docs/design.md`, "The gap", derives the rules step by step.
 //!
 //! The bound: a cancellation that this node cannot know of was confirmed to its user
-//! after `shown`; until `shown + H` heartbeats are answered; an agent's lease counts
+//! after `last_contact`; until `last_contact + H` heartbeats are answered; an agent's lease counts
 //! from the sending of a heartbeat answered by then. So what runs of that job has ended
-//! by `shown + H + lease`, which is no later than `cancel` after the confirmation.
+//! by `last_contact + H + lease`, which is no later than `cancel` after the confirmation.
 
 use super::failpoints::{self, SafetyCheck};
 use crate::settings::WorkerTimes;
@@ -40,7 +40,7 @@
     /// The longest that an agent's lease may last, by our clock.
     lease: TimeSpan,
     /// By how much a cancelled task may outlive `cancel`.
-    over: TimeSpan,
+    cancel_overrun: TimeSpan,
 }
 
 impl Bounds {
@@ -50,11 +50,19 @@
         let hold = saturating_difference(times.cancel, lease);
         if hold >= MIN_HOLD {
             let over = TimeSpan::ZERO;
-            return Bounds { hold, lease, over };
+            return Bounds {
+                hold,
+                lease,
+                cancel_overrun: over,
+            };
         }
         let hold = HOLD_WITHOUT_BOUND;
         let over = saturating_difference(hold + lease, times.cancel);
-        Bounds { hold, lease, over }
+        Bounds {
+            hold,
+            lease,
+            cancel_overrun: over,
+        }
     }
 
     /// H: for how long after contact heartbeats may be answered.
@@ -64,13 +72,13 @@
 
     /// By how much a task of a cancelled job may outlive `cancel` on a machine that
     /// is out of reach. Zero unless `cancel` is too short for the lease.
-    pub fn over(&self) -> TimeSpan {
-        self.over
+    pub fn cancel_overrun(&self) -> TimeSpan {
+        self.cancel_overrun
     }
 
     /// For how long after a failover the answers of an earlier leader may keep alive
     /// what runs on a machine that is silent.
-    pub fn inherited(&self) -> TimeSpan {
+    pub fn earlier_leader_window(&self) -> TimeSpan {
         match failpoints::enforced(SafetyCheck::EarlierLeadersAnswersCount) {
             true => self.hold + self.lease,
             false => TimeSpan::ZERO,
@@ -93,7 +101,7 @@
     loaded: bool,
     /// When the last read was sent that would have shown whatever was stored before
     /// it, and whose answer was processed.
-    shown: Time,
+    last_contact: Time,
     /// Jobs that peers report as cancelled, by when they did.
     reported_cancelled: BTreeMap<JobId, Time>,
 }
@@ -105,22 +113,22 @@
             bounds,
             load_began: None,
             loaded: false,
-            shown: now,
+            last_contact: now,
             reported_cancelled: BTreeMap::new(),
         }
     }
 
     /// Records that a page of the load, requested at `sent`, was answered. It is no
     /// contact: what the pages to come hold is not known yet.
-    pub fn page(&mut self, sent: Time) {
+    pub fn record_load_page(&mut self, sent: Time) {
         self.load_began.get_or_insert(sent);
     }
 
     /// Records that the last page was processed. A cancellation, or another leader,
     /// since the first page may not have been seen, however new the last one is.
-    pub fn loaded(&mut self, sent: Time) {
+    pub fn record_load_complete(&mut self, sent: Time) {
         self.loaded = true;
-        self.shown = match failpoints::enforced(SafetyCheck::LoadIsAsOldAsItsFirstRead) {
+        self.last_contact = match failpoints::enforced(SafetyCheck::LoadIsAsOldAsItsFirstRead) {
             true => self.load_began.unwrap_or(sent),
             false => sent,
         };
@@ -130,9 +138,9 @@
     /// answered and processed. Nothing else is contact: a lease renewed, a commit
     /// accepted and a comparison of other keys show no cancellation, an open watch has
     /// shown none yet, and a peer's report is about the peer.
-    pub fn showed(&mut self, sent: Time) {
+    pub fn record_read(&mut self, sent: Time) {
         if self.loaded {
-            self.shown = self.shown.max(sent);
+            self.last_contact = self.last_contact.max(sent);
         }
     }
 
@@ -142,13 +150,13 @@
     }
 
     /// When the last read that counts as contact was sent.
-    pub fn shown(&self) -> Time {
-        self.shown
+    pub fn last_contact(&self) -> Time {
+        self.last_contact
     }
 
     /// How old the leader's knowledge is.
     pub fn age(&self, now: Time) -> TimeSpan {
-        now.since(self.shown)
+        now.since(self.last_contact)
     }
 
     /// Whether heartbeats may be answered.
@@ -174,13 +182,13 @@
 
     /// For how long after a failover the answers of earlier leaders count.
     pub fn inherited(&self) -> TimeSpan {
-        self.bounds.inherited()
+        self.bounds.earlier_leader_window()
     }
 
     /// Records that a peer reports a job as cancelled; true if that is news. Its tasks
     /// may be stopped on that, which only helps: reports may be late or never come, so
     /// nothing follows from there being none, and nothing is deleted on one.
-    pub fn told(&mut self, now: Time, job: &JobId) -> bool {
+    pub fn record_peer_cancellation(&mut self, now: Time, job: &JobId) -> bool {
         let reported = &mut self.reported_cancelled;
         let is_news = reported.len() < MAX_REPORTED_CANCELLATIONS && !reported.contains_key(job);
         if is_news {
@@ -196,12 +204,12 @@
 
     /// Removes the reports that are older than the last read, and returns their jobs.
     /// What is true of them has been read by now.
-    pub fn refuted(&mut self) -> Vec<JobId> {
-        let shown = self.shown;
+    pub fn take_outdated_reports(&mut self) -> Vec<JobId> {
+        let last_contact = self.last_contact;
         let outdated: Vec<JobId> = self
             .reported_cancelled
             .iter()
-            .filter(|(_, reported_at)| **reported_at < shown)
+            .filter(|(_, reported_at)| **reported_at < last_contact)
             .map(|(job, _)| job.clone())
             .collect();
         for job in &outdated {
--- a/crates/controller/src/core/leader_authority/tests.rs
+++ b/crates/controller/src/core/leader_authority/tests.rs
@@ -19,8 +19,8 @@
 /// The authority of a leader whose load was requested at second 0 and read by second 1.
 fn loaded() -> LeaderAuthority {
     let mut authority = LeaderAuthority::new(Bounds::new(&times(10.0, 40.0)), at(0.0));
-    authority.page(at(0.0));
-    authority.loaded(at(1.0));
+    authority.record_load_page(at(0.0));
+    authority.record_load_complete(at(1.0));
     authority
 }
 
@@ -28,7 +28,7 @@
 fn bounds_end_cancelled_tasks_in_time() {
     for (lease, cancel) in [(10.0, 40.0), (44.0, 69.0), (22.0, 52.0), (22.0, 25.0)] {
         let bounds = Bounds::new(&times(lease, cancel));
-        assert_eq!(bounds.over(), TimeSpan::ZERO, "{lease} {cancel}");
+        assert_eq!(bounds.cancel_overrun(), TimeSpan::ZERO, "{lease} {cancel}");
         let gone = bounds.hold().as_secs() + lease * 1.0005;
         assert!(gone < cancel - 1.5, "{lease} {cancel}: {gone}");
         // An answer to a read that is held for its longest is still in time.
@@ -36,7 +36,7 @@
             bounds.watch() < bounds.hold().scaled(0.5) && bounds.watch() >= TimeSpan::millis(100)
         );
         // What an older leader kept alive is gone before it is presumed to be.
-        assert!(bounds.inherited().as_secs() > gone + 1.5);
+        assert!(bounds.earlier_leader_window().as_secs() > gone + 1.5);
     }
 }
 
@@ -45,20 +45,20 @@
 #[test]
 fn short_hold_shortens_watch() {
     let bounds = Bounds::new(&times(22.0, 25.0));
-    assert!(bounds.hold() < TimeSpan::secs(1.0) && bounds.over() == TimeSpan::ZERO);
+    assert!(bounds.hold() < TimeSpan::secs(1.0) && bounds.cancel_overrun() == TimeSpan::ZERO);
     let mut authority = LeaderAuthority::new(bounds, at(0.0));
-    authority.page(at(0.0));
-    authority.loaded(at(0.0));
+    authority.record_load_page(at(0.0));
+    authority.record_load_complete(at(0.0));
     let late = TimeSpan::millis(300);
     for _ in 0..20 {
-        let sent = authority.shown() + late;
+        let sent = authority.last_contact() + late;
         let answered = sent + authority.watch(sent) + late;
         assert!(
             authority.may_answer(answered),
             "{:?}",
             authority.age(answered)
         );
-        authority.showed(sent);
+        authority.record_read(sent);
     }
 }
 
@@ -67,7 +67,7 @@
 fn reports_overrun_when_cancel_is_too_short() {
     for cancel in [10.0, 20.0, 24.4] {
         let bounds = Bounds::new(&times(22.0, cancel));
-        let over = bounds.over().as_secs();
+        let over = bounds.cancel_overrun().as_secs();
         assert!(over > 0.0 && over + cancel < 22.0 * 1.001 + 3.6, "{over}");
         assert!(bounds.watch() <= TimeSpan::millis(500) && bounds.hold() == TimeSpan::millis(1500));
     }
@@ -77,26 +77,30 @@
 fn only_processed_reads_count_as_contact() {
     let mut authority = LeaderAuthority::new(Bounds::new(&times(10.0, 40.0)), at(0.0));
     assert!(!authority.may_answer(at(0.1)) && !authority.may_start(at(0.1)));
-    authority.page(at(0.0));
-    authority.page(at(30.0));
+    authority.record_load_page(at(0.0));
+    authority.record_load_page(at(30.0));
     // Neither a page nor, before the load is over, a read of changes.
-    authority.showed(at(30.0));
+    authority.record_read(at(30.0));
     assert!(!authority.may_answer(at(30.0)));
-    authority.loaded(at(60.0));
-    assert_eq!(authority.shown(), at(0.0), "as old as the first page");
+    authority.record_load_complete(at(60.0));
+    assert_eq!(
+        authority.last_contact(),
+        at(0.0),
+        "as old as the first page"
+    );
     assert!(!authority.may_answer(at(60.0)));
-    authority.showed(at(60.5));
+    authority.record_read(at(60.5));
     assert!(authority.may_answer(at(60.6)));
     // Answers come in any order.
-    authority.showed(at(59.0));
-    assert_eq!(authority.shown(), at(60.5));
+    authority.record_read(at(59.0));
+    assert_eq!(authority.last_contact(), at(60.5));
 }
 
 #[test]
 fn refuses_answers_and_starts_after_their_bounds() {
     let hold = Bounds::new(&times(10.0, 40.0)).hold();
     let authority = loaded();
-    let late = authority.shown() + hold;
+    let late = authority.last_contact() + hold;
     assert!(authority.may_answer(late - TimeSpan(1)) && !authority.may_answer(late));
     disable_check(&[SafetyCheck::BoundedHold]);
     let unbounded = authority.may_answer(late);
@@ -114,19 +118,24 @@
 fn peer_report_stops_tasks_until_next_read() {
     let mut authority = loaded();
     let id = JobId::from("wk-1");
-    assert!(authority.told(at(2.0), &id) && authority.is_reported_cancelled(&id));
-    assert!(!authority.told(at(3.0), &id), "told again");
-    assert_eq!(authority.shown(), at(0.0), "it is no contact");
-    authority.showed(at(2.0));
     assert!(
-        authority.refuted().is_empty(),
+        authority.record_peer_cancellation(at(2.0), &id) && authority.is_reported_cancelled(&id)
+    );
+    assert!(
+        !authority.record_peer_cancellation(at(3.0), &id),
+        "told again"
+    );
+    assert_eq!(authority.last_contact(), at(0.0), "it is no contact");
+    authority.record_read(at(2.0));
+    assert!(
+        authority.take_outdated_reports().is_empty(),
         "sent no later than it was told"
     );
-    authority.showed(at(2.1));
-    assert_eq!(authority.refuted(), ["wk-1".into()]);
+    authority.record_read(at(2.1));
+    assert_eq!(authority.take_outdated_reports(), ["wk-1".into()]);
     assert!(!authority.is_reported_cancelled(&id));
     for n in 0..2 * MAX_REPORTED_CANCELLATIONS {
-        authority.told(at(5.0), &format!("wk-{n}").as_str().into());
+        authority.record_peer_cancellation(at(5.0), &format!("wk-{n}").as_str().into());
     }
     assert_eq!(
         authority.reported_cancelled.len(),
--- a/crates/controller/src/core/machine.rs
+++ b/crates/controller/src/core/machine.rs
@@ -155,7 +155,7 @@
     /// quarantined for what it was before.
     pub fn is_healthy(&self, now: Time, silence: TimeSpan) -> bool {
         self.has_our_token
-            && self.delivery.hears()
+            && self.delivery.answers_arrive()
             && !self.presumed_dead
             && self.lifecycle == MachineLifecycle::InService
             && self.termination_notice_at.is_none()
--- a/crates/controller/src/core/node/readiness.rs
+++ b/crates/controller/src/core/node/readiness.rs
@@ -12,7 +12,7 @@
     pub(super) fn is_store_reachable(&self) -> bool {
         let now = self.effects.now.time;
         let leader = self.leader.as_ref().filter(|l| l.is_loaded());
-        let leaders_contact = leader.map(|l| l.authority.shown());
+        let leaders_contact = leader.map(|l| l.authority.last_contact());
         let last_contact = leaders_contact.max(self.election.last_contact);
         last_contact.is_some_and(|at| now.since(at) < STORE_FRESH)
     }
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -288,8 +288,8 @@
     let wall = crate::types::WallTime(0);
     let job = job_records::Job::new(Rc::new(spec), wall, crate::types::Version(7), 1);
     leader.cluster.jobs.insert(id.clone(), job);
-    leader.authority.page(Time(0));
-    leader.authority.loaded(Time(0));
+    leader.authority.record_load_page(Time(0));
+    leader.authority.record_load_complete(Time(0));
     leader.hear_cancelled(Time(5_000_000), &id);
     assert!(leader.authority.is_reported_cancelled(&id));
     let job = &leader.cluster.jobs[&id];
--- a/crates/controller/src/core/placement_tables/machine_row.rs
+++ b/crates/controller/src/core/placement_tables/machine_row.rs
@@ -9,23 +9,23 @@
     /// The machine.
     pub id: MachineId,
     /// Its machine type.
-    pub kind: MachineTypeName,
+    pub machine_type: MachineTypeName,
     /// Its zone.
     pub zone: Zone,
     /// Whether it is spot capacity.
     pub spot: bool,
     /// All resources it has.
-    pub whole: Resources,
+    pub capacity: Resources,
     /// What is free for new tasks.
     pub free: Resources,
     /// When all its resources are predicted to be free.
-    pub available: Time,
+    pub available_at: Time,
     /// When high-priority work was last placed here.
-    pub last_high: Option<Time>,
+    pub last_high_priority_start: Option<Time>,
     /// Its images.
     pub cache: ImageCache,
     /// Fetch rate of its type, in gigabytes per second.
     pub fetch_rate: f64,
     /// Whether it is in quarantine: only work that has waited for long may go there.
-    pub aside: bool,
+    pub quarantined: bool,
 }
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -26,7 +26,7 @@
     // A guarantee could also take from higher priorities; stopping urgent work
     // for work that can wait serves nobody.
     victim.priority < request.priority
-        || (request.entitled
+        || (request.within_guarantee
             && victim.team != request.team
             && victim.settled
             && victim.priority == request.priority)
@@ -113,7 +113,7 @@
         (has_victims || request.need.fits(&row.free))
             && self.cycle.may_use(index, &request.job)
             && request.allows(row)
-            && request.need.fits(&row.whole)
+            && request.need.fits(&row.capacity)
             && request.zone_room(&row.zone) != 0
     }
 
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -44,15 +44,15 @@
         tasks: (0..tasks).collect(),
         gang: true,
         priority: Priority::Normal,
-        entitled: true,
+        within_guarantee: true,
         order: number as i64,
-        kinds: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         max_per_zone: None,
-        in_zones: BTreeMap::new(),
+        tasks_in_zones: BTreeMap::new(),
         spot: true,
-        run: TimeSpan::secs(60.0),
+        run_time: TimeSpan::secs(60.0),
         start_by: None,
         aged: false,
         overdue: false,
@@ -63,16 +63,16 @@
 fn empty_machine(number: usize) -> MachineRow {
     MachineRow {
         id: format!("m{number}").into(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
-        whole: MACHINE,
+        capacity: MACHINE,
         free: MACHINE,
-        available: NOW,
-        last_high: None,
+        available_at: NOW,
+        last_high_priority_start: None,
         cache: ImageCache::default(),
         fetch_rate: 1.0,
-        aside: false,
+        quarantined: false,
     }
 }
 
@@ -171,8 +171,8 @@
     let mut fleet = Fleet::new(guarantee, losing, tasks);
     let running: f64 = fleet.victims.iter().map(|v| v.need.gpus).sum();
     let mut bounds = Bounds {
-        account: fleet.account,
-        floors: Default::default(),
+        usage: fleet.account,
+        minimum_shares: Default::default(),
     };
     let victims = Victims::new(fleet.victims, fleet.rows.len());
     let mut teams = BTreeMap::from([(lender(), TeamUse::default())]);
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -34,9 +34,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Bounds {
     /// What teams use of their quotas.
-    pub account: QuotaUsage,
+    pub usage: QuotaUsage,
     /// What classes and teams must be left.
-    pub floors: MinimumShares,
+    pub minimum_shares: MinimumShares,
 }
 
 impl Bounds {
@@ -52,14 +52,14 @@
         let groups = ShareGroup::both(loss.class, loss.team);
         groups.iter().all(|group| {
             let before = spent.groups.get(group).copied().unwrap_or(0.0);
-            self.floors.spares(group, before + loss.machines)
+            self.minimum_shares.spares(group, before + loss.machines)
         })
     }
 
     fn keeps_guarantee(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
         let before = spent.teams.get(loss.team).copied().unwrap_or_default();
         let after = before + QuotaUnits::of(&loss.takes);
-        self.account.covers(loss.team, after)
+        self.usage.covers(loss.team, after)
     }
 
     /// Counts work as chosen by a search that may yet fail.
@@ -73,9 +73,9 @@
 
     /// Counts work as stopped: later searches see that.
     pub fn take(&mut self, loss: &ReclaimCandidate<'_>) {
-        self.account.take(loss.team, QuotaUnits::of(&loss.takes));
+        self.usage.take(loss.team, QuotaUnits::of(&loss.takes));
         for group in ShareGroup::both(loss.class, loss.team) {
-            self.floors.lose(&group, loss.machines);
+            self.minimum_shares.lose(&group, loss.machines);
         }
     }
 }
--- a/crates/controller/src/core/read_coalescing/tests.rs
+++ b/crates/controller/src/core/read_coalescing/tests.rs
@@ -6,8 +6,8 @@
 fn polls() -> ReadCoalescer {
     let mut p = ReadCoalescer::default();
     let head = JobHeader {
-        s: HeaderStage::Open,
-        n: 3,
+        stage: HeaderStage::Open,
+        task_count: 3,
     };
     for (id, version) in [("a", 5), ("b", 6)] {
         p.remember(&id.into(), head, Version(version));
@@ -100,8 +100,8 @@
 fn header_recorded_after_sending_is_not_vouched_for() {
     let mut p = polls();
     let head = JobHeader {
-        s: HeaderStage::Open,
-        n: 3,
+        stage: HeaderStage::Open,
+        task_count: 3,
     };
     p.forget(&"a".into());
     let (txn, asked) = p.next_comparison(Time(1), 192).unwrap();
--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -173,7 +173,7 @@
         }
         requests.sort_by_cached_key(PlacementRequest::rank);
         self.find_open_rows(requests);
-        let sizes = self.rows.iter().map(|row| row.whole);
+        let sizes = self.rows.iter().map(|row| row.capacity);
         let Some(largest_machine) = sizes.reduce(|a, b| a.most(&b)) else {
             return;
         };
@@ -282,7 +282,7 @@
         batch.sort_by_cached_key(|&index| {
             let request = &requests[index];
             let holders = self.holder_count(&request.image);
-            (Reverse(request.entitled), holders, request.order)
+            (Reverse(request.within_guarantee), holders, request.order)
         });
         for &index in &batch {
             self.place(&mut requests[index], PlacementScope::Gated);
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -127,7 +127,7 @@
     /// high-priority start for over half the fetch time (Algorithm 1, lines 23 to 31).
     fn allows_cold_fetch(&self, request: &PlacementRequest, row: &MachineRow) -> bool {
         let fetch_time = self.fetch(request, row);
-        row.last_high
+        row.last_high_priority_start
             .is_none_or(|last| self.pace.now.since(last) > TimeSpan(fetch_time.0 / 2))
     }
 
@@ -151,7 +151,7 @@
             .filter(|(index, row)| request.allows(row) && self.may_use(*index, &request.job))
             .filter(|(_, row)| self.is_in_scope(request, row, scope))
             .map(|(index, row)| {
-                let free_after = (row.free - request.need).share_of(&row.whole);
+                let free_after = (row.free - request.need).share_of(&row.capacity);
                 Candidate {
                     fetch_time: self.fetch(request, row),
                     free_after: (free_after * 1000.0) as i64,
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -58,7 +58,7 @@
         scope: PlacementScope,
         quota_room: u32,
     ) -> Option<Vec<usize>> {
-        let occupied = request.in_zones.iter().find(|(_, tasks)| **tasks > 0);
+        let occupied = request.tasks_in_zones.iter().find(|(_, tasks)| **tasks > 0);
         let zones: BTreeSet<Zone> = match occupied {
             Some((zone, _)) => BTreeSet::from([zone.clone()]),
             None => self.zones.clone(),
@@ -168,9 +168,9 @@
         let fetch_time = self.fetch(request, &self.rows[row]);
         let machine = &mut self.rows[row];
         machine.free -= request.need;
-        let share = request.need.share_of(&machine.whole).min(1.0);
-        let work = request.run.scaled(share);
-        machine.available = machine.available.max(now) + work + fetch_time;
+        let share = request.need.share_of(&machine.capacity).min(1.0);
+        let work = request.run_time.scaled(share);
+        machine.available_at = machine.available_at.max(now) + work + fetch_time;
         self.rows_by_availability.clear();
         if machine.cache.remaining(&request.image, now).is_none() {
             *self.holder_counts.entry(request.image.clone()).or_default() += 1;
@@ -179,9 +179,12 @@
             .cache
             .used(&request.image, request.image_gb, now, fetch_time);
         if request.is_high() {
-            machine.last_high = Some(now);
+            machine.last_high_priority_start = Some(now);
         }
-        *request.in_zones.entry(machine.zone.clone()).or_default() += 1;
+        *request
+            .tasks_in_zones
+            .entry(machine.zone.clone())
+            .or_default() += 1;
         if let Some(team) = self.teams.get_mut(&request.team) {
             team.used += request.need;
         }
--- a/crates/controller/src/core/scheduling_cycle/request.rs
+++ b/crates/controller/src/core/scheduling_cycle/request.rs
@@ -31,11 +31,11 @@
     /// The job's priority.
     pub priority: Priority,
     /// Whether it lies within its team's guaranteed quota.
-    pub entitled: bool,
+    pub within_guarantee: bool,
     /// Smaller goes first among equals.
     pub order: i64,
     /// Allowed machine types; `None`: all.
-    pub kinds: Option<Vec<MachineTypeName>>,
+    pub machine_types: Option<Vec<MachineTypeName>>,
     /// The only allowed zone, if any.
     pub zone: Option<Zone>,
     /// Whether all tasks must be in one zone.
@@ -43,11 +43,11 @@
     /// Most tasks in one zone, if limited.
     pub max_per_zone: Option<u32>,
     /// Number of tasks that are or may be in each zone.
-    pub in_zones: BTreeMap<Zone, u32>,
+    pub tasks_in_zones: BTreeMap<Zone, u32>,
     /// Whether it may use spot capacity.
     pub spot: bool,
     /// Expected run time of a task.
-    pub run: TimeSpan,
+    pub run_time: TimeSpan,
     /// Latest start that still meets its next objective, if it has one.
     pub start_by: Option<Time>,
     /// Whether it has waited so long that machines are reserved for it.
@@ -75,18 +75,18 @@
         (self.spot || !row.spot)
             && self.zone.as_ref().is_none_or(|zone| zone == &row.zone)
             && self
-                .kinds
+                .machine_types
                 .as_ref()
-                .is_none_or(|kinds| kinds.contains(&row.kind))
+                .is_none_or(|kinds| kinds.contains(&row.machine_type))
             && !self.avoid.contains(&row.id)
-            && (self.overdue || !row.aside)
+            && (self.overdue || !row.quarantined)
     }
 
     /// How many more tasks may go to a zone.
     pub fn zone_room(&self, zone: &Zone) -> u32 {
-        let in_zone = self.in_zones.get(zone).copied().unwrap_or(0);
+        let in_zone = self.tasks_in_zones.get(zone).copied().unwrap_or(0);
         let is_elsewhere = self
-            .in_zones
+            .tasks_in_zones
             .iter()
             .any(|(other, &tasks)| other != zone && tasks > 0);
         if self.one_zone && is_elsewhere {
@@ -100,7 +100,7 @@
     pub(super) fn rank(&self) -> PlacementRank {
         PlacementRank {
             priority: Reverse(self.priority),
-            entitled: Reverse(self.entitled),
+            entitled: Reverse(self.within_guarantee),
             order: self.order,
             job: self.job.clone(),
         }
@@ -110,7 +110,7 @@
     /// and the reverse, apart from the image and the number of tasks.
     pub fn is_like(&self, other: &PlacementRequest) -> bool {
         self.priority == other.priority
-            && self.entitled == other.entitled
+            && self.within_guarantee == other.within_guarantee
             && self.gang == other.gang
             && self.spot == other.spot
             && self.one_zone == other.one_zone
@@ -118,8 +118,8 @@
             && self.need == other.need
             && self.team == other.team
             && self.zone == other.zone
-            && self.kinds == other.kinds
-            && self.in_zones == other.in_zones
+            && self.machine_types == other.machine_types
+            && self.tasks_in_zones == other.tasks_in_zones
             && self.avoid == other.avoid
     }
 
--- a/crates/controller/src/core/scheduling_cycle/reservation.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation.rs
@@ -90,11 +90,13 @@
             }
             let in_zone = tasks_in_zones.entry(&row.zone).or_default();
             let zone_room = request.zone_room(&row.zone).saturating_sub(*in_zone);
-            let tasks = request.need.count_in(&row.whole, tasks_left.min(zone_room));
+            let tasks = request
+                .need
+                .count_in(&row.capacity, tasks_left.min(zone_room));
             if tasks > 0 {
                 *in_zone += tasks;
                 tasks_left -= tasks;
-                reservation.available_at = row.available;
+                reservation.available_at = row.available_at;
                 reservation.rows.push(index);
             }
         }
@@ -124,7 +126,7 @@
     /// One list for each zone, and one of all rows.
     fn sort_by_availability(&self) -> Vec<RowsByAvailability> {
         let mut all: Vec<usize> = (0..self.rows.len()).collect();
-        all.sort_by_key(|&row| (self.rows[row].available, row));
+        all.sort_by_key(|&row| (self.rows[row].available_at, row));
         let zones = self.zones.iter().cloned().map(Some);
         zones
             .chain([None])
--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -24,19 +24,19 @@
     }
     MachineRow {
         id: format!("m{index}").into(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: format!("z{zone}").into(),
         spot,
-        whole,
+        capacity: whole,
         free: Resources {
             gpus: f64::from(gpus),
             ..whole
         },
-        available: NOW,
-        last_high: (high > 0).then(|| NOW - TimeSpan::secs(f64::from(high) * 4.0)),
+        available_at: NOW,
+        last_high_priority_start: (high > 0).then(|| NOW - TimeSpan::secs(f64::from(high) * 4.0)),
         cache,
         fetch_rate: 1.0,
-        aside: false,
+        quarantined: false,
     }
 }
 
@@ -63,15 +63,15 @@
         tasks: (0..tasks).collect(),
         gang,
         priority: [Priority::Low, Priority::Normal, Priority::High][priority as usize],
-        entitled,
+        within_guarantee: entitled,
         order: (index as i64 * 7) % 5,
-        kinds: None,
+        machine_types: None,
         zone: None,
         one_zone,
         max_per_zone: None,
-        in_zones: BTreeMap::new(),
+        tasks_in_zones: BTreeMap::new(),
         spot,
-        run: TimeSpan::secs(30.0),
+        run_time: TimeSpan::secs(30.0),
         start_by: None,
         aged: false,
         overdue,
@@ -112,7 +112,7 @@
     ) -> bool {
         let holds = machine.cache.remaining(&request.image, NOW).is_some();
         let is_quiet = machine
-            .last_high
+            .last_high_priority_start
             .is_none_or(|t| NOW.since(t).as_secs() * 2.0 > self.cost(request, machine).as_secs());
         match scope {
             PlacementScope::Warm => self.cost(request, machine) <= TimeSpan::secs(3.0),
@@ -138,7 +138,7 @@
             .filter(|&i| fits(&self.rows[i]) && self.is_in_scope(request, &self.rows[i], scope))
             .min_by_key(|&i| {
                 let machine = &self.rows[i];
-                let left = (machine.free - request.need).share_of(&machine.whole);
+                let left = (machine.free - request.need).share_of(&machine.capacity);
                 (
                     self.cost(request, machine),
                     (left * 1000.0) as i64,
@@ -175,7 +175,7 @@
                 .cache
                 .used(&request.image, request.image_gb, NOW, cost);
             if request.is_high() {
-                machine.last_high = Some(NOW);
+                machine.last_high_priority_start = Some(NOW);
             }
             *self.used.get_mut(&request.team).unwrap() += request.need.gpus;
             self.starts.push(StartDecision {
@@ -188,7 +188,7 @@
     }
 
     fn place(&mut self, request: &mut PlacementRequest, scope: PlacementScope) {
-        let zones: Vec<Option<Zone>> = match request.in_zones.keys().next() {
+        let zones: Vec<Option<Zone>> = match request.tasks_in_zones.keys().next() {
             _ if !request.one_zone => vec![None],
             Some(z) => vec![Some(z.clone())],
             None => {
@@ -218,7 +218,7 @@
             self.fill(request, scope, zone.as_ref());
             request.tasks.drain(..n);
             if let Some(z) = zone {
-                request.in_zones.insert(z, n as u32);
+                request.tasks_in_zones.insert(z, n as u32);
             }
         }
     }
@@ -227,7 +227,7 @@
         requests.sort_by_key(|request| {
             (
                 std::cmp::Reverse(request.priority),
-                !request.entitled,
+                !request.within_guarantee,
                 request.order,
                 request.job.clone(),
             )
@@ -282,7 +282,7 @@
                 .collect();
             order.sort_by_key(|&i| {
                 (
-                    !requests[i].entitled,
+                    !requests[i].within_guarantee,
                     self.holders(&requests[i]),
                     requests[i].order,
                 )
--- a/crates/controller/tests/inspect_format.rs
+++ b/crates/controller/tests/inspect_format.rs
@@ -266,7 +266,7 @@
         AssignmentPhase::Unsent,
         AssignmentPhase::Sent(HeartbeatSequence(7)),
         AssignmentPhase::Inherited,
-        AssignmentPhase::Kept,
+        AssignmentPhase::Reserved,
         AssignmentPhase::Seen(TaskState::Fetching),
         AssignmentPhase::Seen(TaskState::Waiting),
         AssignmentPhase::Seen(TaskState::Running),
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -110,12 +110,15 @@
         assert_eq!(job_records::job_header_value(stage, 3), stored);
         assert_eq!(
             job_records::read(&stored),
-            Some(JobHeader { s: stage, n: 3 })
+            Some(JobHeader {
+                stage: stage,
+                task_count: 3
+            })
         );
     }
     let head = JobHeader {
-        s: HeaderStage::Open,
-        n: 3,
+        stage: HeaderStage::Open,
+        task_count: 3,
     };
     assert_eq!(
         sent(&job_records::cancel_transaction(
@@ -147,7 +150,7 @@
     let stored = json!({"at": 5, "n": 1, "s": SUBMITTED});
     let job = SubmissionAssembler::default().job(&"wk-1".into(), Version(9), &stored);
     let job = job.expect("it is read");
-    assert_eq!((job.at, &*job.spec), (WallTime(5), &submission()));
+    assert_eq!((job.accepted_at, &*job.spec), (WallTime(5), &submission()));
 }
 
 #[test]
--- a/crates/simulator/tests/gap.rs
+++ b/crates/simulator/tests/gap.rs
@@ -116,8 +116,8 @@
 /// The real thing, of this age.
 fn contact(age: u8) -> LeaderAuthority {
     let mut c = LeaderAuthority::new(bounds(), ago(age));
-    c.page(ago(age));
-    c.loaded(ago(age));
+    c.record_load_page(ago(age));
+    c.record_load_complete(ago(age));
     c
 }
 
@@ -186,10 +186,10 @@
             Side::Loads(first, cancelled, Some(second)) => {
                 if self.serves(i) {
                     let mut c = LeaderAuthority::new(bounds(), ago(first));
-                    c.page(ago(first));
-                    c.page(ago(second));
-                    c.loaded(ago(second));
-                    let shown = age_of(c.shown());
+                    c.record_load_page(ago(first));
+                    c.record_load_page(ago(second));
+                    c.record_load_complete(ago(second));
+                    let shown = age_of(c.last_contact());
                     with(Side::Leads(shown, cancelled, Watch::Open(0)));
                 }
             }
@@ -203,12 +203,12 @@
                     Watch::Answered(_, _, true) => with(Side::Gone),
                     Watch::Answered(age, cancelled, false) => {
                         let mut c = contact(shown);
-                        c.showed(if wrong == Wrong::FromHandling {
+                        c.record_read(if wrong == Wrong::FromHandling {
                             now()
                         } else {
                             ago(age)
                         });
-                        let shown = age_of(c.shown());
+                        let shown = age_of(c.last_contact());
                         with(Side::Leads(shown, knows || cancelled, Watch::Open(0)));
                     }
                 }
--- a/crates/simulator/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -137,7 +137,7 @@
 impl World {
     fn head(&self) -> Option<HeaderStage> {
         let (value, _) = self.keys.get(&job_records::job_header_key(&id()))?;
-        job_records::read::<JobHeader>(value).map(|h| h.s)
+        job_records::read::<JobHeader>(value).map(|h| h.stage)
     }
 
     fn places(&self) -> Vec<u64> {
@@ -241,16 +241,16 @@
         if let Some((value, version)) = self.keys.get(&job_records::chunk_key(&id(), 0)) {
             job.load_chunk(0, Version(*version), value).ok()?;
         }
-        job.end = self.end();
-        if job.end.is_none() && job.done.len() == 1 {
-            job.end = Some(JobOutcome::Done { written: false });
+        job.outcome = self.end();
+        if job.outcome.is_none() && job.done.len() == 1 {
+            job.outcome = Some(JobOutcome::Done { written: false });
         }
         Some(job)
     }
 
     fn end(&self) -> Option<JobOutcome> {
         let (value, _) = self.keys.get(&job_records::job_outcome_key(&id()))?;
-        Some(match job_records::read::<JobHeader>(value)?.s {
+        Some(match job_records::read::<JobHeader>(value)?.stage {
             HeaderStage::Done => JobOutcome::Done { written: true },
             _ => JobOutcome::Cancelled,
         })
@@ -281,8 +281,8 @@
             if doubtful || other {
                 self.leader = None;
             } else if head && let (Kind::Chunk(_), Some(job)) = (kind, &mut l.job) {
-                job.end = Some(JobOutcome::Cancelled);
-                job.assignments.retain(|_, p| !p.unsent());
+                job.outcome = Some(JobOutcome::Cancelled);
+                job.assignments.retain(|_, p| !p.is_unsent());
             }
             return;
         }
@@ -294,7 +294,7 @@
                 c.stored = c.stored.max(change);
                 job.unstored_done.retain(|_, n| *n > change);
             }
-            Kind::Finish => job.end = Some(JobOutcome::Done { written: true }),
+            Kind::Finish => job.outcome = Some(JobOutcome::Done { written: true }),
             Kind::Close | Kind::Drop(true) => l.job = None,
             Kind::Drop(false) => {
                 let gone = |key: &str| {
@@ -334,7 +334,7 @@
         let job = l.job.as_ref()?;
         let level = KNOWN_VERSIONS.last().unwrap().level;
         let chunk = job.chunks.get(&0).copied().unwrap_or_default();
-        let (mut conditions, ops, kind) = match job.end {
+        let (mut conditions, ops, kind) = match job.outcome {
             Some(JobOutcome::Done { written: false }) if job.assignments.is_empty() => {
                 let write = job.write_done_and_delete();
                 (write.preconditions, write.operations, Kind::Close)
@@ -436,7 +436,7 @@
             && self.read.is_none()
             && let Some((value, version)) = self.keys.get(&job_records::job_header_key(&id()))
             && let Some(head) =
-                job_records::read::<JobHeader>(value).filter(|h| h.s == HeaderStage::Open)
+                job_records::read::<JobHeader>(value).filter(|h| h.stage == HeaderStage::Open)
         {
             step(&|w| w.read = Some((head, Version(*version))));
         }
@@ -506,10 +506,10 @@
             let (end, loaded) = (w.end(), w.load());
             let Some(l) = &mut w.leader else { return };
             match &mut l.job {
-                None => l.job = loaded.filter(|j| j.end.is_none()),
-                Some(job) if end == Some(JobOutcome::Cancelled) && job.end != end => {
-                    job.end = end;
-                    job.assignments.retain(|_, p| !p.unsent());
+                None => l.job = loaded.filter(|j| j.outcome.is_none()),
+                Some(job) if end == Some(JobOutcome::Cancelled) && job.outcome != end => {
+                    job.outcome = end;
+                    job.assignments.retain(|_, p| !p.is_unsent());
                 }
                 Some(_) => {}
             }
@@ -549,7 +549,7 @@
                 with(w, &|job| {
                     job.waiting.remove(0);
                     job.attempt = Attempt(job.attempt.0 + 1);
-                    let change = job.touch(SIZE, 0);
+                    let change = job.record_change(SIZE, 0);
                     let here = Assignment {
                         change,
                         phase: AssignmentPhase::Unsent,
@@ -562,9 +562,9 @@
         if let Some(p) = place {
             let leaves = |job: &mut Job| {
                 job.assignments.remove(&0);
-                job.touch(SIZE, 0);
+                job.record_change(SIZE, 0);
             };
-            if p.unsent() && job.is_open() && job.is_stored(SIZE, 0, p.change) {
+            if p.is_unsent() && job.is_open() && job.is_stored(SIZE, 0, p.change) {
                 let attempt = p.attempt.0;
                 step(&|w| {
                     w.running = Some(attempt);
@@ -575,7 +575,7 @@
                     });
                 });
             }
-            if !p.unsent() {
+            if !p.is_unsent() {
                 // It completes, is halted, or its machine is lost: proved, and heard.
                 if self.running == Some(p.attempt.0) {
                     step(&|w| {
@@ -583,8 +583,8 @@
                         with(w, &|job| {
                             leaves(job);
                             job.done.insert(0);
-                            if job.end.is_none() {
-                                job.end = Some(JobOutcome::Done { written: false });
+                            if job.outcome.is_none() {
+                                job.outcome = Some(JobOutcome::Done { written: false });
                             }
                         });
                     });
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -268,7 +268,7 @@
         let lease = secs(LEASE).scaled(1.0005) + TimeSpan::secs(1.0);
         let inherited = match wrong {
             Wrong::SilentForALease => lease,
-            _ => bounds().inherited(),
+            _ => bounds().earlier_leader_window(),
         };
         let answered = l.answered.map_or(u8::MAX, |a| a);
         let silent = match l.ours {
