--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -40,7 +40,7 @@
         .map(|i| {
             let mut cache = ImageCache::default();
             for _ in 0..6 {
-                cache.fetched(&image(rng.random_range(0..24)), 6.0, NOW, 150.0);
+                cache.record_fetched(&image(rng.random_range(0..24)), 6.0, NOW, 150.0);
             }
             let gpus = if i % machines_per_free_one == 0 {
                 8.0
@@ -120,8 +120,8 @@
             need: amounts(5.0, 1.0, 27.0),
             gang: false,
             row,
-            cost: f64::from(n as u32),
-            settled: true,
+            cost_machine_seconds: f64::from(n as u32),
+            past_minimum_run: true,
         })
     })
     .collect()
--- a/crates/controller/src/core/autoscaler/cloud_proxy.rs
+++ b/crates/controller/src/core/autoscaler/cloud_proxy.rs
@@ -27,7 +27,7 @@
     /// When a direct call is tried again.
     retry_direct_at: Time,
     /// When a call was last answered.
-    pub progress: Option<Time>,
+    pub last_answered: Option<Time>,
     /// How often the way of calling changed.
     pub changes: u64,
 }
@@ -41,7 +41,7 @@
             failures: 0,
             backoff: INITIAL_BACKOFF,
             retry_direct_at: Time(0),
-            progress: None,
+            last_answered: None,
             changes: 0,
         }
     }
@@ -56,7 +56,7 @@
     /// Records that a call was answered, whatever the answer. `by`: the peer that made
     /// it; `None`: it was direct.
     pub fn answered(&mut self, now: Time, by: Option<&NodeId>) {
-        self.progress = Some(now);
+        self.last_answered = Some(now);
         self.failures = 0;
         if by.is_some() {
             return;
--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -96,7 +96,7 @@
     }
 
     /// The record under `key` is stored: if it is an intent, it may be acted on.
-    pub fn stored(&mut self, key: &str) {
+    pub fn mark_stored(&mut self, key: &str) {
         match IntentKey::parse(key) {
             Some(IntentKey::Provision(name)) => {
                 if let Some(intent) = self.provisions.get_mut(name)
@@ -116,7 +116,7 @@
 
     /// Settles intents that nobody needs any more. `is_seen`: whether a list or
     /// heartbeat has shown a machine.
-    pub fn tend(&mut self, now: Time, is_seen: impl Fn(&MachineId) -> bool) {
+    pub fn settle_completed(&mut self, now: Time, is_seen: impl Fn(&MachineId) -> bool) {
         let listed_after = TimeSpan(self.list_lag.0 * LISTED_AFTER_LAGS);
         self.settle_provisions(now, listed_after, is_seen);
         self.settle_terminations(now, listed_after + TERMINATION_KEPT);
--- a/crates/controller/src/core/autoscaler/intents/provisions.rs
+++ b/crates/controller/src/core/autoscaler/intents/provisions.rs
@@ -135,7 +135,7 @@
     }
 
     /// The provision requests whose answer is still to come.
-    pub fn coming(&self) -> impl Iterator<Item = &ProvisionRequest> {
+    pub fn outstanding_provisions(&self) -> impl Iterator<Item = &ProvisionRequest> {
         self.unfulfilled().map(|intent| &intent.request)
     }
 
@@ -173,7 +173,7 @@
 
     /// The cloud has no capacity for a provision. Settles it, and others of its pool
     /// that nobody has requested.
-    pub fn no_room(&mut self, name: &str) {
+    pub fn settle_without_capacity(&mut self, name: &str) {
         let Some(refused) = self.provisions.get(name).map(|i| i.request.clone()) else {
             return;
         };
@@ -191,7 +191,7 @@
 
     /// A provision was answered with these machines. Its name is kept until all of them
     /// were seen, so that a successor can request them again.
-    pub fn filled(&mut self, name: &str, machines: &[MachineId], now: Time) {
+    pub fn mark_fulfilled(&mut self, name: &str, machines: &[MachineId], now: Time) {
         if let Some(intent) = self.provisions.get_mut(name) {
             intent.stage = ProvisionStage::Fulfilled {
                 at: now,
--- a/crates/controller/src/core/autoscaler/intents/terminations.rs
+++ b/crates/controller/src/core/autoscaler/intents/terminations.rs
@@ -81,7 +81,7 @@
 
     /// Decides to terminate machines, each with the reason, as many as fit into one
     /// record. There is no way back.
-    pub fn release(
+    pub fn terminate(
         &mut self,
         machines: impl Iterator<Item = (MachineId, &'static str)>,
         wall: WallTime,
@@ -138,7 +138,7 @@
     }
 
     /// A termination was answered: these machines are gone.
-    pub fn released(&mut self, machines: &[MachineId], now: Time) {
+    pub fn mark_terminated(&mut self, machines: &[MachineId], now: Time) {
         for machine in machines {
             self.terminating.insert(machine.clone(), Some(now));
         }
--- a/crates/controller/src/core/effects.rs
+++ b/crates/controller/src/core/effects.rs
@@ -47,16 +47,16 @@
     /// Rate limit of calls to the key-value store that users cause.
     pub user_calls: TokenBucket,
     /// Preconditions that one transaction may have.
-    pub most_conditions: usize,
+    pub max_conditions: usize,
     /// Rate limit of writes to the key-value store that users cause.
     pub user_writes: TokenBucket,
     /// Rate limit of the leader's commits.
-    pub state_calls: TokenBucket,
+    pub leader_calls: TokenBucket,
     /// The version of the active format version's key, which writes compare whose form
     /// depends on it.
-    pub level: Option<Version>,
+    pub version_fence: Option<Version>,
     /// Machine types that the cloud has just listed.
-    pub learned_types: Option<MachineTypes>,
+    pub listed_machine_types: Option<MachineTypes>,
     outputs: Vec<Output>,
     next_call: u64,
     response_times: ResponseTimes,
@@ -78,11 +78,11 @@
             },
             rng: StdRng::seed_from_u64(seed),
             user_calls: TokenBucket::new(user_calls, user_calls),
-            most_conditions: limits.txn_ops * CONDITIONS_PER_OPERATION,
+            max_conditions: limits.txn_ops * CONDITIONS_PER_OPERATION,
             user_writes: TokenBucket::new(user_writes, user_writes),
-            state_calls: TokenBucket::new(leader_calls, leader_calls),
-            level: None,
-            learned_types: None,
+            leader_calls: TokenBucket::new(leader_calls, leader_calls),
+            version_fence: None,
+            listed_machine_types: None,
             outputs: Vec::new(),
             next_call: 1,
             response_times: ResponseTimes::default(),
@@ -130,7 +130,7 @@
     }
 
     /// Pushes commands to an agent; nobody waits for the answer.
-    pub fn direct(
+    pub fn push_commands(
         &mut self,
         addr: SocketAddrV4,
         token: FencingToken,
--- a/crates/controller/src/core/effects/response_times.rs
+++ b/crates/controller/src/core/effects/response_times.rs
@@ -26,7 +26,7 @@
     /// A cancellation.
     Cancel,
     /// An agent's heartbeat.
-    Report,
+    Heartbeat,
 }
 
 impl fmt::Display for RequestKind {
@@ -36,7 +36,7 @@
             RequestKind::Submit => "submit",
             RequestKind::Poll => "poll",
             RequestKind::Cancel => "cancel",
-            RequestKind::Report => "report",
+            RequestKind::Heartbeat => "report",
         })
     }
 }
@@ -60,7 +60,7 @@
     /// always taken: an agent that is not answered loses its lease.
     #[must_use]
     pub(super) fn start(&mut self, now: Time, request: RequestId, kind: RequestKind) -> bool {
-        if self.waiting.len() >= MAX_WAITING && kind != RequestKind::Report {
+        if self.waiting.len() >= MAX_WAITING && kind != RequestKind::Heartbeat {
             return false;
         }
         self.waiting
--- a/crates/controller/src/core/election/claim.rs
+++ b/crates/controller/src/core/election/claim.rs
@@ -24,7 +24,7 @@
         };
         self.is_calling = true;
         let call = effects.call(
-            Target::State,
+            Target::Store,
             "POST",
             "/leases".into(),
             wire::encode(&request),
--- a/crates/controller/src/core/election/leader_key.rs
+++ b/crates/controller/src/core/election/leader_key.rs
@@ -37,7 +37,7 @@
         let prefix = member_versions::PREFIX;
         let path = format!("/keys?starts={prefix}&most={PAGE_SIZE}");
         self.is_calling = true;
-        let call = effects.call(Target::State, "GET", path, Vec::new(), CALL_TIMEOUT);
+        let call = effects.call(Target::Store, "GET", path, Vec::new(), CALL_TIMEOUT);
         self.pending_calls.add(call, pending);
     }
 
@@ -55,7 +55,7 @@
         );
         let timeout = WATCH_HOLD + CALL_TIMEOUT;
         self.is_calling = true;
-        let call = effects.call(Target::State, "GET", path, Vec::new(), timeout);
+        let call = effects.call(Target::Store, "GET", path, Vec::new(), timeout);
         self.pending_calls
             .add(call, PendingCall::WatchLeader { sent });
     }
@@ -63,7 +63,7 @@
     pub(super) fn commit(&mut self, effects: &mut Effects, txn: &Transaction, what: PendingCall) {
         self.is_calling = true;
         let body = wire::encode(txn);
-        let call = effects.call(Target::State, "POST", "/commit".into(), body, CALL_TIMEOUT);
+        let call = effects.call(Target::Store, "POST", "/commit".into(), body, CALL_TIMEOUT);
         self.pending_calls.add(call, what);
     }
 
--- a/crates/controller/src/core/election/lease.rs
+++ b/crates/controller/src/core/election/lease.rs
@@ -32,7 +32,7 @@
         let period = self.lease_ttl.scaled(RENEWAL_SHARE_OF_TTL);
         effects.keep_lease_alive(LeaseKeepAlive {
             lease,
-            every: period.min(MAX_RENEWAL_PERIOD),
+            period: period.min(MAX_RENEWAL_PERIOD),
             until: now + KEEP_ALIVE_FOR,
             token,
         });
@@ -49,7 +49,7 @@
     pub fn release_lease(&mut self, effects: &mut Effects, lease: u64, token: FencingToken) {
         effects.keep_lease_alive(LeaseKeepAlive {
             lease,
-            every: MAX_RENEWAL_PERIOD,
+            period: MAX_RENEWAL_PERIOD,
             until: effects.now.time,
             token,
         });
@@ -59,6 +59,6 @@
     /// Revokes a lease that is of no use any more.
     pub(super) fn revoke_lease(&self, effects: &mut Effects, lease: u64) {
         let path = format!("/leases/{lease}");
-        effects.call(Target::State, "DELETE", path, Vec::new(), CALL_TIMEOUT);
+        effects.call(Target::Store, "DELETE", path, Vec::new(), CALL_TIMEOUT);
     }
 }
--- a/crates/controller/src/core/garbage_collection.rs
+++ b/crates/controller/src/core/garbage_collection.rs
@@ -62,7 +62,12 @@
 impl GarbageCollector {
     /// Checks a key that was read. `has_submission`: whether a job's submission was read
     /// too, whether or not it could be understood.
-    pub fn look(&mut self, key: &str, version: Version, has_submission: impl Fn(&JobId) -> bool) {
+    pub fn check_key(
+        &mut self,
+        key: &str,
+        version: Version,
+        has_submission: impl Fn(&JobId) -> bool,
+    ) {
         if let Some(job) = owner(key)
             && (!has_submission(&job) || !failpoints::enforced(SafetyCheck::OrphansOnly))
         {
@@ -72,13 +77,13 @@
     }
 
     /// How many keys are left to delete.
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.found.len()
     }
 
     /// Takes out the next keys to delete, at most `room`, each with its preconditions
     /// and the deletion.
-    pub fn next(&mut self, room: usize) -> Vec<(OrphanedKey, Vec<Precondition>, Operation)> {
+    pub fn take_next(&mut self, room: usize) -> Vec<(OrphanedKey, Vec<Precondition>, Operation)> {
         let count = room.min(MAX_KEYS_PER_TRANSACTION).min(self.found.len());
         self.found
             .drain(..count)
@@ -91,7 +96,7 @@
     }
 
     /// Puts back a key that could not be deleted; it is tried again later.
-    pub fn again(&mut self, orphan: OrphanedKey) {
+    pub fn put_back(&mut self, orphan: OrphanedKey) {
         self.found.push_back(orphan);
     }
 }
--- a/crates/controller/src/core/inputs.rs
+++ b/crates/controller/src/core/inputs.rs
@@ -44,9 +44,9 @@
     /// A lease that was to be kept alive has expired.
     LeaseExpired(u64),
     /// The calibration workload, a fixed piece of work, took this long here.
-    SpeedSample(TimeSpan),
+    Calibration(TimeSpan),
     /// The process is to shut down: leadership is transferred first.
-    Stop,
+    Shutdown,
 }
 
 /// How a call ended.
--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -105,14 +105,14 @@
     open_jobs: ReadCoalescer,
     /// Jobs whose cancellation was confirmed to a user, and not announced to the peers
     /// yet.
-    pub confirmed: Vec<JobId>,
+    pub confirmed_cancellations: Vec<JobId>,
     /// Calls under way.
     pub pending_calls: PendingCalls<PendingCall>,
 }
 
 impl JobApi {
     /// Keeps task counts that the leader sent: tasks done and running.
-    pub fn note_counts(&mut self, counts: Vec<(JobId, u32, u32)>) {
+    pub fn record_task_counts(&mut self, counts: Vec<(JobId, u32, u32)>) {
         for (id, done, running) in counts {
             if self.counts.len() >= MAX_COUNTS && !self.counts.contains_key(&id) {
                 // Those of jobs that nobody polls here any more would fill it.
@@ -169,7 +169,7 @@
             return refuse(effects, request, 503, "too many requests");
         }
         let path = format!("/keys/{}", job_records::job_header_key(id));
-        let call = effects.call(Target::State, "GET", path, Vec::new(), READ_TIMEOUT);
+        let call = effects.call(Target::Store, "GET", path, Vec::new(), READ_TIMEOUT);
         self.pending_calls
             .add(call, PendingCall::User { request, step });
     }
@@ -185,7 +185,7 @@
         step: Step,
     ) {
         txn.conditions
-            .extend(effects.level.map(member_versions::fence));
+            .extend(effects.version_fence.map(member_versions::fence));
         let now = effects.now.time;
         let writes = txn.ops.len() as f64;
         if !effects.user_calls.take(now, 1.0) || !effects.user_writes.take(now, writes) {
@@ -193,7 +193,7 @@
         }
         let body = wire::encode(&txn);
         let call = effects.call(
-            Target::State,
+            Target::Store,
             "POST",
             "/commit".into(),
             body,
--- a/crates/controller/src/core/job_api/answers.rs
+++ b/crates/controller/src/core/job_api/answers.rs
@@ -61,7 +61,7 @@
         }
         self.counts.remove(id);
         if header.stage == HeaderStage::Cancelled {
-            self.confirmed.push(id.clone());
+            self.confirmed_cancellations.push(id.clone());
         }
     }
 
--- a/crates/controller/src/core/job_api/poll.rs
+++ b/crates/controller/src/core/job_api/poll.rs
@@ -49,7 +49,7 @@
         for poll in self.open_jobs.take_overdue(now) {
             refuse(effects, poll.request, 503, STORE_SILENT);
         }
-        let next = self.open_jobs.next_comparison(now, effects.most_conditions);
+        let next = self.open_jobs.next_comparison(now, effects.max_conditions);
         let Some((txn, comparison)) = next else {
             return;
         };
@@ -57,7 +57,7 @@
             return self.handle_shared_read(effects, comparison, &Reply::NotSent);
         }
         let call = effects.call(
-            Target::State,
+            Target::Store,
             "POST",
             "/commit".into(),
             wire::encode(&txn),
--- a/crates/controller/src/core/job_records/dirty_chunks.rs
+++ b/crates/controller/src/core/job_records/dirty_chunks.rs
@@ -34,7 +34,7 @@
 
 impl DirtyChunks {
     /// Records a change at `now`; `start`: of a task that is to be started.
-    pub fn note(&mut self, chunk: (JobId, u32), now: Time, start: bool) {
+    pub fn mark(&mut self, chunk: (JobId, u32), now: Time, start: bool) {
         let dirty = self.chunks.entry(chunk).or_insert(DirtyChunk {
             since: now,
             has_starts: false,
--- a/crates/controller/src/core/job_records/header.rs
+++ b/crates/controller/src/core/job_records/header.rs
@@ -34,7 +34,7 @@
 /// The header of a job with `tasks` tasks, as a value to be written.
 pub fn job_header_value(stage: HeaderStage, tasks: u32) -> Value {
     to_value(&JobHeader {
-        stage: stage,
+        stage,
         task_count: tasks,
     })
 }
--- a/crates/controller/src/core/job_records/transaction.rs
+++ b/crates/controller/src/core/job_records/transaction.rs
@@ -65,13 +65,13 @@
     /// A job's header that marks it as done.
     Finish(JobId),
     /// A job's header that marks it as done, with all its other keys deleted.
-    Close(JobId),
+    FinishAndDelete(JobId),
     /// Keys of an ended job deleted; whether they were the last ones.
-    Drop(JobId, bool),
+    DeleteRecords(JobId, bool),
     /// A record of the leader's stored, or deleted: its key and value.
-    Note(String, Option<Value>),
+    LeaderRecord(String, Option<Value>),
     /// A key whose job is gone, deleted.
-    GarbageCollector(OrphanedKey),
+    DeleteOrphan(OrphanedKey),
 }
 
 /// The leader's only way to write: one transaction at a time, so that the order of
@@ -79,15 +79,15 @@
 #[derive(Debug, Default)]
 pub struct CommitPipeline {
     /// The transaction in flight, with what it carries.
-    pub flight: Option<(Transaction, Vec<CommitItem>)>,
+    pub in_flight: Option<(Transaction, Vec<CommitItem>)>,
     /// Whether an answer to it was lost, so that it may be committed already.
     pub outcome_unknown: bool,
     /// Whether a call for it is outstanding.
-    pub calling: bool,
+    pub call_outstanding: bool,
     /// Earliest time of the next call.
     pub not_before: Time,
     /// When a transaction was last committed.
-    pub committed: Option<Time>,
+    pub last_committed: Option<Time>,
 }
 
 /// Collects changes up to the limits of one transaction.
--- a/crates/controller/src/core/keys.rs
+++ b/crates/controller/src/core/keys.rs
@@ -63,7 +63,7 @@
 pub enum Watched {
     /// The leader's key, the format version in force, or the formats that a node
     /// supports.
-    Office,
+    Leadership,
     /// A submission.
     Job(JobId),
     /// A further part of a submission, with its number.
@@ -77,7 +77,7 @@
 /// Parses a key below `w/`.
 pub fn watched(key: &str) -> Watched {
     if key.starts_with(member_versions::PREFIX) {
-        return Watched::Office;
+        return Watched::Leadership;
     }
     if let Some(id) = key.strip_prefix(SUBMISSIONS) {
         return Watched::Job(id.into());
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -68,7 +68,7 @@
     /// The key whose version is the token.
     pub holder: &'static str,
     /// The format version in force.
-    pub level: FormatVersion,
+    pub format_version: FormatVersion,
     /// Changes of leader and format-version keys that the watch showed.
     pub news: Vec<WatchEvent>,
     /// The lease that the token hangs on.
@@ -116,7 +116,7 @@
         let mut leader = Leader {
             token,
             holder,
-            level,
+            format_version: level,
             news: Vec::new(),
             lease,
             pending_calls: PendingCalls::default(),
@@ -171,7 +171,7 @@
     }
 
     /// Whether another node may hold this token.
-    pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
+    pub fn may_be_replaced_by(&self, now: Time, token: FencingToken) -> bool {
         let since_contact = self.authority.age(now);
         let write_rps = self.cluster.settings.state_limits.write_rps;
         self.records
@@ -215,7 +215,7 @@
     }
 
     /// Takes a reply to one of its calls.
-    pub fn on_reply(
+    pub fn handle_reply(
         &mut self,
         effects: &mut Effects,
         call: PendingCall,
@@ -260,7 +260,7 @@
     }
 
     /// Handles a worker's heartbeat; `may_defer`: its answer may wait for work.
-    pub fn on_report(
+    pub fn handle_heartbeat(
         &mut self,
         effects: &mut Effects,
         request: RequestId,
@@ -269,7 +269,7 @@
     ) -> LeadershipOutcome {
         if heartbeat.token > self.token {
             effects.answer_status(request, 421);
-            if self.may_be(effects.now.time, heartbeat.token) {
+            if self.may_be_replaced_by(effects.now.time, heartbeat.token) {
                 return LeadershipOutcome::Deposed(heartbeat.token);
             }
             tracing::error!(machine = %heartbeat.machine, token = %heartbeat.token, "heartbeat with a token that nobody was given ignored");
@@ -296,7 +296,7 @@
 
     /// A peer told a job's user that it is cancelled: nothing of it is wanted any more,
     /// whether or not the key-value store can be read. Nothing is deleted for it.
-    pub fn hear_cancelled(&mut self, now: Time, id: &JobId) {
+    pub fn record_announced_cancellation(&mut self, now: Time, id: &JobId) {
         let job = self.cluster.jobs.get(id);
         let Some(job) = job.filter(|job| job.is_open()) else {
             return;
@@ -331,7 +331,7 @@
     }
 
     /// A peer missed what was sent: everything is sent once more.
-    pub fn tell_again(&mut self) {
+    pub fn restart_broadcast(&mut self) {
         self.status.resend_everything();
     }
 
@@ -360,7 +360,7 @@
 
     /// Whether all that is stored has the format in force.
     pub fn is_rewritten(&self) -> bool {
-        self.writer.is_rewritten(self.level)
+        self.writer.is_rewritten(self.format_version)
     }
 
     fn run_cycle(&mut self, at: Now) {
@@ -398,7 +398,7 @@
 
     /// Stores recent arrivals now and then, if the format in force has them.
     fn store_arrivals(&mut self, at: Now) {
-        if self.level < WITH_HISTORY {
+        if self.format_version < WITH_HISTORY {
             return;
         }
         let window = TimeSpan::secs(self.cluster.policy.floor_window_s);
@@ -446,7 +446,7 @@
                 intents: &mut self.autoscaler.intents,
                 machines_with_stored_starts: &mut self.heartbeats.machines_with_stored_starts,
                 status: &mut self.status,
-                format: self.level,
+                format: self.format_version,
             },
         }
     }
@@ -476,7 +476,7 @@
 
     fn queue_outdated_chunks(&mut self, now: Time) {
         self.writer
-            .queue_outdated_chunks(now, &mut self.cluster, self.level);
+            .queue_outdated_chunks(now, &mut self.cluster, self.format_version);
     }
 }
 
--- a/crates/controller/src/core/leader/arrival_recorder.rs
+++ b/crates/controller/src/core/leader/arrival_recorder.rs
@@ -75,7 +75,7 @@
         for (class, arrivals) in &self.by_class {
             for arrival in arrivals {
                 let (team, machines) = (&arrival.team, arrival.machines);
-                history.note(arrival.at, class, team, machines, arrival.run_s);
+                history.record(arrival.at, class, team, machines, arrival.run_s);
             }
         }
         history
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -83,9 +83,9 @@
             let machine = machines.get(id);
             machine.is_none_or(|m| m.last_heartbeat.is_some() || m.last_listed.is_some())
         };
-        self.intents.tend(at.time, is_heard_of);
+        self.intents.settle_completed(at.time, is_heard_of);
         let is_known = |id: &MachineId| machines.contains_key(id);
-        quarantine.tend(&mut self.intents.pending_writes, at.wall, is_known);
+        quarantine.forget_old(&mut self.intents.pending_writes, at.wall, is_known);
     }
 
     /// Makes the next call to the cloud, if one is due, itself or by a peer that
@@ -183,7 +183,7 @@
             .map(|(id, machine)| (id.clone(), machine.termination_reason))
             .collect();
         if !new.is_empty() {
-            self.intents.release(new.into_iter(), wall);
+            self.intents.terminate(new.into_iter(), wall);
         }
     }
 
@@ -310,7 +310,7 @@
         self.types_due = effects.now.time + TYPES_INTERVAL;
         if let Some(types) = wire::decode::<MachineTypes>(body) {
             cluster.set_machine_types(&types);
-            effects.learned_types = Some(types);
+            effects.listed_machine_types = Some(types);
         }
     }
 
@@ -351,7 +351,8 @@
         if (names.machines.len() as u32) < request.count {
             self.pause_pool(now, cluster, request);
         }
-        self.intents.filled(&request.request, &names.machines, now);
+        self.intents
+            .mark_fulfilled(&request.request, &names.machines, now);
         for id in names.machines {
             if self.intents.is_terminated(&id) {
                 continue;
@@ -364,7 +365,7 @@
     }
 
     fn apply_no_capacity(&mut self, now: Time, cluster: &ClusterState, request: ProvisionRequest) {
-        self.intents.no_room(&request.request);
+        self.intents.settle_without_capacity(&request.request);
         tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, "no capacity");
         self.pause_pool(now, cluster, &request);
     }
@@ -383,7 +384,7 @@
         context: &mut CloudContext<'_>,
         machines: Vec<MachineId>,
     ) {
-        self.intents.released(&machines, now);
+        self.intents.mark_terminated(&machines, now);
         for id in machines {
             let cluster = &mut context.cluster;
             cluster.write_off_machine(now, &id, RemovalReason::MachineReleased);
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -74,7 +74,7 @@
             .autoscaler
             .record_releases(&leader.cluster.machines, WallTime(0));
         for (key, _) in leader.autoscaler.intents.pending_writes.take_puts(9) {
-            leader.autoscaler.intents.stored(&key);
+            leader.autoscaler.intents.mark_stored(&key);
         }
         made.push(
             match leader
@@ -83,14 +83,17 @@
             {
                 Some(CloudCall::Release(names)) => {
                     leader.autoscaler.intents.mark_termination_requested(&names);
-                    leader.autoscaler.intents.released(&names, Time(1));
+                    leader.autoscaler.intents.mark_terminated(&names, Time(1));
                     names
                         .iter()
                         .for_each(|m| drop(leader.cluster.machines.remove(m)));
                     "release"
                 }
                 Some(CloudCall::ProvisionRequest(r)) => {
-                    leader.autoscaler.intents.filled(&r.request, &[], Time(1));
+                    leader
+                        .autoscaler
+                        .intents
+                        .mark_fulfilled(&r.request, &[], Time(1));
                     "rent"
                 }
                 Some(CloudCall::List) => "list",
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -95,7 +95,7 @@
                 && !machine.listed_as_failed()
         });
         let booting = booting.filter_map(|(id, machine)| cluster.machine_row(now, id, machine));
-        let asked_for = self.intents.coming();
+        let asked_for = self.intents.outstanding_provisions();
         let asked_for = asked_for.flat_map(|request| cluster.expected_machines(now, request));
         booting.chain(asked_for).collect()
     }
--- a/crates/controller/src/core/leader/cluster_state.rs
+++ b/crates/controller/src/core/leader/cluster_state.rs
@@ -131,7 +131,7 @@
         }
         let fetch = assignment.fetching_since.map_or(TimeSpan::ZERO, |_| {
             self.fetch_estimates
-                .of(&job.spec.image, job.spec.image_gb, None)
+                .estimate(&job.spec.image, job.spec.image_gb, None)
         });
         run + fetch
     }
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -188,7 +188,7 @@
                 commands.push(stop);
             }
             if !commands.is_empty() {
-                effects.direct(address, self.token, epoch, commands);
+                effects.push_commands(address, self.token, epoch, commands);
             }
         }
     }
@@ -198,7 +198,7 @@
     pub fn announce_to(&mut self, now: Time, cluster: &ClusterState, id: &MachineId) {
         let machine = cluster.machines.get(id);
         let machine = machine.filter(|m| m.last_heartbeat.is_none() && m.address.is_some());
-        let Some(machine) = machine.filter(|_| self.announcer.goes_on(now)) else {
+        let Some(machine) = machine.filter(|_| self.announcer.is_active(now)) else {
             return;
         };
         let tasks = machine.tasks.iter();
@@ -206,7 +206,7 @@
             .filter_map(|task| announcement_priority(cluster, task))
             .min();
         if let Some(priority) = most_urgent {
-            self.announcer.note(now, priority, id.clone());
+            self.announcer.add(now, priority, id.clone());
         }
     }
 
@@ -215,7 +215,7 @@
     /// answer, as a heartbeat under way may still bring it an older leader's start.
     pub fn send_announcements(&mut self, effects: &mut Effects, cluster: &ClusterState) {
         let now = effects.now.time;
-        for id in self.announcer.next(now, cluster.machines.len()) {
+        for id in self.announcer.take_due(now, cluster.machines.len()) {
             let machine = cluster.machines.get(&id);
             let Some(machine) = machine.filter(|machine| machine.last_heartbeat.is_none()) else {
                 continue;
@@ -226,7 +226,7 @@
             };
             let epoch = machine.tasks.iter().filter_map(placed_in).max();
             if let (Some(address), Some(epoch)) = (machine.address, epoch) {
-                effects.direct(address, self.token, epoch, Vec::new());
+                effects.push_commands(address, self.token, epoch, Vec::new());
             }
         }
     }
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -111,24 +111,24 @@
         pending_calls: &mut PendingCalls<PendingCall>,
     ) {
         let now = effects.now.time;
-        if self.pipeline.calling || now < self.pipeline.not_before {
+        if self.pipeline.call_outstanding || now < self.pipeline.not_before {
             return;
         }
-        if self.pipeline.flight.is_none() {
-            self.pipeline.flight = self.build_transaction(now, context);
+        if self.pipeline.in_flight.is_none() {
+            self.pipeline.in_flight = self.build_transaction(now, context);
             self.pipeline.outcome_unknown = false;
         }
-        let Some((transaction, _)) = &self.pipeline.flight else {
+        let Some((transaction, _)) = &self.pipeline.in_flight else {
             return;
         };
-        if !effects.state_calls.take(now, 1.0) {
+        if !effects.leader_calls.take(now, 1.0) {
             self.pipeline.not_before = now + RATE_LIMITED_PAUSE;
             return;
         }
-        self.pipeline.calling = true;
+        self.pipeline.call_outstanding = true;
         let body = wire::encode(transaction);
         let path = "/commit".to_string();
-        let call = effects.call(Target::State, "POST", path, body, COMMIT_TIMEOUT);
+        let call = effects.call(Target::Store, "POST", path, body, COMMIT_TIMEOUT);
         pending_calls.add(call, PendingCall::Commit);
     }
 
@@ -156,12 +156,12 @@
         add_pending_deletes(&mut builder, &mut context.intents.pending_writes);
         if builder.is_empty() {
             // Nothing else is to be written: time to clean up.
-            for (orphan, conditions, op) in self.garbage_collector.next(builder.room()) {
+            for (orphan, conditions, op) in self.garbage_collector.take_next(builder.room()) {
                 let write = ConditionalWrite {
                     preconditions: conditions,
                     operations: vec![op],
                 };
-                builder.add(CommitItem::GarbageCollector(orphan), write);
+                builder.add(CommitItem::DeleteOrphan(orphan), write);
             }
         }
         let built = builder.finish()?;
@@ -178,8 +178,8 @@
         reply: Reply,
     ) -> LeadershipOutcome {
         let now = effects.now.time;
-        self.pipeline.calling = false;
-        let Some((transaction, items)) = self.pipeline.flight.take() else {
+        self.pipeline.call_outstanding = false;
+        let Some((transaction, items)) = self.pipeline.in_flight.take() else {
             return LeadershipOutcome::Continue;
         };
         let pause = self
@@ -203,7 +203,7 @@
             }
             Reply::Answer(..) | Reply::NotSent | Reply::Lost => {
                 self.pipeline.outcome_unknown |= matches!(reply, Reply::Lost);
-                self.pipeline.flight = Some((transaction, items));
+                self.pipeline.in_flight = Some((transaction, items));
                 self.pipeline.not_before = now + pause;
                 LeadershipOutcome::Continue
             }
@@ -221,7 +221,7 @@
     ) -> LeadershipOutcome {
         self.backoff.succeeded();
         self.pipeline.not_before = now + COMMIT_GAP;
-        self.pipeline.committed = Some(now);
+        self.pipeline.last_committed = Some(now);
         let Some(answer) = wire::decode::<TransactionResponse>(body) else {
             return LeadershipOutcome::StepDown("a commit's answer could not be read");
         };
@@ -251,9 +251,9 @@
             return LeadershipOutcome::StepDown("a write's fate is unknown");
         };
         let path = format!("/keys/{}", op.key());
-        self.pipeline.flight = Some((transaction, items));
-        self.pipeline.calling = true;
-        let call = effects.call(Target::State, "GET", path, Vec::new(), READ_TIMEOUT);
+        self.pipeline.in_flight = Some((transaction, items));
+        self.pipeline.call_outstanding = true;
+        let call = effects.call(Target::Store, "GET", path, Vec::new(), READ_TIMEOUT);
         pending_calls.add(call, PendingCall::Written(op));
         LeadershipOutcome::Continue
     }
@@ -273,7 +273,7 @@
         }
         let is_cleanup = items
             .iter()
-            .any(|item| matches!(item, CommitItem::GarbageCollector(_)));
+            .any(|item| matches!(item, CommitItem::DeleteOrphan(_)));
         let is_progress = |key: &String| key.starts_with(job_records::PROGRESS_RECORDS);
         if !is_cleanup && failed.iter().any(is_progress) {
             return LeadershipOutcome::StepDown("a record was changed by somebody else");
@@ -287,9 +287,9 @@
                     context.cluster.cancel_job_ended_elsewhere(now, id);
                 }
                 // The watch shows a job cancelled in the meantime.
-                CommitItem::Finish(id) | CommitItem::Close(id) if is_over(id) => {}
+                CommitItem::Finish(id) | CommitItem::FinishAndDelete(id) if is_over(id) => {}
                 // An orphan that is none after all, or has changed, stays.
-                CommitItem::GarbageCollector(_) => {}
+                CommitItem::DeleteOrphan(_) => {}
                 _ => self.requeue(now, context, item),
             }
         }
@@ -307,9 +307,9 @@
         op: &Operation,
         reply: Reply,
     ) -> LeadershipOutcome {
-        self.pipeline.calling = false;
+        self.pipeline.call_outstanding = false;
         let unknown = LeadershipOutcome::StepDown("a write's fate is unknown");
-        let Some((transaction, items)) = self.pipeline.flight.take() else {
+        let Some((transaction, items)) = self.pipeline.in_flight.take() else {
             return unknown;
         };
         let Reply::Answer(200, body) = reply else {
@@ -357,7 +357,7 @@
         let next = self.outdated_chunks.iter().filter(is_writable);
         let next: Vec<(JobId, u32)> = next.take(MAX_REWRITTEN).cloned().collect();
         for chunk in next {
-            cluster.unwritten.dirty_chunks.note(chunk, now, false);
+            cluster.unwritten.dirty_chunks.mark(chunk, now, false);
         }
     }
 
@@ -370,15 +370,17 @@
     fn requeue(&mut self, now: Time, context: &mut WriteContext<'_>, item: CommitItem) {
         let unwritten = &mut context.cluster.unwritten;
         match item {
-            CommitItem::Chunk(id, chunk, _) => unwritten.dirty_chunks.note((id, chunk), now, true),
-            CommitItem::Finish(id) | CommitItem::Close(id) => {
+            CommitItem::Chunk(id, chunk, _) => unwritten.dirty_chunks.mark((id, chunk), now, true),
+            CommitItem::Finish(id) | CommitItem::FinishAndDelete(id) => {
                 unwritten.finished_jobs.insert(id);
             }
-            CommitItem::Drop(id, _) => {
+            CommitItem::DeleteRecords(id, _) => {
                 unwritten.jobs_to_delete.insert(id);
             }
-            CommitItem::Note(key, value) => context.intents.pending_writes.again(key, value),
-            CommitItem::GarbageCollector(orphan) => self.garbage_collector.again(orphan),
+            CommitItem::LeaderRecord(key, value) => {
+                context.intents.pending_writes.put_back(key, value)
+            }
+            CommitItem::DeleteOrphan(orphan) => self.garbage_collector.put_back(orphan),
         }
     }
 
@@ -396,17 +398,17 @@
                 apply_stored_chunk(context, &id, chunk, change, revision);
             }
             CommitItem::Finish(id) => apply_stored_outcome(context.cluster, id),
-            CommitItem::Close(id) => {
+            CommitItem::FinishAndDelete(id) => {
                 if let Some(job) = context.cluster.jobs.get(&id) {
                     log_done(&id, job);
                 }
                 self.forget_job(context, &id);
             }
-            CommitItem::Note(key, Some(_)) => context.intents.stored(&key),
-            CommitItem::Note(_, None) => {}
-            CommitItem::GarbageCollector(_) => self.garbage_collector.deleted += 1,
-            CommitItem::Drop(id, true) => self.forget_job(context, &id),
-            CommitItem::Drop(id, false) => {
+            CommitItem::LeaderRecord(key, Some(_)) => context.intents.mark_stored(&key),
+            CommitItem::LeaderRecord(_, None) => {}
+            CommitItem::DeleteOrphan(_) => self.garbage_collector.deleted += 1,
+            CommitItem::DeleteRecords(id, true) => self.forget_job(context, &id),
+            CommitItem::DeleteRecords(id, false) => {
                 forget_deleted_chunks(context.cluster, &id, transaction);
                 context.cluster.unwritten.jobs_to_delete.insert(id);
             }
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -159,11 +159,11 @@
             .cluster
             .unwritten
             .dirty_chunks
-            .note((id.into(), 0), Time(0), true);
+            .mark((id.into(), 0), Time(0), true);
     }
     let mut effects = crate::testing::effects_at(1.0);
     leader.submit_next_transaction(&mut effects);
-    let (txn, _) = leader.writer.pipeline.flight.as_ref().unwrap();
+    let (txn, _) = leader.writer.pipeline.in_flight.as_ref().unwrap();
     for id in ["job/wk-1", "job/wk-2"] {
         let fenced = |c: &Precondition| c.key == id && c.version == Version(7);
         assert!(txn.conditions.iter().any(fenced), "{id} is not compared");
@@ -207,7 +207,7 @@
         .cluster
         .unwritten
         .dirty_chunks
-        .note((id, 0), Time(0), true);
+        .mark((id, 0), Time(0), true);
     let mut effects = crate::testing::effects_at(1.0);
     leader.submit_next_transaction(&mut effects);
     leader.on_commit(&mut effects, Reply::Lost);
@@ -241,7 +241,7 @@
         !job.is_stored(leader.cluster.chunk_size, 0, change),
         "nothing is sent on a guess"
     );
-    let (txn, _) = leader.writer.pipeline.flight.clone().unwrap();
+    let (txn, _) = leader.writer.pipeline.in_flight.clone().unwrap();
     let (op, value) = txn
         .ops
         .iter()
@@ -265,7 +265,7 @@
         Version(25),
         "the next write compares it"
     );
-    assert!(leader.writer.pipeline.flight.is_none());
+    assert!(leader.writer.pipeline.in_flight.is_none());
 }
 
 // What is not plainly its own is not taken for it: everything starts over from the records.
@@ -285,7 +285,7 @@
         version: Version(version),
     };
     let own = |leader: &Leader| {
-        let (txn, _) = leader.writer.pipeline.flight.clone().unwrap();
+        let (txn, _) = leader.writer.pipeline.in_flight.clone().unwrap();
         let put = txn.ops.into_iter();
         put.filter_map(|op| match op {
             Operation::Put { value, .. } => Some(value),
@@ -297,7 +297,7 @@
     for case in 0..4 {
         let (mut leader, _, _) = leader_after_repeated_commit(&["r/wk-1/0"]);
         let value = own(&leader);
-        let op = leader.writer.pipeline.flight.as_ref().unwrap().0.ops[0].clone();
+        let op = leader.writer.pipeline.in_flight.as_ref().unwrap().0.ops[0].clone();
         let reply = match case {
             0 => Reply::Answer(404, Vec::new()),
             1 => Reply::Answer(200, wire::encode(&entry(value, 0))),
--- a/crates/controller/src/core/leader/cycle_inputs.rs
+++ b/crates/controller/src/core/leader/cycle_inputs.rs
@@ -90,7 +90,7 @@
             let assignments = job.assignments.values();
             let stopping = assignments.filter(|a| a.stop.is_some()).count();
             let each = QuotaUnits::of(&job.spec.needs());
-            usage.hold(&job.spec.team, each, job.tasks_possibly_running(), stopping);
+            usage.add_tasks(&job.spec.team, each, job.tasks_possibly_running(), stopping);
         }
         usage
     }
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -354,7 +354,7 @@
     own_token: FencingToken,
 ) {
     if heartbeat.epoch > machine.epoch {
-        machine.cache.give_up(|_| false);
+        machine.cache.drop_abandoned_fetches(|_| false);
         machine.presumed_dead = false;
     }
     machine.epoch = heartbeat.epoch;
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -94,7 +94,7 @@
 /// What it answers, and what becomes of it.
 fn send_heartbeat(leader: &mut Leader, secs: f64, report: Heartbeat) -> (u16, LeadershipOutcome) {
     let mut effects = effects_at(secs);
-    let fate = leader.on_report(&mut effects, RequestId(1), report, false);
+    let fate = leader.handle_heartbeat(&mut effects, RequestId(1), report, false);
     let answer = effects.take_outputs().into_iter().find_map(|o| match o {
         Output::Answer(_, a) => Some(a.status),
         _ => None,
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -94,8 +94,8 @@
     fn duties(&self) -> Value {
         let scheduler = self.scheduler;
         let last_cycle = Some(scheduler.last_cycle).filter(|_| scheduler.cycles > 0);
-        let last_call = self.autoscaler.cloud_proxy.progress;
-        let last_commit = self.writer.pipeline.committed;
+        let last_call = self.autoscaler.cloud_proxy.last_answered;
+        let last_commit = self.writer.pipeline.last_committed;
         json!([
             self.duty("placing", last_cycle, json!({})),
             self.duty("renting", last_call, self.renting()),
@@ -127,7 +127,7 @@
         let assignments = jobs.flat_map(|job| job.assignments.values());
         json!({
             "stopping": assignments.filter(|a| a.stop.is_some()).count(),
-            "put_aside": self.quarantine.count(self.at.wall),
+            "put_aside": self.quarantine.quarantined_count(self.at.wall),
         })
     }
 
@@ -135,7 +135,7 @@
         let collector = &self.writer.garbage_collector;
         let pending_writes = &self.autoscaler.intents.pending_writes;
         json!({
-            "orphans_left": collector.left(), "orphans_deleted": collector.deleted,
+            "orphans_left": collector.remaining(), "orphans_deleted": collector.deleted,
             "jobs_to_drop": self.cluster.unwritten.jobs_to_delete.len(),
             "records_to_write": pending_writes.len(),
             "records_written": pending_writes.written,
@@ -160,7 +160,7 @@
                     "guaranteed": {"cpus": held.share.cpus, "gpus": held.share.gpus},
                     "limit": {"cpus": held.share.cpus_max, "gpus": held.share.gpus_max},
                     "used": units(held.used), "stopping": units(held.stopping),
-                    "lent": units(held.lent()),
+                    "lent": units(held.beyond_guarantee()),
                     "served": served(&group), "floor_machines": floors.of(&group),
                 })
             })
--- a/crates/controller/src/core/leader/preemption_search.rs
+++ b/crates/controller/src/core/leader/preemption_search.rs
@@ -101,7 +101,7 @@
     ) -> Option<Eviction> {
         let candidates = self
             .candidates
-            .get_or_insert_with(|| cluster.preemption_candidates(cycle.pace.now, cycle.rows));
+            .get_or_insert_with(|| cluster.preemption_candidates(cycle.parameters.now, cycle.rows));
         preemption::evict(
             cycle,
             request,
@@ -202,8 +202,8 @@
                     need: job.spec.needs(),
                     gang: job.is_gang(),
                     row,
-                    cost: cost_s * share,
-                    settled,
+                    cost_machine_seconds: cost_s * share,
+                    past_minimum_run: settled,
                 });
             }
         }
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -52,7 +52,7 @@
         let mut is_holder = false;
         for entry in entries {
             match job_records::watched(&entry.key) {
-                Watched::Office => {
+                Watched::Leadership => {
                     is_holder |= entry.key == self.holder && entry.version.0 == self.token.0;
                     self.news.push(as_event(entry));
                 }
@@ -71,7 +71,7 @@
         for entry in entries {
             let is_submitted = |id: &JobId| records.submitted.contains(id);
             let collector = &mut self.writer.garbage_collector;
-            collector.look(&entry.key, entry.version, is_submitted);
+            collector.check_key(&entry.key, entry.version, is_submitted);
         }
         for entry in entries {
             if let Watched::Job(id) = job_records::watched(&entry.key) {
@@ -150,7 +150,7 @@
         };
         // Without its submission a record is a remnant of an ended job.
         let collector = &mut self.writer.garbage_collector;
-        collector.look(&entry.key, entry.version, |id| submitted.contains(id));
+        collector.check_key(&entry.key, entry.version, |id| submitted.contains(id));
         let Some(job) = self.cluster.jobs.get_mut(&id) else {
             return;
         };
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -115,7 +115,7 @@
             }
         };
         self.reading = true;
-        let call = effects.call(Target::State, "GET", path, Vec::new(), timeout);
+        let call = effects.call(Target::Store, "GET", path, Vec::new(), timeout);
         pending_calls.add(call, PendingCall::Read { sent });
     }
 
@@ -266,7 +266,7 @@
             return LeadershipOutcome::Continue;
         };
         match job_records::watched(key) {
-            Watched::Office => {
+            Watched::Leadership => {
                 context.news.push(event.clone());
                 if key == context.holder && event.version.0 != context.token.0 {
                     return LeadershipOutcome::Deposed(FencingToken(event.version.0));
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -127,7 +127,7 @@
         for (image, gb) in images {
             // What is known of it since is newer.
             if machine.cache.remaining(image, now).is_none() {
-                machine.cache.fetched(image, *gb, now, f64::INFINITY);
+                machine.cache.record_fetched(image, *gb, now, f64::INFINITY);
             }
         }
     }
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -49,7 +49,8 @@
     /// A machine was silent for a whole lease; for how long it gets no work, if that
     /// has happened too often.
     fn record_missed_lease(&mut self, id: &MachineId, wall: WallTime) -> Option<TimeSpan> {
-        self.quarantine.strike(self.pending_writes, id, wall)
+        self.quarantine
+            .record_missed_lease(self.pending_writes, id, wall)
     }
 }
 
--- a/crates/controller/src/core/leader/task_lifecycle.rs
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -86,8 +86,10 @@
             .map(|machine_type| machine_type.fetch_gb_per_s);
         let fetch = self
             .fetch_estimates
-            .of(&spec.image, spec.image_gb, fetch_rate);
-        machine.cache.used(&spec.image, spec.image_gb, now, fetch);
+            .estimate(&spec.image, spec.image_gb, fetch_rate);
+        machine
+            .cache
+            .record_use(&spec.image, spec.image_gb, now, fetch);
         if spec.priority >= Priority::High {
             machine.last_high_priority = Some(now);
         }
@@ -109,7 +111,7 @@
         };
         job.assignments.insert(task.index, assignment);
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
-        self.unwritten.dirty_chunks.note(chunk, now, true);
+        self.unwritten.dirty_chunks.mark(chunk, now, true);
     }
 
     /// Marks a task done, wherever it was found to be.
@@ -125,7 +127,7 @@
         let change = job.record_change(self.chunk_size, task.index);
         job.unstored_done.insert(task.index, change);
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
-        self.unwritten.dirty_chunks.note(chunk, now, false);
+        self.unwritten.dirty_chunks.mark(chunk, now, false);
         if job.done.len() == job.spec.tasks && job.outcome.is_none() {
             job.outcome = Some(JobOutcome::Done { written: false });
             self.unwritten.finished_jobs.insert(task.job.clone());
@@ -165,7 +167,7 @@
         job.record_change(self.chunk_size, task.index);
         let deletable = job.assignments.is_empty() && !job.is_open();
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
-        self.unwritten.dirty_chunks.note(chunk, now, false);
+        self.unwritten.dirty_chunks.mark(chunk, now, false);
         tracing::debug!(task = %task, attempt = %assignment.attempt, machine = %assignment.machine, %reason, "task removed from its machine");
         if let Some(machine) = self.machines.get_mut(&assignment.machine) {
             machine.release(task, needs);
@@ -177,7 +179,7 @@
                 let mut jobs_here = tasks.iter().filter_map(|task| jobs.get(&task.job));
                 jobs_here.any(|job| &job.spec.image == image)
             };
-            machine.cache.give_up(is_needed);
+            machine.cache.drop_abandoned_fetches(is_needed);
         }
         if deletable {
             self.unwritten.jobs_to_delete.insert(task.job.clone());
@@ -262,7 +264,7 @@
         let change = is_stored.then(|| job.record_change(size, task.index));
         if change.is_some() {
             let chunk = (task.job.clone(), size.of(task.index));
-            self.unwritten.dirty_chunks.note(chunk, now, true);
+            self.unwritten.dirty_chunks.mark(chunk, now, true);
         }
         let Some(assignment) = job.assignments.get_mut(&task.index) else {
             return;
--- a/crates/controller/src/core/leader/task_reconciliation.rs
+++ b/crates/controller/src/core/leader/task_reconciliation.rs
@@ -246,9 +246,9 @@
         if machine.cache.remaining(image, now) == Some(TimeSpan::ZERO) {
             return;
         }
-        machine.cache.fetched(image, image_gb, now, room_gb);
+        machine.cache.record_fetched(image, image_gb, now, room_gb);
         if let Some(began) = fetch_began {
-            self.fetch_estimates.note(image, now.since(began));
+            self.fetch_estimates.record(image, now.since(began));
         }
     }
 
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -105,11 +105,11 @@
             .cluster
             .unwritten
             .dirty_chunks
-            .note(("wk-1".into(), 0), Time(0), true);
+            .mark(("wk-1".into(), 0), Time(0), true);
         let mut effects = effects_at(1.0);
         leader.submit_next_transaction(&mut effects);
         let used = leader.cluster.team_use()[&Team::from("red")].used.gpus;
-        (halted, leader.writer.pipeline.flight.is_some(), used)
+        (halted, leader.writer.pipeline.in_flight.is_some(), used)
     };
     assert_eq!(seen(future.clone()), (false, false, 3.0));
     disable_check(&[SafetyCheck::UnreadableIsLeftAlone]);
@@ -154,11 +154,11 @@
         let mut effects = effects_at(secs);
         leader.queue_outdated_chunks(effects.now.time);
         leader.submit_next_transaction(&mut effects);
-        leader.writer.pipeline.flight.is_some()
+        leader.writer.pipeline.in_flight.is_some()
     };
     assert!(!written(&mut leader, 1.0), "the level does not have it yet");
     assert!(leader.is_rewritten());
-    leader.level = WITH_HISTORY;
+    leader.format_version = WITH_HISTORY;
     assert!(!leader.is_rewritten());
     let level = leader.writer.write_tokens.level(Time(2_000_000));
     leader.writer.write_tokens.take(Time(2_000_000), level);
--- a/crates/controller/src/core/leader/transaction_contents.rs
+++ b/crates/controller/src/core/leader/transaction_contents.rs
@@ -23,9 +23,9 @@
             value: value.clone(),
             lease: None,
         };
-        let item = CommitItem::Note(key.clone(), Some(value.clone()));
+        let item = CommitItem::LeaderRecord(key.clone(), Some(value.clone()));
         if !builder.add(item, vec![op].into()) {
-            pending_writes.again(key, Some(value));
+            pending_writes.put_back(key, Some(value));
         }
     }
 }
@@ -42,7 +42,7 @@
         // If nothing of it is anywhere any more, it ends and goes at once.
         if job.assignments.is_empty() {
             let write = job.write_done_and_delete();
-            if builder.add(CommitItem::Close(id.clone()), write) {
+            if builder.add(CommitItem::FinishAndDelete(id.clone()), write) {
                 continue;
             }
         }
@@ -103,7 +103,7 @@
             continue;
         }
         let (ops, is_last) = job.delete_records(builder.room());
-        let item = CommitItem::Drop(id.clone(), is_last);
+        let item = CommitItem::DeleteRecords(id.clone(), is_last);
         if ops.is_empty() || !builder.add(item, ops.into()) {
             postponed = Some(id);
             break;
@@ -119,6 +119,6 @@
 ) {
     for key in pending_writes.take_deletes(builder.room().min(MAX_SETTLED_DELETES)) {
         let op = Operation::Delete { key: key.clone() };
-        builder.add(CommitItem::Note(key, None), vec![op].into());
+        builder.add(CommitItem::LeaderRecord(key, None), vec![op].into());
     }
 }
--- a/crates/controller/src/core/leader_announcement.rs
+++ b/crates/controller/src/core/leader_announcement.rs
@@ -44,7 +44,7 @@
     /// When announcements end.
     ends_at: Time,
     /// Agents told so far.
-    pub told: u64,
+    pub announced: u64,
 }
 
 impl LeaderAnnouncer {
@@ -60,32 +60,32 @@
             credit: 0.0,
             credit_at: now,
             ends_at,
-            told: 0,
+            announced: 0,
         }
     }
 
     /// Whether agents are still told.
-    pub fn goes_on(&self, now: Time) -> bool {
+    pub fn is_active(&self, now: Time) -> bool {
         now < self.ends_at
     }
 
     /// Adds a machine with tasks whose agent has sent this leader no heartbeat yet.
-    pub fn note(&mut self, now: Time, priority: AnnouncementPriority, machine: MachineId) {
-        if self.goes_on(now) {
+    pub fn add(&mut self, now: Time, priority: AnnouncementPriority, machine: MachineId) {
+        if self.is_active(now) {
             self.waiting.insert((priority, machine));
         }
     }
 
     /// The machines whose agents are to be told now, where the leader knows of this
     /// many machines in all.
-    pub fn next(&mut self, now: Time, machines: usize) -> Vec<MachineId> {
+    pub fn take_due(&mut self, now: Time, machines: usize) -> Vec<MachineId> {
         let rate = (machines as f64 / TARGET_S).clamp(MIN_PER_SECOND, MAX_PER_SECOND);
         let elapsed = now.since(self.credit_at).as_secs();
         self.credit_at = now;
         // Unused credit is not saved up: it would make a burst.
         let credit = self.credit + elapsed * rate;
         self.credit = credit.min(rate * BURST_SHARE).max(1.0);
-        if !self.goes_on(now) {
+        if !self.is_active(now) {
             self.waiting.clear();
         }
         let mut due = Vec::new();
@@ -95,7 +95,7 @@
             self.credit -= 1.0;
             due.push(machine);
         }
-        self.told += due.len() as u64;
+        self.announced += due.len() as u64;
         due
     }
 }
--- a/crates/controller/src/core/leader_announcement/tests.rs
+++ b/crates/controller/src/core/leader_announcement/tests.rs
@@ -12,12 +12,12 @@
             AnnouncementPriority::Urgent,
             AnnouncementPriority::Stopping,
         ][i % 3];
-        h.note(at(0.0), need, format!("host-{i:05}").into());
+        h.add(at(0.0), need, format!("host-{i:05}").into());
     }
     let (mut all, mut last) = (Vec::new(), 0.0);
     for tick in 0..400 {
         let t = f64::from(tick) * 0.05;
-        let now = h.next(at(t), machines);
+        let now = h.take_due(at(t), machines);
         assert!(now.len() <= 30, "a herd of {}", now.len());
         if !now.is_empty() {
             last = t;
--- a/crates/controller/src/core/lease_keep_alive.rs
+++ b/crates/controller/src/core/lease_keep_alive.rs
@@ -21,7 +21,7 @@
     /// The lease's id in the key-value store.
     pub lease: u64,
     /// Time between renewals.
-    pub every: TimeSpan,
+    pub period: TimeSpan,
     /// When renewals end unless this is extended.
     pub until: Time,
     /// The fencing token held under the lease; leader heartbeats carry it.
@@ -54,11 +54,11 @@
 
     /// How long one renewal may take.
     pub fn timeout(&self) -> TimeSpan {
-        self.every.scaled(TIMEOUT_PERIODS).max(MIN_TIMEOUT)
+        self.period.scaled(TIMEOUT_PERIODS).max(MIN_TIMEOUT)
     }
 
     /// The pause before the next renewal, after one that was answered or was not.
     pub fn pause(&self, answered: bool) -> TimeSpan {
-        if answered { self.every } else { RETRY_PAUSE }
+        if answered { self.period } else { RETRY_PAUSE }
     }
 }
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -173,13 +173,13 @@
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
         self.effects.now = now;
         self.last_store_answer.get_or_insert(now.time);
-        self.effects.level = self.election.member_versions.fence();
+        self.effects.version_fence = self.election.member_versions.fence();
         match input {
             Input::Tick => self.tick(),
             Input::Request(id, listener, request) => self.handle_request(id, listener, request),
             Input::Reply(id, reply) => self.handle_reply(id, reply),
-            Input::SpeedSample(took) => self.self_health.calibration_us = took.0.max(1),
-            Input::Stop => self.begin_shutdown(),
+            Input::Calibration(took) => self.self_health.calibration_us = took.0.max(1),
+            Input::Shutdown => self.begin_shutdown(),
             Input::LeaseExpired(lease) => self.handle_lease_expiry(lease),
         }
         self.announce_cancellations();
--- a/crates/controller/src/core/node/format_version.rs
+++ b/crates/controller/src/core/node/format_version.rs
@@ -36,7 +36,7 @@
             self.is_writing_version = false;
             return;
         };
-        leader.level = self.election.member_versions.active_version();
+        leader.format_version = self.election.member_versions.active_version();
         if self.is_writing_version {
             return;
         }
@@ -109,7 +109,7 @@
     ) {
         txn.conditions.push(holder);
         let call = self.effects.call(
-            Target::State,
+            Target::Store,
             "POST",
             "/commit".into(),
             wire::encode(&txn),
@@ -134,7 +134,7 @@
             .member_versions
             .activated(version, response.revision);
         if let Some(leader) = &mut self.leader {
-            leader.level = version;
+            leader.format_version = version;
         }
     }
 
--- a/crates/controller/src/core/node/heartbeat_forwarding.rs
+++ b/crates/controller/src/core/node/heartbeat_forwarding.rs
@@ -123,7 +123,7 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let outcome = leader.on_report(&mut self.effects, id, heartbeat, may_hold);
+        let outcome = leader.handle_heartbeat(&mut self.effects, id, heartbeat, may_hold);
         if outcome != LeadershipOutcome::Continue {
             self.end_leadership(outcome);
         }
--- a/crates/controller/src/core/node/leader_supervision.rs
+++ b/crates/controller/src/core/node/leader_supervision.rs
@@ -66,7 +66,7 @@
         let path = format!("/keys/{}", self.election.holder_key());
         let call = self
             .effects
-            .call(Target::State, "GET", path, Vec::new(), PROBE_TIMEOUT);
+            .call(Target::Store, "GET", path, Vec::new(), PROBE_TIMEOUT);
         self.pending_calls.add(call, PendingCall::LeaderKey);
     }
 
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -23,7 +23,7 @@
             leader.inherit_cache(now, &machine, &images);
         }
         for (image, took) in hints.fetches {
-            leader.cluster.fetch_estimates.note(&image, took);
+            leader.cluster.fetch_estimates.record(&image, took);
         }
         self.election
             .keep_lease_alive(&mut self.effects, lease, token);
@@ -77,7 +77,7 @@
         } else {
             self.end_leadership(outcome);
         }
-        if let Some(types) = self.effects.learned_types.take() {
+        if let Some(types) = self.effects.listed_machine_types.take() {
             self.store_machine_types(types);
         }
     }
--- a/crates/controller/src/core/node/machine_type_cache.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -27,7 +27,7 @@
         let path = format!("/keys?starts={prefix}/&most={PAGE_SIZE}");
         let call = self
             .effects
-            .call(Target::State, "GET", path, Vec::new(), CALL_TIMEOUT);
+            .call(Target::Store, "GET", path, Vec::new(), CALL_TIMEOUT);
         self.pending_calls.add(call, PendingCall::MachineTypes);
     }
 
@@ -81,7 +81,7 @@
         };
         let body = wire::encode(&txn);
         self.effects
-            .call(Target::State, "POST", "/commit".into(), body, CALL_TIMEOUT);
+            .call(Target::Store, "POST", "/commit".into(), body, CALL_TIMEOUT);
         self.machine_types = Some(types);
     }
 }
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -82,9 +82,9 @@
     pub(super) fn announce_cancellations(&mut self) {
         let now = self.effects.now.time;
         self.cancellations.forget_old(now);
-        for job in std::mem::take(&mut self.job_api.confirmed) {
+        for job in std::mem::take(&mut self.job_api.confirmed_cancellations) {
             if let Some(leader) = &mut self.leader {
-                leader.hear_cancelled(now, &job);
+                leader.record_announced_cancellation(now, &job);
             }
             self.cancellations.add(job, now);
             let soonest = self.last_peer_heartbeat + MIN_HEARTBEAT_GAP;
@@ -131,7 +131,7 @@
         if self.unreached_peers.remove(&peer)
             && let Some(leader) = &mut self.leader
         {
-            leader.tell_again();
+            leader.restart_broadcast();
         }
     }
 
@@ -187,7 +187,7 @@
             is_overloaded: heartbeat.strained,
             calibration_us: heartbeat.effort_us,
         };
-        self.job_api.note_counts(heartbeat.counts);
+        self.job_api.record_task_counts(heartbeat.counts);
         self.election
             .member_versions
             .record_peer_build(now, &heartbeat.node_id, heartbeat.levels);
@@ -196,10 +196,10 @@
                 leader
                     .cluster
                     .fetch_estimates
-                    .learn(image, TimeSpan::millis(*ms));
+                    .restore(image, TimeSpan::millis(*ms));
             }
             for job in &heartbeat.cancelled {
-                leader.hear_cancelled(now, job);
+                leader.record_announced_cancellation(now, job);
             }
         }
         self.cache_hints
@@ -214,7 +214,9 @@
     fn yield_to_loaded_successor(&mut self, peer: &PeerView) {
         let now = self.effects.now.time;
         let is_replaced = |leader: &Leader| {
-            peer.token > leader.token && peer.leader_is_loaded && leader.may_be(now, peer.token)
+            peer.token > leader.token
+                && peer.leader_is_loaded
+                && leader.may_be_replaced_by(now, peer.token)
         };
         if self.leader.as_ref().is_some_and(is_replaced) {
             self.end_leadership(LeadershipOutcome::Deposed(peer.token));
--- a/crates/controller/src/core/node/replies.rs
+++ b/crates/controller/src/core/node/replies.rs
@@ -13,7 +13,7 @@
             if is_answered && !matches!(call, leader::PendingCall::Cloud(..)) {
                 self.record_store_answer();
             }
-            return self.with_leader(|leader, effects| leader.on_reply(effects, call, reply));
+            return self.with_leader(|leader, effects| leader.handle_reply(effects, call, reply));
         }
         if let Some(call) = self.election.pending_calls.take(id) {
             if is_answered {
--- a/crates/controller/src/core/node/requests.rs
+++ b/crates/controller/src/core/node/requests.rs
@@ -81,7 +81,7 @@
         };
         let id = JobId::from(job);
         if let Some(TaskCounts { done, running }) = leader.counts(&id) {
-            self.job_api.note_counts(vec![(id, done, running)]);
+            self.job_api.record_task_counts(vec![(id, done, running)]);
         }
     }
 
--- a/crates/controller/src/core/node/routes.rs
+++ b/crates/controller/src/core/node/routes.rs
@@ -107,7 +107,7 @@
             Route::Submit => Some(RequestKind::Submit),
             Route::Poll(_) => Some(RequestKind::Poll),
             Route::Cancel(_) => Some(RequestKind::Cancel),
-            Route::AgentHeartbeat => Some(RequestKind::Report),
+            Route::AgentHeartbeat => Some(RequestKind::Heartbeat),
             _ => None,
         }
     }
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -83,7 +83,7 @@
         node.peers.insert(node_id.into(), fit());
     }
     assert_eq!(at(&mut node, 5.1, Input::Tick), 0);
-    assert_eq!(at(&mut node, 5.2, Input::Stop), 0);
+    assert_eq!(at(&mut node, 5.2, Input::Shutdown), 0);
     assert_eq!(at(&mut node, 5.25, Input::Tick), 1);
     assert_eq!(at(&mut node, 5.3, Input::Tick), 0, "one is told, once");
     assert!(
@@ -161,7 +161,7 @@
     leader.send_peer_heartbeats();
     let l = leader.leader.as_ref().unwrap();
     assert_eq!(l.cluster.machines[&id].cache.images().count(), 1);
-    let cold = l.cluster.fetch_estimates.of(&"img".into(), 5.0, None);
+    let cold = l.cluster.fetch_estimates.estimate(&"img".into(), 5.0, None);
     assert_eq!(cold, TimeSpan::secs(9.0));
 }
 
@@ -278,7 +278,7 @@
     let mut node = Node::new(settings, policy, 1);
     node.effects.now.time = Time(5_000_000);
     let id = JobId::from("wk-1");
-    node.job_api.confirmed.push(id.clone());
+    node.job_api.confirmed_cancellations.push(id.clone());
     node.announce_cancellations();
     assert!(node.peer_heartbeat_due <= Time(5_000_000));
     let word = node.own_heartbeat(Vec::new());
@@ -290,7 +290,7 @@
     leader.cluster.jobs.insert(id.clone(), job);
     leader.authority.record_load_page(Time(0));
     leader.authority.record_load_complete(Time(0));
-    leader.hear_cancelled(Time(5_000_000), &id);
+    leader.record_announced_cancellation(Time(5_000_000), &id);
     assert!(leader.authority.is_reported_cancelled(&id));
     let job = &leader.cluster.jobs[&id];
     assert!(job.is_open() && !leader.cluster.unwritten.jobs_to_delete.contains(&id));
--- a/crates/controller/src/core/outputs.rs
+++ b/crates/controller/src/core/outputs.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Target {
     /// The key-value store.
-    State,
+    Store,
     /// The cloud provider's API.
     Cloud,
     /// Another controller or an agent.
--- a/crates/controller/src/core/pending_writes.rs
+++ b/crates/controller/src/core/pending_writes.rs
@@ -48,7 +48,7 @@
 
     /// Puts back a change that was taken out and not written; `value` is `None` for a
     /// deletion. A later change of the same key takes precedence.
-    pub fn again(&mut self, key: String, value: Option<Value>) {
+    pub fn put_back(&mut self, key: String, value: Option<Value>) {
         if self.puts.contains_key(&key) || self.deletes.contains(&key) {
             return;
         }
--- a/crates/controller/src/core/placement_tables/fetch_estimates.rs
+++ b/crates/controller/src/core/placement_tables/fetch_estimates.rs
@@ -25,7 +25,7 @@
     }
 
     /// Records the latest fetch time of an image.
-    pub fn note(&mut self, image: &Image, took: TimeSpan) {
+    pub fn record(&mut self, image: &Image, took: TimeSpan) {
         if self.latest.len() >= MAX_ESTIMATES && !self.latest.contains_key(image) {
             self.latest.pop_first();
         }
@@ -34,9 +34,9 @@
 
     /// Takes over the fetch time that an earlier leader saw, unless this one saw the
     /// image fetched already.
-    pub fn learn(&mut self, image: &Image, took: TimeSpan) {
+    pub fn restore(&mut self, image: &Image, took: TimeSpan) {
         if !self.latest.contains_key(image) {
-            self.note(image, took);
+            self.record(image, took);
         }
     }
 
@@ -48,7 +48,7 @@
     /// What fetching an image should take: its latest time; for one not seen yet, its
     /// size over the machine type's `rate` in gigabytes per second, if known; otherwise
     /// the largest time known of any image, as in the paper.
-    pub fn of(&self, image: &Image, size_gb: f64, rate: Option<f64>) -> TimeSpan {
+    pub fn estimate(&self, image: &Image, size_gb: f64, rate: Option<f64>) -> TimeSpan {
         if let Some(took) = self.latest.get(image) {
             return *took;
         }
--- a/crates/controller/src/core/placement_tables/image_cache.rs
+++ b/crates/controller/src/core/placement_tables/image_cache.rs
@@ -41,7 +41,7 @@
 
     /// Records that a task needing `image` was placed; a fetch, if there must be one,
     /// should take `fetch`.
-    pub fn used(&mut self, image: &Image, size_gb: f64, now: Time, fetch: TimeSpan) {
+    pub fn record_use(&mut self, image: &Image, size_gb: f64, now: Time, fetch: TimeSpan) {
         let known = self.entries.iter_mut().find(|entry| &entry.image == image);
         match known {
             Some(entry) => entry.last_used = now,
@@ -56,7 +56,7 @@
 
     /// Records that the image is there; the least recently used ones make room for it
     /// within the `room_gb` gigabytes of the machine's cache.
-    pub fn fetched(&mut self, image: &Image, size_gb: f64, now: Time, room_gb: f64) {
+    pub fn record_fetched(&mut self, image: &Image, size_gb: f64, now: Time, room_gb: f64) {
         self.entries.retain(|entry| &entry.image != image);
         self.entries.push(CachedImage {
             image: image.clone(),
@@ -74,7 +74,7 @@
 
     /// Drops fetches in progress of images that `is_wanted` says no task waits for any
     /// more: agents abandon them.
-    pub fn give_up(&mut self, is_wanted: impl Fn(&Image) -> bool) {
+    pub fn drop_abandoned_fetches(&mut self, is_wanted: impl Fn(&Image) -> bool) {
         self.entries
             .retain(|entry| entry.fetched_at.is_none() || is_wanted(&entry.image));
     }
--- a/crates/controller/src/core/placement_tables/image_cache/tests.rs
+++ b/crates/controller/src/core/placement_tables/image_cache/tests.rs
@@ -5,10 +5,10 @@
     let mut cache = ImageCache::default();
     let image = |n: u32| Image::from(format!("i{n}"));
     for n in 0..3 {
-        cache.fetched(&image(n), 10.0, Time(u64::from(n)), 30.0);
+        cache.record_fetched(&image(n), 10.0, Time(u64::from(n)), 30.0);
     }
-    cache.used(&image(0), 10.0, Time(10), TimeSpan::ZERO);
-    cache.fetched(&image(3), 10.0, Time(11), 30.0);
+    cache.record_use(&image(0), 10.0, Time(10), TimeSpan::ZERO);
+    cache.record_fetched(&image(3), 10.0, Time(11), 30.0);
     let mut left: Vec<_> = cache.images().map(|(i, _)| i.to_string()).collect();
     left.sort();
     assert_eq!(left, ["i0", "i2", "i3"]);
@@ -20,7 +20,7 @@
 fn overdue_fetch_still_counts_as_in_progress() {
     let mut cache = ImageCache::default();
     let a = Image::from("a");
-    cache.used(&a, 6.0, Time(0), TimeSpan::secs(10.0));
+    cache.record_use(&a, 6.0, Time(0), TimeSpan::secs(10.0));
     assert_eq!(
         cache.remaining(&a, Time(4_000_000)),
         Some(TimeSpan::secs(6.0))
@@ -29,6 +29,6 @@
         cache.remaining(&a, Time(60_000_000)),
         Some(TimeSpan::secs(1.0))
     );
-    cache.fetched(&a, 6.0, Time(61_000_000), 40.0);
+    cache.record_fetched(&a, 6.0, Time(61_000_000), 40.0);
     assert_eq!(cache.remaining(&a, Time(62_000_000)), Some(TimeSpan::ZERO));
 }
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -28,7 +28,7 @@
     victim.priority < request.priority
         || (request.within_guarantee
             && victim.team != request.team
-            && victim.settled
+            && victim.past_minimum_run
             && victim.priority == request.priority)
 }
 
@@ -174,7 +174,7 @@
     fn add_fetch_cost(&self, plan: &mut RowPlan) {
         let fetch = self.cycle.fetch(self.request, &self.cycle.rows[plan.row]);
         plan.cost += fetch.as_secs() * COST_PER_FETCH_SECOND;
-        let starts_at = self.cycle.pace.now + fetch;
+        let starts_at = self.cycle.parameters.now + fetch;
         if self
             .request
             .start_by
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -100,8 +100,8 @@
             need: amounts(f64::from(self.gpus)),
             gang,
             row: self.machine,
-            cost: f64::from(self.job),
-            settled: true,
+            cost_machine_seconds: f64::from(self.job),
+            past_minimum_run: true,
         }
     }
 }
@@ -127,7 +127,7 @@
             gpus_max: None,
         };
         let mut account = QuotaUsage::new(&BTreeMap::from([(lender(), share)]));
-        account.hold(&lender(), QuotaUnits::of(&amounts(losing)), 1, 1);
+        account.add_tasks(&lender(), QuotaUnits::of(&amounts(losing)), 1, 1);
         let mut fleet = Fleet {
             rows: (0..machines).map(empty_machine).collect(),
             victims: Vec::new(),
@@ -147,7 +147,7 @@
         }
         *free -= task.need;
         self.account
-            .hold(&lender(), QuotaUnits::of(&task.need), 1, 0);
+            .add_tasks(&lender(), QuotaUnits::of(&task.need), 1, 0);
         self.victims.push(task);
     }
 }
--- a/crates/controller/src/core/preemption/victims.rs
+++ b/crates/controller/src/core/preemption/victims.rs
@@ -28,9 +28,9 @@
     /// Row of its machine.
     pub row: usize,
     /// What stopping it costs, in machine seconds of lost work.
-    pub cost: f64,
+    pub cost_machine_seconds: f64,
     /// Whether it has run long enough to be stopped for a guarantee.
-    pub settled: bool,
+    pub past_minimum_run: bool,
 }
 
 /// All tasks of a gang that may be stopped.
@@ -60,7 +60,7 @@
             if victim.gang {
                 let gang = gangs.entry(victim.job.clone()).or_default();
                 gang.members.push(index);
-                gang.cost += victim.cost;
+                gang.cost += victim.cost_machine_seconds;
             }
         }
         Victims { all, by_row, gangs }
@@ -92,7 +92,8 @@
     /// whole gang.
     pub(super) fn cost(&self, index: usize) -> f64 {
         let victim = &self.all[index];
-        self.gang_of(victim).map_or(victim.cost, |gang| gang.cost)
+        self.gang_of(victim)
+            .map_or(victim.cost_machine_seconds, |gang| gang.cost)
     }
 }
 
--- a/crates/controller/src/core/quarantine.rs
+++ b/crates/controller/src/core/quarantine.rs
@@ -79,7 +79,7 @@
 
     /// Records that a machine was silent for as long as its lease. Returns its pause.
     /// The first time is no sign of a fault, and is not stored.
-    pub fn strike(
+    pub fn record_missed_lease(
         &mut self,
         pending_writes: &mut PendingWrites,
         machine: &MachineId,
@@ -130,7 +130,7 @@
     }
 
     /// Forgets machines that no longer exist, and old missed leases.
-    pub fn tend(
+    pub fn forget_old(
         &mut self,
         pending_writes: &mut PendingWrites,
         wall: WallTime,
@@ -146,7 +146,7 @@
     }
 
     /// How many machines get no work now.
-    pub fn count(&self, wall: WallTime) -> usize {
+    pub fn quarantined_count(&self, wall: WallTime) -> usize {
         let machines = self.records.keys();
         machines
             .filter(|machine| self.is_quarantined(machine, wall))
--- a/crates/controller/src/core/quota/arrival_history.rs
+++ b/crates/controller/src/core/quota/arrival_history.rs
@@ -109,7 +109,7 @@
     }
 
     /// Counts a job that arrived: the machines it fills, and for how many seconds.
-    pub fn note(&mut self, at: WallTime, class: &Class, team: &Team, machines: f64, run_s: f64) {
+    pub fn record(&mut self, at: WallTime, class: &Class, team: &Team, machines: f64, run_s: f64) {
         let interval = self.interval_at(at);
         let group = (class.clone(), team.clone());
         let intervals = self.arrivals.entry(group).or_default();
--- a/crates/controller/src/core/quota/arrival_history/tests.rs
+++ b/crates/controller/src/core/quota/arrival_history/tests.rs
@@ -4,7 +4,7 @@
     let mut history = ArrivalHistory::new(TimeSpan::secs(600.0));
     for i in 0..200u64 {
         let class = ["urgent", "low"][i as usize % 2].into();
-        history.note(
+        history.record(
             WallTime(1_000_000 + i * 3_000),
             &class,
             &"red".into(),
@@ -32,7 +32,7 @@
     for i in 190..200u64 {
         let class = ["urgent", "low"][i as usize % 2].into();
         let at = WallTime(1_000_000 + i * 3_000);
-        successor.note(at, &class, &"red".into(), 2.0, 30.0);
+        successor.record(at, &class, &"red".into(), 2.0, 30.0);
     }
     let rest = successor.missing(&stored).unwrap();
     assert!((sum(&rest) - 190.0 * 60.0).abs() < 1.0, "{}", sum(&rest));
@@ -49,7 +49,7 @@
     for i in 0..40 {
         let team = format!("team-with-a-long-name-{i}").as_str().into();
         for k in 0..20u64 {
-            history.note(
+            history.record(
                 WallTime(1_000_000 + k * 30_000),
                 &"low".into(),
                 &team,
--- a/crates/controller/src/core/quota/minimum_share.rs
+++ b/crates/controller/src/core/quota/minimum_share.rs
@@ -129,13 +129,13 @@
     }
 
     /// Machines that a group lacks to its minimum share.
-    pub fn lacks(&self, group: &ShareGroup) -> f64 {
+    pub fn shortfall(&self, group: &ShareGroup) -> f64 {
         let minimum = self.groups.get(group);
         minimum.map_or(0.0, |share| (share.least - share.used).max(0.0))
     }
 
     /// Whether a group keeps its minimum share when it loses so many machines.
-    pub fn spares(&self, group: &ShareGroup, machines: f64) -> bool {
+    pub fn allows_loss(&self, group: &ShareGroup, machines: f64) -> bool {
         let minimum = self.groups.get(group);
         minimum.is_none_or(|share| share.used - machines >= share.least)
     }
--- a/crates/controller/src/core/quota/minimum_share/tests.rs
+++ b/crates/controller/src/core/quota/minimum_share/tests.rs
@@ -23,7 +23,7 @@
     let shares = MinimumShares::new(&all, 400.0, 0.6, 300.0);
     assert_eq!(shares.of(&class("urgent")), None);
     assert!((shares.of(&class("low")).unwrap() - 100.0).abs() < 1e-6);
-    assert!(!shares.spares(&class("low"), 1.0) && shares.spares(&class("urgent"), 1.0));
+    assert!(!shares.allows_loss(&class("low"), 1.0) && shares.allows_loss(&class("urgent"), 1.0));
     // Served well enough, it has none.
     all.insert(class("low"), service(3e4, 5e3, Priority::Low));
     assert!(MinimumShares::new(&all, 400.0, 0.6, 300.0).is_empty());
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -52,14 +52,15 @@
         let groups = ShareGroup::both(loss.class, loss.team);
         groups.iter().all(|group| {
             let before = spent.groups.get(group).copied().unwrap_or(0.0);
-            self.minimum_shares.spares(group, before + loss.machines)
+            self.minimum_shares
+                .allows_loss(group, before + loss.machines)
         })
     }
 
     fn keeps_guarantee(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
         let before = spent.teams.get(loss.team).copied().unwrap_or_default();
         let after = before + QuotaUnits::of(&loss.takes);
-        self.usage.covers(loss.team, after)
+        self.usage.keeps_guarantee(loss.team, after)
     }
 
     /// Counts work as chosen by a search that may yet fail.
@@ -73,7 +74,8 @@
 
     /// Counts work as stopped: later searches see that.
     pub fn take(&mut self, loss: &ReclaimCandidate<'_>) {
-        self.usage.take(loss.team, QuotaUnits::of(&loss.takes));
+        self.usage
+            .add_stopping(loss.team, QuotaUnits::of(&loss.takes));
         for group in ShareGroup::both(loss.class, loss.team) {
             self.minimum_shares.lose(&group, loss.machines);
         }
--- a/crates/controller/src/core/quota/usage.rs
+++ b/crates/controller/src/core/quota/usage.rs
@@ -76,16 +76,16 @@
 
 impl TeamUsage {
     /// What it uses once all that is being stopped has ended.
-    pub fn stays(&self) -> QuotaUnits {
+    pub fn used_after_stops(&self) -> QuotaUnits {
         self.used - self.stopping
     }
 
     /// What it uses beyond its guaranteed quota; zero of a resource without one.
-    pub fn lent(&self) -> QuotaUnits {
+    pub fn beyond_guarantee(&self) -> QuotaUnits {
         let beyond = |guarantee: Option<f64>, stays: i64| {
             guarantee.map_or(0, |amount| (stays - thousandths(amount)).max(0))
         };
-        let stays = self.stays();
+        let stays = self.used_after_stops();
         QuotaUnits {
             cpus: beyond(self.share.cpus, stays.cpus),
             gpus: beyond(self.share.gpus, stays.gpus),
@@ -95,7 +95,7 @@
     /// Whether it keeps its guaranteed quota when it loses `units`, besides what is
     /// being stopped already.
     fn covers(&self, units: QuotaUnits) -> bool {
-        let rest = self.stays() - units;
+        let rest = self.used_after_stops() - units;
         let kept = |guarantee: Option<f64>, rest: i64| {
             guarantee.is_none_or(|amount| rest >= thousandths(amount))
         };
@@ -126,7 +126,7 @@
 
     /// Adds `tasks` tasks of a team that take `each`, of which `stopping` are being
     /// stopped. Teams that this was not made for are not counted.
-    pub fn hold(&mut self, team: &Team, each: QuotaUnits, tasks: usize, stopping: usize) {
+    pub fn add_tasks(&mut self, team: &Team, each: QuotaUnits, tasks: usize, stopping: usize) {
         if let Some(usage) = self.teams.get_mut(team) {
             usage.used = usage.used + each.times(tasks);
             usage.stopping = usage.stopping + each.times(stopping);
@@ -134,7 +134,7 @@
     }
 
     /// Counts `units` more of a team as being stopped.
-    pub fn take(&mut self, team: &Team, units: QuotaUnits) {
+    pub fn add_stopping(&mut self, team: &Team, units: QuotaUnits) {
         if let Some(usage) = self.teams.get_mut(team) {
             usage.stopping = usage.stopping + units;
         }
@@ -142,7 +142,7 @@
 
     /// Whether a team keeps its guaranteed quota when it loses `units`, besides what is
     /// being stopped already. False for a team that is not counted.
-    pub fn covers(&self, team: &Team, units: QuotaUnits) -> bool {
+    pub fn keeps_guarantee(&self, team: &Team, units: QuotaUnits) -> bool {
         self.teams
             .get(team)
             .is_some_and(|usage| usage.covers(units))
--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct SchedulingCycle<'a> {
     /// What does not change within the cycle.
-    pub pace: CycleParameters,
+    pub parameters: CycleParameters,
     /// The machines.
     pub rows: &'a mut [MachineRow],
     /// The teams.
@@ -74,7 +74,7 @@
     /// Decisions so far.
     pub starts: Vec<StartDecision>,
     /// Rows reserved for a gang that has waited long, with the gang's job.
-    pub held: BTreeMap<usize, JobId>,
+    pub reservations: BTreeMap<usize, JobId>,
     /// Rows that had room for the smallest request when last searched. Where most
     /// machines are full, looking at the others is what a cycle costs.
     open_rows: Vec<usize>,
@@ -127,7 +127,7 @@
         estimates: &'a FetchEstimates,
     ) -> SchedulingCycle<'a> {
         SchedulingCycle {
-            pace,
+            parameters: pace,
             zones: rows.iter().map(|row| row.zone.clone()).collect(),
             open_rows: Vec::new(),
             rows_with_room: Vec::new(),
@@ -137,7 +137,7 @@
             teams,
             estimates,
             starts: Vec::new(),
-            held: BTreeMap::new(),
+            reservations: BTreeMap::new(),
         }
     }
 
@@ -189,7 +189,10 @@
         largest_machine: &Resources,
     ) {
         let groups = ShareGroup::both(&request.class, &request.team);
-        let lacking = groups.iter().map(|g| shares.lacks(g)).fold(0.0, f64::max);
+        let lacking = groups
+            .iter()
+            .map(|g| shares.shortfall(g))
+            .fold(0.0, f64::max);
         if lacking <= 0.0 {
             return;
         }
@@ -238,7 +241,7 @@
                 let first = &requests[members[0]];
                 let is_cold = self.holder_count(&image) == 0;
                 let fetch_cost = match is_cold {
-                    true => self.estimates.of(&image, first.image_gb, None),
+                    true => self.estimates.estimate(&image, first.image_gb, None),
                     false => TimeSpan::ZERO,
                 };
                 ImageGroup {
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -98,10 +98,10 @@
     /// How long a task of this request would wait for its image on a row.
     pub fn fetch(&self, request: &PlacementRequest, row: &MachineRow) -> TimeSpan {
         row.cache
-            .remaining(&request.image, self.pace.now)
+            .remaining(&request.image, self.parameters.now)
             .unwrap_or_else(|| {
                 self.estimates
-                    .of(&request.image, request.image_gb, Some(row.fetch_rate))
+                    .estimate(&request.image, request.image_gb, Some(row.fetch_rate))
             })
     }
 
@@ -112,7 +112,11 @@
         row: &MachineRow,
         scope: PlacementScope,
     ) -> bool {
-        let is_holder = || row.cache.remaining(&request.image, self.pace.now).is_some();
+        let is_holder = || {
+            row.cache
+                .remaining(&request.image, self.parameters.now)
+                .is_some()
+        };
         match scope {
             PlacementScope::Any => true,
             PlacementScope::Warm => self.fetch(request, row) <= NEARLY_FETCHED,
@@ -128,7 +132,7 @@
     fn allows_cold_fetch(&self, request: &PlacementRequest, row: &MachineRow) -> bool {
         let fetch_time = self.fetch(request, row);
         row.last_high_priority_start
-            .is_none_or(|last| self.pace.now.since(last) > TimeSpan(fetch_time.0 / 2))
+            .is_none_or(|last| self.parameters.now.since(last) > TimeSpan(fetch_time.0 / 2))
     }
 
     /// Rows with room for a task, best first: the shortest fetch, then the tightest
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -131,7 +131,7 @@
             if request.gang {
                 let fetch_time = self.fetch(request, row);
                 let shortest = *shortest_fetch.get_or_insert(fetch_time);
-                if fetch_time.0 > shortest.0 + self.pace.max_fetch_skew.0 {
+                if fetch_time.0 > shortest.0 + self.parameters.max_fetch_skew.0 {
                     continue;
                 }
             }
@@ -164,7 +164,7 @@
     /// Records the start of a task in the tables, so that the rest of the cycle sees
     /// its room as taken and its image as being fetched.
     pub fn assign(&mut self, request: &mut PlacementRequest, task: u32, row: usize) {
-        let now = self.pace.now;
+        let now = self.parameters.now;
         let fetch_time = self.fetch(request, &self.rows[row]);
         let machine = &mut self.rows[row];
         machine.free -= request.need;
@@ -177,7 +177,7 @@
         }
         machine
             .cache
-            .used(&request.image, request.image_gb, now, fetch_time);
+            .record_use(&request.image, request.image_gb, now, fetch_time);
         if request.is_high() {
             machine.last_high_priority_start = Some(now);
         }
--- a/crates/controller/src/core/scheduling_cycle/reservation.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation.rs
@@ -26,7 +26,9 @@
 impl SchedulingCycle<'_> {
     /// Whether a row is not reserved for another job.
     pub fn may_use(&self, row: usize, job: &JobId) -> bool {
-        self.held.get(&row).is_none_or(|holder| holder == job)
+        self.reservations
+            .get(&row)
+            .is_none_or(|holder| holder == job)
     }
 
     /// Whether a reservation should be tried for a request, given those for which it
@@ -41,7 +43,7 @@
         };
         request.gang
             && !request.tasks.is_empty()
-            && self.held.len() < self.rows.len()
+            && self.reservations.len() < self.rows.len()
             && !without_reservation.iter().any(needs_no_less)
     }
 
@@ -63,7 +65,7 @@
             return false;
         };
         for row in reservation.rows {
-            self.held.insert(row, request.job.clone());
+            self.reservations.insert(row, request.job.clone());
         }
         true
     }
@@ -77,7 +79,7 @@
         let mut tasks_left = request.tasks.len() as u32;
         let mut tasks_in_zones: BTreeMap<&Zone, u32> = BTreeMap::new();
         let mut reservation = Reservation {
-            available_at: self.pace.now,
+            available_at: self.parameters.now,
             rows: Vec::new(),
         };
         for &index in &list.rows[list.first_free..] {
@@ -111,7 +113,7 @@
         if self.rows_by_availability.is_empty() {
             self.rows_by_availability = self.sort_by_availability();
         }
-        let held = &self.held;
+        let held = &self.reservations;
         let mut selected = Vec::new();
         for (index, list) in self.rows_by_availability.iter_mut().enumerate() {
             if list.zone.is_some() == request.one_zone {
--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -20,7 +20,7 @@
     };
     let mut cache = ImageCache::default();
     if image < 3 {
-        cache.fetched(&format!("i{image}").into(), 10.0, NOW, 100.0);
+        cache.record_fetched(&format!("i{image}").into(), 10.0, NOW, 100.0);
     }
     MachineRow {
         id: format!("m{index}").into(),
@@ -173,7 +173,7 @@
             machine.free -= request.need;
             machine
                 .cache
-                .used(&request.image, request.image_gb, NOW, cost);
+                .record_use(&request.image, request.image_gb, NOW, cost);
             if request.is_high() {
                 machine.last_high_priority_start = Some(NOW);
             }
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -99,7 +99,7 @@
 
     async fn call(&self, call: Call) -> Reply {
         let addr = match call.target {
-            Target::State => self.state,
+            Target::Store => self.state,
             Target::Cloud => self.cloud,
             Target::Host(addr) => addr,
         };
@@ -123,7 +123,7 @@
         loop {
             if shutdown_since.is_none() && shutdown_requested.load(Ordering::Relaxed) {
                 shutdown_since = Some(Instant::now());
-                self.feed(Input::Stop);
+                self.feed(Input::Shutdown);
             }
             if shutdown_since.is_some_and(|since| self.has_shut_down(since)) {
                 tracing::info!("shut down as requested");
@@ -131,7 +131,7 @@
             }
             if calibrated.is_none_or(|at| at.elapsed() > calibration::PERIOD) {
                 calibrated = Some(Instant::now());
-                self.feed(Input::SpeedSample(calibration::measure()));
+                self.feed(Input::Calibration(calibration::measure()));
             }
             while let Ok(lease) = expired.try_recv() {
                 self.feed(Input::LeaseExpired(lease));
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -122,7 +122,7 @@
     fn called(&mut self, call: Call) -> Option<Input> {
         let body = shown(&call.body);
         let (status, answer) = match call.target {
-            Target::State => {
+            Target::Store => {
                 let without = call.path.split('?').next().unwrap_or_default();
                 self.calls
                     .insert(format!("state {} {without}", call.method));
--- a/crates/controller/tests/inspect_format.rs
+++ b/crates/controller/tests/inspect_format.rs
@@ -319,7 +319,7 @@
         RequestKind::Submit,
         RequestKind::Poll,
         RequestKind::Cancel,
-        RequestKind::Report,
+        RequestKind::Heartbeat,
     ];
     assert_eq!(
         timed.map(|t| t.to_string()),
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -87,8 +87,8 @@
 
 #[test]
 fn watched_keys_are_told_apart() {
-    assert_eq!(keys::watched("w/leader"), Watched::Office);
-    assert_eq!(keys::watched("w/leader/at/node-0"), Watched::Office);
+    assert_eq!(keys::watched("w/leader"), Watched::Leadership);
+    assert_eq!(keys::watched("w/leader/at/node-0"), Watched::Leadership);
     assert_eq!(keys::watched("w/j/wk-1"), Watched::Job("wk-1".into()));
     assert_eq!(keys::watched("w/p/wk-1/3"), Watched::Part("wk-1".into(), 3));
     assert_eq!(
@@ -111,7 +111,7 @@
         assert_eq!(
             job_records::read(&stored),
             Some(JobHeader {
-                stage: stage,
+                stage,
                 task_count: 3
             })
         );
@@ -363,7 +363,7 @@
     }}]]);
     assert_eq!(written(&mut intents.pending_writes), provision);
     let machines = ["host-1", "host-2"].map(|m| (m.into(), "idle"));
-    intents.release(machines.into_iter(), WallTime(5));
+    intents.terminate(machines.into_iter(), WallTime(5));
     let release = json!([["d/x/9-2", {"t": 5, "w": {"idle": ["host-1", "host-2"]}}]]);
     assert_eq!(written(&mut intents.pending_writes), release);
     let mut successor = new();
@@ -376,8 +376,8 @@
 fn put_aside_record_keeps_its_stored_format() {
     let (mut quarantine, mut pending_writes) = (Quarantine::default(), PendingWrites::default());
     let id = "host-1".into();
-    quarantine.strike(&mut pending_writes, &id, WallTime(5));
-    quarantine.strike(&mut pending_writes, &id, WallTime(6));
+    quarantine.record_missed_lease(&mut pending_writes, &id, WallTime(5));
+    quarantine.record_missed_lease(&mut pending_writes, &id, WallTime(6));
     let struck = json!([["d/m/host-1", {"n": 2, "t": 6, "d": false}]]);
     assert_eq!(written(&mut pending_writes), struck);
     quarantine.drain(&mut pending_writes, &id, WallTime(7));
@@ -391,7 +391,7 @@
 #[test]
 fn arrival_memory_keeps_its_stored_format() {
     let mut memory = ArrivalHistory::new(TimeSpan::secs(600.0));
-    memory.note(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
+    memory.record(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
     let stored = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
     assert_eq!(memory.store(WallTime(40_000), 8192), stored);
     let missing = ArrivalHistory::new(TimeSpan::secs(600.0)).missing(&stored);
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -353,12 +353,12 @@
         let begun = Instant::now();
         let mut heralds = LeaderAnnouncer::new(Time(0), TimeSpan::secs(8.0));
         for id in &ids {
-            heralds.note(Time(0), AnnouncementPriority::Busy, id.clone());
+            heralds.add(Time(0), AnnouncementPriority::Busy, id.clone());
         }
         let mut told = 0;
         for tick in 0..200u64 {
             let now = Time(0) + TimeSpan::millis(50 * tick);
-            told += heralds.next(now, ids.len()).len();
+            told += heralds.take_due(now, ids.len()).len();
         }
         let herald = begun.elapsed();
         let mut kept = CacheHints::default();
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -352,7 +352,7 @@
                     self.slots[n].open.insert(c.id);
                     self.at(self.now + c.timeout, Event::Timeout(n, life, c.id));
                     let to = match c.target {
-                        Target::State => Host::State,
+                        Target::Store => Host::State,
                         Target::Cloud => Host::Cloud,
                         Target::Host(a) => match a.ip().octets() {
                             [10, 1, high, low] => {
@@ -621,7 +621,7 @@
             }
             NodeAction::End(n) => {
                 self.slots[n].ending = self.slots[n].node.is_some();
-                self.feed(n, Input::Stop);
+                self.feed(n, Input::Shutdown);
             }
             NodeAction::Install(n, build) => self.slots[n].range = self.range(build),
             NodeAction::Start(n) => {
@@ -643,7 +643,7 @@
                 slot.node = Some(Node::with_supported_versions(s, policy, seed, slot.range));
                 slot.born = self.now;
                 let life = slot.life;
-                self.feed(n, Input::SpeedSample(USUAL_EFFORT));
+                self.feed(n, Input::Calibration(USUAL_EFFORT));
                 self.at(self.now, Event::Tick(n, life));
             }
             NodeAction::Pause(n) => self.slots[n].paused = self.slots[n].node.is_some(),
@@ -656,7 +656,7 @@
                 self.serve(n);
                 // Its processor is slow, and it finds that out.
                 let took = USUAL_EFFORT + TimeSpan(each.0 / 10);
-                self.feed(n, Input::SpeedSample(took));
+                self.feed(n, Input::Calibration(took));
             }
         }
     }
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -139,7 +139,7 @@
                     let h = &mut w.holders[i];
                     h.returns = true;
                     h.intents
-                        .release([(FIRST.into(), "idle")].into_iter(), WallTime(0));
+                        .terminate([(FIRST.into(), "idle")].into_iter(), WallTime(0));
                 });
             }
             // Work needs a commit, which only the holder gets through.
@@ -194,7 +194,7 @@
                     if !h.intents.is_terminated(m) {
                         h.known.insert(m.clone());
                     }
-                    h.intents.tend(Time(0), |_| true);
+                    h.intents.settle_completed(Time(0), |_| true);
                 }
             });
         }
@@ -250,7 +250,7 @@
                         } else {
                             let value = serde_json::from_str(&text).unwrap();
                             self.store.insert(key.clone(), value);
-                            h.intents.stored(&key);
+                            h.intents.mark_stored(&key);
                         }
                     }
                 }
@@ -264,7 +264,8 @@
                 if m.awaited {
                     h.calls = false;
                     if answers {
-                        h.intents.filled(&name, std::slice::from_ref(&new), Time(0));
+                        h.intents
+                            .mark_fulfilled(&name, std::slice::from_ref(&new), Time(0));
                         h.known.insert(new);
                     } else {
                         h.intents.mark_provision_uncertain(&name);
@@ -278,7 +279,7 @@
                 if m.awaited {
                     h.calls = false;
                     if answers {
-                        h.intents.released(&names, Time(0));
+                        h.intents.mark_terminated(&names, Time(0));
                         h.known.retain(|m| !names.contains(m));
                     }
                 }
@@ -388,12 +389,12 @@
         accept(&mut store, 1);
         let mut sweep = GarbageCollector::default();
         for (key, version) in &store {
-            sweep.look(key, *version, |id| {
+            sweep.check_key(key, *version, |id| {
                 jobs.contains(&job_records::submission_key(id))
             });
         }
         accept(&mut store, 2);
-        for (_, conditions, op) in sweep.next(9) {
+        for (_, conditions, op) in sweep.take_next(9) {
             let version = |key: &String| store.get(key).copied().unwrap_or_default();
             if conditions.iter().all(|c| version(&c.key) == c.version)
                 && let Operation::Delete { key } = op
