--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use pebblefold_controller::core::placement_tables::{FetchEstimates, ImageCache, MachineRow};
 use pebblefold_controller::core::preemption::{Victim, Victims, evict};
-use pebblefold_controller::core::quota::Bounds;
+use pebblefold_controller::core::quota::ReclaimLimits;
 use pebblefold_controller::core::scheduling_cycle::{
     CycleParameters, PlacementRequest, SchedulingCycle, TeamUse,
 };
@@ -174,7 +174,7 @@
         let start = Instant::now();
         let victims = Victims::new(found, rows.len());
         let cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
-        let bounds = Bounds::default();
+        let bounds = ReclaimLimits::default();
         let gangs = requests.iter().filter(|request| request.gang).take(16);
         let room = gangs.filter(|request| {
             evict(&cycle, request, &victims, &BTreeSet::new(), &bounds, 16).is_some()
--- a/crates/controller/src/cli.rs
+++ b/crates/controller/src/cli.rs
@@ -1,6 +1,6 @@
 //! The daemon's command line. What people use is `pebblectl`.
 
-use crate::core::leader_authority::Bounds;
+use crate::core::leader_authority::AuthorityBounds;
 use crate::policy::{Policy, PolicyError};
 use crate::settings::{Settings, SettingsError};
 use crate::{driver, logging};
@@ -111,7 +111,7 @@
         Ok(loaded) => loaded,
         Err(e) => return fail(BAD_INPUT, e),
     };
-    let bounds = Bounds::new(&settings.workers);
+    let bounds = AuthorityBounds::new(&settings.workers);
     let report = serde_json::json!({
         "node": settings.node_id,
         "answers_without_contact_s": bounds.hold().as_secs(),
--- a/crates/controller/src/core/election/claim.rs
+++ b/crates/controller/src/core/election/claim.rs
@@ -157,7 +157,7 @@
     }
 
     fn is_own_claim(&self, entry: &Entry) -> bool {
-        let record = job_records::read::<LeaderRecord>(&entry.value);
+        let record = job_records::read_record::<LeaderRecord>(&entry.value);
         record.is_some_and(|r| r.nonce == self.nonce)
     }
 
--- a/crates/controller/src/core/election/leader_key.rs
+++ b/crates/controller/src/core/election/leader_key.rs
@@ -81,7 +81,7 @@
         let holder_key = self.holder_key();
         let entry = page.items.into_iter().find(|e| e.key == holder_key);
         let leader_key = entry.map(|e| LeaderKey {
-            record: job_records::read(&e.value),
+            record: job_records::read_record(&e.value),
             version: e.version,
         });
         self.apply_leader_key(effects, leader_key);
@@ -126,7 +126,7 @@
             return;
         };
         let leader_key = last.put.is_some().then(|| LeaderKey {
-            record: job_records::read(&last.value),
+            record: job_records::read_record(&last.value),
             version: last.version,
         });
         self.apply_leader_key(effects, leader_key);
--- a/crates/controller/src/core/format_version/mod.rs
+++ b/crates/controller/src/core/format_version/mod.rs
@@ -41,7 +41,7 @@
 
 /// A format version's line in the table of all known ones.
 #[derive(Clone, Copy, Debug)]
-pub struct Step {
+pub struct VersionInfo {
     /// The format version.
     pub level: FormatVersion,
     /// Its name.
@@ -60,20 +60,20 @@
 pub const WITH_HISTORY: FormatVersion = FormatVersion(2);
 
 /// All format versions that this build knows, in order.
-pub const KNOWN_VERSIONS: [Step; 3] = [
-    Step {
+pub const KNOWN_VERSIONS: [VersionInfo; 3] = [
+    VersionInfo {
         level: UNVERSIONED,
         name: "before",
         since: "as builds stored it that know no levels; the leader's key is w/leader",
         older: "-",
     },
-    Step {
+    VersionInfo {
         level: FENCED,
         name: "fenced",
         since: "the leader's key is w/leader/holder; w/leader stands for good and names nobody, so that builds without levels never lead",
         older: "every build with levels",
     },
-    Step {
+    VersionInfo {
         level: WITH_HISTORY,
         name: "remembered",
         since: "r/ keeps places by machine; d/f keeps what came for each class and team of late",
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -15,14 +15,15 @@
     let head = json!({"s": "p", "n": 3});
     assert_eq!(job_records::job_header_value(HeaderStage::Open, 3), head);
     for (s, stage) in [("d", HeaderStage::Done), ("c", HeaderStage::Cancelled)] {
-        let read = job_records::read::<JobHeader>(&json!({"s": s, "n": 3}));
+        let read = job_records::read_record::<JobHeader>(&json!({"s": s, "n": 3}));
         assert_eq!(read.map(|h| h.stage), Some(stage));
     }
     let leader = json!({"label": "node-1", "nonce": 7});
-    let read = job_records::read::<LeaderRecord>(&leader).unwrap();
+    let read = job_records::read_record::<LeaderRecord>(&leader).unwrap();
     assert_eq!(job_records::leader_record(&read), leader);
     assert!(
-        job_records::read::<LeaderRecord>(&member_versions::legacy_leader_tombstone()).is_none()
+        job_records::read_record::<LeaderRecord>(&member_versions::legacy_leader_tombstone())
+            .is_none()
     );
     let text = r#"{"ref":"wk-1","lane":"train","crew":"red","shape":"ensemble","urgency":"urgent","pieces":2,"vcpus":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img","size_gb":6.2,"kinds_of_box":["g8"],"yard":null,"same_place":true,"scatter":false,"borrowed":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0}"#;
     let (one, two) = text.split_at(40);
--- a/crates/controller/src/core/garbage_collection.rs
+++ b/crates/controller/src/core/garbage_collection.rs
@@ -50,10 +50,10 @@
 
 /// The job that a key belongs to, if it is one that must not outlive its job.
 fn owner(key: &str) -> Option<JobId> {
-    if let Some((job, _)) = keys::record(key) {
+    if let Some((job, _)) = keys::parse_chunk_key(key) {
         return Some(job);
     }
-    match keys::watched(key) {
+    match keys::parse_watched_key(key) {
         keys::Watched::Part(job, _) | keys::Watched::JobOutcome(job) => Some(job),
         _ => None,
     }
--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -273,7 +273,7 @@
 fn decode_header(body: &[u8]) -> Option<StoredHeader> {
     let entry = wire::decode::<Entry>(body)?;
     Some(StoredHeader {
-        header: job_records::read(&entry.value)?,
+        header: job_records::read_record(&entry.value)?,
         version: entry.version,
     })
 }
--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -25,4 +25,4 @@
 pub use transaction::{
     CommitItem, CommitPipeline, ConditionalWrite, TransactionBuilder, TransactionLimits,
 };
-pub use value::{json_len, read};
+pub use value::{json_len, read_record};
--- a/crates/controller/src/core/job_records/submission.rs
+++ b/crates/controller/src/core/job_records/submission.rs
@@ -4,7 +4,7 @@
 use super::header::{HeaderStage, JobHeader, job_header_value};
 use super::job::Job;
 use super::transaction::{MAX_TRANSACTION_BYTES, TransactionLimits, operation_bytes};
-use super::value::{put, read, to_value};
+use super::value::{put, read_record, to_value};
 use crate::core::keys::{job_header_key, job_outcome_key, submission_key, submission_part_key};
 use crate::types::{JobId, Version, WallTime};
 use crate::wire::kvstore::{Operation, Precondition, Transaction};
@@ -151,7 +151,7 @@
     /// The job of a submission whose first part is `value`, stored at `version`;
     /// `None` if a part is missing or the text is no submission.
     pub fn job(&mut self, id: &JobId, version: Version, value: &Value) -> Option<Job> {
-        let record: SubmissionRecord = read(value)?;
+        let record: SubmissionRecord = read_record(value)?;
         let mut text = record.text;
         for part in 1..record.parts {
             text.push_str(&self.parts.remove(&(id.clone(), part))?);
--- a/crates/controller/src/core/job_records/submission/tests.rs
+++ b/crates/controller/src/core/job_records/submission/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::job_records::json_len;
-use crate::core::keys::{Watched, watched};
+use crate::core::keys::{Watched, parse_watched_key};
 use crate::testing;
 use crate::wire::users::JobShape;
 
@@ -20,7 +20,7 @@
             panic!()
         };
         assert!(json_len(value) <= 2048, "{}", json_len(value));
-        match watched(key) {
+        match parse_watched_key(key) {
             Watched::Job(id) => first = Some((id, value.clone())),
             Watched::Part(id, n) => assembler.part(id, n, value),
             _ => assert_eq!(key, "job/wk-1"),
--- a/crates/controller/src/core/job_records/value.rs
+++ b/crates/controller/src/core/job_records/value.rs
@@ -16,7 +16,7 @@
 }
 
 /// Reads a record of any type; `None` if the value is not one.
-pub fn read<T: DeserializeOwned>(value: &Value) -> Option<T> {
+pub fn read_record<T: DeserializeOwned>(value: &Value) -> Option<T> {
     T::deserialize(value).ok()
 }
 
--- a/crates/controller/src/core/keys.rs
+++ b/crates/controller/src/core/keys.rs
@@ -75,7 +75,7 @@
 }
 
 /// Parses a key below `w/`.
-pub fn watched(key: &str) -> Watched {
+pub fn parse_watched_key(key: &str) -> Watched {
     if key.starts_with(member_versions::PREFIX) {
         return Watched::Leadership;
     }
@@ -94,7 +94,7 @@
 }
 
 /// Parses the key of a chunk of tasks into its job and its number.
-pub fn record(key: &str) -> Option<(JobId, u32)> {
+pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let (id, chunk) = key.strip_prefix(PROGRESS_RECORDS)?.rsplit_once('/')?;
     Some((id.into(), chunk.parse().ok()?))
 }
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -46,7 +46,7 @@
 use super::autoscaler::state::{Autoscaler, CloudCall};
 use super::effects::{Effects, PendingCalls};
 use super::format_version::{FormatVersion, WITH_HISTORY};
-use super::leader_authority::{Bounds, LeaderAuthority};
+use super::leader_authority::{AuthorityBounds, LeaderAuthority};
 use super::quarantine::Quarantine;
 use super::{Now, Reply, RequestId};
 use crate::policy::Policy;
@@ -121,7 +121,7 @@
             lease,
             pending_calls: PendingCalls::default(),
             leading_since: now,
-            authority: LeaderAuthority::new(Bounds::new(&settings.workers), now),
+            authority: LeaderAuthority::new(AuthorityBounds::new(&settings.workers), now),
             next_health_check: now,
             records: RecordWatcher::new(now),
             writer: TransactionWriter::new(holder, token, settings.state_limits.write_rps, now),
--- a/crates/controller/src/core/leader/arrival_recorder.rs
+++ b/crates/controller/src/core/leader/arrival_recorder.rs
@@ -96,7 +96,7 @@
         let value = self.history(window).store(at.wall, value_bytes);
         if value != self.stored {
             self.stored = value.clone();
-            pending_writes.put(arrival_history::KEY.into(), value);
+            pending_writes.put(arrival_history::ARRIVAL_HISTORY_KEY.into(), value);
         }
     }
 
@@ -111,7 +111,7 @@
             }
             None => {
                 tracing::error!(
-                    key = arrival_history::KEY,
+                    key = arrival_history::ARRIVAL_HISTORY_KEY,
                     "stored arrivals cannot be read; minimum shares begin anew"
                 );
             }
--- a/crates/controller/src/core/leader/preemption_search.rs
+++ b/crates/controller/src/core/leader/preemption_search.rs
@@ -7,7 +7,7 @@
 use crate::core::job_records::Job;
 use crate::core::placement_tables::MachineRow;
 use crate::core::preemption::{self, Eviction, Victim, Victims};
-use crate::core::quota::Bounds;
+use crate::core::quota::ReclaimLimits;
 use crate::core::scheduling_cycle::{PlacementRequest, SchedulingCycle};
 use crate::settings::ObjectiveKind;
 use crate::types::{JobId, Time, TimeSpan};
@@ -31,7 +31,7 @@
     /// Those that are.
     chosen: BTreeSet<usize>,
     /// How much may be taken in all.
-    bounds: Bounds,
+    bounds: ReclaimLimits,
 }
 
 /// A search that found nothing. Until room is made, another request like it that is no
@@ -43,7 +43,7 @@
 
 impl PreemptionSearch {
     /// Within these bounds, nothing chosen yet.
-    pub fn new(bounds: Bounds) -> PreemptionSearch {
+    pub fn new(bounds: ReclaimLimits) -> PreemptionSearch {
         PreemptionSearch {
             bounds,
             ..PreemptionSearch::default()
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -51,7 +51,7 @@
     pub fn load_watched(&mut self, records: &mut RecordWatcher, entries: &[Entry]) -> bool {
         let mut is_holder = false;
         for entry in entries {
-            match job_records::watched(&entry.key) {
+            match job_records::parse_watched_key(&entry.key) {
                 Watched::Leadership => {
                     is_holder |= entry.key == self.holder && entry.version.0 == self.token.0;
                     self.news.push(as_event(entry));
@@ -63,7 +63,7 @@
         if !is_holder {
             return false;
         }
-        let submitted = |entry: &Entry| match job_records::watched(&entry.key) {
+        let submitted = |entry: &Entry| match job_records::parse_watched_key(&entry.key) {
             Watched::Job(id) => Some(id),
             _ => None,
         };
@@ -74,12 +74,12 @@
             collector.check_key(&entry.key, entry.version, is_submitted);
         }
         for entry in entries {
-            if let Watched::Job(id) = job_records::watched(&entry.key) {
+            if let Watched::Job(id) = job_records::parse_watched_key(&entry.key) {
                 self.add_job(&mut records.assembler, &id, entry.version, &entry.value);
             }
         }
         for entry in entries {
-            if let Watched::JobOutcome(id) = job_records::watched(&entry.key) {
+            if let Watched::JobOutcome(id) = job_records::parse_watched_key(&entry.key) {
                 self.load_outcome(&id, &entry.value);
             }
         }
@@ -113,7 +113,7 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        let header = job_records::read::<JobHeader>(value);
+        let header = job_records::read_record::<JobHeader>(value);
         job.outcome = Some(match header {
             Some(header) if header.stage == HeaderStage::Done => JobOutcome::Done { written: true },
             _ => JobOutcome::Cancelled,
@@ -145,7 +145,7 @@
     }
 
     fn load_progress_record(&mut self, submitted: &BTreeSet<JobId>, entry: &Entry) {
-        let Some((id, chunk)) = job_records::record(&entry.key) else {
+        let Some((id, chunk)) = job_records::parse_chunk_key(&entry.key) else {
             return;
         };
         // Without its submission a record is a remnant of an ended job.
@@ -166,7 +166,7 @@
     /// arrivals.
     pub fn load_leader_records(&mut self, at: Now, entries: Vec<Entry>) {
         for entry in entries {
-            if entry.key == arrival_history::KEY {
+            if entry.key == arrival_history::ARRIVAL_HISTORY_KEY {
                 let window = TimeSpan::secs(self.cluster.policy.floor_window_s);
                 self.arrivals.load(entry.value, window);
                 continue;
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -235,7 +235,7 @@
         changes: WatchResponse,
     ) -> LeadershipOutcome {
         for event in &changes.events {
-            let written = event.put.as_deref().map(job_records::watched);
+            let written = event.put.as_deref().map(job_records::parse_watched_key);
             if let Some(Watched::Part(id, number)) = written {
                 self.assembler.part(id, number, &event.value);
             }
@@ -265,7 +265,7 @@
         let Some(key) = event.put.as_deref() else {
             return LeadershipOutcome::Continue;
         };
-        match job_records::watched(key) {
+        match job_records::parse_watched_key(key) {
             Watched::Leadership => {
                 context.news.push(event.clone());
                 if key == context.holder && event.version.0 != context.token.0 {
@@ -278,7 +278,7 @@
                 context.scheduler.request_cycle(now, machines);
             }
             Watched::JobOutcome(id) => {
-                let header = job_records::read::<job_records::JobHeader>(&event.value);
+                let header = job_records::read_record::<job_records::JobHeader>(&event.value);
                 if header.is_some_and(|header| header.stage == HeaderStage::Cancelled) {
                     context.cancel_job(now, &id);
                 }
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -8,7 +8,7 @@
 use crate::core::Now;
 use crate::core::leader_authority::LeaderAuthority;
 use crate::core::placement_tables::MachineRow;
-use crate::core::quota::Bounds;
+use crate::core::quota::ReclaimLimits;
 use crate::core::quota::minimum_share::MinimumShares;
 use crate::core::scheduling_cycle::{
     CycleParameters, PlacementRequest, SchedulingCycle, StartDecision,
@@ -166,10 +166,10 @@
     cluster: &ClusterState,
     arrivals: &ArrivalRecorder,
     machines: usize,
-) -> Bounds {
+) -> ReclaimLimits {
     let services = cluster.service_levels(at.wall, arrivals);
     let (share, window) = (cluster.policy.floor_share, cluster.policy.floor_window_s);
-    Bounds {
+    ReclaimLimits {
         usage: cluster.quota_usage(),
         minimum_shares: MinimumShares::new(&services, machines as f64, share, window),
     }
--- a/crates/controller/src/core/leader_authority.rs
+++ b/crates/controller/src/core/leader_authority.rs
@@ -35,7 +35,7 @@
 
 /// The bounds that the settings give a leader without contact to the key-value store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct AuthorityBounds {
     hold: TimeSpan,
     /// The longest that an agent's lease may last, by our clock.
     lease: TimeSpan,
@@ -43,14 +43,14 @@
     cancel_overrun: TimeSpan,
 }
 
-impl Bounds {
+impl AuthorityBounds {
     /// The bounds for agents with these times.
-    pub fn new(times: &WorkerTimes) -> Bounds {
+    pub fn new(times: &WorkerTimes) -> AuthorityBounds {
         let lease = times.lease.scaled(CLOCK_DRIFT) + MARGIN;
         let hold = saturating_difference(times.cancel, lease);
         if hold >= MIN_HOLD {
             let over = TimeSpan::ZERO;
-            return Bounds {
+            return AuthorityBounds {
                 hold,
                 lease,
                 cancel_overrun: over,
@@ -58,7 +58,7 @@
         }
         let hold = HOLD_WITHOUT_BOUND;
         let over = saturating_difference(hold + lease, times.cancel);
-        Bounds {
+        AuthorityBounds {
             hold,
             lease,
             cancel_overrun: over,
@@ -95,7 +95,7 @@
 /// How recent a leader's knowledge is, and what it may therefore do.
 #[derive(Clone, Debug)]
 pub struct LeaderAuthority {
-    bounds: Bounds,
+    bounds: AuthorityBounds,
     /// When the first page of the load was requested.
     load_began: Option<Time>,
     loaded: bool,
@@ -108,7 +108,7 @@
 
 impl LeaderAuthority {
     /// The authority of a leader that has read nothing yet.
-    pub fn new(bounds: Bounds, now: Time) -> LeaderAuthority {
+    pub fn new(bounds: AuthorityBounds, now: Time) -> LeaderAuthority {
         LeaderAuthority {
             bounds,
             load_began: None,
--- a/crates/controller/src/core/leader_authority/tests.rs
+++ b/crates/controller/src/core/leader_authority/tests.rs
@@ -18,7 +18,7 @@
 
 /// The authority of a leader whose load was requested at second 0 and read by second 1.
 fn loaded() -> LeaderAuthority {
-    let mut authority = LeaderAuthority::new(Bounds::new(&times(10.0, 40.0)), at(0.0));
+    let mut authority = LeaderAuthority::new(AuthorityBounds::new(&times(10.0, 40.0)), at(0.0));
     authority.record_load_page(at(0.0));
     authority.record_load_complete(at(1.0));
     authority
@@ -27,7 +27,7 @@
 #[test]
 fn bounds_end_cancelled_tasks_in_time() {
     for (lease, cancel) in [(10.0, 40.0), (44.0, 69.0), (22.0, 52.0), (22.0, 25.0)] {
-        let bounds = Bounds::new(&times(lease, cancel));
+        let bounds = AuthorityBounds::new(&times(lease, cancel));
         assert_eq!(bounds.cancel_overrun(), TimeSpan::ZERO, "{lease} {cancel}");
         let gone = bounds.hold().as_secs() + lease * 1.0005;
         assert!(gone < cancel - 1.5, "{lease} {cancel}: {gone}");
@@ -44,7 +44,7 @@
 // every lease ran out with the state service well.
 #[test]
 fn short_hold_shortens_watch() {
-    let bounds = Bounds::new(&times(22.0, 25.0));
+    let bounds = AuthorityBounds::new(&times(22.0, 25.0));
     assert!(bounds.hold() < TimeSpan::secs(1.0) && bounds.cancel_overrun() == TimeSpan::ZERO);
     let mut authority = LeaderAuthority::new(bounds, at(0.0));
     authority.record_load_page(at(0.0));
@@ -66,7 +66,7 @@
 #[test]
 fn reports_overrun_when_cancel_is_too_short() {
     for cancel in [10.0, 20.0, 24.4] {
-        let bounds = Bounds::new(&times(22.0, cancel));
+        let bounds = AuthorityBounds::new(&times(22.0, cancel));
         let over = bounds.cancel_overrun().as_secs();
         assert!(over > 0.0 && over + cancel < 22.0 * 1.001 + 3.6, "{over}");
         assert!(bounds.watch() <= TimeSpan::millis(500) && bounds.hold() == TimeSpan::millis(1500));
@@ -75,7 +75,7 @@
 
 #[test]
 fn only_processed_reads_count_as_contact() {
-    let mut authority = LeaderAuthority::new(Bounds::new(&times(10.0, 40.0)), at(0.0));
+    let mut authority = LeaderAuthority::new(AuthorityBounds::new(&times(10.0, 40.0)), at(0.0));
     assert!(!authority.may_answer(at(0.1)) && !authority.may_start(at(0.1)));
     authority.record_load_page(at(0.0));
     authority.record_load_page(at(30.0));
@@ -98,7 +98,7 @@
 
 #[test]
 fn refuses_answers_and_starts_after_their_bounds() {
-    let hold = Bounds::new(&times(10.0, 40.0)).hold();
+    let hold = AuthorityBounds::new(&times(10.0, 40.0)).hold();
     let authority = loaded();
     let late = authority.last_contact() + hold;
     assert!(authority.may_answer(late - TimeSpan(1)) && !authority.may_answer(late));
--- a/crates/controller/src/core/node/machine_type_cache.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -43,7 +43,7 @@
             return;
         };
         let entries = page.items.iter();
-        let chunks = entries.filter_map(|e| job_records::read::<Vec<MachineType>>(&e.value));
+        let chunks = entries.filter_map(|e| job_records::read_record::<Vec<MachineType>>(&e.value));
         let types = MachineTypes {
             kinds: chunks.flatten().collect(),
         };
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -5,7 +5,7 @@
 
 pub use victims::{Victim, Victims};
 
-use super::quota::{Bounds, ReclaimUsage};
+use super::quota::{ReclaimLimits, ReclaimUsage};
 use super::scheduling_cycle::{PlacementRequest, SchedulingCycle};
 use crate::types::{JobId, Zone};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
 
 /// Whether `request` has a reason to have `victim` stopped. Only the two that the
 /// platform names count: a higher priority, or a guaranteed quota against what another
-/// team runs beyond its own. How much may be taken is for [`Bounds`] to say.
+/// team runs beyond its own. How much may be taken is for [`ReclaimLimits`] to say.
 fn has_reason(request: &PlacementRequest, victim: &Victim) -> bool {
     // A guarantee could also take from higher priorities; stopping urgent work
     // for work that can wait serves nobody.
@@ -65,7 +65,7 @@
     request: &PlacementRequest,
     victims: &Victims,
     taken: &BTreeSet<usize>,
-    bounds: &Bounds,
+    bounds: &ReclaimLimits,
     max_tasks: u32,
 ) -> Option<Eviction> {
     let limit = if request.gang { u32::MAX } else { max_tasks };
@@ -88,7 +88,7 @@
     request: &'a PlacementRequest,
     victims: &'a Victims,
     taken: &'a BTreeSet<usize>,
-    bounds: &'a Bounds,
+    bounds: &'a ReclaimLimits,
     /// Tasks to make room for.
     wanted_tasks: u32,
 }
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -170,7 +170,7 @@
 ) -> Reclaimed {
     let mut fleet = Fleet::new(guarantee, losing, tasks);
     let running: f64 = fleet.victims.iter().map(|v| v.need.gpus).sum();
-    let mut bounds = Bounds {
+    let mut bounds = ReclaimLimits {
         usage: fleet.account,
         minimum_shares: Default::default(),
     };
@@ -205,7 +205,7 @@
 /// bounds.
 fn stop_victims(
     cycle: &mut SchedulingCycle<'_>,
-    bounds: &mut Bounds,
+    bounds: &mut ReclaimLimits,
     victims: &Victims,
     request: &PlacementRequest,
     eviction: &Eviction,
--- a/crates/controller/src/core/quota/arrival_history.rs
+++ b/crates/controller/src/core/quota/arrival_history.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// The key under which it is stored.
-pub const KEY: &str = "d/f";
+pub const ARRIVAL_HISTORY_KEY: &str = "d/f";
 
 /// Intervals into which the window looked back over is divided.
 const INTERVALS_PER_WINDOW: u64 = 20;
--- a/crates/controller/src/core/quota/mod.rs
+++ b/crates/controller/src/core/quota/mod.rs
@@ -7,4 +7,4 @@
 pub mod reclaim;
 pub mod usage;
 
-pub use reclaim::{Bounds, ReclaimCandidate, ReclaimUsage};
+pub use reclaim::{ReclaimCandidate, ReclaimLimits, ReclaimUsage};
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -32,14 +32,14 @@
 
 /// What all reclaims of a cycle together may take.
 #[derive(Clone, Debug, Default)]
-pub struct Bounds {
+pub struct ReclaimLimits {
     /// What teams use of their quotas.
     pub usage: QuotaUsage,
     /// What classes and teams must be left.
     pub minimum_shares: MinimumShares,
 }
 
-impl Bounds {
+impl ReclaimLimits {
     /// Whether this work may be stopped too, after all that was taken and `spent`: its
     /// team keeps its guaranteed quota, its class and team their minimum shares.
     pub fn allows(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -77,7 +77,7 @@
         keys::SUBMISSION_PARTS,
         keys::JOB_OUTCOMES,
         keys::LEADER_RECORDS,
-        arrival_history::KEY,
+        arrival_history::ARRIVAL_HISTORY_KEY,
     ];
     assert_eq!(
         prefixes,
@@ -87,15 +87,24 @@
 
 #[test]
 fn watched_keys_are_told_apart() {
-    assert_eq!(keys::watched("w/leader"), Watched::Leadership);
-    assert_eq!(keys::watched("w/leader/at/node-0"), Watched::Leadership);
-    assert_eq!(keys::watched("w/j/wk-1"), Watched::Job("wk-1".into()));
-    assert_eq!(keys::watched("w/p/wk-1/3"), Watched::Part("wk-1".into(), 3));
+    assert_eq!(keys::parse_watched_key("w/leader"), Watched::Leadership);
     assert_eq!(
-        keys::watched("w/x/wk-1"),
+        keys::parse_watched_key("w/leader/at/node-0"),
+        Watched::Leadership
+    );
+    assert_eq!(
+        keys::parse_watched_key("w/j/wk-1"),
+        Watched::Job("wk-1".into())
+    );
+    assert_eq!(
+        keys::parse_watched_key("w/p/wk-1/3"),
+        Watched::Part("wk-1".into(), 3)
+    );
+    assert_eq!(
+        keys::parse_watched_key("w/x/wk-1"),
         Watched::JobOutcome("wk-1".into())
     );
-    assert_eq!(keys::record("r/wk-1/7"), Some(("wk-1".into(), 7)));
+    assert_eq!(keys::parse_chunk_key("r/wk-1/7"), Some(("wk-1".into(), 7)));
 }
 
 #[test]
@@ -109,7 +118,7 @@
         let stored = json!({"s": text, "n": 3});
         assert_eq!(job_records::job_header_value(stage, 3), stored);
         assert_eq!(
-            job_records::read(&stored),
+            job_records::read_record(&stored),
             Some(JobHeader {
                 stage,
                 task_count: 3
@@ -220,7 +229,7 @@
         nonce: 7,
     };
     assert_eq!(job_records::leader_record(&leader), stored);
-    assert_eq!(job_records::read(&stored), Some(leader));
+    assert_eq!(job_records::read_record(&stored), Some(leader));
     assert_eq!(
         member_versions::legacy_leader_tombstone(),
         json!({"since": 1, "see": "w/leader/holder"})
@@ -293,7 +302,7 @@
         None
     );
     let bare = json!({"levels": {"low": 0, "high": 1}, "build": "0.1"});
-    let member: MemberRecord = job_records::read(&bare).expect("it is read");
+    let member: MemberRecord = job_records::read_record(&bare).expect("it is read");
     assert!(member.policy.is_empty() && member.life == 0);
 }
 
--- a/crates/simulator/tests/gap.rs
+++ b/crates/simulator/tests/gap.rs
@@ -5,7 +5,7 @@
 //! real core; time goes in steps of a second.
 
 use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
-use pebblefold_controller::core::leader_authority::{Bounds, LeaderAuthority};
+use pebblefold_controller::core::leader_authority::{AuthorityBounds, LeaderAuthority};
 use pebblefold_controller::settings::WorkerTimes;
 use pebblefold_controller::types::{Time, TimeSpan};
 use std::collections::HashSet;
@@ -102,9 +102,9 @@
     (now().since(t).as_secs() as u8).min(OLD)
 }
 
-fn bounds() -> Bounds {
+fn bounds() -> AuthorityBounds {
     let any = TimeSpan::secs(1.0);
-    Bounds::new(&WorkerTimes {
+    AuthorityBounds::new(&WorkerTimes {
         report: any,
         lease: TimeSpan::secs(f64::from(LEASE)),
         gang_wait: any,
--- a/crates/simulator/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -137,7 +137,7 @@
 impl World {
     fn head(&self) -> Option<HeaderStage> {
         let (value, _) = self.keys.get(&job_records::job_header_key(&id()))?;
-        job_records::read::<JobHeader>(value).map(|h| h.stage)
+        job_records::read_record::<JobHeader>(value).map(|h| h.stage)
     }
 
     fn places(&self) -> Vec<u64> {
@@ -250,7 +250,7 @@
 
     fn end(&self) -> Option<JobOutcome> {
         let (value, _) = self.keys.get(&job_records::job_outcome_key(&id()))?;
-        Some(match job_records::read::<JobHeader>(value)?.stage {
+        Some(match job_records::read_record::<JobHeader>(value)?.stage {
             HeaderStage::Done => JobOutcome::Done { written: true },
             _ => JobOutcome::Cancelled,
         })
@@ -435,8 +435,8 @@
         if self.cancels > 0
             && self.read.is_none()
             && let Some((value, version)) = self.keys.get(&job_records::job_header_key(&id()))
-            && let Some(head) =
-                job_records::read::<JobHeader>(value).filter(|h| h.stage == HeaderStage::Open)
+            && let Some(head) = job_records::read_record::<JobHeader>(value)
+                .filter(|h| h.stage == HeaderStage::Open)
         {
             step(&|w| w.read = Some((head, Version(*version))));
         }
--- a/crates/simulator/tests/limits.rs
+++ b/crates/simulator/tests/limits.rs
@@ -5,7 +5,7 @@
 
 use pebblefold_controller::core::assignment::{Assignment, PresenceProof};
 use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
-use pebblefold_controller::core::leader_authority::Bounds;
+use pebblefold_controller::core::leader_authority::AuthorityBounds;
 use pebblefold_controller::settings::WorkerTimes;
 use pebblefold_controller::types::{
     AgentEpoch, Attempt, FencingToken, HeartbeatSequence, TimeSpan,
@@ -94,9 +94,9 @@
     other: bool,
 }
 
-fn bounds() -> Bounds {
+fn bounds() -> AuthorityBounds {
     let any = TimeSpan::secs(1.0);
-    Bounds::new(&WorkerTimes {
+    AuthorityBounds::new(&WorkerTimes {
         report: any,
         lease: TimeSpan::secs(f64::from(LEASE)),
         gang_wait: any,
