--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -33,6 +33,17 @@
 /// After how many times the lag of lists a new machine is listed.
 const LISTED_AFTER_LAGS: u64 = 3;
 
+/// Numbers of what is not completed yet, for operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenIntents {
+    /// Provisions without an answer.
+    pub provisions: usize,
+    /// Terminations that are not confirmed.
+    pub terminations: usize,
+    /// Machines still to be terminated.
+    pub machines: usize,
+}
+
 /// All intents of the autoscaler.
 #[derive(Clone, Debug)]
 pub struct Intents {
@@ -122,16 +133,15 @@
         self.settle_terminations(now, listed_after + TERMINATION_KEPT);
     }
 
-    /// Numbers of unanswered provisions, of unconfirmed terminations, and of machines
-    /// still to be terminated, for operators.
-    pub fn open(&self) -> [usize; 3] {
+    /// How much is not completed yet, for operators.
+    pub fn open(&self) -> OpenIntents {
         let terminations = self.terminations.values();
         let unconfirmed = terminations.filter(|intent| intent.confirmed_at.is_none());
         let remaining = self.terminating.values().filter(|gone| gone.is_none());
-        [
-            self.unfulfilled().count(),
-            unconfirmed.count(),
-            remaining.count(),
-        ]
+        OpenIntents {
+            provisions: self.unfulfilled().count(),
+            terminations: unconfirmed.count(),
+            machines: remaining.count(),
+        }
     }
 }
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -4,11 +4,12 @@
 // was first stored. A change of one is a new level, or stored work is lost.
 #[test]
 fn reads_every_record_in_its_first_stored_form() {
+    use crate::core::autoscaler::intents::{Intents, OpenIntents};
     use crate::core::job_records::{
         self, HeaderStage, JobHeader, LeaderRecord, SubmissionAssembler,
     };
+    use crate::core::quarantine::Quarantine;
     use crate::core::quota::arrival_history::ArrivalHistory;
-    use crate::core::{autoscaler::intents::Intents, quarantine::Quarantine};
     use crate::types::{FencingToken, TimeSpan, Version, WallTime};
     use serde_json::json;
 
@@ -40,7 +41,12 @@
     let release = json!({"t": 5, "w": {"idle": ["host-1", "host-2"]}});
     intents.load("d/h/3-1", &provision, WallTime(6));
     assert_eq!(intents.load("d/x/3-2", &release, WallTime(6)).len(), 2);
-    assert_eq!(intents.open(), [1, 1, 2]);
+    let open = OpenIntents {
+        provisions: 1,
+        terminations: 1,
+        machines: 2,
+    };
+    assert_eq!(intents.open(), open);
     let mark = Quarantine::default().load("d/m/host-1", &json!({"n": 2, "t": 5, "d": true}));
     assert_eq!(mark, Some(("host-1".into(), true)));
     let came = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -23,6 +23,7 @@
 pub use leader_record::{LeaderRecord, leader_record};
 pub use submission::{SubmissionAssembler, accept_transaction, cancel_transaction};
 pub use transaction::{
-    CommitItem, CommitPipeline, ConditionalWrite, TransactionBuilder, TransactionLimits,
+    BuiltTransaction, CommitItem, CommitPipeline, ConditionalWrite, TransactionBuilder,
+    TransactionLimits,
 };
 pub use value::{json_len, read_record};
--- a/crates/controller/src/core/job_records/transaction.rs
+++ b/crates/controller/src/core/job_records/transaction.rs
@@ -60,8 +60,15 @@
 /// What a transaction in flight carries, to act on once its outcome is known.
 #[derive(Clone, Debug)]
 pub enum CommitItem {
-    /// A chunk: its job, its number, and the change up to which it is written.
-    Chunk(JobId, u32, u64),
+    /// A chunk of a job's progress.
+    Chunk {
+        /// The job.
+        job: JobId,
+        /// The chunk's number.
+        chunk: u32,
+        /// The change up to which it is written.
+        change: u64,
+    },
     /// A job's header that marks it as done.
     Finish(JobId),
     /// A job's header that marks it as done, with all its other keys deleted.
@@ -74,12 +81,21 @@
     DeleteOrphan(OrphanedKey),
 }
 
+/// A transaction, with what it carries.
+#[derive(Clone, Debug)]
+pub struct BuiltTransaction {
+    /// What is sent to the key-value store.
+    pub transaction: Transaction,
+    /// What its operations are about, in their order.
+    pub items: Vec<CommitItem>,
+}
+
 /// The leader's only way to write: one transaction at a time, so that the order of
 /// writes is always known.
 #[derive(Debug, Default)]
 pub struct CommitPipeline {
-    /// The transaction in flight, with what it carries.
-    pub in_flight: Option<(Transaction, Vec<CommitItem>)>,
+    /// The transaction in flight.
+    pub in_flight: Option<BuiltTransaction>,
     /// Whether an answer to it was lost, so that it may be committed already.
     pub outcome_unknown: bool,
     /// Whether a call for it is outstanding.
@@ -149,7 +165,13 @@
     }
 
     /// The transaction and what it carries; `None` if it has no operations.
-    pub fn finish(self) -> Option<(Transaction, Vec<CommitItem>)> {
-        (!self.transaction.ops.is_empty()).then_some((self.transaction, self.items))
+    pub fn finish(self) -> Option<BuiltTransaction> {
+        if self.is_empty() {
+            return None;
+        }
+        Some(BuiltTransaction {
+            transaction: self.transaction,
+            items: self.items,
+        })
     }
 }
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -17,7 +17,8 @@
 use crate::core::format_version::{FormatVersion, WITH_HISTORY};
 use crate::core::garbage_collection::GarbageCollector;
 use crate::core::job_records::{
-    self, CommitItem, CommitPipeline, ConditionalWrite, Job, TransactionBuilder, TransactionLimits,
+    self, BuiltTransaction, CommitItem, CommitPipeline, ConditionalWrite, Job, TransactionBuilder,
+    TransactionLimits,
 };
 use crate::core::{Reply, Target};
 use crate::types::{FencingToken, JobId, MachineId, Time, TimeSpan, Version};
@@ -118,7 +119,7 @@
             self.pipeline.in_flight = self.build_transaction(now, context);
             self.pipeline.outcome_unknown = false;
         }
-        let Some((transaction, _)) = &self.pipeline.in_flight else {
+        let Some(BuiltTransaction { transaction, .. }) = &self.pipeline.in_flight else {
             return;
         };
         if !effects.leader_calls.take(now, 1.0) {
@@ -138,7 +139,7 @@
         &mut self,
         now: Time,
         context: &mut WriteContext<'_>,
-    ) -> Option<(Transaction, Vec<CommitItem>)> {
+    ) -> Option<BuiltTransaction> {
         let limits = context.cluster.settings.state_limits;
         let ops = limits.txn_ops.min(self.write_tokens.level(now) as usize);
         if ops < LEAST_OPERATIONS {
@@ -165,7 +166,8 @@
             }
         }
         let built = builder.finish()?;
-        self.write_tokens.take(now, built.0.ops.len() as f64);
+        self.write_tokens
+            .take(now, built.transaction.ops.len() as f64);
         Some(built)
     }
 
@@ -179,7 +181,7 @@
     ) -> LeadershipOutcome {
         let now = effects.now.time;
         self.pipeline.call_outstanding = false;
-        let Some((transaction, items)) = self.pipeline.in_flight.take() else {
+        let Some(BuiltTransaction { transaction, items }) = self.pipeline.in_flight.take() else {
             return LeadershipOutcome::Continue;
         };
         let pause = self
@@ -203,7 +205,7 @@
             }
             Reply::Answer(..) | Reply::NotSent | Reply::Lost => {
                 self.pipeline.outcome_unknown |= matches!(reply, Reply::Lost);
-                self.pipeline.in_flight = Some((transaction, items));
+                self.pipeline.in_flight = Some(BuiltTransaction { transaction, items });
                 self.pipeline.not_before = now + pause;
                 LeadershipOutcome::Continue
             }
@@ -251,7 +253,7 @@
             return LeadershipOutcome::StepDown("a write's fate is unknown");
         };
         let path = format!("/keys/{}", op.key());
-        self.pipeline.in_flight = Some((transaction, items));
+        self.pipeline.in_flight = Some(BuiltTransaction { transaction, items });
         self.pipeline.call_outstanding = true;
         let call = effects.call(Target::Store, "GET", path, Vec::new(), READ_TIMEOUT);
         pending_calls.add(call, PendingCall::Written(op));
@@ -283,8 +285,8 @@
             match &item {
                 // Nothing of a job that is over is started, whether or not the watch
                 // has shown its end yet.
-                CommitItem::Chunk(id, ..) if is_over(id) => {
-                    context.cluster.cancel_job_ended_elsewhere(now, id);
+                CommitItem::Chunk { job, .. } if is_over(job) => {
+                    context.cluster.cancel_job_ended_elsewhere(now, job);
                 }
                 // The watch shows a job cancelled in the meantime.
                 CommitItem::Finish(id) | CommitItem::FinishAndDelete(id) if is_over(id) => {}
@@ -309,7 +311,7 @@
     ) -> LeadershipOutcome {
         self.pipeline.call_outstanding = false;
         let unknown = LeadershipOutcome::StepDown("a write's fate is unknown");
-        let Some((transaction, items)) = self.pipeline.in_flight.take() else {
+        let Some(BuiltTransaction { transaction, items }) = self.pipeline.in_flight.take() else {
             return unknown;
         };
         let Reply::Answer(200, body) = reply else {
@@ -370,7 +372,9 @@
     fn requeue(&mut self, now: Time, context: &mut WriteContext<'_>, item: CommitItem) {
         let unwritten = &mut context.cluster.unwritten;
         match item {
-            CommitItem::Chunk(id, chunk, _) => unwritten.dirty_chunks.mark((id, chunk), now, true),
+            CommitItem::Chunk { job, chunk, .. } => {
+                unwritten.dirty_chunks.mark((job, chunk), now, true);
+            }
             CommitItem::Finish(id) | CommitItem::FinishAndDelete(id) => {
                 unwritten.finished_jobs.insert(id);
             }
@@ -393,9 +397,9 @@
         revision: Version,
     ) {
         match item {
-            CommitItem::Chunk(id, chunk, change) => {
-                self.note_chunk_format(&id, chunk, transaction);
-                apply_stored_chunk(context, &id, chunk, change, revision);
+            CommitItem::Chunk { job, chunk, change } => {
+                self.record_chunk_format(&job, chunk, transaction);
+                apply_stored_chunk(context, &job, chunk, change, revision);
             }
             CommitItem::Finish(id) => apply_stored_outcome(context.cluster, id),
             CommitItem::FinishAndDelete(id) => {
@@ -425,8 +429,8 @@
         context.status.forget_job(id);
     }
 
-    /// Notes whether a chunk that was stored has the format in force.
-    fn note_chunk_format(&mut self, id: &JobId, chunk: u32, transaction: &Transaction) {
+    /// Records whether a chunk that was stored has the format in force.
+    fn record_chunk_format(&mut self, id: &JobId, chunk: u32, transaction: &Transaction) {
         let chunk_key = job_records::chunk_key(id, chunk);
         let value = transaction.ops.iter().find_map(|op| match op {
             Operation::Put { key, value, .. } if *key == chunk_key => Some(value),
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -37,7 +37,11 @@
         let level = leader.writer.write_tokens.level(now);
         leader.writer.write_tokens.take(now, level - room as f64);
         let mut parts = leader.writer();
-        let Some((txn, items)) = parts.writer.build_transaction(now, &mut parts.context) else {
+        let Some(BuiltTransaction {
+            transaction: txn,
+            items,
+        }) = parts.writer.build_transaction(now, &mut parts.context)
+        else {
             break;
         };
         for op in &txn.ops {
@@ -105,7 +109,10 @@
         let built = parts
             .writer
             .build_transaction(Time(1_000_000), &mut parts.context);
-        let (txn, items) = built.unwrap();
+        let BuiltTransaction {
+            transaction: txn,
+            items,
+        } = built.unwrap();
         let keys = txn.ops.iter().map(|op| match op {
             Operation::Put { key, .. } => format!("+{key}"),
             Operation::Delete { key } => format!("-{key}"),
@@ -163,7 +170,13 @@
     }
     let mut effects = crate::testing::effects_at(1.0);
     leader.submit_next_transaction(&mut effects);
-    let (txn, _) = leader.writer.pipeline.in_flight.as_ref().unwrap();
+    let txn = &leader
+        .writer
+        .pipeline
+        .in_flight
+        .as_ref()
+        .unwrap()
+        .transaction;
     for id in ["job/wk-1", "job/wk-2"] {
         let fenced = |c: &Precondition| c.key == id && c.version == Version(7);
         assert!(txn.conditions.iter().any(fenced), "{id} is not compared");
@@ -241,7 +254,13 @@
         !job.is_stored(leader.cluster.chunk_size, 0, change),
         "nothing is sent on a guess"
     );
-    let (txn, _) = leader.writer.pipeline.in_flight.clone().unwrap();
+    let txn = leader
+        .writer
+        .pipeline
+        .in_flight
+        .clone()
+        .unwrap()
+        .transaction;
     let (op, value) = txn
         .ops
         .iter()
@@ -285,7 +304,13 @@
         version: Version(version),
     };
     let own = |leader: &Leader| {
-        let (txn, _) = leader.writer.pipeline.in_flight.clone().unwrap();
+        let txn = leader
+            .writer
+            .pipeline
+            .in_flight
+            .clone()
+            .unwrap()
+            .transaction;
         let put = txn.ops.into_iter();
         put.filter_map(|op| match op {
             Operation::Put { value, .. } => Some(value),
@@ -297,7 +322,15 @@
     for case in 0..4 {
         let (mut leader, _, _) = leader_after_repeated_commit(&["r/wk-1/0"]);
         let value = own(&leader);
-        let op = leader.writer.pipeline.in_flight.as_ref().unwrap().0.ops[0].clone();
+        let op = leader
+            .writer
+            .pipeline
+            .in_flight
+            .as_ref()
+            .unwrap()
+            .transaction
+            .ops[0]
+            .clone();
         let reply = match case {
             0 => Reply::Answer(404, Vec::new()),
             1 => Reply::Answer(200, wire::encode(&entry(value, 0))),
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -113,10 +113,11 @@
 
     fn renting(&self) -> Value {
         let proxy = &self.autoscaler.cloud_proxy;
-        let [provisions, releases, machines] = self.autoscaler.intents.open();
+        let open = self.autoscaler.intents.open();
         let by = proxy.peer(self.at.time);
         json!({
-            "hires": provisions, "releases": releases, "machines_going": machines,
+            "hires": open.provisions, "releases": open.terminations,
+            "machines_going": open.machines,
             "by": by.map_or("itself", |node| node.as_str()),
             "hands_changed": proxy.changes,
         })
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -174,12 +174,12 @@
             self.load_intent(at, &entry);
             self.load_quarantine(at, &entry);
         }
-        let [provisions, releases, machines] = self.intents.open();
-        if provisions + releases > 0 {
+        let open = self.intents.open();
+        if open.provisions + open.terminations > 0 {
             tracing::info!(
-                provisions,
-                releases,
-                machines,
+                provisions = open.provisions,
+                terminations = open.terminations,
+                machines = open.machines,
                 "continuing what earlier leaders intended"
             );
         }
--- a/crates/controller/src/core/leader/transaction_contents.rs
+++ b/crates/controller/src/core/leader/transaction_contents.rs
@@ -77,7 +77,12 @@
             continue;
         };
         let write = job.write_chunk(cluster.chunk_size, chunk, format);
-        if !builder.add(CommitItem::Chunk(id, chunk, change), write) {
+        let item = CommitItem::Chunk {
+            job: id,
+            chunk,
+            change,
+        };
+        if !builder.add(item, write) {
             break;
         }
         dirty_chunks.forget(&due);
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -1,7 +1,7 @@
 //! Pins what stands in the state service: every key and every record, as literals. A
 //! store that an older build left behind has to be read by this one.
 
-use pebblefold_controller::core::autoscaler::intents::Intents;
+use pebblefold_controller::core::autoscaler::intents::{Intents, OpenIntents};
 use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
 use pebblefold_controller::core::format_version::member_versions::{
     self, BUILD, MemberRecord, MemberVersions,
@@ -378,7 +378,12 @@
     let mut successor = new();
     successor.load("d/h/9-1", &provision[0][1], WallTime(6));
     successor.load("d/x/9-2", &release[0][1], WallTime(6));
-    assert_eq!(successor.open(), [1, 1, 2]);
+    let open = OpenIntents {
+        provisions: 1,
+        terminations: 1,
+        machines: 2,
+    };
+    assert_eq!(successor.open(), open);
 }
 
 #[test]
