--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -60,6 +60,19 @@
 /// Time between checks for machines that fell silent or are gone.
 const HEALTH_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(200);
 
+/// What a leader's term begins with.
+#[derive(Clone, Copy, Debug)]
+pub struct LeaderTerm {
+    /// The key whose version is the fencing token.
+    pub holder: &'static str,
+    /// The fencing token.
+    pub token: FencingToken,
+    /// The lease that the token hangs on.
+    pub lease: u64,
+    /// The format version in force.
+    pub format_version: FormatVersion,
+}
+
 /// The leader: what its term rests on, and the parts that do its work.
 #[derive(Debug)]
 pub struct Leader {
@@ -70,7 +83,7 @@
     /// The format version in force.
     pub format_version: FormatVersion,
     /// Changes of leader and format-version keys that the watch showed.
-    pub news: Vec<WatchEvent>,
+    pub version_events: Vec<WatchEvent>,
     /// The lease that the token hangs on.
     pub lease: u64,
     /// Calls under way.
@@ -108,16 +121,21 @@
     pub fn new(
         settings: Rc<Settings>,
         policy: Rc<Policy>,
-        (holder, token, lease): (&'static str, FencingToken, u64),
-        level: FormatVersion,
+        term: LeaderTerm,
         now: Time,
-        types: &MachineTypes,
+        machine_types: &MachineTypes,
     ) -> Leader {
+        let LeaderTerm {
+            holder,
+            token,
+            lease,
+            format_version,
+        } = term;
         let mut leader = Leader {
             token,
             holder,
-            format_version: level,
-            news: Vec::new(),
+            format_version,
+            version_events: Vec::new(),
             lease,
             pending_calls: PendingCalls::default(),
             leading_since: now,
@@ -134,13 +152,13 @@
             status: StatusBroadcaster::default(),
             cluster: ClusterState::new(settings, policy),
         };
-        leader.set_types(types);
+        leader.set_machine_types(machine_types);
         leader
     }
 
     /// Takes over machine types read from the cloud or the state service.
-    pub fn set_types(&mut self, types: &MachineTypes) {
-        self.cluster.set_machine_types(types);
+    pub fn set_machine_types(&mut self, machine_types: &MachineTypes) {
+        self.cluster.set_machine_types(machine_types);
     }
 
     /// Whether everything recorded has been read.
@@ -222,15 +240,15 @@
         reply: Reply,
     ) -> LeadershipOutcome {
         match call {
-            PendingCall::Read { sent } => self.on_read(effects, sent, reply),
-            PendingCall::Commit => self.on_commit(effects, reply),
-            PendingCall::Written(op) => self.on_written(&op, reply),
-            PendingCall::Cloud(call, by) => self.on_cloud(effects, call, by, reply),
+            PendingCall::Read { sent } => self.handle_read_reply(effects, sent, reply),
+            PendingCall::Commit => self.handle_commit_reply(effects, reply),
+            PendingCall::Written(op) => self.handle_own_write_read(&op, reply),
+            PendingCall::Cloud(call, by) => self.handle_cloud_reply(effects, call, by, reply),
         }
     }
 
     /// A read of the records or of changes was answered, or not.
-    pub fn on_read(
+    pub fn handle_read_reply(
         &mut self,
         effects: &mut Effects,
         sent: Time,
@@ -243,7 +261,7 @@
     }
 
     /// The cloud answered, or not; `by` is the peer that made the call, if one did.
-    pub fn on_cloud(
+    pub fn handle_cloud_reply(
         &mut self,
         effects: &mut Effects,
         call: CloudCall,
@@ -426,7 +444,7 @@
                 holder: self.holder,
                 token: self.token,
                 authority: &mut self.authority,
-                news: &mut self.news,
+                version_events: &mut self.version_events,
                 cluster: &mut self.cluster,
                 writer: &mut self.writer,
                 scheduler: &mut self.scheduler,
@@ -460,14 +478,18 @@
     }
 
     /// A transaction was answered, or not.
-    pub fn on_commit(&mut self, effects: &mut Effects, reply: Reply) -> LeadershipOutcome {
+    pub fn handle_commit_reply(
+        &mut self,
+        effects: &mut Effects,
+        reply: Reply,
+    ) -> LeadershipOutcome {
         let mut parts = self.writer();
         parts
             .writer
             .handle_commit_reply(effects, &mut parts.context, parts.pending_calls, reply)
     }
 
-    fn on_written(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
+    fn handle_own_write_read(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
         let mut parts = self.writer();
         parts
             .writer
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn stale_list_does_not_bring_back_released_machine() {
     let mut leader = leader();
-    leader.on_cloud(
+    leader.handle_cloud_reply(
         &mut effects_at(1.0),
         CloudCall::List,
         None,
@@ -35,13 +35,13 @@
     );
     assert_eq!(leader.cluster.machines.len(), 2);
     let release = CloudCall::Release(vec!["host-1".into()]);
-    leader.on_cloud(
+    leader.handle_cloud_reply(
         &mut effects_at(2.0),
         release,
         None,
         Reply::Answer(200, Vec::new()),
     );
-    leader.on_cloud(
+    leader.handle_cloud_reply(
         &mut effects_at(9.0),
         CloudCall::List,
         None,
@@ -154,13 +154,13 @@
     else {
         panic!("the release is not asked for")
     };
-    next.on_cloud(
+    next.handle_cloud_reply(
         &mut effects_at(2.0),
         CloudCall::Release(names),
         None,
         Reply::Answer(200, Vec::new()),
     );
-    next.on_cloud(
+    next.handle_cloud_reply(
         &mut effects_at(2.0),
         CloudCall::List,
         None,
@@ -192,7 +192,7 @@
             .mark_for_termination("idle");
         let call = CloudCall::Release(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
-        leader.on_cloud(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
+        leader.handle_cloud_reply(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
         assert!(
             leader.cluster.machines.contains_key(&id),
             "{status} by {by:?}"
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -102,7 +102,7 @@
     }
 
     /// Keeps what a heartbeat listed, for its answer.
-    pub fn note_reported_tasks(&mut self, heartbeat: &Heartbeat) {
+    pub fn record_reported_tasks(&mut self, heartbeat: &Heartbeat) {
         let reported = heartbeat.tasks.iter().map(|task| ReportedTaskState {
             name: task.task.clone(),
             attempt: task.attempt,
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -185,7 +185,7 @@
         revision: Version(9),
         failed: vec!["job/wk-1".into()],
     };
-    let fate = leader.on_commit(&mut effects, Reply::Answer(409, wire::encode(&refused)));
+    let fate = leader.handle_commit_reply(&mut effects, Reply::Answer(409, wire::encode(&refused)));
     assert_eq!(fate, LeadershipOutcome::Continue);
     let job = |id: &str| &leader.cluster.jobs[&JobId::from(id)];
     assert!(!job("wk-1").is_open() && job("wk-1").assignments.is_empty());
@@ -223,14 +223,14 @@
         .mark((id, 0), Time(0), true);
     let mut effects = crate::testing::effects_at(1.0);
     leader.submit_next_transaction(&mut effects);
-    leader.on_commit(&mut effects, Reply::Lost);
+    leader.handle_commit_reply(&mut effects, Reply::Lost);
     effects.now.time = effects.now.time + TimeSpan::secs(5.0);
     leader.submit_next_transaction(&mut effects);
     effects.take_outputs();
     let failed = failed.iter().map(|k| (*k).to_string()).collect();
     let revision = Version(30);
     let body = wire::encode(&TransactionResponse { revision, failed });
-    let fate = leader.on_commit(&mut effects, Reply::Answer(409, body));
+    let fate = leader.handle_commit_reply(&mut effects, Reply::Answer(409, body));
     (leader, effects, fate)
 }
 
@@ -276,7 +276,10 @@
         version,
     };
     let found = Reply::Answer(200, wire::encode(&entry));
-    assert_eq!(leader.on_written(&op, found), LeadershipOutcome::Continue);
+    assert_eq!(
+        leader.handle_own_write_read(&op, found),
+        LeadershipOutcome::Continue
+    );
     let job = &leader.cluster.jobs[&id];
     assert!(job.is_stored(leader.cluster.chunk_size, 0, change));
     assert_eq!(
@@ -337,6 +340,9 @@
             2 => Reply::Answer(200, wire::encode(&entry(serde_json::json!({"a": 1}), 25))),
             _ => Reply::Lost,
         };
-        assert!(gives_up(leader.on_written(&op, reply)), "case {case}");
+        assert!(
+            gives_up(leader.handle_own_write_read(&op, reply)),
+            "case {case}"
+        );
     }
 }
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -110,7 +110,7 @@
             pending_writes: &mut self.intents.pending_writes,
         };
         let result = self.cluster.reconcile_tasks(&received, &mut recorder);
-        self.commands.note_reported_tasks(heartbeat);
+        self.commands.record_reported_tasks(heartbeat);
         self.check_delivery(at.time, heartbeat, previous, result.delivery);
         // One without our token may be an old copy, and its notice another's.
         if heartbeat.notice_s.is_some() && heartbeat.token == self.token {
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -143,7 +143,7 @@
         events: Vec::new(),
     };
     let read = Reply::Answer(200, wire::encode(&none));
-    leader.on_read(&mut effects_at(2.5), Time(2_000_000), read);
+    leader.handle_read_reply(&mut effects_at(2.5), Time(2_000_000), read);
     assert_eq!(
         send_heartbeat(&mut leader, 2.0, report(4, later.0)),
         (421, LeadershipOutcome::Continue)
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -30,7 +30,7 @@
     /// Told what was read, and when.
     pub authority: &'a mut LeaderAuthority,
     /// Changes of leader and format-version keys.
-    pub news: &'a mut Vec<WatchEvent>,
+    pub version_events: &'a mut Vec<WatchEvent>,
     /// Jobs and machines.
     pub cluster: &'a mut ClusterState,
     /// Told of orphaned keys and outdated records.
@@ -54,7 +54,7 @@
             match job_records::parse_watched_key(&entry.key) {
                 Watched::Leadership => {
                     is_holder |= entry.key == self.holder && entry.version.0 == self.token.0;
-                    self.news.push(as_event(entry));
+                    self.version_events.push(as_event(entry));
                 }
                 Watched::Part(id, number) => records.assembler.part(id, number, &entry.value),
                 _ => {}
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -267,7 +267,7 @@
         };
         match job_records::parse_watched_key(key) {
             Watched::Leadership => {
-                context.news.push(event.clone());
+                context.version_events.push(event.clone());
                 if key == context.holder && event.version.0 != context.token.0 {
                     return LeadershipOutcome::Deposed(FencingToken(event.version.0));
                 }
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -29,7 +29,7 @@
         };
         let sent = Time(0) + TimeSpan::secs(t);
         t += page_s;
-        leader.on_read(
+        leader.handle_read_reply(
             &mut effects_at(t),
             sent,
             Reply::Answer(200, wire::encode(&page)),
@@ -170,7 +170,7 @@
         revision: Version(9),
         failed: Vec::new(),
     };
-    leader.on_commit(
+    leader.handle_commit_reply(
         &mut effects_at(4.6),
         Reply::Answer(200, wire::encode(&answer)),
     );
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::core::effects::Effects;
 use crate::core::election::ElectionOutcome;
-use crate::core::leader::{Leader, LeadershipOutcome};
+use crate::core::leader::{Leader, LeaderTerm, LeadershipOutcome};
 use crate::types::FencingToken;
 use crate::wire::cloud::MachineTypes;
 use std::rc::Rc;
@@ -46,11 +46,16 @@
 
     fn new_leader(&self, token: FencingToken, lease: u64) -> Leader {
         let no_types = MachineTypes::default();
+        let term = LeaderTerm {
+            holder: self.election.holder_key(),
+            token,
+            lease,
+            format_version: self.election.member_versions.active_version(),
+        };
         Leader::new(
             Rc::clone(&self.settings),
             Rc::clone(&self.policy),
-            (self.election.holder_key(), token, lease),
-            self.election.member_versions.active_version(),
+            term,
             self.effects.now.time,
             self.machine_types.as_ref().unwrap_or(&no_types),
         )
@@ -69,7 +74,7 @@
         if leader.is_loaded() && !was_loaded {
             self.peer_heartbeat_due = self.effects.now.time;
         }
-        for event in leader.news.drain(..) {
+        for event in leader.version_events.drain(..) {
             self.election.member_versions.apply(&event);
         }
         if outcome == LeadershipOutcome::Continue {
--- a/crates/controller/src/core/node/machine_type_cache.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -48,7 +48,7 @@
             kinds: chunks.flatten().collect(),
         };
         if let Some(leader) = &mut self.leader {
-            leader.set_types(&types);
+            leader.set_machine_types(&types);
         }
         self.machine_types = Some(types);
     }
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -299,6 +299,6 @@
         events: Vec::new(),
     };
     let reply = Reply::Answer(200, wire::encode(&none));
-    leader.on_read(&mut testing::effects_at(6.0), Time(5_500_000), reply);
+    leader.handle_read_reply(&mut testing::effects_at(6.0), Time(5_500_000), reply);
     assert!(!leader.authority.is_reported_cancelled(&id), "it goes on");
 }
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -172,7 +172,9 @@
 
     /// The work that room is made for also waits for its image.
     fn add_fetch_cost(&self, plan: &mut RowPlan) {
-        let fetch = self.cycle.fetch(self.request, &self.cycle.rows[plan.row]);
+        let fetch = self
+            .cycle
+            .fetch_time(self.request, &self.cycle.rows[plan.row]);
         plan.cost += fetch.as_secs() * COST_PER_FETCH_SECOND;
         let starts_at = self.cycle.parameters.now + fetch;
         if self
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -96,7 +96,7 @@
     }
 
     /// How long a task of this request would wait for its image on a row.
-    pub fn fetch(&self, request: &PlacementRequest, row: &MachineRow) -> TimeSpan {
+    pub fn fetch_time(&self, request: &PlacementRequest, row: &MachineRow) -> TimeSpan {
         row.cache
             .remaining(&request.image, self.parameters.now)
             .unwrap_or_else(|| {
@@ -119,7 +119,7 @@
         };
         match scope {
             PlacementScope::Any => true,
-            PlacementScope::Warm => self.fetch(request, row) <= NEARLY_FETCHED,
+            PlacementScope::Warm => self.fetch_time(request, row) <= NEARLY_FETCHED,
             PlacementScope::Holders => is_holder(),
             PlacementScope::Gated => {
                 is_holder() || request.overdue || self.allows_cold_fetch(request, row)
@@ -130,7 +130,7 @@
     /// Whether a row may fetch an image for work below high priority: it had no
     /// high-priority start for over half the fetch time (Algorithm 1, lines 23 to 31).
     fn allows_cold_fetch(&self, request: &PlacementRequest, row: &MachineRow) -> bool {
-        let fetch_time = self.fetch(request, row);
+        let fetch_time = self.fetch_time(request, row);
         row.last_high_priority_start
             .is_none_or(|last| self.parameters.now.since(last) > TimeSpan(fetch_time.0 / 2))
     }
@@ -157,7 +157,7 @@
             .map(|(index, row)| {
                 let free_after = (row.free - request.need).share_of(&row.capacity);
                 Candidate {
-                    fetch_time: self.fetch(request, row),
+                    fetch_time: self.fetch_time(request, row),
                     free_after: (free_after * 1000.0) as i64,
                     is_on_demand: !row.spot,
                     row: index,
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -87,7 +87,7 @@
         }
         let fetch_times = allocations
             .iter()
-            .map(|a| self.fetch(request, &self.rows[a.row]));
+            .map(|a| self.fetch_time(request, &self.rows[a.row]));
         Some(ZoneTrial {
             tasks: Reverse(tasks),
             slowest_fetch: fetch_times.max().unwrap_or(TimeSpan::ZERO),
@@ -129,7 +129,7 @@
             let row = &self.rows[index];
             // A gang's tasks wait for the slowest fetch, but only so long.
             if request.gang {
-                let fetch_time = self.fetch(request, row);
+                let fetch_time = self.fetch_time(request, row);
                 let shortest = *shortest_fetch.get_or_insert(fetch_time);
                 if fetch_time.0 > shortest.0 + self.parameters.max_fetch_skew.0 {
                     continue;
@@ -165,7 +165,7 @@
     /// its room as taken and its image as being fetched.
     pub fn assign(&mut self, request: &mut PlacementRequest, task: u32, row: usize) {
         let now = self.parameters.now;
-        let fetch_time = self.fetch(request, &self.rows[row]);
+        let fetch_time = self.fetch_time(request, &self.rows[row]);
         let machine = &mut self.rows[row];
         machine.free -= request.need;
         let share = request.need.share_of(&machine.capacity).min(1.0);
--- a/crates/controller/src/testing.rs
+++ b/crates/controller/src/testing.rs
@@ -3,7 +3,7 @@
 use crate::core::Now;
 use crate::core::effects::Effects;
 use crate::core::format_version::{UNVERSIONED, member_versions};
-use crate::core::leader::Leader;
+use crate::core::leader::{Leader, LeaderTerm};
 use crate::policy::{DEFAULT_SCRIPT, Policy};
 use crate::settings::Settings;
 use crate::types::{FencingToken, Time, TimeSpan, WallTime};
@@ -75,15 +75,13 @@
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).expect("the default is valid");
     let kinds = vec![machine_type()];
     let types = MachineTypes { kinds };
-    let leadership = (member_versions::LEGACY_LEADER_KEY, FencingToken(5), 1);
-    Leader::new(
-        settings,
-        Rc::new(policy),
-        leadership,
-        UNVERSIONED,
-        Time(0),
-        &types,
-    )
+    let term = LeaderTerm {
+        holder: member_versions::LEGACY_LEADER_KEY,
+        token: FencingToken(5),
+        lease: 1,
+        format_version: UNVERSIONED,
+    };
+    Leader::new(settings, Rc::new(policy), term, Time(0), &types)
 }
 
 /// A job of one-GPU tasks.
