--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -24,8 +24,16 @@
 use std::collections::BTreeMap;
 use terminations::TerminationIntent;
 
-/// Machines of one type and zone, either spot (true) or on-demand capacity.
-pub type CapacityPool = (MachineTypeName, Zone, bool);
+/// Where machines are provisioned. Pools are ordered by their fields in turn.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CapacityPool {
+    /// The machine type.
+    pub machine_type: MachineTypeName,
+    /// The zone.
+    pub zone: Zone,
+    /// Whether it is spot capacity, not on-demand capacity.
+    pub spot: bool,
+}
 
 /// How long settled terminations are kept, beyond the lag of lists: an old list or
 /// heartbeat may still name their machines.
--- a/crates/controller/src/core/autoscaler/intents/provisions.rs
+++ b/crates/controller/src/core/autoscaler/intents/provisions.rs
@@ -88,13 +88,13 @@
     }
 
     /// Decides to provision `count` machines, at most [`MAX_MACHINES_PER_PROVISION`].
-    pub fn provision(&mut self, (kind, zone, spot): CapacityPool, count: u32, wall: WallTime) {
+    pub fn provision(&mut self, pool: CapacityPool, count: u32, wall: WallTime) {
         let name = self.next_name();
         let request = ProvisionRequest {
             request: name.clone(),
-            kind,
-            zone,
-            spot,
+            kind: pool.machine_type,
+            zone: pool.zone,
+            spot: pool.spot,
             count: count.clamp(1, MAX_MACHINES_PER_PROVISION),
         };
         let record = ProvisionRecord {
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -8,7 +8,7 @@
 use super::outcome::LeadershipOutcome;
 use super::pending_call::PendingCall;
 use super::task_lifecycle::RemovalReason;
-use crate::core::autoscaler::intents::Intents;
+use crate::core::autoscaler::intents::{CapacityPool, Intents};
 use crate::core::autoscaler::state::{
     Autoscaler, BAD_GATEWAY, CONFLICT, CloudCall, GATEWAY_TIMEOUT,
 };
@@ -373,7 +373,11 @@
     /// A pool that has no capacity is not asked again for a while.
     fn pause_pool(&mut self, now: Time, cluster: &ClusterState, request: &ProvisionRequest) {
         let pause = TimeSpan::secs(cluster.policy.no_capacity_pause_s);
-        let pool = (request.kind.clone(), request.zone.clone(), request.spot);
+        let pool = CapacityPool {
+            machine_type: request.kind.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+        };
         self.paused_pools.insert(pool, now + pause);
     }
 
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -61,8 +61,12 @@
 #[test]
 fn releases_alternate_with_other_calls() {
     let mut leader = leader();
-    let market: CapacityPool = ("g4".into(), "z0".into(), true);
-    leader.autoscaler.intents.provision(market, 3, WallTime(0));
+    let pool = CapacityPool {
+        machine_type: "g4".into(),
+        zone: "z0".into(),
+        spot: true,
+    };
+    leader.autoscaler.intents.provision(pool, 3, WallTime(0));
     let mut made = Vec::new();
     for n in 0..6 {
         let id = MachineId::from(format!("host-{n}"));
@@ -112,10 +116,15 @@
         wall: WallTime(5000),
     };
     let mut first = leader();
-    first
-        .autoscaler
-        .intents
-        .provision(("g4".into(), "z0".into(), true), 3, WallTime(0));
+    first.autoscaler.intents.provision(
+        CapacityPool {
+            machine_type: "g4".into(),
+            zone: "z0".into(),
+            spot: true,
+        },
+        3,
+        WallTime(0),
+    );
     first
         .cluster
         .register_machine(Time(0), &"host-1".into(), &first.autoscaler.intents)
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -173,7 +173,11 @@
                     continue;
                 }
                 for spot in [true, false] {
-                    let pool = (machine_type.name.clone(), zone.clone(), spot);
+                    let pool = CapacityPool {
+                        machine_type: machine_type.name.clone(),
+                        zone: zone.clone(),
+                        spot,
+                    };
                     if (spot && !request.spot) || self.paused_pools.contains_key(&pool) {
                         continue;
                     }
@@ -198,7 +202,11 @@
         for machine_type in cluster.machine_types.values() {
             for zone in &machine_type.zones {
                 for spot in [true, false] {
-                    let pool = (machine_type.name.clone(), zone.clone(), spot);
+                    let pool = CapacityPool {
+                        machine_type: machine_type.name.clone(),
+                        zone: zone.clone(),
+                        spot,
+                    };
                     if self.paused_pools.contains_key(&pool) {
                         continue;
                     }
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -1,7 +1,7 @@
 //! Pins what stands in the state service: every key and every record, as literals. A
 //! store that an older build left behind has to be read by this one.
 
-use pebblefold_controller::core::autoscaler::intents::{Intents, OpenIntents};
+use pebblefold_controller::core::autoscaler::intents::{CapacityPool, Intents, OpenIntents};
 use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
 use pebblefold_controller::core::format_version::member_versions::{
     self, BUILD, MemberRecord, MemberVersions,
@@ -366,7 +366,12 @@
 fn hire_and_release_intents_keep_their_stored_format() {
     let new = || Intents::new(FencingToken(9), TimeSpan::secs(4.0), 8192);
     let mut intents = new();
-    intents.provision(("g8".into(), "z0".into(), true), 2, WallTime(5));
+    let pool = CapacityPool {
+        machine_type: "g8".into(),
+        zone: "z0".into(),
+        spot: true,
+    };
+    intents.provision(pool, 2, WallTime(5));
     let provision = json!([["d/h/9-1", {"t": 5, "r": {
         "hire": "9-1", "box_kind": "g8", "yard": "z0", "borrowed": true, "count": 2,
     }}]]);
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -5,7 +5,7 @@
 
 mod common;
 use common::{cluster, jobs, rehearse, sound};
-use pebblefold_controller::core::autoscaler::intents::Intents;
+use pebblefold_controller::core::autoscaler::intents::{CapacityPool, Intents};
 use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::core::garbage_collection::GarbageCollector;
 use pebblefold_controller::core::job_records;
@@ -129,8 +129,12 @@
             let has = h.known.iter().any(|m| m.as_str() != FIRST);
             if !has && !h.intents.is_provisioning() && h.intents.unseen_machines().is_empty() {
                 step(&|w| {
-                    let market = ("g4".into(), "z".into(), true);
-                    w.holders[i].intents.provision(market, 1, WallTime(0));
+                    let pool = CapacityPool {
+                        machine_type: "g4".into(),
+                        zone: "z".into(),
+                        spot: true,
+                    };
+                    w.holders[i].intents.provision(pool, 1, WallTime(0));
                 });
             }
             let first = MachineId::from(FIRST);
