--- a/crates/controller/src/core/format_version/chunk_progress/tests.rs
+++ b/crates/controller/src/core/format_version/chunk_progress/tests.rs
@@ -113,7 +113,7 @@
     #[test]
     fn round_trips_at_every_later_version(p in progress()) {
         for step in super::super::KNOWN_VERSIONS {
-            let stored = p.write(step.level);
+            let stored = p.write(step.version);
             prop_assert_eq!(ChunkProgress::read(&stored), Ok(p.clone()));
         }
     }
--- a/crates/controller/src/core/format_version/mod.rs
+++ b/crates/controller/src/core/format_version/mod.rs
@@ -34,7 +34,7 @@
 
     /// Its name, if this build knows it, or a text that says that it does not.
     pub fn name(self) -> &'static str {
-        let mut known = KNOWN_VERSIONS.iter().filter(|s| s.level == self);
+        let mut known = KNOWN_VERSIONS.iter().filter(|s| s.version == self);
         known.next().map_or("not known to this build", |s| s.name)
     }
 }
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct VersionInfo {
     /// The format version.
-    pub level: FormatVersion,
+    pub version: FormatVersion,
     /// Its name.
     pub name: &'static str,
     /// What is stored or sent differently since.
@@ -62,19 +62,19 @@
 /// All format versions that this build knows, in order.
 pub const KNOWN_VERSIONS: [VersionInfo; 3] = [
     VersionInfo {
-        level: UNVERSIONED,
+        version: UNVERSIONED,
         name: "before",
         since: "as builds stored it that know no levels; the leader's key is w/leader",
         older: "-",
     },
     VersionInfo {
-        level: FENCED,
+        version: FENCED,
         name: "fenced",
         since: "the leader's key is w/leader/holder; w/leader stands for good and names nobody, so that builds without levels never lead",
         older: "every build with levels",
     },
     VersionInfo {
-        level: WITH_HISTORY,
+        version: WITH_HISTORY,
         name: "remembered",
         since: "r/ keeps places by machine; d/f keeps what came for each class and team of late",
         older: "r/ in the old form: every build with levels; rewritten by the leader",
@@ -93,8 +93,8 @@
 impl SupportedVersions {
     /// The range of this build.
     pub const SUPPORTED: SupportedVersions = SupportedVersions {
-        low: KNOWN_VERSIONS[0].level,
-        high: KNOWN_VERSIONS[KNOWN_VERSIONS.len() - 1].level,
+        low: KNOWN_VERSIONS[0].version,
+        high: KNOWN_VERSIONS[KNOWN_VERSIONS.len() - 1].version,
     };
 
     /// Whether a version is in the range.
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -62,7 +62,7 @@
 #[test]
 fn version_table_lists_each_version_once() {
     for (i, step) in KNOWN_VERSIONS.iter().enumerate() {
-        assert_eq!(step.level, FormatVersion(i as u32));
+        assert_eq!(step.version, FormatVersion(i as u32));
         assert!(!step.since.is_empty() && !step.older.is_empty());
     }
     assert_eq!(FormatVersion(99).name(), "not known to this build");
--- a/crates/controller/src/core/job_records/chunk_size/tests.rs
+++ b/crates/controller/src/core/job_records/chunk_size/tests.rs
@@ -27,8 +27,8 @@
         }
         let chunk = size.of(high);
         for step in KNOWN_VERSIONS {
-            let len = json_len(&job.chunk_value(size, chunk, step.level));
-            assert!(len <= bytes, "{len} of {bytes} at level {}", step.level);
+            let len = json_len(&job.chunk_value(size, chunk, step.version));
+            assert!(len <= bytes, "{len} of {bytes} at level {}", step.version);
         }
     }
 }
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -308,7 +308,7 @@
     }
 
     /// Gives up deferred heartbeats, when leadership ends.
-    pub fn drop_held(&mut self, effects: &mut Effects) {
+    pub fn drop_deferred_heartbeats(&mut self, effects: &mut Effects) {
         self.heartbeats.drop_deferred(effects);
     }
 
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -38,7 +38,7 @@
         let Some(mut previous) = self.leader.take() else {
             return;
         };
-        previous.drop_held(&mut self.effects);
+        previous.drop_deferred_heartbeats(&mut self.effects);
         self.election
             .release_lease(&mut self.effects, previous.lease, previous.token);
         self.election.restart_keep_alive();
@@ -91,7 +91,7 @@
         let Some(mut leader) = self.leader.take() else {
             return;
         };
-        leader.drop_held(&mut self.effects);
+        leader.drop_deferred_heartbeats(&mut self.effects);
         let token = leader.token;
         match outcome {
             LeadershipOutcome::Deposed(by) => tracing::info!(%token, %by, "leader replaced"),
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -255,7 +255,7 @@
 
 #[test]
 fn levels_keep_their_numbers_and_names() {
-    let table = KNOWN_VERSIONS.map(|s| (s.level.0, s.name));
+    let table = KNOWN_VERSIONS.map(|s| (s.version.0, s.name));
     assert_eq!(table, [(0, "before"), (1, "fenced"), (2, "remembered")]);
     assert_eq!(
         (
--- a/crates/simulator/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -332,7 +332,7 @@
     fn gather(&self) -> Option<(Transaction, Kind)> {
         let l = self.leader.as_ref()?;
         let job = l.job.as_ref()?;
-        let level = KNOWN_VERSIONS.last().unwrap().level;
+        let level = KNOWN_VERSIONS.last().unwrap().version;
         let chunk = job.chunks.get(&0).copied().unwrap_or_default();
         let (mut conditions, ops, kind) = match job.outcome {
             Some(JobOutcome::Done { written: false }) if job.assignments.is_empty() => {
