--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -104,7 +104,7 @@
     pub(super) scheduler: Scheduler,
     /// Answers heartbeats.
     pub(super) heartbeats: HeartbeatReconciler,
-    /// Builds what workers are told.
+    /// Builds the commands for agents.
     pub(super) commands: CommandDispatcher,
     /// Provisions and terminates machines.
     pub(super) autoscaler: Autoscaler,
@@ -177,10 +177,10 @@
     }
 
     /// Machines that it knows of, and those that have sent a heartbeat under its token.
-    pub fn machines_heard(&self) -> (usize, usize) {
+    pub fn count_reporting_machines(&self) -> (usize, usize) {
         let machines = self.cluster.machines.values();
-        let heard = machines.filter(|machine| machine.our_token_since.is_some());
-        (self.cluster.machines.len(), heard.count())
+        let reporting = machines.filter(|machine| machine.our_token_since.is_some());
+        (self.cluster.machines.len(), reporting.count())
     }
 
     /// Whether it knows of a machine.
@@ -312,8 +312,8 @@
         self.heartbeats.drop_deferred(effects);
     }
 
-    /// A peer told a job's user that it is cancelled: nothing of it is wanted any more,
-    /// whether or not the key-value store can be read. Nothing is deleted for it.
+    /// A peer confirmed to a user that this job is cancelled: none of it is to run any
+    /// more, whether or not the key-value store can be read. Nothing is deleted for it.
     pub fn record_announced_cancellation(&mut self, now: Time, id: &JobId) {
         let job = self.cluster.jobs.get(id);
         let Some(job) = job.filter(|job| job.is_open()) else {
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -164,8 +164,8 @@
             let tasks = request
                 .need
                 .count_in(&machine_type.has(), MAX_TASKS_PER_MACHINE);
-            let kinds = request.machine_types.as_ref();
-            if tasks == 0 || kinds.is_some_and(|kinds| !kinds.contains(&machine_type.name)) {
+            let allowed = request.machine_types.as_ref();
+            if tasks == 0 || allowed.is_some_and(|allowed| !allowed.contains(&machine_type.name)) {
                 continue;
             }
             for zone in &machine_type.zones {
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -1,4 +1,4 @@
-//! What workers are told: starts, stops and `forget`s in the answers to heartbeats,
+//! The commands for agents: starts, stops and `forget`s in the answers to heartbeats,
 //! stops and announcements in direct commands. Decides no placement itself.
 
 use super::cluster_state::ClusterState;
@@ -194,7 +194,7 @@
     }
 
     /// A machine that a list shows: if it has tasks and has sent this leader no
-    /// heartbeat yet, it is told who leads.
+    /// heartbeat yet, it gets an announcement of the leader.
     pub fn announce_to(&mut self, now: Time, cluster: &ClusterState, id: &MachineId) {
         let machine = cluster.machines.get(id);
         let machine = machine.filter(|m| m.last_heartbeat.is_none() && m.address.is_some());
--- a/crates/controller/src/core/leader/cycle_inputs.rs
+++ b/crates/controller/src/core/leader/cycle_inputs.rs
@@ -25,14 +25,14 @@
     pub fn machine_row(&self, now: Time, id: &MachineId, machine: &Machine) -> Option<MachineRow> {
         let kind = machine.machine_type.clone()?;
         let machine_type = self.machine_types.get(&kind)?;
-        let whole = machine_type.has();
+        let capacity = machine_type.has();
         Some(MachineRow {
             id: id.clone(),
             machine_type: kind,
             zone: machine.zone.clone()?,
             spot: machine.spot,
-            capacity: whole,
-            free: whole - machine.unrecorded_usage - machine.allocated,
+            capacity,
+            free: capacity - machine.unrecorded_usage - machine.allocated,
             available_at: now,
             last_high_priority_start: machine.last_high_priority,
             cache: machine.cache.clone(),
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -1,5 +1,5 @@
 //! Workers' heartbeats: which of them count, and when each is answered. What they
-//! list is compared in `task_reconciliation`, what they are told built in
+//! list is compared in `task_reconciliation`, their commands are built in
 //! `command_dispatch`.
 
 use super::cluster_state::{ClusterState, UnsentStarts};
--- a/crates/controller/src/core/leader/placement_requests.rs
+++ b/crates/controller/src/core/leader/placement_requests.rs
@@ -34,7 +34,7 @@
         at: Now,
         authority: &LeaderAuthority,
     ) -> Vec<PlacementRequest> {
-        self.mark_entitled();
+        self.mark_within_guarantee();
         let fleet = self.fleet_resources();
         let inputs = RequestInputs {
             at,
@@ -49,19 +49,19 @@
                 job.notes.waiting_reason = obstacle;
                 continue;
             }
-            let Some(in_zones) = tasks_in_zones(&self.machines, job) else {
+            let Some(tasks_in_zones) = tasks_in_zones(&self.machines, job) else {
                 job.notes.waiting_reason = "the zone of one of its tasks is not known yet";
                 continue;
             };
             job.notes.waiting_reason = "no room";
-            requests.push(inputs.request(id, job, in_zones));
+            requests.push(inputs.request(id, job, tasks_in_zones));
         }
         requests
     }
 
     /// Marks the open jobs that lie within their team's guaranteed quota: together
     /// with the team's earlier unfinished jobs they fit into it.
-    fn mark_entitled(&mut self) {
+    fn mark_within_guarantee(&mut self) {
         let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.is_open()).collect();
         // Jobs come in the order of their ids, which decides among equals.
         open.sort_by_key(|job| job.accepted_at);
@@ -79,7 +79,12 @@
 }
 
 impl RequestInputs<'_> {
-    fn request(&self, id: &JobId, job: &Job, in_zones: BTreeMap<Zone, u32>) -> PlacementRequest {
+    fn request(
+        &self,
+        id: &JobId,
+        job: &Job,
+        tasks_in_zones: BTreeMap<Zone, u32>,
+    ) -> PlacementRequest {
         let spec = &job.spec;
         let waited_longer_than = |span: TimeSpan| {
             let since = job.notes.waiting_since;
@@ -106,7 +111,7 @@
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
             max_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
-            tasks_in_zones: in_zones,
+            tasks_in_zones,
             spot: spec.spot,
             run_time: TimeSpan::secs(spec.estimate_s),
             start_by: self.objectives.start_by(self.at.time, self.at.wall, job),
@@ -153,15 +158,15 @@
     machines: &BTreeMap<MachineId, Machine>,
     job: &Job,
 ) -> Option<BTreeMap<Zone, u32>> {
-    let mut in_zones = BTreeMap::new();
+    let mut tasks_in_zones = BTreeMap::new();
     let counted = failpoints::enforced(SafetyCheck::AssignmentsBindZones);
     for assignment in job.assignments.values().filter(|_| counted) {
         let machine = machines.get(&assignment.machine);
         match machine.and_then(|machine| machine.zone.clone()) {
-            Some(zone) => *in_zones.entry(zone).or_default() += 1,
+            Some(zone) => *tasks_in_zones.entry(zone).or_default() += 1,
             None if job.spec.one_zone || job.spec.spread => return None,
             None => {}
         }
     }
-    Some(in_zones)
+    Some(tasks_in_zones)
 }
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -22,7 +22,7 @@
     pub running: u32,
 }
 
-/// What the peers were last told, so that only changes are sent.
+/// What was last broadcast to the peers, so that only changes are sent.
 #[derive(Debug, Default)]
 pub(in crate::core) struct StatusBroadcaster {
     /// Task counts of jobs.
--- a/crates/controller/src/core/leader_announcement.rs
+++ b/crates/controller/src/core/leader_announcement.rs
@@ -9,8 +9,8 @@
 use crate::types::{MachineId, Time, TimeSpan};
 use std::collections::BTreeSet;
 
-/// All agents are told within this time, in seconds, if there are neither few nor
-/// many.
+/// All agents get the announcement within this time, in seconds, if there are neither
+/// few nor many.
 const TARGET_S: f64 = 4.0;
 /// Least and most agents a second: each costs a connection.
 const MIN_PER_SECOND: f64 = 20.0;
@@ -34,16 +34,16 @@
     Busy,
 }
 
-/// The agents that are still to be told.
+/// The agents that are still to get the announcement of a new leader.
 #[derive(Debug)]
 pub struct LeaderAnnouncer {
     waiting: BTreeSet<(AnnouncementPriority, MachineId)>,
-    /// Agents that may be told now, as of `credit_at`.
+    /// Announcements that may be sent now, as of `credit_at`.
     credit: f64,
     credit_at: Time,
     /// When announcements end.
     ends_at: Time,
-    /// Agents told so far.
+    /// Announcements sent so far.
     pub announced: u64,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether agents are still told.
+    /// Whether announcements are still sent.
     pub fn is_active(&self, now: Time) -> bool {
         now < self.ends_at
     }
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The machines whose agents are to be told now, where the leader knows of this
-    /// many machines in all.
+    /// The machines whose agents get the announcement now, where the leader knows of
+    /// this many machines in all.
     pub fn take_due(&mut self, now: Time, machines: usize) -> Vec<MachineId> {
         let rate = (machines as f64 / TARGET_S).clamp(MIN_PER_SECOND, MAX_PER_SECOND);
         let elapsed = now.since(self.credit_at).as_secs();
--- a/crates/controller/src/core/leader_authority.rs
+++ b/crates/controller/src/core/leader_authority.rs
@@ -3,9 +3,10 @@
 //! it. `docs/design.md`, "The gap", derives the rules step by step.
 //!
 //! The bound: a cancellation that this node cannot know of was confirmed to its user
-//! after `last_contact`; until `last_contact + H` heartbeats are answered; an agent's lease counts
-//! from the sending of a heartbeat answered by then. So what runs of that job has ended
-//! by `last_contact + H + lease`, which is no later than `cancel` after the confirmation.
+//! after `last_contact`; until `last_contact + H` heartbeats are answered; an agent's
+//! lease counts from the sending of a heartbeat answered by then. So what runs of that
+//! job has ended by `last_contact + H + lease`, which is no later than `cancel` after
+//! the confirmation.
 
 use super::failpoints::{self, SafetyCheck};
 use crate::settings::WorkerTimes;
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -261,7 +261,7 @@
     /// While it leads: how many machines it knows, and how many of them have sent it
     /// a heartbeat under its token.
     pub fn machine_counts(&self) -> Option<(usize, usize)> {
-        self.leader.as_ref().map(Leader::machines_heard)
+        self.leader.as_ref().map(Leader::count_reporting_machines)
     }
 
     /// Whether it leads and knows a machine; the simulator counts machines that
--- a/crates/controller/src/core/node/heartbeat_forwarding.rs
+++ b/crates/controller/src/core/node/heartbeat_forwarding.rs
@@ -117,13 +117,13 @@
         }
     }
 
-    /// Gives a heartbeat to the leader. `may_hold`: whether its answer may be held back
+    /// Gives a heartbeat to the leader. `may_defer`: whether its answer may be deferred
     /// until there is something to say.
-    fn deliver_heartbeat(&mut self, id: RequestId, heartbeat: Heartbeat, may_hold: bool) {
+    fn deliver_heartbeat(&mut self, id: RequestId, heartbeat: Heartbeat, may_defer: bool) {
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let outcome = leader.handle_heartbeat(&mut self.effects, id, heartbeat, may_hold);
+        let outcome = leader.handle_heartbeat(&mut self.effects, id, heartbeat, may_defer);
         if outcome != LeadershipOutcome::Continue {
             self.end_leadership(outcome);
         }
@@ -152,14 +152,14 @@
     /// long.
     pub(super) fn known_leader(&self) -> Option<(NodeId, FencingToken)> {
         let now = self.effects.now.time;
-        let heard = self
+        let from_peers = self
             .peers
             .iter()
             .filter(|(_, peer)| peer.is_leader && peer.is_fresh(now))
             .map(|(node_id, peer)| (peer.leader_is_loaded, peer.token, node_id.clone()));
-        let read = self.election.leader.clone();
-        let read = read.map(|(node_id, token)| (false, token, node_id));
-        let (_, token, node_id) = heard.chain(read).max()?;
+        let from_store = self.election.leader.clone();
+        let from_store = from_store.map(|(node_id, token)| (false, token, node_id));
+        let (_, token, node_id) = from_peers.chain(from_store).max()?;
         (node_id != self.settings.node_id).then_some((node_id, token))
     }
 }
--- a/crates/controller/src/core/node/readiness.rs
+++ b/crates/controller/src/core/node/readiness.rs
@@ -52,7 +52,7 @@
         )
     }
 
-    /// Whether it hears nothing from the key-value store, not even a refusal, nor from
+    /// Whether it receives nothing from the key-value store, not even a refusal, nor from
     /// any peer: users would only wait here for nothing.
     fn is_cut_off(&self) -> bool {
         let now = self.effects.now.time;
--- a/crates/controller/src/core/scheduling_cycle/request.rs
+++ b/crates/controller/src/core/scheduling_cycle/request.rs
@@ -1,5 +1,5 @@
-//! What a job wants placed: its waiting tasks, what they need, and where they may go.
-//! Says nothing about which machines have room.
+//! What is to be placed of a job: its waiting tasks, what they need, and where they
+//! may go. Says nothing about which machines have room.
 
 use crate::core::placement_tables::MachineRow;
 use crate::types::{
@@ -64,7 +64,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PlacementRank {
     priority: Reverse<Priority>,
-    entitled: Reverse<bool>,
+    within_guarantee: Reverse<bool>,
     order: i64,
     job: JobId,
 }
@@ -100,7 +100,7 @@
     pub(super) fn rank(&self) -> PlacementRank {
         PlacementRank {
             priority: Reverse(self.priority),
-            entitled: Reverse(self.within_guarantee),
+            within_guarantee: Reverse(self.within_guarantee),
             order: self.order,
             job: self.job.clone(),
         }
