--- a/crates/controller/src/core/cache_hints/tests.rs
+++ b/crates/controller/src/core/cache_hints/tests.rs
@@ -1,26 +1,30 @@
 use super::*;
 use std::collections::BTreeSet;
 
-fn told(n: usize) -> CacheHints {
-    let mut k = CacheHints::default();
+fn hints_with_machines(n: usize) -> CacheHints {
+    let mut hints = CacheHints::default();
     let machine = |i: usize| {
         let id = format!("host-{i:04}").as_str().into();
         (id, vec![(Image::from("img"), 5.0)])
     };
-    k.record(
+    hints.record(
         Time(1),
         FencingToken(5),
         (0..n).map(machine).collect(),
         vec![("img".into(), 7000)],
     );
-    k
+    hints
 }
 
 // A leader whose process was started again at once took its own key and knew of
 // no image on any machine: everything was cold, for as long as it led.
 #[test]
 fn each_hint_is_given_back_once() {
-    let mut peers = [told(950), told(950), told(950)];
+    let mut peers = [
+        hints_with_machines(950),
+        hints_with_machines(950),
+        hints_with_machines(950),
+    ];
     let mut heard = BTreeSet::new();
     let mut rounds = 0;
     while heard.len() < 950 {
@@ -32,13 +36,17 @@
         rounds += 1;
     }
     assert!(rounds <= 4, "{rounds}: each begins elsewhere");
-    let mut one = told(250);
+    let mut one = hints_with_machines(250);
     let parts: Vec<usize> = (0..5)
         .map(|_| one.next_part(FencingToken(9), 0.5).len())
         .collect();
     assert_eq!(parts, [100, 100, 50, 0, 0]);
     // To itself, or to one that it hears it from, nothing is given back.
-    assert!(told(50).next_part(FencingToken(5), 0.0).is_empty());
+    assert!(
+        hints_with_machines(50)
+            .next_part(FencingToken(5), 0.0)
+            .is_empty()
+    );
     assert_eq!(
         one.next_part(FencingToken(12), 0.0).len(),
         100,
@@ -48,12 +56,12 @@
 
 #[test]
 fn takes_hints_of_known_machines_only() {
-    let mut k = told(10);
-    let known = k.take_known(|id| id.as_str() < "host-0004");
-    assert_eq!((known.len(), k.take_known(|_| true).len()), (4, 6));
+    let mut hints = hints_with_machines(10);
+    let known = hints.take_known(|id| id.as_str() < "host-0004");
+    assert_eq!((known.len(), hints.take_known(|_| true).len()), (4, 6));
     assert_eq!(
-        k.fetch_times().next().map(|(_, s)| s),
+        hints.fetch_times().next().map(|(_, s)| s),
         Some(TimeSpan::secs(7.0))
     );
-    assert_eq!(told(3).take_all().machines.len(), 3);
+    assert_eq!(hints_with_machines(3).take_all().machines.len(), 3);
 }
--- a/crates/controller/src/core/format_version/member_versions/tests.rs
+++ b/crates/controller/src/core/format_version/member_versions/tests.rs
@@ -39,7 +39,7 @@
     Time(0) + TimeSpan::secs(s)
 }
 
-fn told(high: u32, life: u64) -> Option<BuildInfo> {
+fn build_info(high: u32, life: u64) -> Option<BuildInfo> {
     let build = "b".into();
     Some(BuildInfo {
         low: 0,
@@ -57,7 +57,7 @@
             if l == "c" && s == 10 {
                 tenth.clone()
             } else {
-                told(2, 1)
+                build_info(2, 1)
             }
         };
         for l in ["b", "c"] {
@@ -73,16 +73,16 @@
 #[test]
 fn activates_once_all_members_are_present_and_names_blockers() {
     let good = || registry(Vec::new());
-    assert_eq!(waits(good(), 12, told(2, 1)), None);
+    assert_eq!(waits(good(), 12, build_info(2, 1)), None);
     let text = |r, secs, said| waits(r, secs, said).unwrap_or_default();
-    assert!(text(good(), 5, told(2, 1)).starts_with("b must be there for 5 s more"));
+    assert!(text(good(), 5, build_info(2, 1)).starts_with("b must be there for 5 s more"));
     // A life that ended, or a build rolled back, begins the time anew.
-    assert!(text(good(), 15, told(2, 9)).starts_with("c must be there"));
-    assert!(text(good(), 15, told(1, 1)).starts_with("c must be there"));
+    assert!(text(good(), 15, build_info(2, 9)).starts_with("c must be there"));
+    assert!(text(good(), 15, build_info(1, 1)).starts_with("c must be there"));
     assert!(text(good(), 15, None).starts_with("c must be there"));
     assert!(text(good(), 11, None).starts_with("c is not heard of"));
     let older = registry(vec![member("c", 1, 9)]);
-    assert!(text(older, 15, told(2, 1)).starts_with("c runs b (up to 1)"));
+    assert!(text(older, 15, build_info(2, 1)).starts_with("c runs b (up to 1)"));
     let rewriting = vec![
         entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": 2}), 9),
         entry(REWRITTEN_VERSION_KEY, serde_json::json!({"level": 1}), 1),
@@ -92,7 +92,7 @@
         low: FormatVersion(0),
         high: FormatVersion(3),
     });
-    assert!(text(r, 15, told(2, 1)).starts_with("stored records get"));
+    assert!(text(r, 15, build_info(2, 1)).starts_with("stored records get"));
     let peers = ["b".into(), "c".into()];
     let held = good()
         .next_activation(at(0.0), &peers, FormatVersion(1))
@@ -140,7 +140,7 @@
     let odd = registry(vec![entry(&format!("{MEMBER_PREFIX}c"), Value::Null, 9)]);
     assert_eq!(odd.check_serving(), Ok(()));
     assert!(
-        waits(odd, 15, told(2, 1))
+        waits(odd, 15, build_info(2, 1))
             .unwrap()
             .starts_with("c has not said")
     );
--- a/crates/controller/src/core/job_api/tests.rs
+++ b/crates/controller/src/core/job_api/tests.rs
@@ -23,7 +23,7 @@
     };
     let late = Reply::Answer(200, wire::encode(&head));
     job_api.handle_step_reply(&mut effects, RequestId(2), Step::Poll(id), late);
-    let told: Vec<JobStage> = effects
+    let stages: Vec<JobStage> = effects
         .take_outputs()
         .into_iter()
         .filter_map(|o| match o {
@@ -31,10 +31,10 @@
             _ => None,
         })
         .collect();
-    assert_eq!(told, [JobStage::Cancelled, JobStage::Cancelled]);
+    assert_eq!(stages, [JobStage::Cancelled, JobStage::Cancelled]);
 }
 
-fn told(effects: &mut Effects) -> Vec<(u64, u16, Option<JobStage>)> {
+fn take_answers(effects: &mut Effects) -> Vec<(u64, u16, Option<JobStage>)> {
     let answers = effects.take_outputs().into_iter().filter_map(|o| match o {
         Output::Answer(r, a) => Some((r.0, a)),
         _ => None,
@@ -80,7 +80,7 @@
         accepted(),
     );
     assert_eq!(
-        told(&mut effects),
+        take_answers(&mut effects),
         [
             (1, 200, Some(JobStage::Cancelled)),
             (2, 200, Some(JobStage::Cancelled))
@@ -119,7 +119,10 @@
     {
         job_api.handle_step_reply(&mut effects, RequestId(2 + n as u64), step, none());
     }
-    let statuses: Vec<u16> = told(&mut effects).iter().map(|(_, s, _)| *s).collect();
+    let statuses: Vec<u16> = take_answers(&mut effects)
+        .iter()
+        .map(|(_, s, _)| *s)
+        .collect();
     assert_eq!(statuses, [201, 503, 503, 503, 503]);
 }
 
@@ -145,7 +148,7 @@
             assert_eq!((call.method, call.path.as_str()), ("GET", "/keys/job/wk-1"));
             let what = job_api.pending_calls.take(call.id).unwrap();
             job_api.handle_reply(&mut effects, what, found);
-            let answers = told(&mut effects);
+            let answers = take_answers(&mut effects);
             assert_eq!((answers.len(), answers[0].1), (1, status));
         }
     }
@@ -158,6 +161,6 @@
     ] {
         let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
         job_api.submit(&mut effects, RequestId(1), &body, &settings, None);
-        assert_eq!(told(&mut effects), [(1, 400, None)]);
+        assert_eq!(take_answers(&mut effects), [(1, 400, None)]);
     }
 }
--- a/crates/controller/src/core/leader_announcement/tests.rs
+++ b/crates/controller/src/core/leader_announcement/tests.rs
@@ -4,7 +4,7 @@
     Time(0) + TimeSpan::secs(s)
 }
 
-fn told(machines: usize, report_s: f64) -> (Vec<MachineId>, f64) {
+fn announce_all(machines: usize, report_s: f64) -> (Vec<MachineId>, f64) {
     let mut h = LeaderAnnouncer::new(at(0.0), TimeSpan::secs(report_s));
     for i in 0..machines {
         let need = [
@@ -32,7 +32,7 @@
 // a gang that is being stopped half told.
 #[test]
 fn announces_by_priority_without_bursts() {
-    let (all, last) = told(600, 8.0);
+    let (all, last) = announce_all(600, 8.0);
     assert_eq!(all.len(), 600);
     assert!((3.0..5.0).contains(&last), "{last}");
     let third = |k: usize| all[k * 200..(k + 1) * 200].iter();
@@ -45,10 +45,10 @@
 // At ten times the size it stays within its rate; what is left reports by itself.
 #[test]
 fn announcements_respect_rate_and_deadline() {
-    let (all, last) = told(18_000, 8.0);
+    let (all, last) = announce_all(18_000, 8.0);
     assert!(last <= 10.0 && all.len() <= 2600, "{} {last}", all.len());
     assert_eq!(
-        told(600, 1.0).0.len(),
+        announce_all(600, 1.0).0.len(),
         0,
         "they report sooner by themselves"
     );
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -142,8 +142,8 @@
         fetches,
     );
     leader.leader = Some(testing::leader());
-    let told = wire::encode(&leader.own_heartbeat(Vec::new()));
-    peer.handle_peer_heartbeat(RequestId(1), &told);
+    let heartbeat = wire::encode(&leader.own_heartbeat(Vec::new()));
+    peer.handle_peer_heartbeat(RequestId(1), &heartbeat);
     let Some(Output::Answer(_, answer)) = peer.effects.take_outputs().pop() else {
         panic!("no answer");
     };
@@ -178,7 +178,7 @@
         leader.inherit_cache(Time(0), &format!("host-{n:04}").into(), &images);
     }
     node.leader = Some(leader);
-    let mut heard = BTreeSet::new();
+    let mut received = BTreeSet::new();
     for _ in 0..20 {
         node.send_peer_heartbeats();
         for out in node.effects.take_outputs() {
@@ -187,8 +187,8 @@
                 continue;
             };
             let reply = if node_id.as_str() == "node-1" {
-                let told: PeerHeartbeat = wire::decode(&call.body).unwrap();
-                heard.extend(told.caches.into_iter().map(|(id, _)| id));
+                let heartbeat: PeerHeartbeat = wire::decode(&call.body).unwrap();
+                received.extend(heartbeat.caches.into_iter().map(|(id, _)| id));
                 let mut answer = node.own_heartbeat(Vec::new());
                 answer.node_id = node_id.clone();
                 (answer.token, answer.leads) = (FencingToken(0), false);
@@ -199,7 +199,7 @@
             node.handle_peer_heartbeat_reply(node_id, &reply);
         }
     }
-    assert_eq!(heard.len(), 1000);
+    assert_eq!(received.len(), 1000);
 }
 
 // A successor whose load an outage had cut off deposed the old leader with its first
--- a/crates/controller/src/policy/tests.rs
+++ b/crates/controller/src/policy/tests.rs
@@ -14,18 +14,19 @@
 #[test]
 fn script_is_validated_and_resource_limited() {
     let settings = testing::settings(0);
-    let told = |script: &str| match Policy::from_script(script, &settings) {
+    let evaluate = |script: &str| match Policy::from_script(script, &settings) {
         Ok(p) => format!("{}", p.idle_s),
         Err(e) => e.to_string(),
     };
-    assert_eq!(told("return { idle_s = site.report_s * 2 }"), "2");
-    assert!(told("return { idle_s = -1 }").starts_with("policy: idle_s: must lie"));
-    assert!(told("return { idle = 1 }").starts_with("policy: idle: is not known"));
-    assert!(told("return { idle_s = 'x' }").starts_with("policy: idle_s: must be a number"));
-    assert!(told("while true do end").contains("too many steps"));
+    assert_eq!(evaluate("return { idle_s = site.report_s * 2 }"), "2");
+    assert!(evaluate("return { idle_s = -1 }").starts_with("policy: idle_s: must lie"));
+    assert!(evaluate("return { idle = 1 }").starts_with("policy: idle: is not known"));
+    assert!(evaluate("return { idle_s = 'x' }").starts_with("policy: idle_s: must be a number"));
+    assert!(evaluate("while true do end").contains("too many steps"));
     assert!(
-        told("local t = {} for i = 1, 1e7 do t[i] = ('x'):rep(1000) .. i end").contains("memory")
+        evaluate("local t = {} for i = 1, 1e7 do t[i] = ('x'):rep(1000) .. i end")
+            .contains("memory")
     );
-    assert!(told("return { idle_s = os.time() }").contains("nil value"));
-    assert!(told("return { idle_s = effects.open('x') }").contains("nil value"));
+    assert!(evaluate("return { idle_s = os.time() }").contains("nil value"));
+    assert!(evaluate("return { idle_s = effects.open('x') }").contains("nil value"));
 }
