--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -6,7 +6,7 @@
 use pebblefold_wire::http::Response;
 use pebblefold_wire::rate_limit::TokenBucket;
 use pebblefold_wire::types::{JobId, Time, TimeSpan};
-use pebblefold_wire::users::{ErrorResponse, JobStage, JobStatus, Submission, valid_id};
+use pebblefold_wire::users::{ErrorResponse, JobStage, JobStatus, Submission, is_valid_job_id};
 use pebblefold_wire::{decode, encode};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -168,7 +168,7 @@
             return Err(ClientError::NoNodes);
         }
         // A job without a usable id is refused by the node, with its reason.
-        if kind != RequestKind::Submit && !valid_id(id.as_str()) {
+        if kind != RequestKind::Submit && !is_valid_job_id(id.as_str()) {
             return Err(ClientError::InvalidJobId(id.to_string()));
         }
         let mut attempts = shared.new_attempts(kind);
--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use pebblefold_controller::core::placement_tables::{FetchEstimates, ImageCache, MachineRow};
 use pebblefold_controller::core::preemption::{Victim, Victims, evict};
-use pebblefold_controller::core::quota::Bounds;
+use pebblefold_controller::core::quota::ReclaimLimits;
 use pebblefold_controller::core::scheduling_cycle::{
     CycleParameters, PlacementRequest, SchedulingCycle, TeamUse,
 };
@@ -40,7 +40,7 @@
         .map(|i| {
             let mut cache = ImageCache::default();
             for _ in 0..6 {
-                cache.fetched(&image(rng.random_range(0..24)), 6.0, NOW, 150.0);
+                cache.record_fetched(&image(rng.random_range(0..24)), 6.0, NOW, 150.0);
             }
             let gpus = if i % machines_per_free_one == 0 {
                 8.0
@@ -49,16 +49,16 @@
             };
             MachineRow {
                 id: format!("host-{i:06}").into(),
-                kind: "box".into(),
+                machine_type: "box".into(),
                 zone: format!("zone-{}", i % 3).into(),
                 spot: i % 2 == 0,
-                whole,
+                capacity: whole,
                 free: amounts(gpus * 6.0, gpus, gpus * 36.0),
-                available: NOW,
-                last_high: None,
+                available_at: NOW,
+                last_high_priority_start: None,
                 cache,
                 fetch_rate: 0.6,
-                aside: false,
+                quarantined: false,
             }
         })
         .collect()
@@ -88,15 +88,15 @@
                 tasks: (0..tasks).collect(),
                 gang,
                 priority: levels[i % 3],
-                entitled: i % 2 == 0,
+                within_guarantee: i % 2 == 0,
                 order: i as i64,
-                kinds: None,
+                machine_types: None,
                 zone: None,
                 one_zone: gang,
                 max_per_zone: None,
-                in_zones: BTreeMap::new(),
+                tasks_in_zones: BTreeMap::new(),
                 spot: true,
-                run: TimeSpan::secs(60.0),
+                run_time: TimeSpan::secs(60.0),
                 start_by: None,
                 aged: false,
                 overdue: false,
@@ -120,8 +120,8 @@
             need: amounts(5.0, 1.0, 27.0),
             gang: false,
             row,
-            cost: f64::from(n as u32),
-            settled: true,
+            cost_machine_seconds: f64::from(n as u32),
+            past_minimum_run: true,
         })
     })
     .collect()
@@ -174,7 +174,7 @@
         let start = Instant::now();
         let victims = Victims::new(found, rows.len());
         let cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
-        let bounds = Bounds::default();
+        let bounds = ReclaimLimits::default();
         let gangs = requests.iter().filter(|request| request.gang).take(16);
         let room = gangs.filter(|request| {
             evict(&cycle, request, &victims, &BTreeSet::new(), &bounds, 16).is_some()
--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -24,8 +24,16 @@
 use std::collections::BTreeMap;
 use terminations::TerminationIntent;
 
-/// Machines of one type and zone, either spot (true) or on-demand capacity.
-pub type CapacityPool = (MachineTypeName, Zone, bool);
+/// Where machines are provisioned. Pools are ordered by their fields in turn.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CapacityPool {
+    /// The machine type.
+    pub machine_type: MachineTypeName,
+    /// The zone.
+    pub zone: Zone,
+    /// Whether it is spot capacity, not on-demand capacity.
+    pub spot: bool,
+}
 
 /// How long settled terminations are kept, beyond the lag of lists: an old list or
 /// heartbeat may still name their machines.
@@ -33,6 +41,17 @@
 /// After how many times the lag of lists a new machine is listed.
 const LISTED_AFTER_LAGS: u64 = 3;
 
+/// Numbers of what is not completed yet, for operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenIntents {
+    /// Provisions without an answer.
+    pub provisions: usize,
+    /// Terminations that are not confirmed.
+    pub terminations: usize,
+    /// Machines still to be terminated.
+    pub machines: usize,
+}
+
 /// All intents of the autoscaler.
 #[derive(Clone, Debug)]
 pub struct Intents {
@@ -96,7 +115,7 @@
     }
 
     /// The record under `key` is stored: if it is an intent, it may be acted on.
-    pub fn stored(&mut self, key: &str) {
+    pub fn mark_stored(&mut self, key: &str) {
         match IntentKey::parse(key) {
             Some(IntentKey::Provision(name)) => {
                 if let Some(intent) = self.provisions.get_mut(name)
@@ -116,22 +135,21 @@
 
     /// Settles intents that nobody needs any more. `is_seen`: whether a list or
     /// heartbeat has shown a machine.
-    pub fn tend(&mut self, now: Time, is_seen: impl Fn(&MachineId) -> bool) {
+    pub fn settle_completed(&mut self, now: Time, is_seen: impl Fn(&MachineId) -> bool) {
         let listed_after = TimeSpan(self.list_lag.0 * LISTED_AFTER_LAGS);
         self.settle_provisions(now, listed_after, is_seen);
         self.settle_terminations(now, listed_after + TERMINATION_KEPT);
     }
 
-    /// Numbers of unanswered provisions, of unconfirmed terminations, and of machines
-    /// still to be terminated, for operators.
-    pub fn open(&self) -> [usize; 3] {
+    /// How much is not completed yet, for operators.
+    pub fn open(&self) -> OpenIntents {
         let terminations = self.terminations.values();
         let unconfirmed = terminations.filter(|intent| intent.confirmed_at.is_none());
         let remaining = self.terminating.values().filter(|gone| gone.is_none());
-        [
-            self.unfulfilled().count(),
-            unconfirmed.count(),
-            remaining.count(),
-        ]
+        OpenIntents {
+            provisions: self.unfulfilled().count(),
+            terminations: unconfirmed.count(),
+            machines: remaining.count(),
+        }
     }
 }
--- a/crates/controller/src/core/election/leader_key.rs
+++ b/crates/controller/src/core/election/leader_key.rs
@@ -37,7 +37,7 @@
         let prefix = member_versions::PREFIX;
         let path = format!("/keys?starts={prefix}&most={PAGE_SIZE}");
         self.is_calling = true;
-        let call = effects.call(Target::State, "GET", path, Vec::new(), CALL_TIMEOUT);
+        let call = effects.call(Target::Store, "GET", path, Vec::new(), CALL_TIMEOUT);
         self.pending_calls.add(call, pending);
     }
 
@@ -55,7 +55,7 @@
         );
         let timeout = WATCH_HOLD + CALL_TIMEOUT;
         self.is_calling = true;
-        let call = effects.call(Target::State, "GET", path, Vec::new(), timeout);
+        let call = effects.call(Target::Store, "GET", path, Vec::new(), timeout);
         self.pending_calls
             .add(call, PendingCall::WatchLeader { sent });
     }
@@ -63,7 +63,7 @@
     pub(super) fn commit(&mut self, effects: &mut Effects, txn: &Transaction, what: PendingCall) {
         self.is_calling = true;
         let body = wire::encode(txn);
-        let call = effects.call(Target::State, "POST", "/commit".into(), body, CALL_TIMEOUT);
+        let call = effects.call(Target::Store, "POST", "/commit".into(), body, CALL_TIMEOUT);
         self.pending_calls.add(call, what);
     }
 
@@ -81,7 +81,7 @@
         let holder_key = self.holder_key();
         let entry = page.items.into_iter().find(|e| e.key == holder_key);
         let leader_key = entry.map(|e| LeaderKey {
-            record: job_records::read(&e.value),
+            record: job_records::read_record(&e.value),
             version: e.version,
         });
         self.apply_leader_key(effects, leader_key);
@@ -126,7 +126,7 @@
             return;
         };
         let leader_key = last.put.is_some().then(|| LeaderKey {
-            record: job_records::read(&last.value),
+            record: job_records::read_record(&last.value),
             version: last.version,
         });
         self.apply_leader_key(effects, leader_key);
--- a/crates/controller/src/core/failure_detector/detector.rs
+++ b/crates/controller/src/core/failure_detector/detector.rs
@@ -233,8 +233,8 @@
         self.heartbeats.record_heartbeat(now);
         self.agent_migrations.clear();
         self.last_heartbeat = now;
-        self.store_silence = TimeSpan::millis(heartbeat.state_ms);
-        self.leader_lag = TimeSpan::millis(heartbeat.late_ms);
+        self.store_silence = TimeSpan::millis(heartbeat.store_contact_age_ms);
+        self.leader_lag = TimeSpan::millis(heartbeat.work_delay_ms);
         let current = self.investigation.as_ref();
         if current.is_some_and(|i| i.suspicion == Suspicion::Silent) {
             self.refute();
--- a/crates/controller/src/core/failure_detector/detector/tests.rs
+++ b/crates/controller/src/core/failure_detector/detector/tests.rs
@@ -6,12 +6,12 @@
     Time(0) + TimeSpan::secs(secs)
 }
 
-fn beat(state_ms: u64) -> LeaderHeartbeat {
+fn beat(store_contact_age_ms: u64) -> LeaderHeartbeat {
     LeaderHeartbeat {
         node_id: "a".into(),
         token: TOKEN,
-        state_ms,
-        late_ms: 0,
+        store_contact_age_ms,
+        work_delay_ms: 0,
     }
 }
 
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -4,25 +4,27 @@
 // was first stored. A change of one is a new level, or stored work is lost.
 #[test]
 fn reads_every_record_in_its_first_stored_form() {
+    use crate::core::autoscaler::intents::{Intents, OpenIntents};
     use crate::core::job_records::{
         self, HeaderStage, JobHeader, LeaderRecord, SubmissionAssembler,
     };
+    use crate::core::quarantine::Quarantine;
     use crate::core::quota::arrival_history::ArrivalHistory;
-    use crate::core::{autoscaler::intents::Intents, quarantine::Quarantine};
     use crate::types::{FencingToken, TimeSpan, Version, WallTime};
     use serde_json::json;
 
     let head = json!({"s": "p", "n": 3});
     assert_eq!(job_records::job_header_value(HeaderStage::Open, 3), head);
     for (s, stage) in [("d", HeaderStage::Done), ("c", HeaderStage::Cancelled)] {
-        let read = job_records::read::<JobHeader>(&json!({"s": s, "n": 3}));
-        assert_eq!(read.map(|h| h.s), Some(stage));
+        let read = job_records::read_record::<JobHeader>(&json!({"s": s, "n": 3}));
+        assert_eq!(read.map(|h| h.stage), Some(stage));
     }
     let leader = json!({"label": "node-1", "nonce": 7});
-    let read = job_records::read::<LeaderRecord>(&leader).unwrap();
+    let read = job_records::read_record::<LeaderRecord>(&leader).unwrap();
     assert_eq!(job_records::leader_record(&read), leader);
     assert!(
-        job_records::read::<LeaderRecord>(&member_versions::legacy_leader_tombstone()).is_none()
+        job_records::read_record::<LeaderRecord>(&member_versions::legacy_leader_tombstone())
+            .is_none()
     );
     let text = r#"{"ref":"wk-1","lane":"train","crew":"red","shape":"ensemble","urgency":"urgent","pieces":2,"vcpus":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img","size_gb":6.2,"kinds_of_box":["g8"],"yard":null,"same_place":true,"scatter":false,"borrowed":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0}"#;
     let (one, two) = text.split_at(40);
@@ -31,7 +33,7 @@
     let stored = json!({"at": 5, "n": 2, "s": one});
     let job = parts.job(&"wk-1".into(), Version(9), &stored).unwrap();
     assert_eq!(
-        (job.at, job.spec.tasks, job.is_gang()),
+        (job.accepted_at, job.spec.tasks, job.is_gang()),
         (WallTime(5), 2, true)
     );
     let mut intents = Intents::new(FencingToken(9), TimeSpan::secs(4.0), 8192);
@@ -39,7 +41,12 @@
     let release = json!({"t": 5, "w": {"idle": ["host-1", "host-2"]}});
     intents.load("d/h/3-1", &provision, WallTime(6));
     assert_eq!(intents.load("d/x/3-2", &release, WallTime(6)).len(), 2);
-    assert_eq!(intents.open(), [1, 1, 2]);
+    let open = OpenIntents {
+        provisions: 1,
+        terminations: 1,
+        machines: 2,
+    };
+    assert_eq!(intents.open(), open);
     let mark = Quarantine::default().load("d/m/host-1", &json!({"n": 2, "t": 5, "d": true}));
     assert_eq!(mark, Some(("host-1".into(), true)));
     let came = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
@@ -55,7 +62,7 @@
 #[test]
 fn version_table_lists_each_version_once() {
     for (i, step) in KNOWN_VERSIONS.iter().enumerate() {
-        assert_eq!(step.level, FormatVersion(i as u32));
+        assert_eq!(step.version, FormatVersion(i as u32));
         assert!(!step.since.is_empty() && !step.older.is_empty());
     }
     assert_eq!(FormatVersion(99).name(), "not known to this build");
--- a/crates/controller/src/core/job_api/cancel.rs
+++ b/crates/controller/src/core/job_api/cancel.rs
@@ -7,7 +7,7 @@
 use crate::core::job_records::{self, HeaderStage, JobHeader};
 use crate::core::{Reply, RequestId};
 use crate::types::{JobId, Version};
-use crate::wire::users::valid_id;
+use crate::wire::users::is_valid_job_id;
 
 /// How often a cancellation that races with changes is tried again.
 const MAX_RETRIES: u32 = 3;
@@ -15,7 +15,7 @@
 impl JobApi {
     /// Handles `POST /submissions/{id}/cancel`.
     pub fn cancel(&mut self, effects: &mut Effects, request: RequestId, id: &str) {
-        if !valid_id(id) {
+        if !is_valid_job_id(id) {
             return refuse(effects, request, 404, NO_SUCH_JOB);
         }
         let id = JobId::from(id);
@@ -65,8 +65,8 @@
         match reply {
             Reply::Answer(200, _) => {
                 let cancelled = JobHeader {
-                    s: HeaderStage::Cancelled,
-                    n: 0,
+                    stage: HeaderStage::Cancelled,
+                    task_count: 0,
                 };
                 self.record_header(&id, cancelled, Version(0));
                 self.answer_status(effects, request, &id, cancelled);
--- a/crates/controller/src/core/job_api/poll.rs
+++ b/crates/controller/src/core/job_api/poll.rs
@@ -10,7 +10,7 @@
 use crate::core::{Reply, RequestId, Target};
 use crate::types::{JobId, TimeSpan};
 use crate::wire;
-use crate::wire::users::valid_id;
+use crate::wire::users::is_valid_job_id;
 
 /// The part of the users' rate limit that shared reads may take.
 const SHARED_READ_SHARE: f64 = 0.4;
@@ -21,7 +21,7 @@
 impl JobApi {
     /// Handles `GET /submissions/{id}`.
     pub fn poll(&mut self, effects: &mut Effects, request: RequestId, id: &str) {
-        if !valid_id(id) {
+        if !is_valid_job_id(id) {
             return refuse(effects, request, 404, NO_SUCH_JOB);
         }
         let id = JobId::from(id);
@@ -30,8 +30,8 @@
         }
         if self.open_jobs.is_open(&id) && !failpoints::enforced(SafetyCheck::AnswersAreFresh) {
             let open = JobHeader {
-                s: HeaderStage::Open,
-                n: 0,
+                stage: HeaderStage::Open,
+                task_count: 0,
             };
             return self.answer_status(effects, request, &id, open);
         }
@@ -49,7 +49,7 @@
         for poll in self.open_jobs.take_overdue(now) {
             refuse(effects, poll.request, 503, STORE_SILENT);
         }
-        let next = self.open_jobs.next_comparison(now, effects.most_conditions);
+        let next = self.open_jobs.next_comparison(now, effects.max_conditions);
         let Some((txn, comparison)) = next else {
             return;
         };
@@ -57,7 +57,7 @@
             return self.handle_shared_read(effects, comparison, &Reply::NotSent);
         }
         let call = effects.call(
-            Target::State,
+            Target::Store,
             "POST",
             "/commit".into(),
             wire::encode(&txn),
--- a/crates/controller/src/core/job_api/submit.rs
+++ b/crates/controller/src/core/job_api/submit.rs
@@ -11,7 +11,7 @@
 use crate::wire;
 use crate::wire::cloud::MachineTypes;
 use crate::wire::kvstore::TransactionResponse;
-use crate::wire::users::{JobShape, JobStage, JobStatus, Submission, valid_id};
+use crate::wire::users::{JobShape, JobStage, JobStatus, Submission, is_valid_job_id};
 
 /// What can be read of a submission that is malformed otherwise.
 #[derive(serde::Deserialize)]
@@ -62,7 +62,7 @@
         };
         if let Some(field) = job.fault() {
             let why = format!("{field} is invalid");
-            if !valid_id(job.id.as_str()) {
+            if !is_valid_job_id(job.id.as_str()) {
                 return refuse(effects, request, 400, &why);
             }
             return self.reject_unless_known(effects, request, &job.id, Rejection::Malformed(why));
@@ -105,7 +105,7 @@
     fn reject_undecodable(&mut self, effects: &mut Effects, request: RequestId, body: &[u8]) {
         let why = "not a submission: a field is missing or of the wrong kind";
         let named = wire::decode::<SubmissionId>(body);
-        match named.filter(|named| valid_id(named.id.as_str())) {
+        match named.filter(|named| is_valid_job_id(named.id.as_str())) {
             Some(named) => {
                 let rejection = Rejection::Malformed(why.into());
                 self.reject_unless_known(effects, request, &named.id, rejection);
@@ -145,8 +145,8 @@
             reply => reply,
         };
         let open = JobHeader {
-            s: HeaderStage::Open,
-            n: tasks,
+            stage: HeaderStage::Open,
+            task_count: tasks,
         };
         match reply {
             Reply::Answer(200, body) => self.answer_accepted(effects, request, id, open, &body),
--- a/crates/controller/src/core/keys.rs
+++ b/crates/controller/src/core/keys.rs
@@ -63,7 +63,7 @@
 pub enum Watched {
     /// The leader's key, the format version in force, or the formats that a node
     /// supports.
-    Office,
+    Leadership,
     /// A submission.
     Job(JobId),
     /// A further part of a submission, with its number.
@@ -75,9 +75,9 @@
 }
 
 /// Parses a key below `w/`.
-pub fn watched(key: &str) -> Watched {
+pub fn parse_watched_key(key: &str) -> Watched {
     if key.starts_with(member_versions::PREFIX) {
-        return Watched::Office;
+        return Watched::Leadership;
     }
     if let Some(id) = key.strip_prefix(SUBMISSIONS) {
         return Watched::Job(id.into());
@@ -94,7 +94,7 @@
 }
 
 /// Parses the key of a chunk of tasks into its job and its number.
-pub fn record(key: &str) -> Option<(JobId, u32)> {
+pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let (id, chunk) = key.strip_prefix(PROGRESS_RECORDS)?.rsplit_once('/')?;
     Some((id.into(), chunk.parse().ok()?))
 }
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -46,7 +46,7 @@
 use super::autoscaler::state::{Autoscaler, CloudCall};
 use super::effects::{Effects, PendingCalls};
 use super::format_version::{FormatVersion, WITH_HISTORY};
-use super::leader_authority::{Bounds, LeaderAuthority};
+use super::leader_authority::{AuthorityBounds, LeaderAuthority};
 use super::quarantine::Quarantine;
 use super::{Now, Reply, RequestId};
 use crate::policy::Policy;
@@ -60,6 +60,19 @@
 /// Time between checks for machines that fell silent or are gone.
 const HEALTH_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(200);
 
+/// What a leader's term begins with.
+#[derive(Clone, Copy, Debug)]
+pub struct LeaderTerm {
+    /// The key whose version is the fencing token.
+    pub holder: &'static str,
+    /// The fencing token.
+    pub token: FencingToken,
+    /// The lease that the token hangs on.
+    pub lease: u64,
+    /// The format version in force.
+    pub format_version: FormatVersion,
+}
+
 /// The leader: what its term rests on, and the parts that do its work.
 #[derive(Debug)]
 pub struct Leader {
@@ -68,9 +81,9 @@
     /// The key whose version is the token.
     pub holder: &'static str,
     /// The format version in force.
-    pub level: FormatVersion,
+    pub format_version: FormatVersion,
     /// Changes of leader and format-version keys that the watch showed.
-    pub news: Vec<WatchEvent>,
+    pub version_events: Vec<WatchEvent>,
     /// The lease that the token hangs on.
     pub lease: u64,
     /// Calls under way.
@@ -91,7 +104,7 @@
     pub(super) scheduler: Scheduler,
     /// Answers heartbeats.
     pub(super) heartbeats: HeartbeatReconciler,
-    /// Builds what workers are told.
+    /// Builds the commands for agents.
     pub(super) commands: CommandDispatcher,
     /// Provisions and terminates machines.
     pub(super) autoscaler: Autoscaler,
@@ -108,20 +121,25 @@
     pub fn new(
         settings: Rc<Settings>,
         policy: Rc<Policy>,
-        (holder, token, lease): (&'static str, FencingToken, u64),
-        level: FormatVersion,
+        term: LeaderTerm,
         now: Time,
-        types: &MachineTypes,
+        machine_types: &MachineTypes,
     ) -> Leader {
+        let LeaderTerm {
+            holder,
+            token,
+            lease,
+            format_version,
+        } = term;
         let mut leader = Leader {
             token,
             holder,
-            level,
-            news: Vec::new(),
+            format_version,
+            version_events: Vec::new(),
             lease,
             pending_calls: PendingCalls::default(),
             leading_since: now,
-            authority: LeaderAuthority::new(Bounds::new(&settings.workers), now),
+            authority: LeaderAuthority::new(AuthorityBounds::new(&settings.workers), now),
             next_health_check: now,
             records: RecordWatcher::new(now),
             writer: TransactionWriter::new(holder, token, settings.state_limits.write_rps, now),
@@ -134,13 +152,13 @@
             status: StatusBroadcaster::default(),
             cluster: ClusterState::new(settings, policy),
         };
-        leader.set_types(types);
+        leader.set_machine_types(machine_types);
         leader
     }
 
     /// Takes over machine types read from the cloud or the state service.
-    pub fn set_types(&mut self, types: &MachineTypes) {
-        self.cluster.set_machine_types(types);
+    pub fn set_machine_types(&mut self, machine_types: &MachineTypes) {
+        self.cluster.set_machine_types(machine_types);
     }
 
     /// Whether everything recorded has been read.
@@ -159,10 +177,10 @@
     }
 
     /// Machines that it knows of, and those that have sent a heartbeat under its token.
-    pub fn machines_heard(&self) -> (usize, usize) {
+    pub fn count_reporting_machines(&self) -> (usize, usize) {
         let machines = self.cluster.machines.values();
-        let heard = machines.filter(|machine| machine.our_token_since.is_some());
-        (self.cluster.machines.len(), heard.count())
+        let reporting = machines.filter(|machine| machine.our_token_since.is_some());
+        (self.cluster.machines.len(), reporting.count())
     }
 
     /// Whether it knows of a machine.
@@ -171,7 +189,7 @@
     }
 
     /// Whether another node may hold this token.
-    pub fn may_be(&self, now: Time, token: FencingToken) -> bool {
+    pub fn may_be_replaced_by(&self, now: Time, token: FencingToken) -> bool {
         let since_contact = self.authority.age(now);
         let write_rps = self.cluster.settings.state_limits.write_rps;
         self.records
@@ -215,22 +233,22 @@
     }
 
     /// Takes a reply to one of its calls.
-    pub fn on_reply(
+    pub fn handle_reply(
         &mut self,
         effects: &mut Effects,
         call: PendingCall,
         reply: Reply,
     ) -> LeadershipOutcome {
         match call {
-            PendingCall::Read { sent } => self.on_read(effects, sent, reply),
-            PendingCall::Commit => self.on_commit(effects, reply),
-            PendingCall::Written(op) => self.on_written(&op, reply),
-            PendingCall::Cloud(call, by) => self.on_cloud(effects, call, by, reply),
+            PendingCall::Read { sent } => self.handle_read_reply(effects, sent, reply),
+            PendingCall::Commit => self.handle_commit_reply(effects, reply),
+            PendingCall::Written(op) => self.handle_own_write_read(&op, reply),
+            PendingCall::Cloud(call, by) => self.handle_cloud_reply(effects, call, by, reply),
         }
     }
 
     /// A read of the records or of changes was answered, or not.
-    pub fn on_read(
+    pub fn handle_read_reply(
         &mut self,
         effects: &mut Effects,
         sent: Time,
@@ -243,7 +261,7 @@
     }
 
     /// The cloud answered, or not; `by` is the peer that made the call, if one did.
-    pub fn on_cloud(
+    pub fn handle_cloud_reply(
         &mut self,
         effects: &mut Effects,
         call: CloudCall,
@@ -260,7 +278,7 @@
     }
 
     /// Handles a worker's heartbeat; `may_defer`: its answer may wait for work.
-    pub fn on_report(
+    pub fn handle_heartbeat(
         &mut self,
         effects: &mut Effects,
         request: RequestId,
@@ -269,7 +287,7 @@
     ) -> LeadershipOutcome {
         if heartbeat.token > self.token {
             effects.answer_status(request, 421);
-            if self.may_be(effects.now.time, heartbeat.token) {
+            if self.may_be_replaced_by(effects.now.time, heartbeat.token) {
                 return LeadershipOutcome::Deposed(heartbeat.token);
             }
             tracing::error!(machine = %heartbeat.machine, token = %heartbeat.token, "heartbeat with a token that nobody was given ignored");
@@ -290,19 +308,19 @@
     }
 
     /// Gives up deferred heartbeats, when leadership ends.
-    pub fn drop_held(&mut self, effects: &mut Effects) {
+    pub fn drop_deferred_heartbeats(&mut self, effects: &mut Effects) {
         self.heartbeats.drop_deferred(effects);
     }
 
-    /// A peer told a job's user that it is cancelled: nothing of it is wanted any more,
-    /// whether or not the key-value store can be read. Nothing is deleted for it.
-    pub fn hear_cancelled(&mut self, now: Time, id: &JobId) {
+    /// A peer confirmed to a user that this job is cancelled: none of it is to run any
+    /// more, whether or not the key-value store can be read. Nothing is deleted for it.
+    pub fn record_announced_cancellation(&mut self, now: Time, id: &JobId) {
         let job = self.cluster.jobs.get(id);
         let Some(job) = job.filter(|job| job.is_open()) else {
             return;
         };
         let tasks: Vec<u32> = job.assignments.keys().copied().collect();
-        if self.authority.told(now, id) {
+        if self.authority.record_peer_cancellation(now, id) {
             tracing::info!(job = %id, tasks = tasks.len(), "job cancelled, as a peer says");
             let why = "a peer says that it is cancelled";
             self.cluster.stop_tasks(now, id, &tasks, 0.0, why);
@@ -331,7 +349,7 @@
     }
 
     /// A peer missed what was sent: everything is sent once more.
-    pub fn tell_again(&mut self) {
+    pub fn restart_broadcast(&mut self) {
         self.status.resend_everything();
     }
 
@@ -360,7 +378,7 @@
 
     /// Whether all that is stored has the format in force.
     pub fn is_rewritten(&self) -> bool {
-        self.writer.is_rewritten(self.level)
+        self.writer.is_rewritten(self.format_version)
     }
 
     fn run_cycle(&mut self, at: Now) {
@@ -398,7 +416,7 @@
 
     /// Stores recent arrivals now and then, if the format in force has them.
     fn store_arrivals(&mut self, at: Now) {
-        if self.level < WITH_HISTORY {
+        if self.format_version < WITH_HISTORY {
             return;
         }
         let window = TimeSpan::secs(self.cluster.policy.floor_window_s);
@@ -426,7 +444,7 @@
                 holder: self.holder,
                 token: self.token,
                 authority: &mut self.authority,
-                news: &mut self.news,
+                version_events: &mut self.version_events,
                 cluster: &mut self.cluster,
                 writer: &mut self.writer,
                 scheduler: &mut self.scheduler,
@@ -446,7 +464,7 @@
                 intents: &mut self.autoscaler.intents,
                 machines_with_stored_starts: &mut self.heartbeats.machines_with_stored_starts,
                 status: &mut self.status,
-                format: self.level,
+                format: self.format_version,
             },
         }
     }
@@ -460,14 +478,18 @@
     }
 
     /// A transaction was answered, or not.
-    pub fn on_commit(&mut self, effects: &mut Effects, reply: Reply) -> LeadershipOutcome {
+    pub fn handle_commit_reply(
+        &mut self,
+        effects: &mut Effects,
+        reply: Reply,
+    ) -> LeadershipOutcome {
         let mut parts = self.writer();
         parts
             .writer
             .handle_commit_reply(effects, &mut parts.context, parts.pending_calls, reply)
     }
 
-    fn on_written(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
+    fn handle_own_write_read(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
         let mut parts = self.writer();
         parts
             .writer
@@ -476,7 +498,7 @@
 
     fn queue_outdated_chunks(&mut self, now: Time) {
         self.writer
-            .queue_outdated_chunks(now, &mut self.cluster, self.level);
+            .queue_outdated_chunks(now, &mut self.cluster, self.format_version);
     }
 }
 
--- a/crates/controller/src/core/leader/arrival_recorder.rs
+++ b/crates/controller/src/core/leader/arrival_recorder.rs
@@ -59,7 +59,7 @@
             .max(1);
         let arrivals = self.by_class.entry(job.spec.class.clone()).or_default();
         arrivals.push_back(Arrival {
-            at: job.at,
+            at: job.accepted_at,
             team: job.spec.team.clone(),
             machines: f64::from(job.spec.tasks) / f64::from(tasks_per_machine),
             run_s: job.spec.estimate_s,
@@ -75,7 +75,7 @@
         for (class, arrivals) in &self.by_class {
             for arrival in arrivals {
                 let (team, machines) = (&arrival.team, arrival.machines);
-                history.note(arrival.at, class, team, machines, arrival.run_s);
+                history.record(arrival.at, class, team, machines, arrival.run_s);
             }
         }
         history
@@ -96,7 +96,7 @@
         let value = self.history(window).store(at.wall, value_bytes);
         if value != self.stored {
             self.stored = value.clone();
-            pending_writes.put(arrival_history::KEY.into(), value);
+            pending_writes.put(arrival_history::ARRIVAL_HISTORY_KEY.into(), value);
         }
     }
 
@@ -111,7 +111,7 @@
             }
             None => {
                 tracing::error!(
-                    key = arrival_history::KEY,
+                    key = arrival_history::ARRIVAL_HISTORY_KEY,
                     "stored arrivals cannot be read; minimum shares begin anew"
                 );
             }
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn stale_list_does_not_bring_back_released_machine() {
     let mut leader = leader();
-    leader.on_cloud(
+    leader.handle_cloud_reply(
         &mut effects_at(1.0),
         CloudCall::List,
         None,
@@ -35,13 +35,13 @@
     );
     assert_eq!(leader.cluster.machines.len(), 2);
     let release = CloudCall::Release(vec!["host-1".into()]);
-    leader.on_cloud(
+    leader.handle_cloud_reply(
         &mut effects_at(2.0),
         release,
         None,
         Reply::Answer(200, Vec::new()),
     );
-    leader.on_cloud(
+    leader.handle_cloud_reply(
         &mut effects_at(9.0),
         CloudCall::List,
         None,
@@ -61,8 +61,12 @@
 #[test]
 fn releases_alternate_with_other_calls() {
     let mut leader = leader();
-    let market: CapacityPool = ("g4".into(), "z0".into(), true);
-    leader.autoscaler.intents.provision(market, 3, WallTime(0));
+    let pool = CapacityPool {
+        machine_type: "g4".into(),
+        zone: "z0".into(),
+        spot: true,
+    };
+    leader.autoscaler.intents.provision(pool, 3, WallTime(0));
     let mut made = Vec::new();
     for n in 0..6 {
         let id = MachineId::from(format!("host-{n}"));
@@ -74,7 +78,7 @@
             .autoscaler
             .record_releases(&leader.cluster.machines, WallTime(0));
         for (key, _) in leader.autoscaler.intents.pending_writes.take_puts(9) {
-            leader.autoscaler.intents.stored(&key);
+            leader.autoscaler.intents.mark_stored(&key);
         }
         made.push(
             match leader
@@ -83,14 +87,17 @@
             {
                 Some(CloudCall::Release(names)) => {
                     leader.autoscaler.intents.mark_termination_requested(&names);
-                    leader.autoscaler.intents.released(&names, Time(1));
+                    leader.autoscaler.intents.mark_terminated(&names, Time(1));
                     names
                         .iter()
                         .for_each(|m| drop(leader.cluster.machines.remove(m)));
                     "release"
                 }
                 Some(CloudCall::ProvisionRequest(r)) => {
-                    leader.autoscaler.intents.filled(&r.request, &[], Time(1));
+                    leader
+                        .autoscaler
+                        .intents
+                        .mark_fulfilled(&r.request, &[], Time(1));
                     "rent"
                 }
                 Some(CloudCall::List) => "list",
@@ -109,10 +116,15 @@
         wall: WallTime(5000),
     };
     let mut first = leader();
-    first
-        .autoscaler
-        .intents
-        .provision(("g4".into(), "z0".into(), true), 3, WallTime(0));
+    first.autoscaler.intents.provision(
+        CapacityPool {
+            machine_type: "g4".into(),
+            zone: "z0".into(),
+            spot: true,
+        },
+        3,
+        WallTime(0),
+    );
     first
         .cluster
         .register_machine(Time(0), &"host-1".into(), &first.autoscaler.intents)
@@ -149,13 +161,13 @@
     else {
         panic!("the release is not asked for")
     };
-    next.on_cloud(
+    next.handle_cloud_reply(
         &mut effects_at(2.0),
         CloudCall::Release(names),
         None,
         Reply::Answer(200, Vec::new()),
     );
-    next.on_cloud(
+    next.handle_cloud_reply(
         &mut effects_at(2.0),
         CloudCall::List,
         None,
@@ -187,7 +199,7 @@
             .mark_for_termination("idle");
         let call = CloudCall::Release(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
-        leader.on_cloud(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
+        leader.handle_cloud_reply(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
         assert!(
             leader.cluster.machines.contains_key(&id),
             "{status} by {by:?}"
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -1,4 +1,4 @@
-//! What workers are told: starts, stops and `forget`s in the answers to heartbeats,
+//! The commands for agents: starts, stops and `forget`s in the answers to heartbeats,
 //! stops and announcements in direct commands. Decides no placement itself.
 
 use super::cluster_state::ClusterState;
@@ -102,7 +102,7 @@
     }
 
     /// Keeps what a heartbeat listed, for its answer.
-    pub fn note_reported_tasks(&mut self, heartbeat: &Heartbeat) {
+    pub fn record_reported_tasks(&mut self, heartbeat: &Heartbeat) {
         let reported = heartbeat.tasks.iter().map(|task| ReportedTaskState {
             name: task.task.clone(),
             attempt: task.attempt,
@@ -130,7 +130,7 @@
         let commands = self.commands_for(now, cluster, authority, id);
         if let Some(machine) = cluster.machines.get_mut(id) {
             machine.last_answer = Some(now);
-            machine.delivery.answered(now);
+            machine.delivery.record_answer(now);
         }
         let body = wire::encode(&HeartbeatResponse {
             token: self.token,
@@ -188,17 +188,17 @@
                 commands.push(stop);
             }
             if !commands.is_empty() {
-                effects.direct(address, self.token, epoch, commands);
+                effects.push_commands(address, self.token, epoch, commands);
             }
         }
     }
 
     /// A machine that a list shows: if it has tasks and has sent this leader no
-    /// heartbeat yet, it is told who leads.
+    /// heartbeat yet, it gets an announcement of the leader.
     pub fn announce_to(&mut self, now: Time, cluster: &ClusterState, id: &MachineId) {
         let machine = cluster.machines.get(id);
         let machine = machine.filter(|m| m.last_heartbeat.is_none() && m.address.is_some());
-        let Some(machine) = machine.filter(|_| self.announcer.goes_on(now)) else {
+        let Some(machine) = machine.filter(|_| self.announcer.is_active(now)) else {
             return;
         };
         let tasks = machine.tasks.iter();
@@ -206,7 +206,7 @@
             .filter_map(|task| announcement_priority(cluster, task))
             .min();
         if let Some(priority) = most_urgent {
-            self.announcer.note(now, priority, id.clone());
+            self.announcer.add(now, priority, id.clone());
         }
     }
 
@@ -215,7 +215,7 @@
     /// answer, as a heartbeat under way may still bring it an older leader's start.
     pub fn send_announcements(&mut self, effects: &mut Effects, cluster: &ClusterState) {
         let now = effects.now.time;
-        for id in self.announcer.next(now, cluster.machines.len()) {
+        for id in self.announcer.take_due(now, cluster.machines.len()) {
             let machine = cluster.machines.get(&id);
             let Some(machine) = machine.filter(|machine| machine.last_heartbeat.is_none()) else {
                 continue;
@@ -226,7 +226,7 @@
             };
             let epoch = machine.tasks.iter().filter_map(placed_in).max();
             if let (Some(address), Some(epoch)) = (machine.address, epoch) {
-                effects.direct(address, self.token, epoch, Vec::new());
+                effects.push_commands(address, self.token, epoch, Vec::new());
             }
         }
     }
@@ -306,7 +306,7 @@
         let Some(assignment) = job.assignments.get(&task.index) else {
             continue;
         };
-        let is_current = assignment.unsent() && assignment.epoch == machine.epoch;
+        let is_current = assignment.is_unsent() && assignment.epoch == machine.epoch;
         // Written ahead: only what is stored may be sent.
         let is_stored = job.is_stored(size, task.index, assignment.change)
             || !failpoints::enforced(SafetyCheck::WriteAhead);
@@ -330,8 +330,8 @@
     assignment: &mut Assignment,
 ) -> Command {
     assignment.phase = AssignmentPhase::Sent(sequence);
-    if assignment.cold.is_some() {
-        assignment.cold = Some(now);
+    if assignment.fetching_since.is_some() {
+        assignment.fetching_since = Some(now);
     }
     Command::Start {
         task: task.to_string(),
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -22,7 +22,7 @@
     with_job(&mut leader, "wk-1", 1);
     let id = JobId::from("wk-1");
     let job = leader.cluster.jobs.get_mut(&id).unwrap();
-    job.end = Some(JobOutcome::Cancelled);
+    job.outcome = Some(JobOutcome::Cancelled);
     for chunk in 0..6 {
         let stored = job_records::Chunk {
             version: Version(9),
@@ -37,7 +37,11 @@
         let level = leader.writer.write_tokens.level(now);
         leader.writer.write_tokens.take(now, level - room as f64);
         let mut parts = leader.writer();
-        let Some((txn, items)) = parts.writer.build_transaction(now, &mut parts.context) else {
+        let Some(BuiltTransaction {
+            transaction: txn,
+            items,
+        }) = parts.writer.build_transaction(now, &mut parts.context)
+        else {
             break;
         };
         for op in &txn.ops {
@@ -86,7 +90,7 @@
         with_job(&mut leader, "wk-1", 1);
         let id = JobId::from("wk-1");
         let job = leader.cluster.jobs.get_mut(&id).unwrap();
-        (job.end, job.waiting) = (
+        (job.outcome, job.waiting) = (
             Some(JobOutcome::Done { written: false }),
             Default::default(),
         );
@@ -105,7 +109,10 @@
         let built = parts
             .writer
             .build_transaction(Time(1_000_000), &mut parts.context);
-        let (txn, items) = built.unwrap();
+        let BuiltTransaction {
+            transaction: txn,
+            items,
+        } = built.unwrap();
         let keys = txn.ops.iter().map(|op| match op {
             Operation::Put { key, .. } => format!("+{key}"),
             Operation::Delete { key } => format!("-{key}"),
@@ -148,7 +155,7 @@
         with_job(&mut leader, id, 2);
         let job = leader.cluster.jobs.get_mut(&JobId::from(id)).unwrap();
         job.waiting.remove(0);
-        let change = job.touch(leader.cluster.chunk_size, 0);
+        let change = job.record_change(leader.cluster.chunk_size, 0);
         let place = Assignment {
             change,
             phase: crate::core::assignment::AssignmentPhase::Unsent,
@@ -159,11 +166,17 @@
             .cluster
             .unwritten
             .dirty_chunks
-            .note((id.into(), 0), Time(0), true);
+            .mark((id.into(), 0), Time(0), true);
     }
     let mut effects = crate::testing::effects_at(1.0);
     leader.submit_next_transaction(&mut effects);
-    let (txn, _) = leader.writer.pipeline.flight.as_ref().unwrap();
+    let txn = &leader
+        .writer
+        .pipeline
+        .in_flight
+        .as_ref()
+        .unwrap()
+        .transaction;
     for id in ["job/wk-1", "job/wk-2"] {
         let fenced = |c: &Precondition| c.key == id && c.version == Version(7);
         assert!(txn.conditions.iter().any(fenced), "{id} is not compared");
@@ -172,7 +185,7 @@
         revision: Version(9),
         failed: vec!["job/wk-1".into()],
     };
-    let fate = leader.on_commit(&mut effects, Reply::Answer(409, wire::encode(&refused)));
+    let fate = leader.handle_commit_reply(&mut effects, Reply::Answer(409, wire::encode(&refused)));
     assert_eq!(fate, LeadershipOutcome::Continue);
     let job = |id: &str| &leader.cluster.jobs[&JobId::from(id)];
     assert!(!job("wk-1").is_open() && job("wk-1").assignments.is_empty());
@@ -194,7 +207,7 @@
     let id = JobId::from("wk-1");
     let job = leader.cluster.jobs.get_mut(&id).unwrap();
     job.waiting.remove(0);
-    let change = job.touch(leader.cluster.chunk_size, 0);
+    let change = job.record_change(leader.cluster.chunk_size, 0);
     let place = Assignment {
         change,
         phase: crate::core::assignment::AssignmentPhase::Unsent,
@@ -205,17 +218,17 @@
         .cluster
         .unwritten
         .dirty_chunks
-        .note((id, 0), Time(0), true);
+        .mark((id, 0), Time(0), true);
     let mut effects = crate::testing::effects_at(1.0);
     leader.submit_next_transaction(&mut effects);
-    leader.on_commit(&mut effects, Reply::Lost);
+    leader.handle_commit_reply(&mut effects, Reply::Lost);
     effects.now.time = effects.now.time + TimeSpan::secs(5.0);
     leader.submit_next_transaction(&mut effects);
     effects.take_outputs();
     let failed = failed.iter().map(|k| (*k).to_string()).collect();
     let revision = Version(30);
     let body = wire::encode(&TransactionResponse { revision, failed });
-    let fate = leader.on_commit(&mut effects, Reply::Answer(409, body));
+    let fate = leader.handle_commit_reply(&mut effects, Reply::Answer(409, body));
     (leader, effects, fate)
 }
 
@@ -239,7 +252,13 @@
         !job.is_stored(leader.cluster.chunk_size, 0, change),
         "nothing is sent on a guess"
     );
-    let (txn, _) = leader.writer.pipeline.flight.clone().unwrap();
+    let txn = leader
+        .writer
+        .pipeline
+        .in_flight
+        .clone()
+        .unwrap()
+        .transaction;
     let (op, value) = txn
         .ops
         .iter()
@@ -255,7 +274,10 @@
         version,
     };
     let found = Reply::Answer(200, wire::encode(&entry));
-    assert_eq!(leader.on_written(&op, found), LeadershipOutcome::Continue);
+    assert_eq!(
+        leader.handle_own_write_read(&op, found),
+        LeadershipOutcome::Continue
+    );
     let job = &leader.cluster.jobs[&id];
     assert!(job.is_stored(leader.cluster.chunk_size, 0, change));
     assert_eq!(
@@ -263,7 +285,7 @@
         Version(25),
         "the next write compares it"
     );
-    assert!(leader.writer.pipeline.flight.is_none());
+    assert!(leader.writer.pipeline.in_flight.is_none());
 }
 
 // What is not plainly its own is not taken for it: everything starts over from the records.
@@ -283,7 +305,13 @@
         version: Version(version),
     };
     let own = |leader: &Leader| {
-        let (txn, _) = leader.writer.pipeline.flight.clone().unwrap();
+        let txn = leader
+            .writer
+            .pipeline
+            .in_flight
+            .clone()
+            .unwrap()
+            .transaction;
         let put = txn.ops.into_iter();
         put.filter_map(|op| match op {
             Operation::Put { value, .. } => Some(value),
@@ -295,13 +323,24 @@
     for case in 0..4 {
         let (mut leader, _, _) = leader_after_repeated_commit(&["r/wk-1/0"]);
         let value = own(&leader);
-        let op = leader.writer.pipeline.flight.as_ref().unwrap().0.ops[0].clone();
+        let op = leader
+            .writer
+            .pipeline
+            .in_flight
+            .as_ref()
+            .unwrap()
+            .transaction
+            .ops[0]
+            .clone();
         let reply = match case {
             0 => Reply::Answer(404, Vec::new()),
             1 => Reply::Answer(200, wire::encode(&entry(value, 0))),
             2 => Reply::Answer(200, wire::encode(&entry(serde_json::json!({"a": 1}), 25))),
             _ => Reply::Lost,
         };
-        assert!(gives_up(leader.on_written(&op, reply)), "case {case}");
+        assert!(
+            gives_up(leader.handle_own_write_read(&op, reply)),
+            "case {case}"
+        );
     }
 }
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -1,5 +1,5 @@
 //! Workers' heartbeats: which of them count, and when each is answered. What they
-//! list is compared in `task_reconciliation`, what they are told built in
+//! list is compared in `task_reconciliation`, their commands are built in
 //! `command_dispatch`.
 
 use super::cluster_state::{ClusterState, UnsentStarts};
@@ -110,7 +110,7 @@
             pending_writes: &mut self.intents.pending_writes,
         };
         let result = self.cluster.reconcile_tasks(&received, &mut recorder);
-        self.commands.note_reported_tasks(heartbeat);
+        self.commands.record_reported_tasks(heartbeat);
         self.check_delivery(at.time, heartbeat, previous, result.delivery);
         // One without our token may be an old copy, and its notice another's.
         if heartbeat.notice_s.is_some() && heartbeat.token == self.token {
@@ -135,25 +135,25 @@
         };
         let restarted = previous.epoch != AgentEpoch(0) && heartbeat.epoch > previous.epoch;
         let evidence = if restarted {
-            DeliveryEvidence::NewSession
+            DeliveryEvidence::NewEpoch
         } else if machine.has_our_token && !previous.had_our_token {
-            DeliveryEvidence::Took
+            DeliveryEvidence::Received
         } else if !machine.has_our_token {
             DeliveryEvidence::OlderToken
         } else {
             starts
         };
-        if machine.delivery.reported(now, lease, evidence) {
+        if machine.delivery.record_heartbeat(now, lease, evidence) {
             tracing::info!(machine = %heartbeat.machine, ?evidence, "machine sends heartbeats and does not receive the answers; no new work goes there");
         }
-        if machine.delivery.hears() {
+        if machine.delivery.answers_arrive() {
             return;
         }
         let tasks: Vec<TaskId> = machine.tasks.iter().cloned().collect();
         for task in tasks {
             let job = self.cluster.jobs.get(&task.job);
             let assignment = job.and_then(|job| job.assignments.get(&task.index));
-            if assignment.is_some_and(Assignment::unsent) {
+            if assignment.is_some_and(Assignment::is_unsent) {
                 let reason = RemovalReason::MachineUnreachable;
                 self.cluster.record_task_gone(now, &task, reason);
             }
@@ -354,7 +354,7 @@
     own_token: FencingToken,
 ) {
     if heartbeat.epoch > machine.epoch {
-        machine.cache.give_up(|_| false);
+        machine.cache.drop_abandoned_fetches(|_| false);
         machine.presumed_dead = false;
     }
     machine.epoch = heartbeat.epoch;
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -39,8 +39,8 @@
 /// under its token.
 fn loaded_leader() -> (Leader, MachineId) {
     let mut leader = leader();
-    leader.authority.page(Time(0));
-    leader.authority.loaded(Time(0));
+    leader.authority.record_load_page(Time(0));
+    leader.authority.record_load_complete(Time(0));
     let spec = submission("wk-1", JobShape::Array, 2);
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
     leader.cluster.jobs.insert("wk-1".into(), job);
@@ -94,7 +94,7 @@
 /// What it answers, and what becomes of it.
 fn send_heartbeat(leader: &mut Leader, secs: f64, report: Heartbeat) -> (u16, LeadershipOutcome) {
     let mut effects = effects_at(secs);
-    let fate = leader.on_report(&mut effects, RequestId(1), report, false);
+    let fate = leader.handle_heartbeat(&mut effects, RequestId(1), report, false);
     let answer = effects.take_outputs().into_iter().find_map(|o| match o {
         Output::Answer(_, a) => Some(a.status),
         _ => None,
@@ -143,7 +143,7 @@
         events: Vec::new(),
     };
     let read = Reply::Answer(200, wire::encode(&none));
-    leader.on_read(&mut effects_at(2.5), Time(2_000_000), read);
+    leader.handle_read_reply(&mut effects_at(2.5), Time(2_000_000), read);
     assert_eq!(
         send_heartbeat(&mut leader, 2.0, report(4, later.0)),
         (421, LeadershipOutcome::Continue)
@@ -198,7 +198,7 @@
     let (mut leader, id) = loaded_leader();
     for n in 0..4u32 {
         let secs = 3.0 + 3.0 * f64::from(n);
-        leader.authority.showed(Time(0) + TimeSpan::secs(secs));
+        leader.authority.record_read(Time(0) + TimeSpan::secs(secs));
         let placed = leader.cluster.jobs[&"wk-1".into()].assignments.len();
         assert_eq!(placed, 2, "at {secs} s");
         send_heartbeat(&mut leader, secs, report(u64::from(n) + 2, 5));
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -94,8 +94,8 @@
     fn duties(&self) -> Value {
         let scheduler = self.scheduler;
         let last_cycle = Some(scheduler.last_cycle).filter(|_| scheduler.cycles > 0);
-        let last_call = self.autoscaler.cloud_proxy.progress;
-        let last_commit = self.writer.pipeline.committed;
+        let last_call = self.autoscaler.cloud_proxy.last_answered;
+        let last_commit = self.writer.pipeline.last_committed;
         json!([
             self.duty("placing", last_cycle, json!({})),
             self.duty("renting", last_call, self.renting()),
@@ -113,10 +113,11 @@
 
     fn renting(&self) -> Value {
         let proxy = &self.autoscaler.cloud_proxy;
-        let [provisions, releases, machines] = self.autoscaler.intents.open();
+        let open = self.autoscaler.intents.open();
         let by = proxy.peer(self.at.time);
         json!({
-            "hires": provisions, "releases": releases, "machines_going": machines,
+            "hires": open.provisions, "releases": open.terminations,
+            "machines_going": open.machines,
             "by": by.map_or("itself", |node| node.as_str()),
             "hands_changed": proxy.changes,
         })
@@ -127,7 +128,7 @@
         let assignments = jobs.flat_map(|job| job.assignments.values());
         json!({
             "stopping": assignments.filter(|a| a.stop.is_some()).count(),
-            "put_aside": self.quarantine.count(self.at.wall),
+            "put_aside": self.quarantine.quarantined_count(self.at.wall),
         })
     }
 
@@ -135,7 +136,7 @@
         let collector = &self.writer.garbage_collector;
         let pending_writes = &self.autoscaler.intents.pending_writes;
         json!({
-            "orphans_left": collector.left(), "orphans_deleted": collector.deleted,
+            "orphans_left": collector.remaining(), "orphans_deleted": collector.deleted,
             "jobs_to_drop": self.cluster.unwritten.jobs_to_delete.len(),
             "records_to_write": pending_writes.len(),
             "records_written": pending_writes.written,
@@ -160,7 +161,7 @@
                     "guaranteed": {"cpus": held.share.cpus, "gpus": held.share.gpus},
                     "limit": {"cpus": held.share.cpus_max, "gpus": held.share.gpus_max},
                     "used": units(held.used), "stopping": units(held.stopping),
-                    "lent": units(held.lent()),
+                    "lent": units(held.beyond_guarantee()),
                     "served": served(&group), "floor_machines": floors.of(&group),
                 })
             })
@@ -214,9 +215,9 @@
             "job": id, "owner": job.spec.team, "class": job.spec.class,
             "priority": job.spec.priority, "tasks": job.spec.tasks, "done": job.done.len(),
             "placed": job.assignments.len(), "waiting": job.waiting.len(),
-            "waits_s": self.seconds_since(job.notes.waiting_since), "why": job.notes.why,
-            "within_guarantee": job.notes.entitled, "last_stop": job.notes.last_stop,
-            "end": job.end.map(|end| end.to_string()),
+            "waits_s": self.seconds_since(job.notes.waiting_since), "why": job.notes.waiting_reason,
+            "within_guarantee": job.notes.within_guarantee, "last_stop": job.notes.last_stop,
+            "end": job.outcome.map(|end| end.to_string()),
         })
     }
 
--- a/crates/controller/src/core/leader/placement_requests.rs
+++ b/crates/controller/src/core/leader/placement_requests.rs
@@ -34,7 +34,7 @@
         at: Now,
         authority: &LeaderAuthority,
     ) -> Vec<PlacementRequest> {
-        self.mark_entitled();
+        self.mark_within_guarantee();
         let fleet = self.fleet_resources();
         let inputs = RequestInputs {
             at,
@@ -46,25 +46,25 @@
         for (id, job) in waiting.filter(|(_, job)| job.is_open() && !job.waiting.is_empty()) {
             job.notes.waiting_since.get_or_insert(at.time);
             if let Some(obstacle) = obstacle(at.time, authority, id, job) {
-                job.notes.why = obstacle;
+                job.notes.waiting_reason = obstacle;
                 continue;
             }
-            let Some(in_zones) = tasks_in_zones(&self.machines, job) else {
-                job.notes.why = "the zone of one of its tasks is not known yet";
+            let Some(tasks_in_zones) = tasks_in_zones(&self.machines, job) else {
+                job.notes.waiting_reason = "the zone of one of its tasks is not known yet";
                 continue;
             };
-            job.notes.why = "no room";
-            requests.push(inputs.request(id, job, in_zones));
+            job.notes.waiting_reason = "no room";
+            requests.push(inputs.request(id, job, tasks_in_zones));
         }
         requests
     }
 
     /// Marks the open jobs that lie within their team's guaranteed quota: together
     /// with the team's earlier unfinished jobs they fit into it.
-    fn mark_entitled(&mut self) {
+    fn mark_within_guarantee(&mut self) {
         let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.is_open()).collect();
         // Jobs come in the order of their ids, which decides among equals.
-        open.sort_by_key(|job| job.at);
+        open.sort_by_key(|job| job.accepted_at);
         let mut sums: HashMap<Team, Resources> = HashMap::new();
         for job in open {
             let Some(share) = self.settings.teams.get(&job.spec.team) else {
@@ -72,14 +72,19 @@
             };
             let sum = sums.entry(job.spec.team.clone()).or_default();
             let whole = *sum + job.spec.needs().times(f64::from(job.spec.tasks));
-            job.notes.entitled = share.guarantees(&whole);
+            job.notes.within_guarantee = share.guarantees(&whole);
             *sum = whole;
         }
     }
 }
 
 impl RequestInputs<'_> {
-    fn request(&self, id: &JobId, job: &Job, in_zones: BTreeMap<Zone, u32>) -> PlacementRequest {
+    fn request(
+        &self,
+        id: &JobId,
+        job: &Job,
+        tasks_in_zones: BTreeMap<Zone, u32>,
+    ) -> PlacementRequest {
         let spec = &job.spec;
         let waited_longer_than = |span: TimeSpan| {
             let since = job.notes.waiting_since;
@@ -100,15 +105,15 @@
             tasks: tasks_to_place(job),
             gang: spec.shape == JobShape::Gang,
             priority: spec.priority,
-            entitled: job.notes.entitled,
+            within_guarantee: job.notes.within_guarantee,
             order: self.objectives.order(self.at.wall, job),
-            kinds: spec.kinds.clone(),
+            machine_types: spec.kinds.clone(),
             zone: spec.zone.clone(),
             one_zone: spec.one_zone,
             max_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
-            in_zones,
+            tasks_in_zones,
             spot: spec.spot,
-            run: TimeSpan::secs(spec.estimate_s),
+            run_time: TimeSpan::secs(spec.estimate_s),
             start_by: self.objectives.start_by(self.at.time, self.at.wall, job),
             aged: waited_longer_than(aging),
             // The paper's gate has no end: beside a stream of urgent starts a cold
@@ -153,15 +158,15 @@
     machines: &BTreeMap<MachineId, Machine>,
     job: &Job,
 ) -> Option<BTreeMap<Zone, u32>> {
-    let mut in_zones = BTreeMap::new();
+    let mut tasks_in_zones = BTreeMap::new();
     let counted = failpoints::enforced(SafetyCheck::AssignmentsBindZones);
     for assignment in job.assignments.values().filter(|_| counted) {
         let machine = machines.get(&assignment.machine);
         match machine.and_then(|machine| machine.zone.clone()) {
-            Some(zone) => *in_zones.entry(zone).or_default() += 1,
+            Some(zone) => *tasks_in_zones.entry(zone).or_default() += 1,
             None if job.spec.one_zone || job.spec.spread => return None,
             None => {}
         }
     }
-    Some(in_zones)
+    Some(tasks_in_zones)
 }
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -30,7 +30,7 @@
     /// Told what was read, and when.
     pub authority: &'a mut LeaderAuthority,
     /// Changes of leader and format-version keys.
-    pub news: &'a mut Vec<WatchEvent>,
+    pub version_events: &'a mut Vec<WatchEvent>,
     /// Jobs and machines.
     pub cluster: &'a mut ClusterState,
     /// Told of orphaned keys and outdated records.
@@ -51,10 +51,10 @@
     pub fn load_watched(&mut self, records: &mut RecordWatcher, entries: &[Entry]) -> bool {
         let mut is_holder = false;
         for entry in entries {
-            match job_records::watched(&entry.key) {
-                Watched::Office => {
+            match job_records::parse_watched_key(&entry.key) {
+                Watched::Leadership => {
                     is_holder |= entry.key == self.holder && entry.version.0 == self.token.0;
-                    self.news.push(as_event(entry));
+                    self.version_events.push(as_event(entry));
                 }
                 Watched::Part(id, number) => records.assembler.part(id, number, &entry.value),
                 _ => {}
@@ -63,7 +63,7 @@
         if !is_holder {
             return false;
         }
-        let submitted = |entry: &Entry| match job_records::watched(&entry.key) {
+        let submitted = |entry: &Entry| match job_records::parse_watched_key(&entry.key) {
             Watched::Job(id) => Some(id),
             _ => None,
         };
@@ -71,15 +71,15 @@
         for entry in entries {
             let is_submitted = |id: &JobId| records.submitted.contains(id);
             let collector = &mut self.writer.garbage_collector;
-            collector.look(&entry.key, entry.version, is_submitted);
+            collector.check_key(&entry.key, entry.version, is_submitted);
         }
         for entry in entries {
-            if let Watched::Job(id) = job_records::watched(&entry.key) {
+            if let Watched::Job(id) = job_records::parse_watched_key(&entry.key) {
                 self.add_job(&mut records.assembler, &id, entry.version, &entry.value);
             }
         }
         for entry in entries {
-            if let Watched::JobOutcome(id) = job_records::watched(&entry.key) {
+            if let Watched::JobOutcome(id) = job_records::parse_watched_key(&entry.key) {
                 self.load_outcome(&id, &entry.value);
             }
         }
@@ -113,9 +113,9 @@
         let Some(job) = self.cluster.jobs.get_mut(id) else {
             return;
         };
-        let header = job_records::read::<JobHeader>(value);
-        job.end = Some(match header {
-            Some(header) if header.s == HeaderStage::Done => JobOutcome::Done { written: true },
+        let header = job_records::read_record::<JobHeader>(value);
+        job.outcome = Some(match header {
+            Some(header) if header.stage == HeaderStage::Done => JobOutcome::Done { written: true },
             _ => JobOutcome::Cancelled,
         });
     }
@@ -145,12 +145,12 @@
     }
 
     fn load_progress_record(&mut self, submitted: &BTreeSet<JobId>, entry: &Entry) {
-        let Some((id, chunk)) = job_records::record(&entry.key) else {
+        let Some((id, chunk)) = job_records::parse_chunk_key(&entry.key) else {
             return;
         };
         // Without its submission a record is a remnant of an ended job.
         let collector = &mut self.writer.garbage_collector;
-        collector.look(&entry.key, entry.version, |id| submitted.contains(id));
+        collector.check_key(&entry.key, entry.version, |id| submitted.contains(id));
         let Some(job) = self.cluster.jobs.get_mut(&id) else {
             return;
         };
@@ -166,7 +166,7 @@
     /// arrivals.
     pub fn load_leader_records(&mut self, at: Now, entries: Vec<Entry>) {
         for entry in entries {
-            if entry.key == arrival_history::KEY {
+            if entry.key == arrival_history::ARRIVAL_HISTORY_KEY {
                 let window = TimeSpan::secs(self.cluster.policy.floor_window_s);
                 self.arrivals.load(entry.value, window);
                 continue;
@@ -174,12 +174,12 @@
             self.load_intent(at, &entry);
             self.load_quarantine(at, &entry);
         }
-        let [provisions, releases, machines] = self.intents.open();
-        if provisions + releases > 0 {
+        let open = self.intents.open();
+        if open.provisions + open.terminations > 0 {
             tracing::info!(
-                provisions,
-                releases,
-                machines,
+                provisions = open.provisions,
+                terminations = open.terminations,
+                machines = open.machines,
                 "continuing what earlier leaders intended"
             );
         }
@@ -223,7 +223,7 @@
         let mut ended_with_tasks = Vec::new();
         for (id, job) in &mut self.jobs {
             for (&index, assignment) in &mut job.assignments {
-                assignment.placed = now;
+                assignment.assigned_at = now;
                 let job_id = id.clone();
                 let task = TaskId { job: job_id, index };
                 self.machines
@@ -231,8 +231,8 @@
                     .or_insert_with(|| Machine::new(now))
                     .assign(task, job.spec.needs());
             }
-            if job.end.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
-                job.end = Some(JobOutcome::Done { written: false });
+            if job.outcome.is_none() && !job.is_service() && job.done.len() == job.spec.tasks {
+                job.outcome = Some(JobOutcome::Done { written: false });
                 self.unwritten.finished_jobs.insert(id.clone());
             }
             if job.is_open() {
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -115,7 +115,7 @@
             }
         };
         self.reading = true;
-        let call = effects.call(Target::State, "GET", path, Vec::new(), timeout);
+        let call = effects.call(Target::Store, "GET", path, Vec::new(), timeout);
         pending_calls.add(call, PendingCall::Read { sent });
     }
 
@@ -160,8 +160,8 @@
             return LeadershipOutcome::StepDown("changes could not be read");
         };
         let outcome = self.apply_changes(now, context, changes);
-        context.authority.showed(sent);
-        for id in context.authority.refuted() {
+        context.authority.record_read(sent);
+        for id in context.authority.take_outdated_reports() {
             if context.cluster.jobs.get(&id).is_some_and(Job::is_open) {
                 tracing::error!(job = %id, "job reported cancelled by a peer is not; it goes on");
             }
@@ -183,7 +183,7 @@
         // Changes are followed from the first page on; what a later page
         // already shows is applied twice without harm.
         let first_revision = *self.first_page_revision.get_or_insert(page.revision);
-        context.authority.page(sent);
+        context.authority.record_load_page(sent);
         let read = match &mut self.phase {
             LoadPhase::Watched(read)
             | LoadPhase::ProgressRecords(read)
@@ -222,7 +222,7 @@
         if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
             self.revision = last_revision;
         }
-        context.authority.loaded(sent);
+        context.authority.record_load_complete(sent);
         let cluster = &context.cluster;
         tracing::info!(token = %context.token, jobs = cluster.jobs.len(), machines = cluster.machines.len(), "leading");
     }
@@ -235,7 +235,7 @@
         changes: WatchResponse,
     ) -> LeadershipOutcome {
         for event in &changes.events {
-            let written = event.put.as_deref().map(job_records::watched);
+            let written = event.put.as_deref().map(job_records::parse_watched_key);
             if let Some(Watched::Part(id, number)) = written {
                 self.assembler.part(id, number, &event.value);
             }
@@ -265,9 +265,9 @@
         let Some(key) = event.put.as_deref() else {
             return LeadershipOutcome::Continue;
         };
-        match job_records::watched(key) {
-            Watched::Office => {
-                context.news.push(event.clone());
+        match job_records::parse_watched_key(key) {
+            Watched::Leadership => {
+                context.version_events.push(event.clone());
                 if key == context.holder && event.version.0 != context.token.0 {
                     return LeadershipOutcome::Deposed(FencingToken(event.version.0));
                 }
@@ -278,8 +278,8 @@
                 context.scheduler.request_cycle(now, machines);
             }
             Watched::JobOutcome(id) => {
-                let header = job_records::read::<job_records::JobHeader>(&event.value);
-                if header.is_some_and(|header| header.s == HeaderStage::Cancelled) {
+                let header = job_records::read_record::<job_records::JobHeader>(&event.value);
+                if header.is_some_and(|header| header.stage == HeaderStage::Cancelled) {
                     context.cancel_job(now, &id);
                 }
             }
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -22,7 +22,7 @@
     pub running: u32,
 }
 
-/// What the peers were last told, so that only changes are sent.
+/// What was last broadcast to the peers, so that only changes are sent.
 #[derive(Debug, Default)]
 pub(in crate::core) struct StatusBroadcaster {
     /// Task counts of jobs.
@@ -127,7 +127,7 @@
         for (image, gb) in images {
             // What is known of it since is newer.
             if machine.cache.remaining(image, now).is_none() {
-                machine.cache.fetched(image, *gb, now, f64::INFINITY);
+                machine.cache.record_fetched(image, *gb, now, f64::INFINITY);
             }
         }
     }
--- a/crates/controller/src/core/leader/task_lifecycle.rs
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -86,8 +86,10 @@
             .map(|machine_type| machine_type.fetch_gb_per_s);
         let fetch = self
             .fetch_estimates
-            .of(&spec.image, spec.image_gb, fetch_rate);
-        machine.cache.used(&spec.image, spec.image_gb, now, fetch);
+            .estimate(&spec.image, spec.image_gb, fetch_rate);
+        machine
+            .cache
+            .record_use(&spec.image, spec.image_gb, now, fetch);
         if spec.priority >= Priority::High {
             machine.last_high_priority = Some(now);
         }
@@ -95,21 +97,21 @@
         machine.assign(task.clone(), spec.needs());
         job.waiting.remove(task.index);
         job.attempt = job.attempt.max(attempt);
-        let change = job.touch(self.chunk_size, task.index);
+        let change = job.record_change(self.chunk_size, task.index);
         let assignment = Assignment {
             machine: id.clone(),
             epoch: machine.epoch,
             attempt,
             change,
             phase: AssignmentPhase::Unsent,
-            placed: now,
-            running: None,
-            cold: (!cached).then_some(now),
+            assigned_at: now,
+            running_since: None,
+            fetching_since: (!cached).then_some(now),
             stop: None,
         };
         job.assignments.insert(task.index, assignment);
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
-        self.unwritten.dirty_chunks.note(chunk, now, true);
+        self.unwritten.dirty_chunks.mark(chunk, now, true);
     }
 
     /// Marks a task done, wherever it was found to be.
@@ -122,17 +124,17 @@
         }
         job.waiting.remove(task.index);
         job.notes.failures = 0;
-        let change = job.touch(self.chunk_size, task.index);
+        let change = job.record_change(self.chunk_size, task.index);
         job.unstored_done.insert(task.index, change);
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
-        self.unwritten.dirty_chunks.note(chunk, now, false);
-        if job.done.len() == job.spec.tasks && job.end.is_none() {
-            job.end = Some(JobOutcome::Done { written: false });
+        self.unwritten.dirty_chunks.mark(chunk, now, false);
+        if job.done.len() == job.spec.tasks && job.outcome.is_none() {
+            job.outcome = Some(JobOutcome::Done { written: false });
             self.unwritten.finished_jobs.insert(task.job.clone());
         }
         // Another attempt of it may still be somewhere.
         let assignment = job.assignments.get(&task.index);
-        if assignment.is_some_and(Assignment::unsent) {
+        if assignment.is_some_and(Assignment::is_unsent) {
             self.record_task_gone(now, task, RemovalReason::DoneElsewhere);
         }
     }
@@ -162,10 +164,10 @@
         if !job.done.contains(task.index) && job.is_open() {
             job.waiting.insert(task.index);
         }
-        job.touch(self.chunk_size, task.index);
+        job.record_change(self.chunk_size, task.index);
         let deletable = job.assignments.is_empty() && !job.is_open();
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
-        self.unwritten.dirty_chunks.note(chunk, now, false);
+        self.unwritten.dirty_chunks.mark(chunk, now, false);
         tracing::debug!(task = %task, attempt = %assignment.attempt, machine = %assignment.machine, %reason, "task removed from its machine");
         if let Some(machine) = self.machines.get_mut(&assignment.machine) {
             machine.release(task, needs);
@@ -177,7 +179,7 @@
                 let mut jobs_here = tasks.iter().filter_map(|task| jobs.get(&task.job));
                 jobs_here.any(|job| &job.spec.image == image)
             };
-            machine.cache.give_up(is_needed);
+            machine.cache.drop_abandoned_fetches(is_needed);
         }
         if deletable {
             self.unwritten.jobs_to_delete.insert(task.job.clone());
@@ -229,7 +231,7 @@
                 index,
             };
             let assignment = self.jobs[id].assignments.get(&index);
-            if assignment.is_some_and(Assignment::unsent) {
+            if assignment.is_some_and(Assignment::is_unsent) {
                 unsent.push(task);
             } else {
                 self.order_stop(now, task, grace_s, durability);
@@ -253,16 +255,16 @@
             let is_sooner = grace_s < stop.grace_s && grace_s == 0.0;
             // A gang that saves its checkpoint must not be cut short because one of
             // its tasks has ended, saved, before the others.
-            let is_saving = job.end != Some(JobOutcome::Cancelled);
+            let is_saving = job.outcome != Some(JobOutcome::Cancelled);
             if !is_sooner || is_saving {
                 return;
             }
         }
         let is_stored = durability != StopDurability::NotStored;
-        let change = is_stored.then(|| job.touch(size, task.index));
+        let change = is_stored.then(|| job.record_change(size, task.index));
         if change.is_some() {
             let chunk = (task.job.clone(), size.of(task.index));
-            self.unwritten.dirty_chunks.note(chunk, now, true);
+            self.unwritten.dirty_chunks.mark(chunk, now, true);
         }
         let Some(assignment) = job.assignments.get_mut(&task.index) else {
             return;
@@ -298,7 +300,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.end = Some(JobOutcome::Cancelled);
+        job.outcome = Some(JobOutcome::Cancelled);
         job.waiting = Default::default();
         self.unwritten.finished_jobs.remove(id);
         self.stop_ended_job(now, id, why);
--- a/crates/controller/src/core/node/leader_supervision.rs
+++ b/crates/controller/src/core/node/leader_supervision.rs
@@ -50,7 +50,7 @@
         let heartbeat = wire::encode(&self.own_heartbeat(Vec::new()));
         let query = wire::encode(&SuspicionQuery {
             token,
-            no_state: suspicion == Suspicion::StoreUnreachable,
+            store_unreachable: suspicion == Suspicion::StoreUnreachable,
         });
         let sent = self.effects.now.time;
         let settings = Rc::clone(&self.settings);
@@ -66,7 +66,7 @@
         let path = format!("/keys/{}", self.election.holder_key());
         let call = self
             .effects
-            .call(Target::State, "GET", path, Vec::new(), PROBE_TIMEOUT);
+            .call(Target::Store, "GET", path, Vec::new(), PROBE_TIMEOUT);
         self.pending_calls.add(call, PendingCall::LeaderKey);
     }
 
@@ -99,7 +99,7 @@
         let now = self.effects.now.time;
         let contact = self.election.last_contact;
         let store_reachable = contact.is_some_and(|at| now.since(at) < RECENT_CONTACT);
-        let suspicion = if query.no_state {
+        let suspicion = if query.store_unreachable {
             Suspicion::StoreUnreachable
         } else {
             Suspicion::Silent
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::core::effects::Effects;
 use crate::core::election::ElectionOutcome;
-use crate::core::leader::{Leader, LeadershipOutcome};
+use crate::core::leader::{Leader, LeaderTerm, LeadershipOutcome};
 use crate::types::FencingToken;
 use crate::wire::cloud::MachineTypes;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
             leader.inherit_cache(now, &machine, &images);
         }
         for (image, took) in hints.fetches {
-            leader.cluster.fetch_estimates.note(&image, took);
+            leader.cluster.fetch_estimates.record(&image, took);
         }
         self.election
             .keep_lease_alive(&mut self.effects, lease, token);
@@ -38,7 +38,7 @@
         let Some(mut previous) = self.leader.take() else {
             return;
         };
-        previous.drop_held(&mut self.effects);
+        previous.drop_deferred_heartbeats(&mut self.effects);
         self.election
             .release_lease(&mut self.effects, previous.lease, previous.token);
         self.election.restart_keep_alive();
@@ -46,11 +46,16 @@
 
     fn new_leader(&self, token: FencingToken, lease: u64) -> Leader {
         let no_types = MachineTypes::default();
+        let term = LeaderTerm {
+            holder: self.election.holder_key(),
+            token,
+            lease,
+            format_version: self.election.member_versions.active_version(),
+        };
         Leader::new(
             Rc::clone(&self.settings),
             Rc::clone(&self.policy),
-            (self.election.holder_key(), token, lease),
-            self.election.member_versions.active_version(),
+            term,
             self.effects.now.time,
             self.machine_types.as_ref().unwrap_or(&no_types),
         )
@@ -69,7 +74,7 @@
         if leader.is_loaded() && !was_loaded {
             self.peer_heartbeat_due = self.effects.now.time;
         }
-        for event in leader.news.drain(..) {
+        for event in leader.version_events.drain(..) {
             self.election.member_versions.apply(&event);
         }
         if outcome == LeadershipOutcome::Continue {
@@ -77,7 +82,7 @@
         } else {
             self.end_leadership(outcome);
         }
-        if let Some(types) = self.effects.learned_types.take() {
+        if let Some(types) = self.effects.listed_machine_types.take() {
             self.store_machine_types(types);
         }
     }
@@ -86,7 +91,7 @@
         let Some(mut leader) = self.leader.take() else {
             return;
         };
-        leader.drop_held(&mut self.effects);
+        leader.drop_deferred_heartbeats(&mut self.effects);
         let token = leader.token;
         match outcome {
             LeadershipOutcome::Deposed(by) => tracing::info!(%token, %by, "leader replaced"),
--- a/crates/controller/src/core/node/machine_type_cache.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -27,7 +27,7 @@
         let path = format!("/keys?starts={prefix}/&most={PAGE_SIZE}");
         let call = self
             .effects
-            .call(Target::State, "GET", path, Vec::new(), CALL_TIMEOUT);
+            .call(Target::Store, "GET", path, Vec::new(), CALL_TIMEOUT);
         self.pending_calls.add(call, PendingCall::MachineTypes);
     }
 
@@ -43,12 +43,12 @@
             return;
         };
         let entries = page.items.iter();
-        let chunks = entries.filter_map(|e| job_records::read::<Vec<MachineType>>(&e.value));
+        let chunks = entries.filter_map(|e| job_records::read_record::<Vec<MachineType>>(&e.value));
         let types = MachineTypes {
             kinds: chunks.flatten().collect(),
         };
         if let Some(leader) = &mut self.leader {
-            leader.set_types(&types);
+            leader.set_machine_types(&types);
         }
         self.machine_types = Some(types);
     }
@@ -81,7 +81,7 @@
         };
         let body = wire::encode(&txn);
         self.effects
-            .call(Target::State, "POST", "/commit".into(), body, CALL_TIMEOUT);
+            .call(Target::Store, "POST", "/commit".into(), body, CALL_TIMEOUT);
         self.machine_types = Some(types);
     }
 }
--- a/crates/controller/src/core/node/readiness.rs
+++ b/crates/controller/src/core/node/readiness.rs
@@ -12,7 +12,7 @@
     pub(super) fn is_store_reachable(&self) -> bool {
         let now = self.effects.now.time;
         let leader = self.leader.as_ref().filter(|l| l.is_loaded());
-        let leaders_contact = leader.map(|l| l.authority.shown());
+        let leaders_contact = leader.map(|l| l.authority.last_contact());
         let last_contact = leaders_contact.max(self.election.last_contact);
         last_contact.is_some_and(|at| now.since(at) < STORE_FRESH)
     }
@@ -52,7 +52,7 @@
         )
     }
 
-    /// Whether it hears nothing from the key-value store, not even a refusal, nor from
+    /// Whether it receives nothing from the key-value store, not even a refusal, nor from
     /// any peer: users would only wait here for nothing.
     fn is_cut_off(&self) -> bool {
         let now = self.effects.now.time;
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -83,7 +83,7 @@
         node.peers.insert(node_id.into(), fit());
     }
     assert_eq!(at(&mut node, 5.1, Input::Tick), 0);
-    assert_eq!(at(&mut node, 5.2, Input::Stop), 0);
+    assert_eq!(at(&mut node, 5.2, Input::Shutdown), 0);
     assert_eq!(at(&mut node, 5.25, Input::Tick), 1);
     assert_eq!(at(&mut node, 5.3, Input::Tick), 0, "one is told, once");
     assert!(
@@ -142,8 +142,8 @@
         fetches,
     );
     leader.leader = Some(testing::leader());
-    let told = wire::encode(&leader.own_heartbeat(Vec::new()));
-    peer.handle_peer_heartbeat(RequestId(1), &told);
+    let heartbeat = wire::encode(&leader.own_heartbeat(Vec::new()));
+    peer.handle_peer_heartbeat(RequestId(1), &heartbeat);
     let Some(Output::Answer(_, answer)) = peer.effects.take_outputs().pop() else {
         panic!("no answer");
     };
@@ -161,7 +161,7 @@
     leader.send_peer_heartbeats();
     let l = leader.leader.as_ref().unwrap();
     assert_eq!(l.cluster.machines[&id].cache.images().count(), 1);
-    let cold = l.cluster.fetch_estimates.of(&"img".into(), 5.0, None);
+    let cold = l.cluster.fetch_estimates.estimate(&"img".into(), 5.0, None);
     assert_eq!(cold, TimeSpan::secs(9.0));
 }
 
@@ -178,7 +178,7 @@
         leader.inherit_cache(Time(0), &format!("host-{n:04}").into(), &images);
     }
     node.leader = Some(leader);
-    let mut heard = BTreeSet::new();
+    let mut received = BTreeSet::new();
     for _ in 0..20 {
         node.send_peer_heartbeats();
         for out in node.effects.take_outputs() {
@@ -187,8 +187,8 @@
                 continue;
             };
             let reply = if node_id.as_str() == "node-1" {
-                let told: PeerHeartbeat = wire::decode(&call.body).unwrap();
-                heard.extend(told.caches.into_iter().map(|(id, _)| id));
+                let heartbeat: PeerHeartbeat = wire::decode(&call.body).unwrap();
+                received.extend(heartbeat.caches.into_iter().map(|(id, _)| id));
                 let mut answer = node.own_heartbeat(Vec::new());
                 answer.node_id = node_id.clone();
                 (answer.token, answer.leads) = (FencingToken(0), false);
@@ -199,7 +199,7 @@
             node.handle_peer_heartbeat_reply(node_id, &reply);
         }
     }
-    assert_eq!(heard.len(), 1000);
+    assert_eq!(received.len(), 1000);
 }
 
 // A successor whose load an outage had cut off deposed the old leader with its first
@@ -278,7 +278,7 @@
     let mut node = Node::new(settings, policy, 1);
     node.effects.now.time = Time(5_000_000);
     let id = JobId::from("wk-1");
-    node.job_api.confirmed.push(id.clone());
+    node.job_api.confirmed_cancellations.push(id.clone());
     node.announce_cancellations();
     assert!(node.peer_heartbeat_due <= Time(5_000_000));
     let word = node.own_heartbeat(Vec::new());
@@ -288,9 +288,9 @@
     let wall = crate::types::WallTime(0);
     let job = job_records::Job::new(Rc::new(spec), wall, crate::types::Version(7), 1);
     leader.cluster.jobs.insert(id.clone(), job);
-    leader.authority.page(Time(0));
-    leader.authority.loaded(Time(0));
-    leader.hear_cancelled(Time(5_000_000), &id);
+    leader.authority.record_load_page(Time(0));
+    leader.authority.record_load_complete(Time(0));
+    leader.record_announced_cancellation(Time(5_000_000), &id);
     assert!(leader.authority.is_reported_cancelled(&id));
     let job = &leader.cluster.jobs[&id];
     assert!(job.is_open() && !leader.cluster.unwritten.jobs_to_delete.contains(&id));
@@ -299,6 +299,6 @@
         events: Vec::new(),
     };
     let reply = Reply::Answer(200, wire::encode(&none));
-    leader.on_read(&mut testing::effects_at(6.0), Time(5_500_000), reply);
+    leader.handle_read_reply(&mut testing::effects_at(6.0), Time(5_500_000), reply);
     assert!(!leader.authority.is_reported_cancelled(&id), "it goes on");
 }
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -5,7 +5,7 @@
 
 pub use victims::{Victim, Victims};
 
-use super::quota::{Bounds, ReclaimUsage};
+use super::quota::{ReclaimLimits, ReclaimUsage};
 use super::scheduling_cycle::{PlacementRequest, SchedulingCycle};
 use crate::types::{JobId, Zone};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,14 +21,14 @@
 
 /// Whether `request` has a reason to have `victim` stopped. Only the two that the
 /// platform names count: a higher priority, or a guaranteed quota against what another
-/// team runs beyond its own. How much may be taken is for [`Bounds`] to say.
+/// team runs beyond its own. How much may be taken is for [`ReclaimLimits`] to say.
 fn has_reason(request: &PlacementRequest, victim: &Victim) -> bool {
     // A guarantee could also take from higher priorities; stopping urgent work
     // for work that can wait serves nobody.
     victim.priority < request.priority
-        || (request.entitled
+        || (request.within_guarantee
             && victim.team != request.team
-            && victim.settled
+            && victim.past_minimum_run
             && victim.priority == request.priority)
 }
 
@@ -65,7 +65,7 @@
     request: &PlacementRequest,
     victims: &Victims,
     taken: &BTreeSet<usize>,
-    bounds: &Bounds,
+    bounds: &ReclaimLimits,
     max_tasks: u32,
 ) -> Option<Eviction> {
     let limit = if request.gang { u32::MAX } else { max_tasks };
@@ -88,7 +88,7 @@
     request: &'a PlacementRequest,
     victims: &'a Victims,
     taken: &'a BTreeSet<usize>,
-    bounds: &'a Bounds,
+    bounds: &'a ReclaimLimits,
     /// Tasks to make room for.
     wanted_tasks: u32,
 }
@@ -113,7 +113,7 @@
         (has_victims || request.need.fits(&row.free))
             && self.cycle.may_use(index, &request.job)
             && request.allows(row)
-            && request.need.fits(&row.whole)
+            && request.need.fits(&row.capacity)
             && request.zone_room(&row.zone) != 0
     }
 
@@ -172,9 +172,11 @@
 
     /// The work that room is made for also waits for its image.
     fn add_fetch_cost(&self, plan: &mut RowPlan) {
-        let fetch = self.cycle.fetch(self.request, &self.cycle.rows[plan.row]);
+        let fetch = self
+            .cycle
+            .fetch_time(self.request, &self.cycle.rows[plan.row]);
         plan.cost += fetch.as_secs() * COST_PER_FETCH_SECOND;
-        let starts_at = self.cycle.pace.now + fetch;
+        let starts_at = self.cycle.parameters.now + fetch;
         if self
             .request
             .start_by
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -44,15 +44,15 @@
         tasks: (0..tasks).collect(),
         gang: true,
         priority: Priority::Normal,
-        entitled: true,
+        within_guarantee: true,
         order: number as i64,
-        kinds: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         max_per_zone: None,
-        in_zones: BTreeMap::new(),
+        tasks_in_zones: BTreeMap::new(),
         spot: true,
-        run: TimeSpan::secs(60.0),
+        run_time: TimeSpan::secs(60.0),
         start_by: None,
         aged: false,
         overdue: false,
@@ -63,16 +63,16 @@
 fn empty_machine(number: usize) -> MachineRow {
     MachineRow {
         id: format!("m{number}").into(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
-        whole: MACHINE,
+        capacity: MACHINE,
         free: MACHINE,
-        available: NOW,
-        last_high: None,
+        available_at: NOW,
+        last_high_priority_start: None,
         cache: ImageCache::default(),
         fetch_rate: 1.0,
-        aside: false,
+        quarantined: false,
     }
 }
 
@@ -100,8 +100,8 @@
             need: amounts(f64::from(self.gpus)),
             gang,
             row: self.machine,
-            cost: f64::from(self.job),
-            settled: true,
+            cost_machine_seconds: f64::from(self.job),
+            past_minimum_run: true,
         }
     }
 }
@@ -127,7 +127,7 @@
             gpus_max: None,
         };
         let mut account = QuotaUsage::new(&BTreeMap::from([(lender(), share)]));
-        account.hold(&lender(), QuotaUnits::of(&amounts(losing)), 1, 1);
+        account.add_tasks(&lender(), QuotaUnits::of(&amounts(losing)), 1, 1);
         let mut fleet = Fleet {
             rows: (0..machines).map(empty_machine).collect(),
             victims: Vec::new(),
@@ -147,7 +147,7 @@
         }
         *free -= task.need;
         self.account
-            .hold(&lender(), QuotaUnits::of(&task.need), 1, 0);
+            .add_tasks(&lender(), QuotaUnits::of(&task.need), 1, 0);
         self.victims.push(task);
     }
 }
@@ -170,9 +170,9 @@
 ) -> Reclaimed {
     let mut fleet = Fleet::new(guarantee, losing, tasks);
     let running: f64 = fleet.victims.iter().map(|v| v.need.gpus).sum();
-    let mut bounds = Bounds {
-        account: fleet.account,
-        floors: Default::default(),
+    let mut bounds = ReclaimLimits {
+        usage: fleet.account,
+        minimum_shares: Default::default(),
     };
     let victims = Victims::new(fleet.victims, fleet.rows.len());
     let mut teams = BTreeMap::from([(lender(), TeamUse::default())]);
@@ -205,7 +205,7 @@
 /// bounds.
 fn stop_victims(
     cycle: &mut SchedulingCycle<'_>,
-    bounds: &mut Bounds,
+    bounds: &mut ReclaimLimits,
     victims: &Victims,
     request: &PlacementRequest,
     eviction: &Eviction,
--- a/crates/controller/src/core/quota/arrival_history.rs
+++ b/crates/controller/src/core/quota/arrival_history.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// The key under which it is stored.
-pub const KEY: &str = "d/f";
+pub const ARRIVAL_HISTORY_KEY: &str = "d/f";
 
 /// Intervals into which the window looked back over is divided.
 const INTERVALS_PER_WINDOW: u64 = 20;
@@ -109,7 +109,7 @@
     }
 
     /// Counts a job that arrived: the machines it fills, and for how many seconds.
-    pub fn note(&mut self, at: WallTime, class: &Class, team: &Team, machines: f64, run_s: f64) {
+    pub fn record(&mut self, at: WallTime, class: &Class, team: &Team, machines: f64, run_s: f64) {
         let interval = self.interval_at(at);
         let group = (class.clone(), team.clone());
         let intervals = self.arrivals.entry(group).or_default();
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -96,12 +96,12 @@
     }
 
     /// How long a task of this request would wait for its image on a row.
-    pub fn fetch(&self, request: &PlacementRequest, row: &MachineRow) -> TimeSpan {
+    pub fn fetch_time(&self, request: &PlacementRequest, row: &MachineRow) -> TimeSpan {
         row.cache
-            .remaining(&request.image, self.pace.now)
+            .remaining(&request.image, self.parameters.now)
             .unwrap_or_else(|| {
                 self.estimates
-                    .of(&request.image, request.image_gb, Some(row.fetch_rate))
+                    .estimate(&request.image, request.image_gb, Some(row.fetch_rate))
             })
     }
 
@@ -112,10 +112,14 @@
         row: &MachineRow,
         scope: PlacementScope,
     ) -> bool {
-        let is_holder = || row.cache.remaining(&request.image, self.pace.now).is_some();
+        let is_holder = || {
+            row.cache
+                .remaining(&request.image, self.parameters.now)
+                .is_some()
+        };
         match scope {
             PlacementScope::Any => true,
-            PlacementScope::Warm => self.fetch(request, row) <= NEARLY_FETCHED,
+            PlacementScope::Warm => self.fetch_time(request, row) <= NEARLY_FETCHED,
             PlacementScope::Holders => is_holder(),
             PlacementScope::Gated => {
                 is_holder() || request.overdue || self.allows_cold_fetch(request, row)
@@ -126,9 +130,9 @@
     /// Whether a row may fetch an image for work below high priority: it had no
     /// high-priority start for over half the fetch time (Algorithm 1, lines 23 to 31).
     fn allows_cold_fetch(&self, request: &PlacementRequest, row: &MachineRow) -> bool {
-        let fetch_time = self.fetch(request, row);
-        row.last_high
-            .is_none_or(|last| self.pace.now.since(last) > TimeSpan(fetch_time.0 / 2))
+        let fetch_time = self.fetch_time(request, row);
+        row.last_high_priority_start
+            .is_none_or(|last| self.parameters.now.since(last) > TimeSpan(fetch_time.0 / 2))
     }
 
     /// Rows with room for a task, best first: the shortest fetch, then the tightest
@@ -151,9 +155,9 @@
             .filter(|(index, row)| request.allows(row) && self.may_use(*index, &request.job))
             .filter(|(_, row)| self.is_in_scope(request, row, scope))
             .map(|(index, row)| {
-                let free_after = (row.free - request.need).share_of(&row.whole);
+                let free_after = (row.free - request.need).share_of(&row.capacity);
                 Candidate {
-                    fetch_time: self.fetch(request, row),
+                    fetch_time: self.fetch_time(request, row),
                     free_after: (free_after * 1000.0) as i64,
                     is_on_demand: !row.spot,
                     row: index,
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -58,7 +58,7 @@
         scope: PlacementScope,
         quota_room: u32,
     ) -> Option<Vec<usize>> {
-        let occupied = request.in_zones.iter().find(|(_, tasks)| **tasks > 0);
+        let occupied = request.tasks_in_zones.iter().find(|(_, tasks)| **tasks > 0);
         let zones: BTreeSet<Zone> = match occupied {
             Some((zone, _)) => BTreeSet::from([zone.clone()]),
             None => self.zones.clone(),
@@ -87,7 +87,7 @@
         }
         let fetch_times = allocations
             .iter()
-            .map(|a| self.fetch(request, &self.rows[a.row]));
+            .map(|a| self.fetch_time(request, &self.rows[a.row]));
         Some(ZoneTrial {
             tasks: Reverse(tasks),
             slowest_fetch: fetch_times.max().unwrap_or(TimeSpan::ZERO),
@@ -129,9 +129,9 @@
             let row = &self.rows[index];
             // A gang's tasks wait for the slowest fetch, but only so long.
             if request.gang {
-                let fetch_time = self.fetch(request, row);
+                let fetch_time = self.fetch_time(request, row);
                 let shortest = *shortest_fetch.get_or_insert(fetch_time);
-                if fetch_time.0 > shortest.0 + self.pace.max_fetch_skew.0 {
+                if fetch_time.0 > shortest.0 + self.parameters.max_fetch_skew.0 {
                     continue;
                 }
             }
@@ -164,24 +164,27 @@
     /// Records the start of a task in the tables, so that the rest of the cycle sees
     /// its room as taken and its image as being fetched.
     pub fn assign(&mut self, request: &mut PlacementRequest, task: u32, row: usize) {
-        let now = self.pace.now;
-        let fetch_time = self.fetch(request, &self.rows[row]);
+        let now = self.parameters.now;
+        let fetch_time = self.fetch_time(request, &self.rows[row]);
         let machine = &mut self.rows[row];
         machine.free -= request.need;
-        let share = request.need.share_of(&machine.whole).min(1.0);
-        let work = request.run.scaled(share);
-        machine.available = machine.available.max(now) + work + fetch_time;
+        let share = request.need.share_of(&machine.capacity).min(1.0);
+        let work = request.run_time.scaled(share);
+        machine.available_at = machine.available_at.max(now) + work + fetch_time;
         self.rows_by_availability.clear();
         if machine.cache.remaining(&request.image, now).is_none() {
             *self.holder_counts.entry(request.image.clone()).or_default() += 1;
         }
         machine
             .cache
-            .used(&request.image, request.image_gb, now, fetch_time);
+            .record_use(&request.image, request.image_gb, now, fetch_time);
         if request.is_high() {
-            machine.last_high = Some(now);
+            machine.last_high_priority_start = Some(now);
         }
-        *request.in_zones.entry(machine.zone.clone()).or_default() += 1;
+        *request
+            .tasks_in_zones
+            .entry(machine.zone.clone())
+            .or_default() += 1;
         if let Some(team) = self.teams.get_mut(&request.team) {
             team.used += request.need;
         }
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -1,7 +1,7 @@
 //! Pins what stands in the state service: every key and every record, as literals. A
 //! store that an older build left behind has to be read by this one.
 
-use pebblefold_controller::core::autoscaler::intents::Intents;
+use pebblefold_controller::core::autoscaler::intents::{CapacityPool, Intents, OpenIntents};
 use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
 use pebblefold_controller::core::format_version::member_versions::{
     self, BUILD, MemberRecord, MemberVersions,
@@ -77,7 +77,7 @@
         keys::SUBMISSION_PARTS,
         keys::JOB_OUTCOMES,
         keys::LEADER_RECORDS,
-        arrival_history::KEY,
+        arrival_history::ARRIVAL_HISTORY_KEY,
     ];
     assert_eq!(
         prefixes,
@@ -87,15 +87,24 @@
 
 #[test]
 fn watched_keys_are_told_apart() {
-    assert_eq!(keys::watched("w/leader"), Watched::Office);
-    assert_eq!(keys::watched("w/leader/at/node-0"), Watched::Office);
-    assert_eq!(keys::watched("w/j/wk-1"), Watched::Job("wk-1".into()));
-    assert_eq!(keys::watched("w/p/wk-1/3"), Watched::Part("wk-1".into(), 3));
+    assert_eq!(keys::parse_watched_key("w/leader"), Watched::Leadership);
     assert_eq!(
-        keys::watched("w/x/wk-1"),
+        keys::parse_watched_key("w/leader/at/node-0"),
+        Watched::Leadership
+    );
+    assert_eq!(
+        keys::parse_watched_key("w/j/wk-1"),
+        Watched::Job("wk-1".into())
+    );
+    assert_eq!(
+        keys::parse_watched_key("w/p/wk-1/3"),
+        Watched::Part("wk-1".into(), 3)
+    );
+    assert_eq!(
+        keys::parse_watched_key("w/x/wk-1"),
         Watched::JobOutcome("wk-1".into())
     );
-    assert_eq!(keys::record("r/wk-1/7"), Some(("wk-1".into(), 7)));
+    assert_eq!(keys::parse_chunk_key("r/wk-1/7"), Some(("wk-1".into(), 7)));
 }
 
 #[test]
@@ -109,13 +118,16 @@
         let stored = json!({"s": text, "n": 3});
         assert_eq!(job_records::job_header_value(stage, 3), stored);
         assert_eq!(
-            job_records::read(&stored),
-            Some(JobHeader { s: stage, n: 3 })
+            job_records::read_record(&stored),
+            Some(JobHeader {
+                stage,
+                task_count: 3
+            })
         );
     }
     let head = JobHeader {
-        s: HeaderStage::Open,
-        n: 3,
+        stage: HeaderStage::Open,
+        task_count: 3,
     };
     assert_eq!(
         sent(&job_records::cancel_transaction(
@@ -147,7 +159,7 @@
     let stored = json!({"at": 5, "n": 1, "s": SUBMITTED});
     let job = SubmissionAssembler::default().job(&"wk-1".into(), Version(9), &stored);
     let job = job.expect("it is read");
-    assert_eq!((job.at, &*job.spec), (WallTime(5), &submission()));
+    assert_eq!((job.accepted_at, &*job.spec), (WallTime(5), &submission()));
 }
 
 #[test]
@@ -217,7 +229,7 @@
         nonce: 7,
     };
     assert_eq!(job_records::leader_record(&leader), stored);
-    assert_eq!(job_records::read(&stored), Some(leader));
+    assert_eq!(job_records::read_record(&stored), Some(leader));
     assert_eq!(
         member_versions::legacy_leader_tombstone(),
         json!({"since": 1, "see": "w/leader/holder"})
@@ -243,7 +255,7 @@
 
 #[test]
 fn levels_keep_their_numbers_and_names() {
-    let table = KNOWN_VERSIONS.map(|s| (s.level.0, s.name));
+    let table = KNOWN_VERSIONS.map(|s| (s.version.0, s.name));
     assert_eq!(table, [(0, "before"), (1, "fenced"), (2, "remembered")]);
     assert_eq!(
         (
@@ -290,7 +302,7 @@
         None
     );
     let bare = json!({"levels": {"low": 0, "high": 1}, "build": "0.1"});
-    let member: MemberRecord = job_records::read(&bare).expect("it is read");
+    let member: MemberRecord = job_records::read_record(&bare).expect("it is read");
     assert!(member.policy.is_empty() && member.life == 0);
 }
 
@@ -354,27 +366,37 @@
 fn hire_and_release_intents_keep_their_stored_format() {
     let new = || Intents::new(FencingToken(9), TimeSpan::secs(4.0), 8192);
     let mut intents = new();
-    intents.provision(("g8".into(), "z0".into(), true), 2, WallTime(5));
+    let pool = CapacityPool {
+        machine_type: "g8".into(),
+        zone: "z0".into(),
+        spot: true,
+    };
+    intents.provision(pool, 2, WallTime(5));
     let provision = json!([["d/h/9-1", {"t": 5, "r": {
         "hire": "9-1", "box_kind": "g8", "yard": "z0", "borrowed": true, "count": 2,
     }}]]);
     assert_eq!(written(&mut intents.pending_writes), provision);
     let machines = ["host-1", "host-2"].map(|m| (m.into(), "idle"));
-    intents.release(machines.into_iter(), WallTime(5));
+    intents.terminate(machines.into_iter(), WallTime(5));
     let release = json!([["d/x/9-2", {"t": 5, "w": {"idle": ["host-1", "host-2"]}}]]);
     assert_eq!(written(&mut intents.pending_writes), release);
     let mut successor = new();
     successor.load("d/h/9-1", &provision[0][1], WallTime(6));
     successor.load("d/x/9-2", &release[0][1], WallTime(6));
-    assert_eq!(successor.open(), [1, 1, 2]);
+    let open = OpenIntents {
+        provisions: 1,
+        terminations: 1,
+        machines: 2,
+    };
+    assert_eq!(successor.open(), open);
 }
 
 #[test]
 fn put_aside_record_keeps_its_stored_format() {
     let (mut quarantine, mut pending_writes) = (Quarantine::default(), PendingWrites::default());
     let id = "host-1".into();
-    quarantine.strike(&mut pending_writes, &id, WallTime(5));
-    quarantine.strike(&mut pending_writes, &id, WallTime(6));
+    quarantine.record_missed_lease(&mut pending_writes, &id, WallTime(5));
+    quarantine.record_missed_lease(&mut pending_writes, &id, WallTime(6));
     let struck = json!([["d/m/host-1", {"n": 2, "t": 6, "d": false}]]);
     assert_eq!(written(&mut pending_writes), struck);
     quarantine.drain(&mut pending_writes, &id, WallTime(7));
@@ -388,7 +410,7 @@
 #[test]
 fn arrival_memory_keeps_its_stored_format() {
     let mut memory = ArrivalHistory::new(TimeSpan::secs(600.0));
-    memory.note(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
+    memory.record(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
     let stored = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
     assert_eq!(memory.store(WallTime(40_000), 8192), stored);
     let missing = ArrivalHistory::new(TimeSpan::secs(600.0)).missing(&stored);
--- a/crates/pebblectl/src/workflow.rs
+++ b/crates/pebblectl/src/workflow.rs
@@ -5,7 +5,7 @@
 use crate::output::{Failure, Show, pretty};
 use indicatif::{ProgressBar, ProgressStyle};
 use pebblefold_wire::types::JobId;
-use pebblefold_wire::users::{Submission, valid_id};
+use pebblefold_wire::users::{Submission, is_valid_job_id};
 use pebblefold_workflow::cache::Cache;
 use pebblefold_workflow::document::Process;
 use pebblefold_workflow::engine::Object;
@@ -105,7 +105,7 @@
 }
 
 fn valid_name(name: &str) -> Result<(), Failure> {
-    if valid_id(name) {
+    if is_valid_job_id(name) {
         return Ok(());
     }
     Err(Failure::Input(format!(
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -311,12 +311,12 @@
     let beat = LeaderHeartbeat {
         node_id: label.clone(),
         token,
-        state_ms: 250,
-        late_ms: 50,
+        store_contact_age_ms: 250,
+        work_delay_ms: 50,
     };
     let ask = SuspicionQuery {
         token,
-        no_state: false,
+        store_unreachable: false,
     };
     let opinion = SuspicionReport {
         node_id: label.clone(),
@@ -353,12 +353,12 @@
         let begun = Instant::now();
         let mut heralds = LeaderAnnouncer::new(Time(0), TimeSpan::secs(8.0));
         for id in &ids {
-            heralds.note(Time(0), AnnouncementPriority::Busy, id.clone());
+            heralds.add(Time(0), AnnouncementPriority::Busy, id.clone());
         }
         let mut told = 0;
         for tick in 0..200u64 {
             let now = Time(0) + TimeSpan::millis(50 * tick);
-            told += heralds.next(now, ids.len()).len();
+            told += heralds.take_due(now, ids.len()).len();
         }
         let herald = begun.elapsed();
         let mut kept = CacheHints::default();
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -16,7 +16,7 @@
 use pebblefold_controller::settings::SettingsError;
 use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_controller::wire::command::CommandSpec;
-use pebblefold_controller::wire::users::{JobStatus, Submission, valid_id};
+use pebblefold_controller::wire::users::{JobStatus, Submission, is_valid_job_id};
 use pebblefold_controller::wire::{decode, encode};
 use pebblefold_kvstore::StorageError;
 use pebblefold_net::{Client, Sent, answer_connections};
@@ -541,7 +541,7 @@
         let Some(d) = decode::<CommandSpec>(&r.body).filter(|_| r.method == "POST") else {
             return answer(400);
         };
-        if !valid_id(job) || d.argv.is_empty() || !Path::new(&d.dir).is_absolute() {
+        if !is_valid_job_id(job) || d.argv.is_empty() || !Path::new(&d.dir).is_absolute() {
             return answer(422);
         }
         match keep(&self.options.dir.join("commands"), job, &r.body) {
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -5,7 +5,7 @@
 
 mod common;
 use common::{cluster, jobs, rehearse, sound};
-use pebblefold_controller::core::autoscaler::intents::Intents;
+use pebblefold_controller::core::autoscaler::intents::{CapacityPool, Intents};
 use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::core::garbage_collection::GarbageCollector;
 use pebblefold_controller::core::job_records;
@@ -129,8 +129,12 @@
             let has = h.known.iter().any(|m| m.as_str() != FIRST);
             if !has && !h.intents.is_provisioning() && h.intents.unseen_machines().is_empty() {
                 step(&|w| {
-                    let market = ("g4".into(), "z".into(), true);
-                    w.holders[i].intents.provision(market, 1, WallTime(0));
+                    let pool = CapacityPool {
+                        machine_type: "g4".into(),
+                        zone: "z".into(),
+                        spot: true,
+                    };
+                    w.holders[i].intents.provision(pool, 1, WallTime(0));
                 });
             }
             let first = MachineId::from(FIRST);
@@ -139,7 +143,7 @@
                     let h = &mut w.holders[i];
                     h.returns = true;
                     h.intents
-                        .release([(FIRST.into(), "idle")].into_iter(), WallTime(0));
+                        .terminate([(FIRST.into(), "idle")].into_iter(), WallTime(0));
                 });
             }
             // Work needs a commit, which only the holder gets through.
@@ -194,7 +198,7 @@
                     if !h.intents.is_terminated(m) {
                         h.known.insert(m.clone());
                     }
-                    h.intents.tend(Time(0), |_| true);
+                    h.intents.settle_completed(Time(0), |_| true);
                 }
             });
         }
@@ -250,7 +254,7 @@
                         } else {
                             let value = serde_json::from_str(&text).unwrap();
                             self.store.insert(key.clone(), value);
-                            h.intents.stored(&key);
+                            h.intents.mark_stored(&key);
                         }
                     }
                 }
@@ -264,7 +268,8 @@
                 if m.awaited {
                     h.calls = false;
                     if answers {
-                        h.intents.filled(&name, std::slice::from_ref(&new), Time(0));
+                        h.intents
+                            .mark_fulfilled(&name, std::slice::from_ref(&new), Time(0));
                         h.known.insert(new);
                     } else {
                         h.intents.mark_provision_uncertain(&name);
@@ -278,7 +283,7 @@
                 if m.awaited {
                     h.calls = false;
                     if answers {
-                        h.intents.released(&names, Time(0));
+                        h.intents.mark_terminated(&names, Time(0));
                         h.known.retain(|m| !names.contains(m));
                     }
                 }
@@ -388,12 +393,12 @@
         accept(&mut store, 1);
         let mut sweep = GarbageCollector::default();
         for (key, version) in &store {
-            sweep.look(key, *version, |id| {
+            sweep.check_key(key, *version, |id| {
                 jobs.contains(&job_records::submission_key(id))
             });
         }
         accept(&mut store, 2);
-        for (_, conditions, op) in sweep.next(9) {
+        for (_, conditions, op) in sweep.take_next(9) {
             let version = |key: &String| store.get(key).copied().unwrap_or_default();
             if conditions.iter().all(|c| version(&c.key) == c.version)
                 && let Operation::Delete { key } = op
@@ -503,7 +508,8 @@
         let keys = ["d/", "r/", "w/j/", "w/p/", "w/x/"];
         let keys: usize = keys.iter().map(|k| state.count(k)).sum();
         // What came of late is one key, written over and over.
-        let kept = state.count(pebblefold_controller::core::quota::arrival_history::KEY);
+        let kept =
+            state.count(pebblefold_controller::core::quota::arrival_history::ARRIVAL_HISTORY_KEY);
         assert!(kept <= 1, "night {night}: {kept}");
         out.push((keys - kept, world.stand().fleet().workers().len()));
     }
--- a/crates/simulator/tests/gap.rs
+++ b/crates/simulator/tests/gap.rs
@@ -5,7 +5,7 @@
 //! real core; time goes in steps of a second.
 
 use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
-use pebblefold_controller::core::leader_authority::{Bounds, LeaderAuthority};
+use pebblefold_controller::core::leader_authority::{AuthorityBounds, LeaderAuthority};
 use pebblefold_controller::settings::WorkerTimes;
 use pebblefold_controller::types::{Time, TimeSpan};
 use std::collections::HashSet;
@@ -102,9 +102,9 @@
     (now().since(t).as_secs() as u8).min(OLD)
 }
 
-fn bounds() -> Bounds {
+fn bounds() -> AuthorityBounds {
     let any = TimeSpan::secs(1.0);
-    Bounds::new(&WorkerTimes {
+    AuthorityBounds::new(&WorkerTimes {
         report: any,
         lease: TimeSpan::secs(f64::from(LEASE)),
         gang_wait: any,
@@ -116,8 +116,8 @@
 /// The real thing, of this age.
 fn contact(age: u8) -> LeaderAuthority {
     let mut c = LeaderAuthority::new(bounds(), ago(age));
-    c.page(ago(age));
-    c.loaded(ago(age));
+    c.record_load_page(ago(age));
+    c.record_load_complete(ago(age));
     c
 }
 
@@ -186,10 +186,10 @@
             Side::Loads(first, cancelled, Some(second)) => {
                 if self.serves(i) {
                     let mut c = LeaderAuthority::new(bounds(), ago(first));
-                    c.page(ago(first));
-                    c.page(ago(second));
-                    c.loaded(ago(second));
-                    let shown = age_of(c.shown());
+                    c.record_load_page(ago(first));
+                    c.record_load_page(ago(second));
+                    c.record_load_complete(ago(second));
+                    let shown = age_of(c.last_contact());
                     with(Side::Leads(shown, cancelled, Watch::Open(0)));
                 }
             }
@@ -203,12 +203,12 @@
                     Watch::Answered(_, _, true) => with(Side::Gone),
                     Watch::Answered(age, cancelled, false) => {
                         let mut c = contact(shown);
-                        c.showed(if wrong == Wrong::FromHandling {
+                        c.record_read(if wrong == Wrong::FromHandling {
                             now()
                         } else {
                             ago(age)
                         });
-                        let shown = age_of(c.shown());
+                        let shown = age_of(c.last_contact());
                         with(Side::Leads(shown, knows || cancelled, Watch::Open(0)));
                     }
                 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -2,12 +2,12 @@
 //! driver brings the sockets.
 
 /// Largest head accepted.
-pub const MOST_HEAD: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Largest request body accepted.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Largest response taken from a service of the platform (watches have no
 /// limit of their own; this bounds what one answer may cost us).
-pub const MOST_RESPONSE: usize = 16 * 1024 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why a message was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -139,7 +139,7 @@
         match httparse::parse_chunk_size(&data[at..]) {
             Err(_) => return Err(HttpError::Malformed),
             Ok(httparse::Status::Partial) => {
-                return if data.len() - at > MOST_HEAD {
+                return if data.len() - at > MAX_HEAD_BYTES {
                     Err(HttpError::Malformed)
                 } else {
                     Ok(None)
@@ -176,7 +176,7 @@
             return Ok(Some(at));
         }
     }
-    if data.len() > MOST_HEAD {
+    if data.len() > MAX_HEAD_BYTES {
         return Err(HttpError::HeadTooLarge);
     }
     Ok(None)
@@ -192,14 +192,14 @@
     let mut head = httparse::Request::new(&mut headers);
     let used = match head.parse(data) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if data.len() > MOST_HEAD => {
+        Ok(httparse::Status::Partial) if data.len() > MAX_HEAD_BYTES => {
             return Err(HttpError::HeadTooLarge);
         }
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
         Err(_) => return Err(HttpError::Malformed),
     };
-    if used > MOST_HEAD {
+    if used > MAX_HEAD_BYTES {
         return Err(HttpError::HeadTooLarge);
     }
     let f = fields(head.headers)?;
@@ -212,7 +212,7 @@
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let old = head.version == Some(0);
     Ok(
-        body(&data[used..], framing, MOST_BODY, false)?.map(|(body, n)| {
+        body(&data[used..], framing, MAX_BODY_BYTES, false)?.map(|(body, n)| {
             (
                 Request {
                     method: head.method.unwrap_or("").to_string(),
@@ -236,7 +236,7 @@
     let mut head = httparse::Response::new(&mut headers);
     let used = match head.parse(data) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if data.len() > MOST_HEAD => {
+        Ok(httparse::Status::Partial) if data.len() > MAX_HEAD_BYTES => {
             return Err(HttpError::HeadTooLarge);
         }
         Ok(httparse::Status::Partial) => return Ok(None),
@@ -251,7 +251,7 @@
         (false, None) => Framing::UntilClose,
     };
     Ok(
-        body(&data[used..], framing, MOST_RESPONSE, ended)?.map(|(body, n)| {
+        body(&data[used..], framing, MAX_RESPONSE_BYTES, ended)?.map(|(body, n)| {
             (
                 Response {
                     status,
--- a/crates/wire/src/http/tests.rs
+++ b/crates/wire/src/http/tests.rs
@@ -45,7 +45,7 @@
     for (bytes, error) in cases {
         assert_eq!(read_request(bytes), Err(error));
     }
-    let long = [b"GET / HTTP/1.1\r\nX: ".as_slice(), &[b'a'; MOST_HEAD]].concat();
+    let long = [b"GET / HTTP/1.1\r\nX: ".as_slice(), &[b'a'; MAX_HEAD_BYTES]].concat();
     assert_eq!(read_request(&long), Err(HttpError::HeadTooLarge));
 }
 
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -14,9 +14,11 @@
     /// The fencing token under which it leads.
     pub token: FencingToken,
     /// Milliseconds since the key-value store last answered it.
-    pub state_ms: u64,
+    #[serde(rename = "state_ms")]
+    pub store_contact_age_ms: u64,
     /// Milliseconds since its event loop last ran.
-    pub late_ms: u64,
+    #[serde(rename = "late_ms")]
+    pub work_delay_ms: u64,
 }
 
 /// A leader that shuts down asks this peer to take over the leader key.
@@ -33,7 +35,8 @@
     pub token: FencingToken,
     /// True: the leader is up but the key-value store does not answer it. False: the
     /// leader itself is silent.
-    pub no_state: bool,
+    #[serde(rename = "no_state")]
+    pub store_unreachable: bool,
 }
 
 /// A peer's vote on a suspected leader.
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -98,10 +98,10 @@
 }
 
 /// Most tasks a job may have.
-pub const MOST_TASKS: u32 = 100_000;
+pub const MAX_TASKS: u32 = 100_000;
 
 /// Whether `id` can be a job's id: it has to fit into a key.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     (1..=128).contains(&id.len())
         && id
             .bytes()
@@ -123,10 +123,10 @@
         let amount = |v: f64| v.is_finite() && (0.0..=1e9).contains(&v);
         let name = |s: &str| (1..=200).contains(&s.len());
         let checks = [
-            ("ref", valid_id(self.id.as_str())),
+            ("ref", is_valid_job_id(self.id.as_str())),
             ("lane", name(self.class.as_str())),
             ("crew", name(self.team.as_str())),
-            ("pieces", (1..=MOST_TASKS).contains(&self.tasks)),
+            ("pieces", (1..=MAX_TASKS).contains(&self.tasks)),
             ("vcpus", amount(self.cpus)),
             ("accelerators", amount(self.gpus)),
             ("memory_gb", amount(self.memory_gb)),
--- a/crates/wire/tests/wire_format.rs
+++ b/crates/wire/tests/wire_format.rs
@@ -39,8 +39,8 @@
     let beat = peers::LeaderHeartbeat {
         node_id: "node-0".into(),
         token: FencingToken(5),
-        state_ms: 120,
-        late_ms: 7,
+        store_contact_age_ms: 120,
+        work_delay_ms: 7,
     };
     keeps(
         &beat,
@@ -63,7 +63,7 @@
     );
     let ask = peers::SuspicionQuery {
         token: FencingToken(5),
-        no_state: true,
+        store_unreachable: true,
     };
     keeps(&ask, json!({"token": 5, "no_state": true}));
     let mut opinion = peers::SuspicionReport {
--- a/crates/workflow/src/plan/tests.rs
+++ b/crates/workflow/src/plan/tests.rs
@@ -30,5 +30,8 @@
             assert!(ids.insert(job_id("n", &path, Try { round, number }).to_string()));
         }
     }
-    assert!(ids.iter().all(|id| pebblefold_wire::users::valid_id(id)));
+    assert!(
+        ids.iter()
+            .all(|id| pebblefold_wire::users::is_valid_job_id(id))
+    );
 }
