--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -382,7 +382,7 @@
                 unwritten.jobs_to_delete.insert(id);
             }
             CommitItem::LeaderRecord(key, value) => {
-                context.intents.pending_writes.put_back(key, value)
+                context.intents.pending_writes.put_back(key, value);
             }
             CommitItem::DeleteOrphan(orphan) => self.garbage_collector.put_back(orphan),
         }
