--- a/crates/controller/src/policy/tests.rs
+++ b/crates/controller/src/policy/tests.rs
@@ -28,5 +28,5 @@
             .contains("memory")
     );
     assert!(evaluate("return { idle_s = os.time() }").contains("nil value"));
-    assert!(evaluate("return { idle_s = effects.open('x') }").contains("nil value"));
+    assert!(evaluate("return { idle_s = io.open('x') }").contains("nil value"));
 }
