--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
 # Everything that has to hold before a change lands: format, lints, documentation, build, tests. Tests named
 # in KNOWN-RED.txt (target::name: cause; issue) fail for a real fault that is not mended yet:
-# they are run by themselves and printed, and decide nothing, unless they pass.
+# they are run by themselves and printed, and decide nothing, unless they pass. A cause that begins
+# with "intermittent:" is a race that another listed test brings about each time: such a test may
+# also pass.
 set -euo pipefail
 cd "$(dirname "$0")"
 cargo fmt --check
@@ -42,7 +44,14 @@
     out=$(cargo test --workspace --locked --quiet --test "${name%%::*}" -- --exact "${name#*::}" 2>&1) || true
     case $out in
         *"0 passed; 1 failed"*) echo "known red, not counted: $line" ;;
-        *"1 passed; 0 failed"*) echo "KNOWN-RED.txt: $name passes; take it off the list" >&2; exit 1 ;;
+        *"1 passed; 0 failed"*)
+            if [[ ${line#*: } == "intermittent: "* ]]; then
+                echo "known red, passed this time, not counted: $line"
+            else
+                echo "KNOWN-RED.txt: $name passes; take it off the list" >&2
+                exit 1
+            fi
+            ;;
         *) printf '%s\n' "$out" >&2; echo "KNOWN-RED.txt: $name was not run" >&2; exit 1 ;;
     esac
 done
