--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -1,6 +1,7 @@
-//! The leading controller: owns the parts that load what is recorded, follow changes,
-//! place work every cycle and write decisions ahead of sending them, and passes each
-//! input to the part that it concerns. Decides nothing itself.
+//! The elected leader. It owns the components that load the stored records, follow their
+//! changes, place tasks in each scheduling cycle, and store decisions before sending
+//! them, and it routes each input to the component concerned. It makes no decisions
+//! itself.
 
 mod arrival_recorder;
 mod autoscaling;
@@ -57,67 +58,69 @@
 use crate::wire::workers::Heartbeat;
 use std::rc::Rc;
 
-/// Time between checks for machines that fell silent or are gone.
+/// Time between checks for machines whose lease has expired or that no longer exist.
 const HEALTH_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(200);
 
-/// What a leader's term begins with.
+/// The election result on which a leader's term rests.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderTerm {
-    /// The key whose version is the fencing token.
+    /// The leader key. Its version is the fencing token.
     pub holder: &'static str,
-    /// The fencing token.
+    /// The fencing token: a later leader's token is higher.
     pub token: FencingToken,
-    /// The lease that the token hangs on.
+    /// The lease of the key-value store to which the leader key is attached.
     pub lease: u64,
-    /// The format version in force.
+    /// The format version in force at the election.
     pub format_version: FormatVersion,
 }
 
-/// The leader: what its term rests on, and the parts that do its work.
+/// The leader: the basis of its term, and the components that do its work.
 #[derive(Debug)]
 pub struct Leader {
-    /// The fencing token.
+    /// The fencing token of this term.
     pub token: FencingToken,
-    /// The key whose version is the token.
+    /// The leader key. Its version is the fencing token.
     pub holder: &'static str,
-    /// The format version in force.
+    /// The format version in force. Records are written in its format.
     pub format_version: FormatVersion,
-    /// Changes of leader and format-version keys that the watch showed.
+    /// Changes of the leader and format-version keys that the load or the watch showed
+    /// and the controller has not processed yet.
     pub version_events: Vec<WatchEvent>,
-    /// The lease that the token hangs on.
+    /// The lease of the key-value store to which the leader key is attached.
     pub lease: u64,
-    /// Calls under way.
+    /// Calls to the key-value store and the cloud that have no reply yet.
     pub pending_calls: PendingCalls<PendingCall>,
-    /// When it began to lead.
+    /// When this leader's term began.
     pub leading_since: Time,
-    /// Until when it may answer heartbeats and start tasks.
+    /// Until when the leader may answer heartbeats and start tasks.
     pub authority: LeaderAuthority,
-    /// When machines are next checked for being silent or gone.
+    /// When machine leases and removals are next checked.
     next_health_check: Time,
-    /// Jobs, machines, and their changes to write.
+    /// Jobs and machines, with their changes that are not stored or sent yet.
     pub(super) cluster: ClusterState,
-    /// Reads records and changes.
+    /// Loads the stored records, then watches their changes.
     records: RecordWatcher,
-    /// Writes changes.
+    /// Stores changes, one transaction at a time.
     pub(super) writer: TransactionWriter,
-    /// Runs cycles.
+    /// Runs the scheduling cycles.
     pub(super) scheduler: Scheduler,
-    /// Answers heartbeats.
+    /// Processes heartbeats and defers answers to them.
     pub(super) heartbeats: HeartbeatReconciler,
     /// Builds the commands for agents.
     pub(super) commands: CommandDispatcher,
     /// Provisions and terminates machines.
     pub(super) autoscaler: Autoscaler,
-    /// Knows machines that failed.
+    /// Machines that are quarantined or drained because of failures.
     pub(super) quarantine: Quarantine,
-    /// Records arrivals of jobs.
+    /// Records arrivals of jobs, from which reserve capacity and fair shares are
+    /// computed.
     pub(super) arrivals: ArrivalRecorder,
-    /// Tells peers what changed.
+    /// Collects the status changes that heartbeats to peers carry.
     pub(super) status: StatusBroadcaster,
 }
 
 impl Leader {
-    /// A leader that has just got its token.
+    /// A leader that has just been elected and has loaded nothing yet.
     pub fn new(
         settings: Rc<Settings>,
         policy: Rc<Policy>,
@@ -156,39 +159,43 @@
         leader
     }
 
-    /// Takes over machine types read from the cloud or the state service.
+    /// Adds or replaces machine types read from the cloud or the key-value store.
     pub fn set_machine_types(&mut self, machine_types: &MachineTypes) {
         self.cluster.set_machine_types(machine_types);
     }
 
-    /// Whether everything recorded has been read.
+    /// Whether all stored records have been read.
     pub fn is_loaded(&self) -> bool {
         self.authority.is_loaded()
     }
 
-    /// Whether heartbeats may be answered.
+    /// Whether heartbeats may be answered: everything is loaded, and the last contact
+    /// with the key-value store is recent enough.
     pub fn may_answer(&self, now: Time) -> bool {
         self.authority.may_answer(now)
     }
 
-    /// Whether tasks may be started.
+    /// Whether tasks may be started: everything is loaded, and the last contact with the
+    /// key-value store is recent enough.
     pub fn may_start(&self, now: Time) -> bool {
         self.authority.may_start(now)
     }
 
-    /// Machines that it knows of, and those that have sent a heartbeat under its token.
+    /// The number of machines that this leader has a record of, and the number of those
+    /// that have sent a heartbeat with its token.
     pub fn count_reporting_machines(&self) -> (usize, usize) {
         let machines = self.cluster.machines.values();
         let reporting = machines.filter(|machine| machine.our_token_since.is_some());
         (self.cluster.machines.len(), reporting.count())
     }
 
-    /// Whether it knows of a machine.
+    /// Whether the leader has a record of a machine.
     pub fn knows(&self, machine: &MachineId) -> bool {
         self.cluster.machines.contains_key(machine)
     }
 
-    /// Whether another node may hold this token.
+    /// Whether another controller may hold this token, judged by how many changes the
+    /// key-value store can have taken since the last contact.
     pub fn may_be_replaced_by(&self, now: Time, token: FencingToken) -> bool {
         let since_contact = self.authority.age(now);
         let write_rps = self.cluster.settings.state_limits.write_rps;
@@ -196,7 +203,8 @@
             .may_have_been_issued(token, since_contact, write_rps)
     }
 
-    /// Does what is due as time passes.
+    /// Performs the actions that are due by time, such as reads, health checks and calls
+    /// to the cloud.
     pub fn tick(&mut self, effects: &mut Effects) {
         self.records
             .read_next(effects, &self.authority, &mut self.pending_calls);
@@ -214,7 +222,7 @@
         self.store_arrivals(at);
     }
 
-    /// Does what any input may have made due.
+    /// Performs the actions that any input may have made due. Called after every input.
     pub fn advance(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
         self.scheduler.adjust_pace(now);
@@ -232,7 +240,7 @@
         );
     }
 
-    /// Takes a reply to one of its calls.
+    /// Processes a reply to one of this leader's calls.
     pub fn handle_reply(
         &mut self,
         effects: &mut Effects,
@@ -242,12 +250,12 @@
         match call {
             PendingCall::Read { sent } => self.handle_read_reply(effects, sent, reply),
             PendingCall::Commit => self.handle_commit_reply(effects, reply),
-            PendingCall::Written(op) => self.handle_own_write_read(&op, reply),
-            PendingCall::Cloud(call, by) => self.handle_cloud_reply(effects, call, by, reply),
+            PendingCall::OwnWrite(op) => self.handle_own_write_read(&op, reply),
+            PendingCall::Cloud(call, proxy) => self.handle_cloud_reply(effects, call, proxy, reply),
         }
     }
 
-    /// A read of the records or of changes was answered, or not.
+    /// Processes a reply to a read of records or changes that was sent at `sent`.
     pub fn handle_read_reply(
         &mut self,
         effects: &mut Effects,
@@ -260,12 +268,13 @@
             .handle_read_reply(effects, &mut parts.context, sent, reply)
     }
 
-    /// The cloud answered, or not; `by` is the peer that made the call, if one did.
+    /// Processes a reply of the cloud. `proxy` is the peer that made the call on the
+    /// leader's behalf; `None`: the leader made it.
     pub fn handle_cloud_reply(
         &mut self,
         effects: &mut Effects,
         call: CloudCall,
-        by: Option<NodeId>,
+        proxy: Option<NodeId>,
         reply: Reply,
     ) -> LeadershipOutcome {
         let mut context = CloudContext {
@@ -274,10 +283,11 @@
             heartbeats: &mut self.heartbeats,
         };
         self.autoscaler
-            .handle_cloud_reply(effects, &mut context, call, by.as_ref(), reply)
+            .handle_cloud_reply(effects, &mut context, call, proxy.as_ref(), reply)
     }
 
-    /// Handles a worker's heartbeat; `may_defer`: its answer may wait for work.
+    /// Processes an agent's heartbeat. `may_defer`: its answer may wait until there is
+    /// work for the machine.
     pub fn handle_heartbeat(
         &mut self,
         effects: &mut Effects,
@@ -290,7 +300,7 @@
             if self.may_be_replaced_by(effects.now.time, heartbeat.token) {
                 return LeadershipOutcome::Deposed(heartbeat.token);
             }
-            tracing::error!(machine = %heartbeat.machine, token = %heartbeat.token, "heartbeat with a token that nobody was given ignored");
+            tracing::error!(machine = %heartbeat.machine, token = %heartbeat.token, "ignoring heartbeat with a fencing token that was never issued");
             return LeadershipOutcome::Continue;
         }
         let mut context = HeartbeatContext {
@@ -307,13 +317,14 @@
         LeadershipOutcome::Continue
     }
 
-    /// Gives up deferred heartbeats, when leadership ends.
+    /// Answers all deferred heartbeats with 503 when leadership ends, so that their
+    /// agents retry.
     pub fn drop_deferred_heartbeats(&mut self, effects: &mut Effects) {
         self.heartbeats.drop_deferred(effects);
     }
 
-    /// A peer confirmed to a user that this job is cancelled: none of it is to run any
-    /// more, whether or not the key-value store can be read. Nothing is deleted for it.
+    /// A peer has confirmed to a user that a job is cancelled: its tasks must stop even
+    /// while the key-value store cannot be read. No record is deleted on a peer's report.
     pub fn record_announced_cancellation(&mut self, now: Time, id: &JobId) {
         let job = self.cluster.jobs.get(id);
         let Some(job) = job.filter(|job| job.is_open()) else {
@@ -321,45 +332,47 @@
         };
         let tasks: Vec<u32> = job.assignments.keys().copied().collect();
         if self.authority.record_peer_cancellation(now, id) {
-            tracing::info!(job = %id, tasks = tasks.len(), "job cancelled, as a peer says");
-            let why = "a peer says that it is cancelled";
+            tracing::info!(job = %id, tasks = tasks.len(), "job cancelled, as reported by a peer");
+            let why = "a peer reported its cancellation";
             self.cluster.stop_tasks(now, id, &tasks, 0.0, why);
         }
     }
 
-    /// Task counts of a job, for display.
+    /// Task counts of a job, for its user; `None`: the job is not loaded.
     pub fn counts(&self, id: &JobId) -> Option<TaskCounts> {
         self.cluster.task_counts(id)
     }
 
-    /// Counts of done and running tasks that changed since the last call, at most
-    /// `most`.
-    pub fn changed_counts(&mut self, most: usize) -> Vec<(JobId, u32, u32)> {
-        self.status.changed_counts(&self.cluster, most)
+    /// Counts of done and running tasks that changed since the last call, for at most
+    /// `limit` jobs.
+    pub fn changed_counts(&mut self, limit: usize) -> Vec<(JobId, u32, u32)> {
+        self.status.changed_counts(&self.cluster, limit)
     }
 
-    /// Images of machines, with sizes in GB, where they changed since the last call.
+    /// Images cached on machines, with sizes in GB, where they changed since the last
+    /// call.
     pub fn changed_caches(&mut self) -> Vec<(MachineId, Vec<(Image, f64)>)> {
         self.status.changed_caches(&self.cluster)
     }
 
-    /// Fetch times, in milliseconds, that changed since the last call.
+    /// Image fetch times, in milliseconds, that changed since the last call.
     pub fn changed_fetches(&mut self) -> Vec<(Image, u64)> {
         self.status.changed_fetch_times(&self.cluster)
     }
 
-    /// A peer missed what was sent: everything is sent once more.
+    /// Broadcasts the whole status again, because a peer missed part of it.
     pub fn restart_broadcast(&mut self) {
         self.status.resend_everything();
     }
 
-    /// Takes over what the last leader sent of a machine's images.
+    /// Takes over the images of a machine, with sizes in GB, that the previous leader
+    /// broadcast.
     pub fn inherit_cache(&mut self, now: Time, id: &MachineId, images: &[(Image, f64)]) {
         self.cluster.inherit_cache(now, id, images);
     }
 
-    /// Everything an operator may ask for, of machines and jobs whose names
-    /// begin like this.
+    /// The state of this leader for operators, with the machines and jobs whose names
+    /// begin with these prefixes.
     pub fn inspect(&self, at: Now, machine: &str, job: &str) -> serde_json::Value {
         let inspection = Inspection {
             at,
@@ -376,7 +389,7 @@
         inspection.report(machine, job)
     }
 
-    /// Whether all that is stored has the format in force.
+    /// Whether all stored records have the format in force.
     pub fn is_rewritten(&self) -> bool {
         self.writer.is_rewritten(self.format_version)
     }
@@ -393,8 +406,8 @@
         self.scheduler.cycles += 1;
     }
 
-    /// Writes off machines whose leases have expired, and has those terminated that are
-    /// of no use any more.
+    /// Removes the tasks of machines whose leases have expired, and decides which
+    /// machines to terminate because they are of no use any more.
     fn check_machine_health(&mut self, at: Now) {
         self.expire_leases(at);
         self.cluster
@@ -414,7 +427,7 @@
         }
     }
 
-    /// Stores recent arrivals now and then, if the format in force has them.
+    /// Stores recent arrivals periodically, if the format in force includes them.
     fn store_arrivals(&mut self, at: Now) {
         if self.format_version < WITH_HISTORY {
             return;
@@ -426,7 +439,7 @@
             .store_if_due(at, window, value_bytes, pending_writes);
     }
 
-    /// Writes off machines whose leases have expired.
+    /// Removes the tasks of machines whose leases have expired.
     fn expire_leases(&mut self, at: Now) {
         let inherited_until = self.leading_since + self.authority.inherited();
         let mut recorder = QuarantineRecorder {
@@ -441,7 +454,7 @@
         RecordParts {
             records: &mut self.records,
             context: RecordContext {
-                holder: self.holder,
+                leader_key: self.holder,
                 token: self.token,
                 authority: &mut self.authority,
                 version_events: &mut self.version_events,
@@ -455,7 +468,7 @@
         }
     }
 
-    fn writer(&mut self) -> WriterParts<'_> {
+    fn writer_parts(&mut self) -> WriterParts<'_> {
         WriterParts {
             writer: &mut self.writer,
             pending_calls: &mut self.pending_calls,
@@ -469,28 +482,28 @@
         }
     }
 
-    /// Sends the next transaction, if there is anything to write.
+    /// Sends the next transaction, if there are unwritten changes and none is in flight.
     fn submit_next_transaction(&mut self, effects: &mut Effects) {
-        let mut parts = self.writer();
+        let mut parts = self.writer_parts();
         parts
             .writer
             .submit_next_transaction(effects, &mut parts.context, parts.pending_calls);
     }
 
-    /// A transaction was answered, or not.
+    /// Processes the reply to the transaction in flight, or the loss of the reply.
     pub fn handle_commit_reply(
         &mut self,
         effects: &mut Effects,
         reply: Reply,
     ) -> LeadershipOutcome {
-        let mut parts = self.writer();
+        let mut parts = self.writer_parts();
         parts
             .writer
             .handle_commit_reply(effects, &mut parts.context, parts.pending_calls, reply)
     }
 
     fn handle_own_write_read(&mut self, op: &Operation, reply: Reply) -> LeadershipOutcome {
-        let mut parts = self.writer();
+        let mut parts = self.writer_parts();
         parts
             .writer
             .handle_own_write_read(&mut parts.context, op, reply)
@@ -502,13 +515,13 @@
     }
 }
 
-/// The reader of records with everything that it acts on.
+/// The record watcher with the components that it updates.
 struct RecordParts<'a> {
     records: &'a mut RecordWatcher,
     context: RecordContext<'a>,
 }
 
-/// The transaction writer with everything that it acts on.
+/// The transaction writer with the components that it updates.
 struct WriterParts<'a> {
     writer: &'a mut TransactionWriter,
     pending_calls: &'a mut PendingCalls<PendingCall>,
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -1,5 +1,6 @@
-//! The commands for agents: starts, stops and `forget`s in the answers to heartbeats,
-//! stops and announcements in direct commands. Decides no placement itself.
+//! Builds the commands for agents: starts, stops and `forget`s in the answers to
+//! heartbeats, stops and leader announcements in direct commands. Makes no placement
+//! decisions.
 
 use super::cluster_state::ClusterState;
 use crate::core::RequestId;
@@ -19,8 +20,9 @@
 use std::collections::BTreeMap;
 
 impl Job {
-    /// The stop that may be sent to a task now. One that has to be stored first
-    /// waits for that; records of an ended job are not written any more.
+    /// The stop that may be sent to a task now. A stop that must be stored first is
+    /// withheld until it is; but records of an ended job are no longer written, so its
+    /// stops are sent unstored.
     fn stop_to_send(&self, size: ChunkSize, index: u32) -> Option<Stop> {
         let stop = self.assignments.get(&index)?.stop?;
         let may_send = stop
@@ -34,27 +36,27 @@
 /// One task as a heartbeat listed it.
 #[derive(Clone, Debug)]
 pub(in crate::core) struct ReportedTaskState {
-    /// The task's name as the worker gave it.
+    /// The task's name as the agent reported it.
     pub name: String,
-    /// Which attempt at it.
+    /// The attempt of the task.
     pub attempt: Attempt,
-    /// What it does.
+    /// What the task does.
     pub state: TaskState,
-    /// Why it exited, if it did.
+    /// Why the task exited; `None`: it has not, or the agent gave no reason.
     pub exit_reason: Option<StopReason>,
 }
 
 impl ReportedTaskState {
-    /// The command that has its worker forget an exited task.
-    fn into_forget(self) -> Command {
+    /// The command that lets the agent forget this exited task.
+    fn into_forget_command(self) -> Command {
         Command::Forget {
             task: self.name,
             attempt: self.attempt,
         }
     }
 
-    /// The command that stops it, with so many seconds to save a checkpoint.
-    fn into_stop(self, grace_s: f64) -> Command {
+    /// The command that stops this task, with `grace_s` seconds to save a checkpoint.
+    fn into_stop_command(self, grace_s: f64) -> Command {
         Command::Stop {
             task: self.name,
             attempt: self.attempt,
@@ -63,7 +65,7 @@
     }
 }
 
-/// The commands of one answer to a heartbeat, in the order they are sent.
+/// The commands of one answer to a heartbeat, in the order in which they are sent.
 #[derive(Debug, Default)]
 struct CommandList {
     stops: Vec<Command>,
@@ -80,19 +82,20 @@
     }
 }
 
-/// What is sent to workers next.
+/// Builds and sends the commands for agents.
 #[derive(Debug)]
 pub(in crate::core) struct CommandDispatcher {
     /// The fencing token that all commands carry.
     token: FencingToken,
-    /// What each machine's newest heartbeat listed, for its answer.
+    /// The tasks that each machine's newest heartbeat listed, until it is answered.
     pub reported_tasks: BTreeMap<MachineId, Vec<ReportedTaskState>>,
-    /// Tells machines who leads.
+    /// Chooses which agents are sent an announcement of this leader.
     announcer: LeaderAnnouncer,
 }
 
 impl CommandDispatcher {
-    /// Nothing to send yet; workers send a heartbeat every `heartbeat_interval`.
+    /// A dispatcher with nothing to send. Agents send a heartbeat every
+    /// `heartbeat_interval`.
     pub fn new(token: FencingToken, now: Time, heartbeat_interval: TimeSpan) -> CommandDispatcher {
         CommandDispatcher {
             token,
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Keeps what a heartbeat listed, for its answer.
+    /// Keeps the tasks that a heartbeat listed until it is answered.
     pub fn record_reported_tasks(&mut self, heartbeat: &Heartbeat) {
         let reported = heartbeat.tasks.iter().map(|task| ReportedTaskState {
             name: task.task.clone(),
@@ -113,7 +116,8 @@
             .insert(heartbeat.machine.clone(), reported.collect());
     }
 
-    /// Answers a heartbeat with what its machine is to do.
+    /// Answers a heartbeat with the commands for its machine, or with 503 if this leader
+    /// may not answer heartbeats now.
     pub fn answer_heartbeat(
         &mut self,
         effects: &mut Effects,
@@ -139,7 +143,8 @@
         effects.answer_body(request, body);
     }
 
-    /// The commands that a machine is to carry out next. Starts count as sent.
+    /// The commands for a machine's next answer. The starts among them are marked as
+    /// sent.
     pub fn commands_for(
         &mut self,
         now: Time,
@@ -154,7 +159,7 @@
         let mut usage = machine.unrecorded_usage;
         let mut list = CommandList::default();
         for task in reported {
-            add_for_reported_task(&mut list, &mut usage, cluster, id, task);
+            add_commands_for_reported_task(&mut list, &mut usage, cluster, id, task);
         }
         if machine.has_our_token
             && let Some(machine_type) = cluster.type_of(machine)
@@ -166,7 +171,7 @@
         list.into_commands()
     }
 
-    /// Sends pending stops straight to their workers. One that arrives late
+    /// Sends pending stops to their agents in direct commands. A stop that arrives late
     /// is harmless: attempts are never reused for another placement.
     pub fn send_direct_stops(&self, effects: &mut Effects, cluster: &mut ClusterState) {
         for (id, tasks) in std::mem::take(&mut cluster.direct_stops) {
@@ -176,15 +181,15 @@
             let Some(address) = machine.address else {
                 continue;
             };
-            // A machine that only a list has shown so far has its agent epoch in
-            // the records.
+            // A machine known only from a list of the cloud has sent no heartbeat yet:
+            // its agent epoch is taken from the records.
             let mut epoch = machine.epoch;
             let mut commands = Vec::new();
             for task in &tasks {
-                let Some((stop, placed_in)) = direct_stop(cluster, task) else {
+                let Some((stop, assigned_epoch)) = direct_stop_command(cluster, task) else {
                     continue;
                 };
-                epoch = epoch.max(placed_in);
+                epoch = epoch.max(assigned_epoch);
                 commands.push(stop);
             }
             if !commands.is_empty() {
@@ -193,8 +198,8 @@
         }
     }
 
-    /// A machine that a list shows: if it has tasks and has sent this leader no
-    /// heartbeat yet, it gets an announcement of the leader.
+    /// Schedules an announcement of this leader to a machine in the cloud's list, if the
+    /// machine has tasks and has sent this leader no heartbeat yet.
     pub fn announce_to(&mut self, now: Time, cluster: &ClusterState, id: &MachineId) {
         let machine = cluster.machines.get(id);
         let machine = machine.filter(|m| m.last_heartbeat.is_none() && m.address.is_some());
@@ -210,9 +215,10 @@
         }
     }
 
-    /// Tells the next machines who leads, by direct commands that hold none: a worker
-    /// that sees a higher token sends a heartbeat at once. Nothing is read from the
-    /// answer, as a heartbeat under way may still bring it an older leader's start.
+    /// Announces this leader to the next machines by direct-command messages that contain
+    /// no command: an agent that receives a higher token sends a heartbeat immediately.
+    /// No conclusion is drawn from the reply, because a heartbeat in flight may still
+    /// bring the agent a start of an older leader.
     pub fn send_announcements(&mut self, effects: &mut Effects, cluster: &ClusterState) {
         let now = effects.now.time;
         for id in self.announcer.take_due(now, cluster.machines.len()) {
@@ -220,11 +226,11 @@
             let Some(machine) = machine.filter(|machine| machine.last_heartbeat.is_none()) else {
                 continue;
             };
-            let placed_in = |task: &TaskId| {
+            let assigned_epoch = |task: &TaskId| {
                 let job = cluster.jobs.get(&task.job)?;
                 Some(job.assignments.get(&task.index)?.epoch)
             };
-            let epoch = machine.tasks.iter().filter_map(placed_in).max();
+            let epoch = machine.tasks.iter().filter_map(assigned_epoch).max();
             if let (Some(address), Some(epoch)) = (machine.address, epoch) {
                 effects.push_commands(address, self.token, epoch, Vec::new());
             }
@@ -232,9 +238,9 @@
     }
 }
 
-/// Adds what a machine is to do with one task that it reported, and adds what a
-/// running task takes to its usage.
-fn add_for_reported_task(
+/// Adds the commands for one task that a machine reported, and adds the needs of an
+/// assigned running task to the machine's usage.
+fn add_commands_for_reported_task(
     list: &mut CommandList,
     usage: &mut Resources,
     cluster: &ClusterState,
@@ -255,8 +261,8 @@
             && assignment.epoch == machine.epoch
     });
     if reported.state == TaskState::Exited {
-        if machine.has_our_token && !is_placed && !must_be_kept(job, &task, &reported) {
-            list.forgets.push(reported.into_forget());
+        if machine.has_our_token && !is_placed && !must_be_retained(job, &task, &reported) {
+            list.forgets.push(reported.into_forget_command());
         }
         return;
     }
@@ -264,27 +270,28 @@
         Some(job) if is_placed => {
             *usage += job.spec.needs();
             if let Some(stop) = job.stop_to_send(cluster.chunk_size, task.index) {
-                list.stops.push(reported.into_stop(stop.grace_s));
+                list.stops.push(reported.into_stop_command(stop.grace_s));
             }
         }
-        // The record that says where it should be cannot be read: it may be right here.
+        // The record of the task's assignment cannot be read: the task may be assigned to
+        // this machine.
         Some(job) if job.is_open() && job.unreadable => {}
         _ => {
             tracing::info!(task = %task, attempt = %reported.attempt, machine = %id, "unrecorded task stopped");
-            list.stops.push(reported.into_stop(0.0));
+            list.stops.push(reported.into_stop_command(0.0));
         }
     }
 }
 
-/// Whether an exited task must stay on its worker: it is forgotten only once nothing
-/// can start it again and, if it is done, once that is stored.
-fn must_be_kept(job: Option<&Job>, task: &TaskId, reported: &ReportedTaskState) -> bool {
+/// Whether an agent must keep an exited task. It may forget the task only once nothing
+/// can start the task again and, if the task is done, once that is stored.
+fn must_be_retained(job: Option<&Job>, task: &TaskId, reported: &ReportedTaskState) -> bool {
     reported.exit_reason == Some(StopReason::Done)
         && job.is_some_and(|job| !job.is_service() && !job.done_is_stored(task.index))
         && failpoints::enforced(SafetyCheck::DoneBeforeClear)
 }
 
-/// Adds the starts that a machine has room for, and notes them as sent.
+/// Adds the starts that the machine has free resources for, and marks them as sent.
 fn add_starts(
     list: &mut CommandList,
     now: Time,
@@ -301,29 +308,29 @@
         let Some(job) = cluster.jobs.get_mut(&task.job) else {
             continue;
         };
-        let is_wanted = job.is_open() && !authority.is_reported_cancelled(&task.job);
+        let should_run = job.is_open() && !authority.is_reported_cancelled(&task.job);
         let needs = job.spec.needs();
         let Some(assignment) = job.assignments.get(&task.index) else {
             continue;
         };
         let is_current = assignment.is_unsent() && assignment.epoch == machine.epoch;
-        // Written ahead: only what is stored may be sent.
+        // Write-ahead: a start may be sent only once it is stored.
         let is_stored = job.is_stored(size, task.index, assignment.change)
             || !failpoints::enforced(SafetyCheck::WriteAhead);
-        if !is_current || !is_stored || !is_wanted || !needs.fits(&free) {
+        if !is_current || !is_stored || !should_run || !needs.fits(&free) {
             continue;
         }
         free -= needs;
         if let Some(assignment) = job.assignments.get_mut(&task.index) {
             list.starts
-                .push(send_start(now, machine.sequence, task, assignment));
+                .push(build_start_command(now, machine.sequence, task, assignment));
         }
     }
 }
 
-/// The command that starts a task; its assignment counts as sent with the answer to
-/// the heartbeat of this number.
-fn send_start(
+/// Builds the command that starts a task, and marks the assignment as sent with the
+/// answer to the heartbeat with this sequence number.
+fn build_start_command(
     now: Time,
     sequence: HeartbeatSequence,
     task: &TaskId,
@@ -339,8 +346,9 @@
     }
 }
 
-/// The direct command that stops a task, and the agent epoch that it was placed in.
-fn direct_stop(cluster: &ClusterState, task: &TaskId) -> Option<(Command, AgentEpoch)> {
+/// The direct command that stops a task, and the agent epoch to which the task was
+/// assigned.
+fn direct_stop_command(cluster: &ClusterState, task: &TaskId) -> Option<(Command, AgentEpoch)> {
     let job = cluster.jobs.get(&task.job)?;
     let assignment = job.assignments.get(&task.index)?;
     let stop = job.stop_to_send(cluster.chunk_size, task.index)?;
@@ -352,7 +360,8 @@
     Some((command, assignment.epoch))
 }
 
-/// How urgently a task's machine should hear who leads.
+/// The priority of announcing this leader to a task's machine; `None`: the task or its
+/// job is not in the tables.
 fn announcement_priority(cluster: &ClusterState, task: &TaskId) -> Option<AnnouncementPriority> {
     let job = cluster.jobs.get(&task.job)?;
     let is_stopping = !job.is_open() || job.assignments.get(&task.index)?.stop.is_some();
--- a/crates/controller/src/core/leader/commit_effects.rs
+++ b/crates/controller/src/core/leader/commit_effects.rs
@@ -1,5 +1,5 @@
-//! What follows from records that are stored by now: starts and stops may be sent, ended
-//! jobs deleted. Sends nothing itself.
+//! The effects of stored records: starts and stops in them may be sent, and ended jobs
+//! may be deleted. Nothing is sent here.
 
 use super::cluster_state::ClusterState;
 use super::commit_pipeline::WriteContext;
@@ -7,7 +7,8 @@
 use crate::types::{JobId, TaskId, Version};
 use crate::wire::kvstore::{Operation, Transaction};
 
-/// A chunk is stored as it was at `change`: starts and stops in it may be sent.
+/// Records that a chunk is stored up to its change number `change`: starts and stops up
+/// to that change may now be sent.
 pub(super) fn apply_stored_chunk(
     context: &mut WriteContext<'_>,
     id: &JobId,
@@ -45,7 +46,7 @@
         .retain(|&task, done_change| size.of(task) != chunk || *done_change > change);
 }
 
-/// A job's header says that it is done: its keys can be deleted.
+/// Records that a job's header is stored as done: the job's keys may now be deleted.
 pub(super) fn apply_stored_outcome(cluster: &mut ClusterState, id: JobId) {
     let Some(job) = cluster.jobs.get_mut(&id) else {
         return;
@@ -55,11 +56,12 @@
     }
     job.outcome = Some(JobOutcome::Done { written: true });
     job.unstored_done.clear();
-    log_done(&id, job);
+    log_job_done(&id, job);
     cluster.unwritten.jobs_to_delete.insert(id);
 }
 
-/// Part of an ended job's records are deleted.
+/// Removes from memory the chunks of an ended job that this transaction has deleted.
+/// Other records of the job are still stored.
 pub(super) fn forget_deleted_chunks(
     cluster: &mut ClusterState,
     id: &JobId,
@@ -75,6 +77,6 @@
     });
 }
 
-pub(super) fn log_done(id: &JobId, job: &Job) {
+pub(super) fn log_job_done(id: &JobId, job: &Job) {
     tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, "job done");
 }
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -1,9 +1,10 @@
-//! Writing what changed: conditional transactions on the key-value store, one at a
-//! time, ahead of everything that depends on them. Decides nothing about the content.
+//! Stores the leader's changes by conditional transactions on the key-value store, one at
+//! a time. Whatever depends on a change happens only once it is stored. The writer does
+//! not decide what is written.
 
 use super::cluster_state::ClusterState;
 use super::commit_effects::{
-    apply_stored_chunk, apply_stored_outcome, forget_deleted_chunks, log_done,
+    apply_stored_chunk, apply_stored_outcome, forget_deleted_chunks, log_job_done,
 };
 use super::outcome::LeadershipOutcome;
 use super::pending_call::PendingCall;
@@ -28,56 +29,57 @@
 use crate::wire::rate_limit::TokenBucket;
 use std::collections::BTreeSet;
 
-/// Records rewritten in a newer format at once, and time between two such steps.
-const MAX_REWRITTEN: usize = 4;
+/// Most records rewritten in a newer format per step, and the time between two steps.
+const MAX_REWRITTEN_CHUNKS: usize = 4;
 const REWRITE_INTERVAL: TimeSpan = TimeSpan::millis(250);
 /// Least time between two commits.
-const COMMIT_GAP: TimeSpan = TimeSpan::millis(40);
-/// Pause where the rate limit of calls lets no commit through.
+const MIN_COMMIT_INTERVAL: TimeSpan = TimeSpan::millis(40);
+/// Pause after the rate limit of calls has prevented a commit.
 const RATE_LIMITED_PAUSE: TimeSpan = TimeSpan::millis(50);
-/// How long a commit, and the read of a record it wrote, may take.
+/// How long a commit may take, and how long the read of a record that it wrote.
 const COMMIT_TIMEOUT: TimeSpan = TimeSpan::millis(1000);
 const READ_TIMEOUT: TimeSpan = TimeSpan::millis(2000);
-/// Pauses after commits that failed.
+/// Shortest and longest pause after a failed commit.
 const SHORTEST_BACKOFF: TimeSpan = TimeSpan::millis(100);
 const LONGEST_BACKOFF: TimeSpan = TimeSpan::millis(1000);
-/// Operations that the rate limit must allow for a transaction to be built.
-const LEAST_OPERATIONS: usize = 4;
-/// Share of the store's write rate that the leader uses.
+/// Least number of operations that the rate limit must allow for a transaction to be built.
+const MIN_OPERATIONS: usize = 4;
+/// Share of the key-value store's write rate that the leader uses.
 const WRITE_SHARE: f64 = 0.7;
 
-/// Writes the leader's changes, one transaction at a time.
+/// Stores the leader's changes, one transaction at a time.
 #[derive(Debug)]
 pub(in crate::core) struct TransactionWriter {
-    /// The key whose version is the fencing token.
-    holder: &'static str,
-    /// The fencing token that every transaction compares.
+    /// The leader key. Its version is the fencing token.
+    leader_key: &'static str,
+    /// The fencing token: a precondition of every transaction.
     token: FencingToken,
-    /// The transaction in flight.
+    /// The transaction in flight and the state of its call.
     pub pipeline: CommitPipeline,
-    /// Pause after a commit that failed.
+    /// Pause after a failed commit.
     pub backoff: Backoff,
-    /// Operations that may be written now.
+    /// Rate limiter of written operations.
     pub write_tokens: TokenBucket,
-    /// Chunks whose record has an older format than the version in force writes.
+    /// Chunks whose record has an older format than the format version in force writes.
     pub outdated_chunks: BTreeSet<(JobId, u32)>,
-    /// When the next of them are rewritten.
+    /// When the next outdated chunks may be queued for rewriting.
     pub rewrite_due: Time,
     /// Deletes keys that belong to no job.
     pub garbage_collector: GarbageCollector,
 }
 
 impl TransactionWriter {
-    /// Nothing to write; the store takes `write_rps` operations a second in all.
+    /// A writer with nothing to write. The key-value store accepts `write_rps` operations
+    /// a second from all clients together.
     pub fn new(
-        holder: &'static str,
+        leader_key: &'static str,
         token: FencingToken,
         write_rps: f64,
         now: Time,
     ) -> TransactionWriter {
         let rate = write_rps * WRITE_SHARE;
         TransactionWriter {
-            holder,
+            leader_key,
             token,
             pipeline: CommitPipeline::default(),
             backoff: Backoff::default(),
@@ -89,22 +91,25 @@
     }
 }
 
-/// The parts whose changes a transaction carries, and that act on what is stored.
+/// The components whose changes a transaction carries, and those that act on stored
+/// changes.
 pub(in crate::core) struct WriteContext<'a> {
-    /// The tables and their unwritten changes.
+    /// Jobs and machines, with their unwritten changes.
     pub cluster: &'a mut ClusterState,
-    /// What the cloud is to do, and the small records that ride along.
+    /// Provision and termination intents, with other small records that are written in
+    /// the same transactions.
     pub intents: &'a mut Intents,
-    /// Machines whose deferred heartbeats may be answered now.
+    /// Machines for which starts were stored, so that their deferred heartbeats may be
+    /// answered.
     pub machines_with_stored_starts: &'a mut BTreeSet<MachineId>,
-    /// Forgets jobs that are deleted.
+    /// Removes deleted jobs from the status broadcast.
     pub status: &'a mut StatusBroadcaster,
-    /// The format version in force.
+    /// The format version in force, in which chunks are written.
     pub format: FormatVersion,
 }
 
 impl TransactionWriter {
-    /// Sends the next transaction, if there is anything to write.
+    /// Sends the next transaction, if there are unwritten changes and none is in flight.
     pub fn submit_next_transaction(
         &mut self,
         effects: &mut Effects,
@@ -133,8 +138,9 @@
         pending_calls.add(call, PendingCall::Commit);
     }
 
-    /// Collects the most urgent changes into a transaction, up to its limits and the
-    /// rate limit.
+    /// Collects the most urgent changes into a transaction, within its size limits and
+    /// the rate limit. `None`: there is nothing to write, or the rate limit allows too
+    /// little.
     pub fn build_transaction(
         &mut self,
         now: Time,
@@ -142,21 +148,21 @@
     ) -> Option<BuiltTransaction> {
         let limits = context.cluster.settings.state_limits;
         let ops = limits.txn_ops.min(self.write_tokens.level(now) as usize);
-        if ops < LEAST_OPERATIONS {
+        if ops < MIN_OPERATIONS {
             return None;
         }
         let limits = TransactionLimits {
             ops,
             value_bytes: limits.value_bytes,
         };
-        let mut builder = TransactionBuilder::new(self.holder, self.token, limits);
+        let mut builder = TransactionBuilder::new(self.leader_key, self.token, limits);
         add_pending_puts(&mut builder, &mut context.intents.pending_writes);
         add_finished_jobs(&mut builder, context.cluster);
         add_dirty_chunks(&mut builder, now, context.cluster, context.format);
         add_job_deletions(&mut builder, context.cluster);
         add_pending_deletes(&mut builder, &mut context.intents.pending_writes);
         if builder.is_empty() {
-            // Nothing else is to be written: time to clean up.
+            // Orphaned keys are deleted only when there is nothing else to write.
             for (orphan, conditions, op) in self.garbage_collector.take_next(builder.room()) {
                 let write = ConditionalWrite {
                     preconditions: conditions,
@@ -171,7 +177,7 @@
         Some(built)
     }
 
-    /// A transaction was answered, or not.
+    /// Processes the reply to the transaction in flight, or the loss of the reply.
     pub fn handle_commit_reply(
         &mut self,
         effects: &mut Effects,
@@ -212,7 +218,7 @@
         }
     }
 
-    /// A transaction went through.
+    /// Processes a committed transaction.
     fn handle_committed(
         &mut self,
         now: Time,
@@ -222,10 +228,10 @@
         body: &[u8],
     ) -> LeadershipOutcome {
         self.backoff.succeeded();
-        self.pipeline.not_before = now + COMMIT_GAP;
+        self.pipeline.not_before = now + MIN_COMMIT_INTERVAL;
         self.pipeline.last_committed = Some(now);
         let Some(answer) = wire::decode::<TransactionResponse>(body) else {
-            return LeadershipOutcome::StepDown("a commit's answer could not be read");
+            return LeadershipOutcome::StepDown("the answer to a commit could not be decoded");
         };
         for item in items {
             self.apply_committed(context, item, transaction, answer.revision);
@@ -233,8 +239,9 @@
         LeadershipOutcome::Continue
     }
 
-    /// A repeat found a precondition failed. Either the first try, whose answer was
-    /// lost, went through, or something else changed: what is recorded decides.
+    /// A retry found a failed precondition. Either the first attempt, whose answer was
+    /// lost, was committed, or another writer changed a record. The stored record decides
+    /// which.
     fn check_own_write(
         &mut self,
         effects: &mut Effects,
@@ -245,22 +252,22 @@
     ) -> LeadershipOutcome {
         let failed = failed_keys(body);
         let is_compared = |key: &str| transaction.conditions.iter().any(|c| c.key == key);
-        let own = transaction.ops.iter().find(
+        let own_put = transaction.ops.iter().find(
             |op| matches!(op, Operation::Put { key, .. } if is_compared(key) && failed.contains(key)),
         );
-        let own = own.cloned();
-        let Some(op) = own.filter(|_| failed.iter().all(|key| key != self.holder)) else {
-            return LeadershipOutcome::StepDown("a write's fate is unknown");
+        let own_put = own_put.cloned();
+        let Some(op) = own_put.filter(|_| failed.iter().all(|key| key != self.leader_key)) else {
+            return LeadershipOutcome::StepDown("a write's outcome is unknown");
         };
         let path = format!("/keys/{}", op.key());
         self.pipeline.in_flight = Some(BuiltTransaction { transaction, items });
         self.pipeline.call_outstanding = true;
         let call = effects.call(Target::Store, "GET", path, Vec::new(), READ_TIMEOUT);
-        pending_calls.add(call, PendingCall::Written(op));
+        pending_calls.add(call, PendingCall::OwnWrite(op));
         LeadershipOutcome::Continue
     }
 
-    /// A precondition failed, and no answer to this transaction was lost.
+    /// Processes a failed precondition of a transaction none of whose answers was lost.
     fn handle_conflict(
         &mut self,
         now: Time,
@@ -268,29 +275,29 @@
         items: Vec<CommitItem>,
         body: &[u8],
     ) -> LeadershipOutcome {
-        self.pipeline.not_before = now + COMMIT_GAP;
+        self.pipeline.not_before = now + MIN_COMMIT_INTERVAL;
         let failed = failed_keys(body);
-        if failed.iter().any(|key| key == self.holder) {
-            return LeadershipOutcome::StepDown("a commit found another leader");
+        if failed.iter().any(|key| key == self.leader_key) {
+            return LeadershipOutcome::StepDown("a commit found the leader key changed");
         }
         let is_cleanup = items
             .iter()
             .any(|item| matches!(item, CommitItem::DeleteOrphan(_)));
         let is_progress = |key: &String| key.starts_with(job_records::PROGRESS_RECORDS);
         if !is_cleanup && failed.iter().any(is_progress) {
-            return LeadershipOutcome::StepDown("a record was changed by somebody else");
+            return LeadershipOutcome::StepDown("a record was changed by another writer");
         }
         let is_over = |id: &JobId| failed.contains(&job_records::job_header_key(id));
         for item in items {
             match &item {
-                // Nothing of a job that is over is started, whether or not the watch
-                // has shown its end yet.
+                // No task of an ended job is started, even if the watch has not shown the
+                // end of the job yet.
                 CommitItem::Chunk { job, .. } if is_over(job) => {
                     context.cluster.cancel_job_ended_elsewhere(now, job);
                 }
-                // The watch shows a job cancelled in the meantime.
+                // The watch will show that the job was cancelled in the meantime.
                 CommitItem::Finish(id) | CommitItem::FinishAndDelete(id) if is_over(id) => {}
-                // An orphan that is none after all, or has changed, stays.
+                // A key that is no longer orphaned, or that has changed, is kept.
                 CommitItem::DeleteOrphan(_) => {}
                 _ => self.requeue(now, context, item),
             }
@@ -298,11 +305,12 @@
         LeadershipOutcome::Continue
     }
 
-    /// A record that the transaction in flight writes was read, after a repeat found it
-    /// changed. Only the holder of this token writes it, one transaction at a time, and
-    /// all before this one are settled: if it is newer than what was compared, and as this
-    /// one would write it, the first try went through, whole, at its version. Else
-    /// everything is started over from what is recorded.
+    /// Processes the read of a record that the transaction in flight writes, after a
+    /// retry found the record changed. Only the holder of this token writes the record,
+    /// one transaction at a time, and all earlier transactions are settled. So if the
+    /// record is newer than the version compared, and has the value that this transaction
+    /// writes, then the first attempt was committed as a whole, at the version found.
+    /// Otherwise the leader steps down, to start over from the stored records.
     pub fn handle_own_write_read(
         &mut self,
         context: &mut WriteContext<'_>,
@@ -310,21 +318,21 @@
         reply: Reply,
     ) -> LeadershipOutcome {
         self.pipeline.call_outstanding = false;
-        let unknown = LeadershipOutcome::StepDown("a write's fate is unknown");
+        let outcome_unclear = LeadershipOutcome::StepDown("a write's outcome is unknown");
         let Some(BuiltTransaction { transaction, items }) = self.pipeline.in_flight.take() else {
-            return unknown;
+            return outcome_unclear;
         };
         let Reply::Answer(200, body) = reply else {
-            return unknown;
+            return outcome_unclear;
         };
         let compared = transaction.conditions.iter().find(|c| c.key == op.key());
         let found = wire::decode::<Entry>(&body);
         let (Some(compared), Some(found), Operation::Put { value, .. }) = (compared, found, op)
         else {
-            return unknown;
+            return outcome_unclear;
         };
         if found.version <= compared.version || found.value != *value {
-            return unknown;
+            return outcome_unclear;
         }
         self.backoff.succeeded();
         for item in items {
@@ -333,7 +341,7 @@
         LeadershipOutcome::Continue
     }
 
-    /// Has the next records written in the format in force: a few at a time, and
+    /// Queues the next records for rewriting in the format in force: a few at a time, and
     /// only while less than half of the write rate is used.
     pub fn queue_outdated_chunks(
         &mut self,
@@ -349,7 +357,7 @@
             return;
         }
         let jobs = &cluster.jobs;
-        // What is over is deleted, and needs no rewriting.
+        // Records of ended jobs are deleted, so they need no rewriting.
         self.outdated_chunks
             .retain(|(id, _)| jobs.get(id).is_some_and(Job::is_open));
         let is_writable = |(id, _): &&(JobId, u32)| {
@@ -357,18 +365,18 @@
                 .is_some_and(|job| job.is_open() && !job.unreadable)
         };
         let next = self.outdated_chunks.iter().filter(is_writable);
-        let next: Vec<(JobId, u32)> = next.take(MAX_REWRITTEN).cloned().collect();
+        let next: Vec<(JobId, u32)> = next.take(MAX_REWRITTEN_CHUNKS).cloned().collect();
         for chunk in next {
             cluster.unwritten.dirty_chunks.mark(chunk, now, false);
         }
     }
 
-    /// Whether all that is stored has the format in force.
+    /// Whether all stored records have the format in force.
     pub fn is_rewritten(&self, format: FormatVersion) -> bool {
         format < WITH_HISTORY || self.outdated_chunks.is_empty()
     }
 
-    /// An item was not written: it goes with a later transaction.
+    /// Queues an item that was not written for a later transaction.
     fn requeue(&mut self, now: Time, context: &mut WriteContext<'_>, item: CommitItem) {
         let unwritten = &mut context.cluster.unwritten;
         match item {
@@ -388,7 +396,7 @@
         }
     }
 
-    /// An item is stored, by this transaction at this revision.
+    /// Applies the effects of an item that this transaction has stored at this revision.
     pub fn apply_committed(
         &mut self,
         context: &mut WriteContext<'_>,
@@ -404,7 +412,7 @@
             CommitItem::Finish(id) => apply_stored_outcome(context.cluster, id),
             CommitItem::FinishAndDelete(id) => {
                 if let Some(job) = context.cluster.jobs.get(&id) {
-                    log_done(&id, job);
+                    log_job_done(&id, job);
                 }
                 self.forget_job(context, &id);
             }
@@ -419,8 +427,9 @@
         }
     }
 
-    /// Nothing of a job is left, here or stored. What is noted of its records goes
-    /// too: where a format version is held back for weeks it would pile up.
+    /// Removes a job that has no records any more, in memory or stored. The list of its
+    /// outdated chunks is removed too: where a format version is held back for weeks the
+    /// list would grow without bound.
     fn forget_job(&mut self, context: &mut WriteContext<'_>, id: &JobId) {
         let job = context.cluster.jobs.remove(id);
         for chunk in job.iter().flat_map(|job| job.chunks.keys()) {
@@ -429,7 +438,7 @@
         context.status.forget_job(id);
     }
 
-    /// Records whether a chunk that was stored has the format in force.
+    /// Records whether a stored chunk has the format in force.
     fn record_chunk_format(&mut self, id: &JobId, chunk: u32, transaction: &Transaction) {
         let chunk_key = job_records::chunk_key(id, chunk);
         let value = transaction.ops.iter().find_map(|op| match op {
@@ -445,7 +454,7 @@
     }
 }
 
-/// The keys whose precondition failed, by the answer to a transaction.
+/// The keys whose precondition failed, according to the answer to a transaction.
 fn failed_keys(body: &[u8]) -> Vec<String> {
     wire::decode::<TransactionResponse>(body)
         .unwrap_or_default()
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -9,17 +9,18 @@
 use crate::wire::users::JobShape;
 use std::rc::Rc;
 
-fn with_job(leader: &mut Leader, id: &str, tasks: u32) {
+fn insert_job(leader: &mut Leader, id: &str, tasks: u32) {
     let spec = Rc::new(submission(id, JobShape::Array, tasks));
     let job = Job::new(spec, WallTime(0), Version(7), 1);
     leader.cluster.jobs.insert(id.into(), job);
 }
 
-/// What a cancelled job's deletion leaves behind after each transaction,
-/// where the state service's rate cuts them short.
-fn keys_left_after_each_transaction(room: usize) -> Vec<(bool, bool)> {
+/// Deletes a cancelled job with six chunks at a write rate that allows `room` operations
+/// per transaction. Returns, after each transaction, whether the job's submission and
+/// whether its outcome is still stored.
+fn keys_after_each_deletion(room: usize) -> Vec<(bool, bool)> {
     let mut leader = leader();
-    with_job(&mut leader, "wk-1", 1);
+    insert_job(&mut leader, "wk-1", 1);
     let id = JobId::from("wk-1");
     let job = leader.cluster.jobs.get_mut(&id).unwrap();
     job.outcome = Some(JobOutcome::Cancelled);
@@ -31,12 +32,12 @@
         job.chunks.insert(chunk, stored);
     }
     leader.cluster.unwritten.jobs_to_delete.insert(id.clone());
-    let (mut end, mut submitted, mut left) = (true, true, Vec::new());
+    let (mut has_outcome, mut has_submission, mut remaining) = (true, true, Vec::new());
     let mut now = Time(0) + TimeSpan::secs(1.0);
     while leader.cluster.jobs.contains_key(&id) {
         let level = leader.writer.write_tokens.level(now);
         leader.writer.write_tokens.take(now, level - room as f64);
-        let mut parts = leader.writer();
+        let mut parts = leader.writer_parts();
         let Some(BuiltTransaction {
             transaction: txn,
             items,
@@ -48,46 +49,45 @@
             let Operation::Delete { key } = op else {
                 continue;
             };
-            end &= *key != job_records::job_outcome_key(&id);
-            submitted &= *key != job_records::submission_key(&id);
+            has_outcome &= *key != job_records::job_outcome_key(&id);
+            has_submission &= *key != job_records::submission_key(&id);
         }
         for item in items {
             parts
                 .writer
                 .apply_committed(&mut parts.context, item, &txn, Version(10));
         }
-        left.push((submitted, end));
+        remaining.push((has_submission, has_outcome));
         now = now + TimeSpan::millis(1);
     }
-    left
+    remaining
 }
 
-// A deletion cut short between a job's end and its submission left a
-// cancelled job looking open: the next leader ran it, long after its user
-// had been told that it was cancelled.
+// If a deletion is interrupted after the job's outcome is deleted and before its
+// submission is, the cancelled job looks open, and the next leader runs it long after its
+// user was told that it was cancelled.
 #[test]
 fn deletes_submission_before_outcome() {
-    let torn = || (4..9).any(|n| keys_left_after_each_transaction(n).contains(&(true, false)));
-    assert!(!torn());
+    let deletes_outcome_first =
+        || (4..9).any(|n| keys_after_each_deletion(n).contains(&(true, false)));
+    assert!(!deletes_outcome_first());
     for room in 4..9 {
-        assert_eq!(
-            keys_left_after_each_transaction(room).last(),
-            Some(&(false, false))
-        );
+        assert_eq!(keys_after_each_deletion(room).last(), Some(&(false, false)));
     }
     disable_check(&[SafetyCheck::OutcomeOutlivesSubmission]);
-    let caught = torn();
+    let is_detected = deletes_outcome_first();
     disable_check(&[]);
-    assert!(caught, "a deletion cut short was not missed");
+    assert!(is_detected, "an interrupted deletion must be detected");
 }
 
-// A job that was done took five changes to end and go, of the ninety a second
-// that there are; a part of one must never be left.
+// Ending and deleting a completed job in separate steps takes five changes, of the ninety
+// a second that the store accepts. In one transaction, none of the records may be left
+// behind.
 #[test]
 fn closes_job_without_assignments_in_one_transaction() {
-    let ended = |place: bool| {
+    let close_job = |is_assigned: bool| {
         let mut leader = leader();
-        with_job(&mut leader, "wk-1", 1);
+        insert_job(&mut leader, "wk-1", 1);
         let id = JobId::from("wk-1");
         let job = leader.cluster.jobs.get_mut(&id).unwrap();
         (job.outcome, job.waiting) = (
@@ -99,13 +99,13 @@
             ..Default::default()
         };
         job.chunks.insert(0, stored);
-        if place {
-            let here = Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
-            job.assignments.insert(0, here);
+        if is_assigned {
+            let assigned = Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1));
+            job.assignments.insert(0, assigned);
         }
         leader.writer.outdated_chunks.insert((id.clone(), 0));
         leader.cluster.unwritten.finished_jobs.insert(id.clone());
-        let mut parts = leader.writer();
+        let mut parts = leader.writer_parts();
         let built = parts
             .writer
             .build_transaction(Time(1_000_000), &mut parts.context);
@@ -122,46 +122,50 @@
             key: job_records::job_header_key(&id),
             version: Version(7),
         };
-        assert!(txn.conditions.contains(&open), "a cancellation may race");
+        assert!(
+            txn.conditions.contains(&open),
+            "a cancellation may happen concurrently"
+        );
         for item in items {
             parts
                 .writer
                 .apply_committed(&mut parts.context, item, &txn, Version(10));
         }
-        let left = leader.cluster.jobs.contains_key(&id);
+        let job_remains = leader.cluster.jobs.contains_key(&id);
         assert_eq!(
             leader.writer.outdated_chunks.is_empty(),
-            !left,
-            "notes of it pile up"
+            !job_remains,
+            "outdated chunks of a deleted job must be removed"
         );
-        (keys.join(" "), left)
+        (keys.join(" "), job_remains)
     };
-    let (keys, left) = ended(false);
+    let (keys, job_remains) = close_job(false);
     assert_eq!(
-        (keys.as_str(), left),
+        (keys.as_str(), job_remains),
         ("+job/wk-1 -r/wk-1/0 -w/j/wk-1", false)
     );
-    // One of its tasks may still be somewhere: what says so stays.
-    let (keys, left) = ended(true);
-    assert_eq!((keys.as_str(), left), ("+job/wk-1 +w/x/wk-1", true));
+    // One of its tasks may still be on a machine, so the record of the assignment stays.
+    let (keys, job_remains) = close_job(true);
+    assert_eq!((keys.as_str(), job_remains), ("+job/wk-1 +w/x/wk-1", true));
 }
 
-// However late a leader hears of a cancellation, and whatever it believes
-// of a job, the state service refuses its starts; all else goes on.
+// However late a leader learns of a cancellation, and whatever state of the job it has in
+// memory, the key-value store rejects starts of the job. The starts of other jobs are
+// retried.
 #[test]
 fn stores_no_start_of_ended_job() {
     let mut leader = leader();
     for id in ["wk-1", "wk-2"] {
-        with_job(&mut leader, id, 2);
+        insert_job(&mut leader, id, 2);
         let job = leader.cluster.jobs.get_mut(&JobId::from(id)).unwrap();
         job.waiting.remove(0);
         let change = job.record_change(leader.cluster.chunk_size, 0);
-        let place = Assignment {
+        let unsent = Assignment {
             change,
             phase: crate::core::assignment::AssignmentPhase::Unsent,
             ..Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
         };
-        job.assignments.insert(0, place);
+        job.assignments.insert(0, unsent);
         leader
             .cluster
             .unwritten
@@ -185,8 +189,9 @@
         revision: Version(9),
         failed: vec!["job/wk-1".into()],
     };
-    let fate = leader.handle_commit_reply(&mut effects, Reply::Answer(409, wire::encode(&refused)));
-    assert_eq!(fate, LeadershipOutcome::Continue);
+    let leadership =
+        leader.handle_commit_reply(&mut effects, Reply::Answer(409, wire::encode(&refused)));
+    assert_eq!(leadership, LeadershipOutcome::Continue);
     let job = |id: &str| &leader.cluster.jobs[&JobId::from(id)];
     assert!(!job("wk-1").is_open() && job("wk-1").assignments.is_empty());
     assert!(job("wk-2").is_open() && job("wk-2").assignments.len() == 1);
@@ -200,20 +205,21 @@
     );
 }
 
-/// A leader whose first start is in flight and whose answer was lost, once repeated.
+/// A leader whose commit of its first start lost its answer, after the retry was answered
+/// with 409 and these failed keys. Returns the outcome of that answer.
 fn leader_after_repeated_commit(failed: &[&str]) -> (Leader, Effects, LeadershipOutcome) {
     let mut leader = leader();
-    with_job(&mut leader, "wk-1", 2);
+    insert_job(&mut leader, "wk-1", 2);
     let id = JobId::from("wk-1");
     let job = leader.cluster.jobs.get_mut(&id).unwrap();
     job.waiting.remove(0);
     let change = job.record_change(leader.cluster.chunk_size, 0);
-    let place = Assignment {
+    let unsent = Assignment {
         change,
         phase: crate::core::assignment::AssignmentPhase::Unsent,
         ..Assignment::inherited("host-1".into(), AgentEpoch(1), Attempt(1))
     };
-    job.assignments.insert(0, place);
+    job.assignments.insert(0, unsent);
     leader
         .cluster
         .unwritten
@@ -228,18 +234,18 @@
     let failed = failed.iter().map(|k| (*k).to_string()).collect();
     let revision = Version(30);
     let body = wire::encode(&TransactionResponse { revision, failed });
-    let fate = leader.handle_commit_reply(&mut effects, Reply::Answer(409, body));
-    (leader, effects, fate)
+    let leadership = leader.handle_commit_reply(&mut effects, Reply::Answer(409, body));
+    (leader, effects, leadership)
 }
 
-// A transaction is carried out and only its answer lost. Its leader could not tell it from
-// somebody else's change and gave office up: with one answer in five lost nothing was
-// started for minutes. It reads what is recorded and decides by that.
+// A transaction is committed and only its answer is lost. A leader that cannot tell its
+// own write from another writer's change steps down: with one answer in five lost, no
+// task was started for minutes. The leader must read the stored record and decide by it.
 #[test]
 fn repeated_commit_recognizes_its_own_write() {
     let own = "r/wk-1/0";
-    let (mut leader, mut effects, fate) = leader_after_repeated_commit(&[own]);
-    assert_eq!(fate, LeadershipOutcome::Continue);
+    let (mut leader, mut effects, leadership) = leader_after_repeated_commit(&[own]);
+    assert_eq!(leadership, LeadershipOutcome::Continue);
     let calls = effects.take_outputs();
     let [crate::core::Output::Call(call)] = calls.as_slice() else {
         panic!("{calls:?}")
@@ -250,7 +256,7 @@
     let change = job.assignments[&0].change;
     assert!(
         !job.is_stored(leader.cluster.chunk_size, 0, change),
-        "nothing is sent on a guess"
+        "nothing may be sent before the outcome is known"
     );
     let txn = leader
         .writer
@@ -283,19 +289,20 @@
     assert_eq!(
         job.chunks[&0].version,
         Version(25),
-        "the next write compares it"
+        "the next write uses this version as a precondition"
     );
     assert!(leader.writer.pipeline.in_flight.is_none());
 }
 
-// What is not plainly its own is not taken for it: everything starts over from the records.
+// A stored record that is not provably the leader's own write makes the leader step down
+// and start over from the stored records.
 #[test]
 fn repeated_commit_steps_down_on_any_other_write() {
-    let gives_up = |fate| matches!(fate, LeadershipOutcome::StepDown(_));
+    let steps_down = |leadership| matches!(leadership, LeadershipOutcome::StepDown(_));
     let holder = leader().holder;
     for failed in [&["job/wk-1"][..], &[holder, "r/wk-1/0"], &[]] {
         assert!(
-            gives_up(leader_after_repeated_commit(failed).2),
+            steps_down(leader_after_repeated_commit(failed).2),
             "{failed:?}"
         );
     }
@@ -339,7 +346,7 @@
             _ => Reply::Lost,
         };
         assert!(
-            gives_up(leader.handle_own_write_read(&op, reply)),
+            steps_down(leader.handle_own_write_read(&op, reply)),
             "case {case}"
         );
     }
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -1,6 +1,6 @@
-//! Workers' heartbeats: which of them count, and when each is answered. What they
-//! list is compared in `task_reconciliation`, their commands are built in
-//! `command_dispatch`.
+//! Processes agents' heartbeats: decides which of them count, and when each is answered.
+//! `task_reconciliation` compares the tasks that they list, and `command_dispatch` builds
+//! the commands in the answers.
 
 use super::cluster_state::{ClusterState, UnsentStarts};
 use super::command_dispatch::CommandDispatcher;
@@ -22,33 +22,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time between checks for deferred heartbeats that are due.
-const CHECK_INTERVAL: TimeSpan = TimeSpan::millis(20);
-/// How long an answer may wait for a commit that concerns its machine.
-const COMMIT_WAIT: TimeSpan = TimeSpan::millis(250);
-/// Longest wait of an idle machine's heartbeat; workers drop answers after 4 s.
-const LONGEST_IDLE_WAIT: TimeSpan = TimeSpan::millis(2000);
+const DEFERRED_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(20);
+/// Longest wait of an answer for a commit that concerns its machine.
+const MAX_COMMIT_WAIT: TimeSpan = TimeSpan::millis(250);
+/// Longest wait of an idle machine's heartbeat. Agents drop answers after 4 s.
+const MAX_IDLE_WAIT: TimeSpan = TimeSpan::millis(2000);
 /// How long an idle machine's heartbeat waits, in heartbeat intervals.
 const IDLE_WAIT_INTERVALS: f64 = 0.6;
 
-/// A heartbeat whose answer waits a moment for a commit.
+/// A heartbeat whose answer waits for a commit or for work.
 #[derive(Debug)]
 pub(in crate::core) struct DeferredHeartbeat {
-    /// The request.
+    /// The HTTP request to answer.
     pub request: RequestId,
-    /// When it is answered at the latest.
-    pub until: Time,
-    /// Cycles run when it was deferred; `None`: deferred until there is work.
+    /// When the heartbeat is answered at the latest.
+    pub deadline: Time,
+    /// The number of cycles run when the heartbeat was deferred; `None`: the answer waits
+    /// for work, not for a cycle.
     pub cycles: Option<u64>,
 }
 
 impl DeferredHeartbeat {
-    /// Whether it waits for the cycle after which so many have run.
-    fn waited_for(&self, cycles: u64) -> bool {
+    /// Whether the cycle that this heartbeat waits for is among the `cycles` run so far.
+    fn awaited_cycle_ran(&self, cycles: u64) -> bool {
         self.cycles.is_some_and(|before| cycles > before)
     }
 }
 
-/// The parts that a heartbeat concerns.
+/// The components that a heartbeat concerns.
 pub(in crate::core) struct HeartbeatContext<'a> {
     /// This leader's fencing token.
     pub token: FencingToken,
@@ -56,17 +57,17 @@
     pub authority: &'a LeaderAuthority,
     /// Jobs and machines.
     pub cluster: &'a mut ClusterState,
-    /// Which machines are being terminated.
+    /// Shows which machines are being terminated.
     pub intents: &'a mut Intents,
-    /// Which machines failed before.
+    /// Machines that failed before.
     pub quarantine: &'a mut Quarantine,
     /// Builds the answers.
     pub commands: &'a mut CommandDispatcher,
-    /// Asked for a cycle when room was freed.
+    /// Runs a cycle soon after resources were freed.
     pub scheduler: &'a mut Scheduler,
 }
 
-/// What was known of a machine's agent before its newest heartbeat.
+/// The state of a machine's agent before its newest heartbeat.
 #[derive(Clone, Copy, Debug)]
 struct PreviousHeartbeat {
     epoch: AgentEpoch,
@@ -74,8 +75,8 @@
 }
 
 impl HeartbeatContext<'_> {
-    /// Takes over what a heartbeat says of its machine. `None`: it is no newer than
-    /// the newest known, and changes nothing.
+    /// Updates a machine from its heartbeat. `None`: the heartbeat is not newer than the
+    /// newest one received, and changes nothing.
     fn update_machine(&mut self, now: Time, heartbeat: &Heartbeat) -> Option<PreviousHeartbeat> {
         let machine = self
             .cluster
@@ -93,7 +94,8 @@
         Some(previous)
     }
 
-    /// Compares a heartbeat with the placements; true if that freed room.
+    /// Compares the tasks that a heartbeat lists with the assignments. Returns whether
+    /// that freed resources.
     fn apply_heartbeat(
         &mut self,
         at: Now,
@@ -112,7 +114,8 @@
         let result = self.cluster.reconcile_tasks(&received, &mut recorder);
         self.commands.record_reported_tasks(heartbeat);
         self.check_delivery(at.time, heartbeat, previous, result.delivery);
-        // One without our token may be an old copy, and its notice another's.
+        // A heartbeat without our token may be an old copy, and its termination notice
+        // outdated.
         if heartbeat.notice_s.is_some() && heartbeat.token == self.token {
             let id = &heartbeat.machine;
             self.cluster.stop_tasks_before_termination(at.time, id);
@@ -120,8 +123,9 @@
         result.freed_room
     }
 
-    /// Notes whether a machine receives its answers. Starts that never reached one
-    /// that does not go elsewhere: that they did not arrive is proven.
+    /// Records whether a machine receives the answers to its heartbeats. If it does not,
+    /// starts that never reached it are placed elsewhere: it is proven that they did not
+    /// arrive.
     fn check_delivery(
         &mut self,
         now: Time,
@@ -144,7 +148,7 @@
             starts
         };
         if machine.delivery.record_heartbeat(now, lease, evidence) {
-            tracing::info!(machine = %heartbeat.machine, ?evidence, "machine sends heartbeats and does not receive the answers; no new work goes there");
+            tracing::info!(machine = %heartbeat.machine, ?evidence, "machine sends heartbeats but does not receive the answers; no new tasks are placed on it");
         }
         if machine.delivery.answers_arrive() {
             return;
@@ -160,8 +164,8 @@
         }
     }
 
-    /// Whether a machine that has just sent a heartbeat has nothing to do and may
-    /// get work.
+    /// Whether a machine that has just sent a heartbeat runs no tasks and may receive
+    /// some.
     fn is_idle(&self, now: Time, heartbeat: &Heartbeat) -> bool {
         let machine = self.cluster.machines.get(&heartbeat.machine);
         heartbeat.tasks.is_empty()
@@ -172,32 +176,32 @@
     }
 }
 
-/// Heartbeats whose answer is deferred, and when it is next looked at.
+/// The heartbeats whose answers are deferred, with the time of their next check.
 #[derive(Debug)]
 pub(in crate::core) struct HeartbeatReconciler {
-    /// Heartbeats not answered yet.
+    /// Heartbeats not answered yet, at most one for each machine.
     deferred: BTreeMap<MachineId, DeferredHeartbeat>,
-    /// When all of them are next checked.
+    /// When all deferred heartbeats are next checked.
     next_check: Time,
-    /// Cycles that had run when all of them were last checked.
-    checked_cycle: u64,
+    /// The number of cycles run when all deferred heartbeats were last checked.
+    cycles_at_last_check: u64,
     /// Machines for which starts were stored since the last check.
     pub machines_with_stored_starts: BTreeSet<MachineId>,
 }
 
 impl HeartbeatReconciler {
-    /// Without deferred heartbeats.
+    /// A reconciler without deferred heartbeats.
     pub fn new(now: Time) -> HeartbeatReconciler {
         HeartbeatReconciler {
             deferred: BTreeMap::new(),
             next_check: now,
-            checked_cycle: 0,
+            cycles_at_last_check: 0,
             machines_with_stored_starts: BTreeSet::new(),
         }
     }
 
-    /// Handles a worker's heartbeat that carries no higher token than ours;
-    /// `may_defer`: its answer may wait for work.
+    /// Processes an agent's heartbeat whose token is not higher than this leader's.
+    /// `may_defer`: its answer may wait until there is work for the machine.
     pub fn handle_heartbeat(
         &mut self,
         effects: &mut Effects,
@@ -209,17 +213,18 @@
         let now = effects.now.time;
         let id = &heartbeat.machine;
         if heartbeat.epoch == AgentEpoch(0) {
-            tracing::error!(machine = %id, "heartbeat of agent epoch 0, which no worker has, ignored");
+            tracing::error!(machine = %id, "ignoring heartbeat with invalid agent epoch 0");
             effects.answer_status(request, 400);
             return;
         }
-        // One of a machine that is gone was delayed by the network.
+        // A heartbeat of a terminated machine was delayed by the network.
         if !context.authority.may_answer(now) || context.intents.is_terminated(id) {
             effects.answer_later(request, 503, 1);
             return;
         }
         let Some(previous) = context.update_machine(now, heartbeat) else {
-            // Delayed by the network; its sender no longer waits.
+            // The heartbeat was delayed by the network, and its sender no longer waits
+            // for the answer.
             effects.answer_later(request, 503, 1);
             return;
         };
@@ -230,7 +235,7 @@
         self.answer_or_defer(effects, context, request, heartbeat, may_defer, freed_room);
     }
 
-    /// Answers a heartbeat at once, unless work for its machine may come soon.
+    /// Answers a heartbeat immediately, unless there may be work for its machine soon.
     fn answer_or_defer(
         &mut self,
         effects: &mut Effects,
@@ -243,21 +248,21 @@
         let now = effects.now.time;
         let id = &heartbeat.machine;
         if may_defer && context.is_idle(now, heartbeat) {
-            // A long poll: an idle machine's next work reaches it at once
-            // instead of with its next heartbeat.
+            // A long poll: a start for an idle machine is sent immediately instead of
+            // with the answer to its next heartbeat.
             let interval = context.cluster.settings.workers.report;
-            let wait = interval.scaled(IDLE_WAIT_INTERVALS).min(LONGEST_IDLE_WAIT);
+            let wait = interval.scaled(IDLE_WAIT_INTERVALS).min(MAX_IDLE_WAIT);
             self.defer(id, request, now + wait, None);
         } else if freed_room
             && context.authority.may_start(now)
             && context.cluster.has_waiting_tasks()
         {
-            // Placing and committing takes a moment; the answer that carries
-            // the starts need not wait for the next heartbeat.
+            // Placing and committing tasks takes a short time. The answer waits for it,
+            // so that the starts need not wait for the next heartbeat.
             let machines = context.cluster.machines.len();
             context.scheduler.request_cycle(now, machines);
             let cycles = Some(context.scheduler.cycles);
-            self.defer(id, request, now + COMMIT_WAIT, cycles);
+            self.defer(id, request, now + MAX_COMMIT_WAIT, cycles);
         } else {
             let (cluster, authority) = (&mut *context.cluster, context.authority);
             context
@@ -266,18 +271,18 @@
         }
     }
 
-    fn defer(&mut self, id: &MachineId, request: RequestId, until: Time, cycles: Option<u64>) {
+    fn defer(&mut self, id: &MachineId, request: RequestId, deadline: Time, cycles: Option<u64>) {
         let deferred = DeferredHeartbeat {
             request,
-            until,
+            deadline,
             cycles,
         };
         self.deferred.insert(id.clone(), deferred);
     }
 
-    /// Answers deferred heartbeats whose moment has come, after so many cycles. Only
-    /// machines for which a start was stored are looked at closely, and after a cycle
-    /// those that wait for one.
+    /// Answers the deferred heartbeats that are due, after `cycles` cycles. Each call
+    /// examines only machines for which a start was stored; after a cycle, or
+    /// periodically, all are examined.
     pub fn answer_deferred(
         &mut self,
         effects: &mut Effects,
@@ -288,10 +293,10 @@
     ) {
         let now = effects.now.time;
         let mut due = self.due_after_commit(cluster, cycles);
-        if now >= self.next_check || self.checked_cycle < cycles {
+        if now >= self.next_check || self.cycles_at_last_check < cycles {
             due.extend(self.due_by_time_or_cycle(now, cluster, cycles));
-            self.next_check = now + CHECK_INTERVAL;
-            self.checked_cycle = cycles;
+            self.next_check = now + DEFERRED_CHECK_INTERVAL;
+            self.cycles_at_last_check = cycles;
         }
         for id in due {
             if let Some(heartbeat) = self.deferred.remove(&id) {
@@ -300,7 +305,7 @@
         }
     }
 
-    /// Machines for which starts were stored, and whose heartbeat has nothing more to
+    /// Machines for which starts were stored, and whose heartbeat has nothing further to
     /// wait for.
     fn due_after_commit(&mut self, cluster: &ClusterState, cycles: u64) -> Vec<MachineId> {
         let stored = std::mem::take(&mut self.machines_with_stored_starts);
@@ -309,44 +314,46 @@
             self.deferred.get(id).is_some_and(|heartbeat| match unsent {
                 UnsentStarts::Sendable => true,
                 UnsentStarts::WaitForStorage => false,
-                UnsentStarts::None => heartbeat.waited_for(cycles),
+                UnsentStarts::None => heartbeat.awaited_cycle_ran(cycles),
             })
         };
         stored.into_iter().filter(is_due).collect()
     }
 
-    /// Machines whose heartbeat has waited for as long as it may, or for a cycle that
-    /// has placed nothing there.
+    /// Machines whose heartbeat has waited for the longest time allowed, or for a cycle
+    /// that has placed nothing there.
     fn due_by_time_or_cycle(
         &self,
         now: Time,
         cluster: &ClusterState,
         cycles: u64,
     ) -> Vec<MachineId> {
-        let is_after_cycle = self.checked_cycle < cycles;
+        let has_new_cycle = self.cycles_at_last_check < cycles;
         let is_due = |id: &MachineId, heartbeat: &DeferredHeartbeat| {
-            let cycle_ran = is_after_cycle && heartbeat.waited_for(cycles);
-            now >= heartbeat.until
+            let cycle_ran = has_new_cycle && heartbeat.awaited_cycle_ran(cycles);
+            now >= heartbeat.deadline
                 || (cycle_ran && cluster.unsent_starts(id) != UnsentStarts::WaitForStorage)
         };
         let due = self.deferred.iter().filter(|(id, h)| is_due(id, h));
         due.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Gives up all deferred heartbeats, when leadership ends.
+    /// Answers all deferred heartbeats with 503 when leadership ends, so that their
+    /// agents retry.
     pub fn drop_deferred(&mut self, effects: &mut Effects) {
         for heartbeat in std::mem::take(&mut self.deferred).into_values() {
             effects.answer_later(heartbeat.request, 503, 1);
         }
     }
 
-    /// A machine is gone: nobody waits for its answer.
+    /// Drops the deferred heartbeat of a machine that no longer exists, without an
+    /// answer.
     pub fn forget_machine(&mut self, id: &MachineId) {
         self.deferred.remove(id);
     }
 }
 
-/// Takes over what a heartbeat says of its machine.
+/// Updates a machine's fields from its heartbeat.
 fn record_heartbeat(
     now: Time,
     machine: &mut Machine,
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -12,9 +12,9 @@
 use crate::wire::workers::{ReportedTask, StopReason, TaskState};
 use std::rc::Rc;
 
-// A direct command can bring our token to a worker whose lease an older
-// leader renewed after our last 200: its lease ends later than that 200
-// says, and its tasks run on after they were written off.
+// A direct command can deliver this leader's token to an agent whose lease an older
+// leader renewed after this leader's last 200. The lease then ends later than that 200
+// implies, and a leader that counts from the 200 removes the tasks while they still run.
 #[test]
 fn lease_counts_from_first_heartbeat_with_own_token() {
     let mut leader = leader();
@@ -25,18 +25,18 @@
     m.our_token_since = Some(Time(100_000_000));
     let id = MachineId::from("host-1");
     leader.cluster.machines.insert(id.clone(), m);
-    let mut lost_at = |secs: f64| {
+    let mut presumed_dead_at = |secs: f64| {
         leader.expire_leases(effects_at(secs).now);
         leader.cluster.machines[&id].presumed_dead
     };
-    // The fixture's lease is 10 s.
-    assert!(!lost_at(105.0));
-    assert!(!lost_at(110.5));
-    assert!(lost_at(111.5));
+    // The lease in the test settings is 10 s.
+    assert!(!presumed_dead_at(105.0));
+    assert!(!presumed_dead_at(110.5));
+    assert!(presumed_dead_at(111.5));
 }
 
-/// A leader that has loaded, with a job of two tasks on a machine that has reported
-/// under its token.
+/// A leader that has loaded, with a job of two tasks on a machine that has sent a
+/// heartbeat with this leader's token.
 fn loaded_leader() -> (Leader, MachineId) {
     let mut leader = leader();
     leader.authority.record_load_page(Time(0));
@@ -45,7 +45,7 @@
     let job = Job::new(Rc::new(spec), WallTime(0), Version(7), 1);
     leader.cluster.jobs.insert("wk-1".into(), job);
     let id = MachineId::from("host-1");
-    send_heartbeat(&mut leader, 1.0, report(1, 5));
+    send_heartbeat(&mut leader, 1.0, heartbeat(1, 5));
     for index in 0..2 {
         let job = "wk-1".into();
         leader
@@ -65,8 +65,8 @@
     (leader, id)
 }
 
-/// A report of this number that carries this token, without tasks.
-fn report(sequence: u64, token: u64) -> Heartbeat {
+/// A heartbeat with this sequence number and this token, without tasks.
+fn heartbeat(sequence: u64, token: u64) -> Heartbeat {
     Heartbeat {
         machine: "host-1".into(),
         addr: "10.1.0.1:9000".into(),
@@ -91,30 +91,35 @@
     }
 }
 
-/// What it answers, and what becomes of it.
-fn send_heartbeat(leader: &mut Leader, secs: f64, report: Heartbeat) -> (u16, LeadershipOutcome) {
+/// Sends a heartbeat. Returns the status of the answer, and the outcome for the leader's
+/// term.
+fn send_heartbeat(
+    leader: &mut Leader,
+    secs: f64,
+    heartbeat: Heartbeat,
+) -> (u16, LeadershipOutcome) {
     let mut effects = effects_at(secs);
-    let fate = leader.handle_heartbeat(&mut effects, RequestId(1), report, false);
+    let outcome = leader.handle_heartbeat(&mut effects, RequestId(1), heartbeat, false);
     let answer = effects.take_outputs().into_iter().find_map(|o| match o {
         Output::Answer(_, a) => Some(a.status),
         _ => None,
     });
-    (answer.expect("an answer"), fate)
+    (answer.expect("an answer"), outcome)
 }
 
-// A successor that heard an old copy of a report first took its notice for the
-// machine's, and stopped what ran there.
+// A new leader that first received an old copy of a heartbeat applied its outdated
+// termination notice to the machine, and stopped the tasks there.
 #[test]
 fn termination_notice_counts_only_with_own_token() {
     for (token, stopped) in [(4, 0), (5, 2)] {
         let (mut leader, _) = loaded_leader();
         let running = |i| task(&format!("wk-1/{i}"), 1, TaskState::Running, None);
-        let told = Heartbeat {
+        let with_notice = Heartbeat {
             notice_s: Some(8.0),
             tasks: (0..2).map(running).collect(),
-            ..report(2, token)
+            ..heartbeat(2, token)
         };
-        send_heartbeat(&mut leader, 2.0, told);
+        send_heartbeat(&mut leader, 2.0, with_notice);
         let assignments = leader.cluster.jobs[&"wk-1".into()].assignments.values();
         assert_eq!(
             assignments.filter(|p| p.stop.is_some()).count(),
@@ -124,46 +129,46 @@
     }
 }
 
-// A report with a token that nobody was given deposed a healthy leader, which took its
-// key again, and was deposed by the next report.
+// A heartbeat with a token that was never issued deposed a healthy leader, which was
+// elected again and deposed by the next heartbeat.
 #[test]
 fn ignores_token_that_was_never_issued() {
     let (mut leader, _) = loaded_leader();
     assert_eq!(
-        send_heartbeat(&mut leader, 2.0, report(2, u64::MAX)),
+        send_heartbeat(&mut leader, 2.0, heartbeat(2, u64::MAX)),
         (421, LeadershipOutcome::Continue)
     );
-    // One that may have been given since the last read does.
+    // A token that may have been issued since the last read deposes the leader.
     let later = FencingToken(9);
-    let deposed = send_heartbeat(&mut leader, 2.0, report(3, later.0));
+    let deposed = send_heartbeat(&mut leader, 2.0, heartbeat(3, later.0));
     assert_eq!(deposed, (421, LeadershipOutcome::Deposed(later)));
-    // A read has shown everything up to its revision, and no other leader.
-    let none = WatchResponse {
+    // The read has shown all changes up to its revision, and no other leader.
+    let no_events = WatchResponse {
         revision: Version(500),
         events: Vec::new(),
     };
-    let read = Reply::Answer(200, wire::encode(&none));
+    let read = Reply::Answer(200, wire::encode(&no_events));
     leader.handle_read_reply(&mut effects_at(2.5), Time(2_000_000), read);
     assert_eq!(
-        send_heartbeat(&mut leader, 2.0, report(4, later.0)),
+        send_heartbeat(&mut leader, 2.0, heartbeat(4, later.0)),
         (421, LeadershipOutcome::Continue)
     );
 }
 
 #[test]
-fn ignores_impossible_heartbeats() {
+fn ignores_invalid_heartbeats_and_results() {
     let (mut leader, id) = loaded_leader();
     let before = leader.cluster.machines[&id].sequence;
-    let no_session = Heartbeat {
+    let epoch_zero = Heartbeat {
         epoch: AgentEpoch(0),
-        ..report(9, 5)
+        ..heartbeat(9, 5)
     };
     assert_eq!(
-        send_heartbeat(&mut leader, 2.0, no_session),
+        send_heartbeat(&mut leader, 2.0, epoch_zero),
         (400, LeadershipOutcome::Continue)
     );
     assert_eq!(leader.cluster.machines[&id].sequence, before);
-    // Results of attempts that were never given, of unknown tasks and jobs.
+    // Results of attempts that were never assigned, and of unknown tasks and jobs.
     let done = |name, attempt| task(name, attempt, TaskState::Exited, Some(StopReason::Done));
     let tasks = vec![
         done("wk-1/0", 9),
@@ -176,23 +181,23 @@
         2.0,
         Heartbeat {
             tasks,
-            ..report(2, 5)
+            ..heartbeat(2, 5)
         },
     );
     assert!(leader.cluster.jobs[&"wk-1".into()].done.is_empty());
-    // One that was given counts, wherever it comes from.
+    // The result of an assigned attempt counts, whichever machine reports it.
     let tasks = vec![done("wk-1/0", 1)];
     let elsewhere = Heartbeat {
         machine: "host-2".into(),
         tasks,
-        ..report(1, 4)
+        ..heartbeat(1, 4)
     };
     send_heartbeat(&mut leader, 2.0, elsewhere);
     assert!(leader.cluster.jobs[&"wk-1".into()].done.contains(0));
 }
 
-// A machine whose answers are lost got the same starts again and again, and the tasks
-// waited there for a lease.
+// A machine that did not receive its answers was sent the same starts repeatedly, and
+// their tasks waited there for the length of a lease.
 #[test]
 fn moves_starts_off_unreachable_machine() {
     let (mut leader, id) = loaded_leader();
@@ -201,7 +206,7 @@
         leader.authority.record_read(Time(0) + TimeSpan::secs(secs));
         let placed = leader.cluster.jobs[&"wk-1".into()].assignments.len();
         assert_eq!(placed, 2, "at {secs} s");
-        send_heartbeat(&mut leader, secs, report(u64::from(n) + 2, 5));
+        send_heartbeat(&mut leader, secs, heartbeat(u64::from(n) + 2, 5));
     }
     let job = &leader.cluster.jobs[&"wk-1".into()];
     assert!(job.assignments.is_empty() && job.waiting.len() == 2);
--- a/crates/controller/src/core/leader/outcome.rs
+++ b/crates/controller/src/core/leader/outcome.rs
@@ -1,14 +1,14 @@
-//! What an input means for the leadership itself.
+//! What an input means for the leader's term.
 
 use crate::types::FencingToken;
 
-/// What is to become of this leadership.
+/// Whether this leader's term continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipOutcome {
-    /// It goes on.
+    /// The term continues.
     Continue,
-    /// Another node holds a higher fencing token.
+    /// Another controller holds this higher fencing token.
     Deposed(FencingToken),
-    /// It steps down, for this reason, to start over from what is recorded.
+    /// The leader steps down, for this reason, to start over from the stored records.
     StepDown(&'static str),
 }
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -1,5 +1,5 @@
-//! What a new leader takes over from the records: jobs, their progress, and what
-//! earlier leaders intended. Makes no calls.
+//! Loads the stored records into a new leader: jobs, their progress, and the intents of
+//! earlier leaders. Makes no calls.
 
 use super::arrival_recorder::ArrivalRecorder;
 use super::cluster_state::ClusterState;
@@ -21,23 +21,23 @@
 use crate::wire::kvstore::{Entry, WatchEvent};
 use std::collections::BTreeSet;
 
-/// The parts that records are loaded into.
+/// The components that records are loaded into.
 pub(in crate::core) struct RecordContext<'a> {
-    /// The key whose version is the fencing token.
-    pub holder: &'static str,
-    /// The fencing token.
+    /// The leader key. Its version is the fencing token.
+    pub leader_key: &'static str,
+    /// The fencing token of this leader.
     pub token: FencingToken,
-    /// Told what was read, and when.
+    /// Records which reads were answered, and when they were sent.
     pub authority: &'a mut LeaderAuthority,
-    /// Changes of leader and format-version keys.
+    /// Receives changes of leader and format-version keys.
     pub version_events: &'a mut Vec<WatchEvent>,
     /// Jobs and machines.
     pub cluster: &'a mut ClusterState,
-    /// Told of orphaned keys and outdated records.
+    /// Receives orphaned keys and outdated records.
     pub writer: &'a mut TransactionWriter,
-    /// Asked for a cycle when a job comes.
+    /// Runs a cycle soon after a job has arrived.
     pub scheduler: &'a mut Scheduler,
-    /// What the cloud is to do.
+    /// Intents to provision and terminate machines.
     pub intents: &'a mut Intents,
     /// Machines that failed.
     pub quarantine: &'a mut Quarantine,
@@ -46,21 +46,22 @@
 }
 
 impl RecordContext<'_> {
-    /// Takes over leader keys, submissions and outcomes; false if another node holds
-    /// the leader's key by now.
+    /// Loads leader keys, submissions and outcomes. Returns false if this leader does not
+    /// hold the leader key any more.
     pub fn load_watched(&mut self, records: &mut RecordWatcher, entries: &[Entry]) -> bool {
-        let mut is_holder = false;
+        let mut holds_leader_key = false;
         for entry in entries {
             match job_records::parse_watched_key(&entry.key) {
                 Watched::Leadership => {
-                    is_holder |= entry.key == self.holder && entry.version.0 == self.token.0;
-                    self.version_events.push(as_event(entry));
+                    holds_leader_key |=
+                        entry.key == self.leader_key && entry.version.0 == self.token.0;
+                    self.version_events.push(to_watch_event(entry));
                 }
                 Watched::Part(id, number) => records.assembler.part(id, number, &entry.value),
                 _ => {}
             }
         }
-        if !is_holder {
+        if !holds_leader_key {
             return false;
         }
         let submitted = |entry: &Entry| match job_records::parse_watched_key(&entry.key) {
@@ -86,7 +87,7 @@
         true
     }
 
-    /// Takes over a job's submission.
+    /// Adds the job of a submission, unless it is loaded already.
     pub fn add_job(
         &mut self,
         assembler: &mut SubmissionAssembler,
@@ -98,11 +99,12 @@
             return;
         }
         let Some(job) = assembler.job(id, version, value) else {
-            tracing::error!(job = %id, "record of the submission cannot be read");
+            tracing::error!(job = %id, "submission record cannot be read");
             return;
         };
         self.arrivals.record(&job, &self.cluster.machine_types);
-        // A new leader reads all open jobs at once: that is no news.
+        // While a new leader loads, it adds all open jobs, which earlier leaders have
+        // logged.
         if self.authority.is_loaded() {
             tracing::info!(job = %id, team = %job.spec.team, class = %job.spec.class, tasks = job.spec.tasks, image = %job.spec.image, "job accepted");
         }
@@ -120,7 +122,7 @@
         });
     }
 
-    /// The watch shows that a job's user cancelled it.
+    /// Cancels a job whose outcome the watch shows as cancelled by its user.
     pub fn cancel_job(&mut self, now: Time, id: &JobId) {
         if let Some(job) = self.cluster.jobs.get(id) {
             tracing::info!(job = %id, team = %job.spec.team, "job cancelled by its user");
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Takes over the progress of jobs.
+    /// Loads the progress records of jobs, then orders the remaining tasks of ended jobs
+    /// to stop.
     pub fn load_progress_records(
         &mut self,
         now: Time,
@@ -140,7 +143,7 @@
         }
         let ended = self.cluster.inherit_assignments(now);
         for id in ended {
-            self.cluster.stop_ended_job(now, &id, "its job is over");
+            self.cluster.stop_ended_job(now, &id, "its job has ended");
         }
     }
 
@@ -148,7 +151,7 @@
         let Some((id, chunk)) = job_records::parse_chunk_key(&entry.key) else {
             return;
         };
-        // Without its submission a record is a remnant of an ended job.
+        // A record without a submission is left over from an ended job.
         let collector = &mut self.writer.garbage_collector;
         collector.check_key(&entry.key, entry.version, |id| submitted.contains(id));
         let Some(job) = self.cluster.jobs.get_mut(&id) else {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Takes over what earlier leaders intended, and what they knew of machines and
+    /// Loads the intents of earlier leaders, and their records of failed machines and of
     /// arrivals.
     pub fn load_leader_records(&mut self, at: Now, entries: Vec<Entry>) {
         for entry in entries {
@@ -188,7 +191,7 @@
     fn load_intent(&mut self, at: Now, entry: &Entry) {
         for id in self.intents.load(&entry.key, &entry.value, at.wall) {
             let machine = self.cluster.register_machine(at.time, &id, self.intents);
-            machine.mark_for_termination("an earlier leader meant to release it");
+            machine.mark_for_termination("an earlier leader decided to terminate it");
         }
     }
 
@@ -196,17 +199,17 @@
         let Some((id, is_drained)) = self.quarantine.load(&entry.key, &entry.value) else {
             return;
         };
-        let left = self.quarantine.pause_left(&id, at.wall);
+        let remaining_pause = self.quarantine.pause_left(&id, at.wall);
         let machine = self.cluster.register_machine(at.time, &id, self.intents);
-        machine.quarantined_until = left.map(|left| at.time + left);
+        machine.quarantined_until = remaining_pause.map(|pause| at.time + pause);
         if is_drained && machine.lifecycle == MachineLifecycle::InService {
             machine.lifecycle = MachineLifecycle::Draining;
         }
     }
 }
 
-/// An entry as the watch would have shown it.
-fn as_event(entry: &Entry) -> WatchEvent {
+/// Converts a loaded entry to the event that the watch would have shown for it.
+fn to_watch_event(entry: &Entry) -> WatchEvent {
     WatchEvent {
         put: Some(entry.key.clone()),
         delete: None,
@@ -216,9 +219,9 @@
 }
 
 impl ClusterState {
-    /// After a load: has machines hold the tasks that the records place on them, and
-    /// notes jobs that are done or can be deleted. Returns ended jobs that still have
-    /// tasks somewhere.
+    /// Assigns to machines, after a load, the tasks that the records place on them, and
+    /// queues jobs that are done or can be deleted. Returns ended jobs some of whose
+    /// tasks may still be on machines.
     fn inherit_assignments(&mut self, now: Time) -> Vec<JobId> {
         let mut ended_with_tasks = Vec::new();
         for (id, job) in &mut self.jobs {
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -1,5 +1,5 @@
-//! Reading what is recorded: all of it page by page when a leader starts, and
-//! after that the changes as they come. What the records mean is in `record_load`.
+//! Reads the stored records: all of them, page by page, when a leader starts, and after
+//! that their changes, by long polls. How records are applied is in `record_load`.
 
 use super::outcome::LeadershipOutcome;
 use super::pending_call::PendingCall;
@@ -15,84 +15,86 @@
 use crate::wire::kvstore::{Entry, EntryPage, WatchEvent, WatchResponse};
 use std::collections::BTreeSet;
 
-/// How long a read may take, beyond the time that a watch is held.
+/// How long a read may take, in addition to the time for which a watch is held.
 const READ_TIMEOUT: TimeSpan = TimeSpan::millis(3000);
-/// Pauses after reads that failed.
+/// Shortest and longest pause after a failed read.
 const SHORTEST_BACKOFF: TimeSpan = TimeSpan::millis(150);
 const LONGEST_BACKOFF: TimeSpan = TimeSpan::millis(1000);
-/// Changes of the key-value store that no rate bounds, as when leases end.
-const MAX_UNBOUNDED_CHANGES: u64 = 10_000;
-/// How much faster than its limit the key-value store may take changes.
-const RATE_MARGIN: f64 = 2.0;
+/// Most changes of the key-value store that are not subject to its write rate, such as
+/// the expiry of leases.
+const MAX_RATE_EXEMPT_CHANGES: u64 = 10_000;
+/// By which factor the key-value store may exceed its write rate limit.
+const MAX_RATE_EXCESS_FACTOR: f64 = 2.0;
 
 /// Which records are being loaded, with the entries read so far.
 #[derive(Debug)]
 enum LoadPhase {
-    /// Leader keys, submissions and outcomes.
+    /// Leader keys, format versions, submissions and outcomes.
     Watched(Vec<Entry>),
     /// Progress records of jobs.
     ProgressRecords(Vec<Entry>),
-    /// The leader's own records: intents, quarantine, arrival history.
+    /// The leader's records: intents, quarantine, arrival history.
     LeaderRecords(Vec<Entry>),
-    /// Everything is loaded; changes are followed.
+    /// All records are loaded; changes are watched.
     Done,
 }
 
-/// The leader's one read of records or changes.
+/// Reads records or changes for the leader, with one read in flight at a time.
 #[derive(Debug)]
 pub(in crate::core) struct RecordWatcher {
     /// How far the load has come.
     phase: LoadPhase,
-    /// The revision of the load's first page: changes are followed from there.
+    /// The revision of the load's first page, from which changes are watched.
     first_page_revision: Option<Version>,
-    /// Puts submissions together from their parts.
+    /// Assembles submissions from their stored parts.
     pub assembler: SubmissionAssembler,
-    /// Everything up to this revision has been seen.
+    /// All changes up to this revision have been applied.
     revision: Version,
-    /// Whether a read is under way.
-    reading: bool,
-    /// No read before this time.
+    /// Whether a read is in flight.
+    read_in_flight: bool,
+    /// Earliest time of the next read.
     next_read: Time,
-    /// Pause after reads that failed.
+    /// Pause after failed reads.
     backoff: Backoff,
-    /// Submissions that were read, whether or not they could be understood.
+    /// Jobs whose submissions were read, whether or not they could be decoded.
     pub submitted: BTreeSet<JobId>,
 }
 
 impl RecordWatcher {
-    /// One that has read nothing yet.
+    /// A watcher that has read nothing yet.
     pub fn new(now: Time) -> RecordWatcher {
         RecordWatcher {
             phase: LoadPhase::Watched(Vec::new()),
             first_page_revision: None,
             assembler: SubmissionAssembler::default(),
             revision: Version(0),
-            reading: false,
+            read_in_flight: false,
             next_read: now,
             backoff: Backoff::default(),
             submitted: BTreeSet::new(),
         }
     }
 
-    /// Whether another node may hold this token: one that was given before what is
-    /// known by now would be known too, and in this time, at `write_rps` changes a
-    /// second, there cannot be so many since.
+    /// Whether another controller may hold this token. The watch would have shown a token
+    /// issued up to the current revision, and since the last contact, at `write_rps`
+    /// changes a second, the store's revision can only have grown by a bounded number.
     pub fn may_have_been_issued(
         &self,
         token: FencingToken,
         since_contact: TimeSpan,
         write_rps: f64,
     ) -> bool {
-        let rate = write_rps * RATE_MARGIN;
+        let rate = write_rps * MAX_RATE_EXCESS_FACTOR;
         let changes = (since_contact.as_secs() * rate) as u64;
         let latest = self
             .revision
             .0
-            .saturating_add(changes + MAX_UNBOUNDED_CHANGES);
+            .saturating_add(changes + MAX_RATE_EXEMPT_CHANGES);
         (self.revision.0 + 1..=latest).contains(&token.0)
     }
 
-    /// Makes the next read, if none is under way.
+    /// Sends the next read, if none is in flight and the pause after a failed read is
+    /// over.
     pub fn read_next(
         &mut self,
         effects: &mut Effects,
@@ -100,7 +102,7 @@
         pending_calls: &mut PendingCalls<PendingCall>,
     ) {
         let sent = effects.now.time;
-        if self.reading || sent < self.next_read {
+        if self.read_in_flight || sent < self.next_read {
             return;
         }
         let (path, timeout) = match &self.phase {
@@ -114,7 +116,7 @@
                 (self.changes_path(hold), hold + READ_TIMEOUT)
             }
         };
-        self.reading = true;
+        self.read_in_flight = true;
         let call = effects.call(Target::Store, "GET", path, Vec::new(), timeout);
         pending_calls.add(call, PendingCall::Read { sent });
     }
@@ -128,7 +130,7 @@
         )
     }
 
-    /// A read that was sent then was answered, or not.
+    /// Processes the reply to the read sent at `sent`, or the loss of the reply.
     pub fn handle_read_reply(
         &mut self,
         effects: &mut Effects,
@@ -137,10 +139,11 @@
         reply: Reply,
     ) -> LeadershipOutcome {
         let now = effects.now.time;
-        self.reading = false;
+        self.read_in_flight = false;
         let body = match reply {
             Reply::Answer(200, body) => body,
-            // Fell behind by more than the service keeps: start over.
+            // The watcher is behind by more changes than the store keeps: the leader must
+            // load everything again.
             Reply::Answer(410, _) => return LeadershipOutcome::StepDown("changes were missed"),
             Reply::Answer(..) | Reply::NotSent | Reply::Lost => {
                 let jitter = effects.jitter();
@@ -157,19 +160,19 @@
             return self.handle_page(effects.now, context, sent, &body);
         }
         let Some(changes) = wire::decode::<WatchResponse>(&body) else {
-            return LeadershipOutcome::StepDown("changes could not be read");
+            return LeadershipOutcome::StepDown("changes could not be decoded");
         };
         let outcome = self.apply_changes(now, context, changes);
         context.authority.record_read(sent);
         for id in context.authority.take_outdated_reports() {
             if context.cluster.jobs.get(&id).is_some_and(Job::is_open) {
-                tracing::error!(job = %id, "job reported cancelled by a peer is not; it goes on");
+                tracing::error!(job = %id, "job that a peer reported as cancelled is not cancelled; it continues");
             }
         }
         outcome
     }
 
-    /// A page of the load was read.
+    /// Processes a page of the load.
     fn handle_page(
         &mut self,
         at: Now,
@@ -178,10 +181,10 @@
         body: &[u8],
     ) -> LeadershipOutcome {
         let Some(page) = wire::decode::<EntryPage>(body) else {
-            return LeadershipOutcome::StepDown("records could not be read");
+            return LeadershipOutcome::StepDown("records could not be decoded");
         };
-        // Changes are followed from the first page on; what a later page
-        // already shows is applied twice without harm.
+        // Changes are watched from the first page's revision on. A change that a later
+        // page already shows is applied twice, which does no harm.
         let first_revision = *self.first_page_revision.get_or_insert(page.revision);
         context.authority.record_load_page(sent);
         let read = match &mut self.phase {
@@ -199,7 +202,7 @@
                 self.revision = first_revision;
                 if !context.load_watched(self, &entries) {
                     self.phase = LoadPhase::Watched(Vec::new());
-                    return LeadershipOutcome::StepDown("the lease ran out while loading");
+                    return LeadershipOutcome::StepDown("the lease expired while loading");
                 }
                 self.phase = LoadPhase::ProgressRecords(Vec::new());
             }
@@ -217,14 +220,14 @@
         LeadershipOutcome::Continue
     }
 
-    /// The last page of the load, asked for at `sent`, was taken over.
+    /// Completes the load once its last page, requested at `sent`, has been applied.
     fn finish_load(&mut self, context: &mut RecordContext<'_>, sent: Time, last_revision: Version) {
         if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
             self.revision = last_revision;
         }
         context.authority.record_load_complete(sent);
         let cluster = &context.cluster;
-        tracing::info!(token = %context.token, jobs = cluster.jobs.len(), machines = cluster.machines.len(), "leading");
+        tracing::info!(token = %context.token, jobs = cluster.jobs.len(), machines = cluster.machines.len(), "records loaded, leading");
     }
 
     /// Applies the changes that the watch shows.
@@ -257,8 +260,8 @@
         event: &WatchEvent,
     ) -> LeadershipOutcome {
         if let Some(key) = &event.delete {
-            if key == context.holder {
-                return LeadershipOutcome::StepDown("the lease ran out");
+            if key == context.leader_key {
+                return LeadershipOutcome::StepDown("the lease expired");
             }
             return LeadershipOutcome::Continue;
         }
@@ -268,7 +271,7 @@
         match job_records::parse_watched_key(key) {
             Watched::Leadership => {
                 context.version_events.push(event.clone());
-                if key == context.holder && event.version.0 != context.token.0 {
+                if key == context.leader_key && event.version.0 != context.token.0 {
                     return LeadershipOutcome::Deposed(FencingToken(event.version.0));
                 }
             }
@@ -289,7 +292,7 @@
     }
 }
 
-/// Path of the next page of keys below a prefix.
+/// Path of the next page of keys with this prefix, after the entries read so far.
 fn page_path(prefix: &str, read: &[Entry]) -> String {
     match read.last() {
         Some(last) => format!("/keys?starts={prefix}&since={}&most=500", last.key),
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -1,5 +1,6 @@
-//! How tasks end: exited as their machine reports, or written off with a machine whose
-//! lease has expired. Also notes which machines fail again and again. Sends nothing.
+//! The end of tasks: reported as exited by their machine, or removed together with a
+//! machine whose lease has expired. Also records which machines fail repeatedly. Sends
+//! nothing.
 
 use super::cluster_state::ClusterState;
 use super::task_lifecycle::{RemovalReason, StopDurability};
@@ -13,55 +14,57 @@
 use crate::wire::workers::{ReportedTask, StopReason};
 use std::collections::BTreeMap;
 
-/// Failures of different jobs that make a machine suspect.
-const SUSPECT_FAILURES: usize = 2;
+/// Number of different jobs whose failure on a machine makes the machine suspect.
+const MIN_FAILED_JOBS_OF_SUSPECT: usize = 2;
 /// How long a failure counts against a machine.
 const FAILURE_LIFETIME: TimeSpan = TimeSpan::millis(600_000);
-/// Machines of one zone that may fall silent in one check and still count as
+/// Most machines of one zone that may miss their leases in one check and still count as
 /// faulty themselves.
-const MAX_FAULTY_IN_ZONE: usize = 3;
-/// Machines of one job's failures that are remembered.
-const MAX_FAILED_ON: usize = 4;
-/// Longest exponent of a job's backoff: 32 s after six failures in a row.
+const MAX_FAULTY_MACHINES_PER_ZONE: usize = 3;
+/// Most machines that are remembered as those on which a job failed.
+const MAX_FAILED_MACHINES_PER_JOB: usize = 4;
+/// Largest exponent of a job's backoff: 32 s after six failures in a row.
 const MAX_BACKOFF_EXPONENT: u32 = 6;
-/// How long a job waits after a machine had no room for it.
+/// How long a job waits after a machine had no room for one of its tasks.
 const NO_ROOM_PAUSE: TimeSpan = TimeSpan::millis(1000);
-/// How much longer than their lease tasks may run, by clock drift and delays.
-const LEASE_DRIFT: f64 = 1.0005;
+/// How much longer than their lease tasks may run: factor for the drift of clocks, and
+/// allowance for delays.
+const LEASE_DRIFT_FACTOR: f64 = 1.0005;
 const LEASE_SLACK: TimeSpan = TimeSpan::millis(1000);
-/// Time that a noticed task needs beside its run, to be left alone.
+/// Time that a task on a machine with a termination notice needs in addition to its
+/// remaining run time, to be left running.
 const NOTICE_SLACK: TimeSpan = TimeSpan::millis(1000);
 
 /// Records machines that fail, for this leader and its successors.
 pub(in crate::core) struct QuarantineRecorder<'a> {
-    /// What is known of machines that failed.
+    /// The records of machines that failed.
     pub quarantine: &'a mut Quarantine,
-    /// Where records of it wait to be written.
+    /// Queue in which changes of the records wait to be stored.
     pub pending_writes: &'a mut PendingWrites,
 }
 
 impl QuarantineRecorder<'_> {
-    /// A machine gets no more work.
+    /// Records that a machine receives no more tasks.
     fn record_drain(&mut self, id: &MachineId, wall: WallTime) {
         self.quarantine.drain(self.pending_writes, id, wall);
     }
 
-    /// A machine was silent for a whole lease; for how long it gets no work, if that
-    /// has happened too often.
+    /// Records that a machine was silent for a whole lease. Returns for how long it
+    /// receives no tasks; `None`: it has not missed enough leases to be quarantined.
     fn record_missed_lease(&mut self, id: &MachineId, wall: WallTime) -> Option<TimeSpan> {
         self.quarantine
             .record_missed_lease(self.pending_writes, id, wall)
     }
 }
 
-/// A machine whose lease has expired.
+/// A machine whose lease has expired, and why its tasks are removed.
 struct ExpiredMachine {
     id: MachineId,
     reason: RemovalReason,
 }
 
 impl ClusterState {
-    /// A placed task is reported to have exited.
+    /// Processes the report that an assigned task has exited.
     pub fn handle_task_exit(
         &mut self,
         at: Now,
@@ -99,7 +102,7 @@
         }
     }
 
-    /// A task is done; the tasks of a gang complete together.
+    /// Marks a task as done. The tasks of a gang complete together.
     fn complete_task(&mut self, now: Time, task: &TaskId) {
         self.record_task_gone(now, task, RemovalReason::Done);
         let job = &self.jobs[&task.job];
@@ -113,7 +116,7 @@
         }
     }
 
-    /// A task failed: its job backs off, and its machine may be at fault.
+    /// Records that a task failed: its job backs off, and its machine may be at fault.
     fn record_failure(
         &mut self,
         at: Now,
@@ -133,7 +136,7 @@
         machine
             .failed_jobs
             .retain(|_, failed| now.since(*failed) < FAILURE_LIFETIME);
-        let is_suspect = machine.failed_jobs.len() >= SUSPECT_FAILURES;
+        let is_suspect = machine.failed_jobs.len() >= MIN_FAILED_JOBS_OF_SUSPECT;
         if is_suspect && machine.lifecycle == MachineLifecycle::InService {
             tracing::info!(machine = %id, "machine draining: several jobs failed on it");
             machine.lifecycle = MachineLifecycle::Draining;
@@ -141,22 +144,23 @@
         }
     }
 
-    /// The cloud will take a machine: its tasks save a checkpoint, or at least leave in
-    /// time to prove that they are gone.
+    /// Orders the tasks of a machine that the cloud will terminate to stop, so that they
+    /// save a checkpoint, or at least exit early enough to prove that they are gone.
     pub fn stop_tasks_before_termination(&mut self, now: Time, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
         let notice = machine.termination_notice_at;
-        let left = notice.map_or(TimeSpan::ZERO, |at| at.since(now));
+        let time_left = notice.map_or(TimeSpan::ZERO, |at| at.since(now));
         let tasks: Vec<TaskId> = machine.tasks.iter().cloned().collect();
         for task in tasks {
-            self.stop_task_before_termination(now, &task, left);
+            self.stop_task_before_termination(now, &task, time_left);
         }
     }
 
-    /// Has one task stop, if it will not be done in the time that is left.
-    fn stop_task_before_termination(&mut self, now: Time, task: &TaskId, left: TimeSpan) {
+    /// Orders one task to stop, if it will not be done in the time left before its
+    /// machine is terminated. With a task of a gang, the whole gang is stopped.
+    fn stop_task_before_termination(&mut self, now: Time, task: &TaskId, time_left: TimeSpan) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -166,22 +170,22 @@
         if assignment.stop.is_some() {
             return;
         }
-        if self.remaining_time(now, job, assignment) + NOTICE_SLACK < left {
+        if self.remaining_time(now, job, assignment) + NOTICE_SLACK < time_left {
             return;
         }
-        let grace_s = job.spec.save_s.min((left.as_secs() - 1.0).max(0.0));
+        let grace_s = job.spec.save_s.min((time_left.as_secs() - 1.0).max(0.0));
         let tasks: Vec<u32> = if job.is_gang() {
             job.assignments.keys().copied().collect()
         } else {
             vec![task.index]
         };
-        let why = "its machine is being taken";
+        let why = "the cloud is reclaiming its machine";
         let durability = StopDurability::StoredWhileSent;
         self.order_stops(now, &task.job, &tasks, grace_s, why, durability);
     }
 
-    /// Writes off machines whose workers must have ended their tasks. Until
-    /// `inherited_until` an earlier leader may have renewed their leases.
+    /// Removes the tasks of machines whose agents must have stopped them by now. Until
+    /// `inherited_until`, an earlier leader may have renewed their leases.
     pub fn expire_leases(
         &mut self,
         at: Now,
@@ -210,8 +214,9 @@
         }
     }
 
-    /// Remembers machines that fell silent for as long as a lease. Where many of
-    /// a zone do so at once it is the zone's fault, not theirs.
+    /// Records machines that were silent for a whole lease. If many machines of a zone
+    /// miss their leases in the same check, the cause is the zone and not the machines,
+    /// so none of them is recorded.
     fn record_missed_leases(
         &mut self,
         at: Now,
@@ -228,7 +233,7 @@
         }
         let faulty = by_zone
             .into_values()
-            .filter(|machines| machines.len() <= MAX_FAULTY_IN_ZONE)
+            .filter(|machines| machines.len() <= MAX_FAULTY_MACHINES_PER_ZONE)
             .flatten();
         for id in faulty {
             let Some(pause) = recorder.record_missed_lease(id, at.wall) else {
@@ -242,20 +247,21 @@
     }
 }
 
-/// Lets a job wait longer after each failure in a row. A job that fails everywhere
-/// must not use up the machines: only its latest few failures count for it, and one
-/// job alone never makes a machine suspect.
+/// Makes a job wait longer after each failure in a row. A job that fails on every machine
+/// must not exhaust the machines: only its latest few failures exclude machines for it,
+/// and a single job never makes a machine suspect.
 fn back_off(now: Time, job: &mut Job, id: &MachineId) {
     job.notes.failures += 1;
     let exponent = job.notes.failures.min(MAX_BACKOFF_EXPONENT);
     job.notes.not_before = now + TimeSpan::secs(f64::from(1 << exponent) / 2.0);
     job.notes.failed_on.insert(id.clone());
-    if job.notes.failed_on.len() > MAX_FAILED_ON {
+    if job.notes.failed_on.len() > MAX_FAILED_MACHINES_PER_JOB {
         job.notes.failed_on.clear();
     }
 }
 
-/// Why the tasks of a silent machine must have ended by now, if they must.
+/// The reason why the tasks of a silent machine must have ended by now; `None`: some may
+/// still run.
 fn lease_expiry(
     now: Time,
     machine: &Machine,
@@ -266,19 +272,20 @@
         return Some(RemovalReason::MachineFailed);
     }
     let lease = if failpoints::enforced(SafetyCheck::LeaseExpiryBeforeGivingUp) {
-        lease.scaled(LEASE_DRIFT) + LEASE_SLACK
+        lease.scaled(LEASE_DRIFT_FACTOR) + LEASE_SLACK
     } else {
         TimeSpan::secs(3.0)
     };
     let (due, reason) = if let Some(since) = machine.our_token_since {
-        // Older leaders' answers are dropped by a worker that has
-        // seen our token, so only our own renew its lease.
-        // Before it had our token an older leader may have done so:
-        // a direct command can bring the token without a 200 of ours.
+        // An agent that has received this leader's token drops the answers of older
+        // leaders, so that only this leader renews the agent's lease. Before that, an
+        // older leader may have renewed it: a direct command can deliver the token
+        // without a 200 of this leader.
         let last_renewal = machine.last_answer.max(Some(since)).unwrap_or(now);
         (last_renewal + lease, RemovalReason::LeaseExpired)
     } else {
-        // An older leader may have answered it until it noticed.
+        // An older leader may have answered the machine until that leader noticed that it
+        // was replaced.
         let own_answer_expires = machine
             .last_answer
             .map_or(Time(0), |answered| answered + lease);
--- a/crates/controller/src/core/leader/task_lifecycle.rs
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -1,6 +1,6 @@
-//! The life of a task in the leader's tables: placed on a machine, ordered to stop,
-//! done, and proven gone. Every change is noted for the next transaction; nothing
-//! here sends anything.
+//! The lifecycle of a task in the leader's tables: assigned to a machine, ordered to
+//! stop, done, and removed once it is proven gone. Every change is queued for the next
+//! transaction. Nothing is sent here.
 
 use super::cluster_state::ClusterState;
 use crate::core::assignment::{Assignment, AssignmentPhase, Stop};
@@ -10,43 +10,44 @@
 use crate::wire::users::Priority;
 use std::fmt;
 
-/// Whether a stop is stored, for a successor to go on with.
+/// Whether a stop order is stored, so that a successor can complete it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum StopDurability {
-    /// It is not: whoever leads finds the reason again.
+    /// The order is not stored: a successor finds the reason for it again.
     NotStored,
-    /// It is stored while it is sent: there is no time to wait.
+    /// The order is stored while it is sent, because there is no time to wait.
     StoredWhileSent,
-    /// It is stored before it is sent.
+    /// The order is stored before it is sent.
     StoredBeforeSent,
 }
 
-/// Why a task is known not to be on its machine any more.
+/// Why a task is no longer assigned to its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum RemovalReason {
-    /// The machine reported it done.
+    /// The machine reported the task as done.
     Done,
-    /// Another attempt was reported done before this one was sent.
+    /// Another attempt was reported as done before this one was sent.
     DoneElsewhere,
-    /// The machine reported that it exited otherwise.
+    /// The machine reported that the task exited in another way.
     Exited,
     /// The start was never sent.
     NeverSent,
     /// The start was sent and did not arrive.
     NeverArrived,
-    /// An earlier leader's start did not arrive.
+    /// The start of an earlier leader did not arrive.
     NeverStarted,
-    /// The start cannot arrive: the machine does not receive its answers.
+    /// The start cannot arrive: the machine does not receive the answers to its
+    /// heartbeats.
     MachineUnreachable,
-    /// A newer heartbeat does not list it.
+    /// A newer heartbeat does not list the task.
     NotReported,
-    /// The lease of its machine's agent has expired.
+    /// The lease of the machine's agent has expired.
     LeaseExpired,
-    /// Its machine has been silent since before this leader.
+    /// The machine has been silent since before this leader's term.
     SilentSincePreviousLeader,
-    /// The cloud lists its machine as failed.
+    /// The cloud lists the machine as failed.
     MachineFailed,
-    /// The cloud has released its machine.
+    /// The cloud has terminated the machine.
     MachineReleased,
 }
 
@@ -59,18 +60,18 @@
             RemovalReason::NeverSent => "never sent",
             RemovalReason::NeverArrived => "never arrived",
             RemovalReason::NeverStarted => "never started",
-            RemovalReason::MachineUnreachable => "machine does not receive its answers",
-            RemovalReason::NotReported => "machine no longer reports it",
+            RemovalReason::MachineUnreachable => "machine receives no answers",
+            RemovalReason::NotReported => "machine no longer reports the task",
             RemovalReason::LeaseExpired => "lease expired",
             RemovalReason::SilentSincePreviousLeader => "silent since before this leader",
             RemovalReason::MachineFailed => "machine listed as failed",
-            RemovalReason::MachineReleased => "machine released",
+            RemovalReason::MachineReleased => "machine terminated",
         })
     }
 }
 
 impl ClusterState {
-    /// Puts a task on a machine; it is sent once recorded.
+    /// Assigns a task to a machine. The start is sent once the assignment is stored.
     pub fn place_task(&mut self, now: Time, task: &TaskId, id: &MachineId, attempt: Attempt) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -114,7 +115,8 @@
         self.unwritten.dirty_chunks.mark(chunk, now, true);
     }
 
-    /// Marks a task done, wherever it was found to be.
+    /// Marks a task as done, whichever machine reported it, and its job too if that was
+    /// the job's last task.
     pub fn record_task_done(&mut self, now: Time, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -132,15 +134,15 @@
             job.outcome = Some(JobOutcome::Done { written: false });
             self.unwritten.finished_jobs.insert(task.job.clone());
         }
-        // Another attempt of it may still be somewhere.
+        // Another attempt of the task may still be on a machine.
         let assignment = job.assignments.get(&task.index);
         if assignment.is_some_and(Assignment::is_unsent) {
             self.record_task_gone(now, task, RemovalReason::DoneElsewhere);
         }
     }
 
-    /// A task is proven not to be on its machine. For a gang that ends the whole
-    /// attempt.
+    /// Removes a task that is proven not to be on its machine. If it belongs to a gang,
+    /// the whole attempt ends: the other tasks are ordered to stop.
     pub fn record_task_gone(&mut self, now: Time, task: &TaskId, reason: RemovalReason) {
         self.remove_assignment(now, task, reason);
         let Some(job) = self.jobs.get(&task.job) else {
@@ -152,7 +154,8 @@
         }
     }
 
-    /// Takes a task off its machine; unless it is done or its job over, it waits again.
+    /// Removes a task from its machine. Unless the task is done or its job has ended, it
+    /// waits to be placed again.
     pub fn remove_assignment(&mut self, now: Time, task: &TaskId, reason: RemovalReason) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -165,7 +168,7 @@
             job.waiting.insert(task.index);
         }
         job.record_change(self.chunk_size, task.index);
-        let deletable = job.assignments.is_empty() && !job.is_open();
+        let is_deletable = job.assignments.is_empty() && !job.is_open();
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
         self.unwritten.dirty_chunks.mark(chunk, now, false);
         tracing::debug!(task = %task, attempt = %assignment.attempt, machine = %assignment.machine, %reason, "task removed from its machine");
@@ -181,24 +184,25 @@
             };
             machine.cache.drop_abandoned_fetches(is_needed);
         }
-        if deletable {
+        if is_deletable {
             self.unwritten.jobs_to_delete.insert(task.job.clone());
         }
     }
 
-    /// Everything on a machine is gone.
+    /// Removes all tasks of a machine on which none of them can run any more.
     pub fn write_off_machine(&mut self, now: Time, id: &MachineId, reason: RemovalReason) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
         let tasks: Vec<TaskId> = machine.tasks.iter().cloned().collect();
         for task in tasks {
-            // A start that was never sent to this agent epoch stays harmless.
+            // A start that was never sent to this agent epoch cannot do harm later.
             self.record_task_gone(now, &task, reason);
         }
     }
 
-    /// Orders tasks of a job to stop, not stored; unsent starts are dropped at once.
+    /// Orders tasks of a job to stop, without storing the orders. Unsent starts are
+    /// dropped immediately.
     pub fn stop_tasks(
         &mut self,
         now: Time,
@@ -210,7 +214,8 @@
         self.order_stops(now, id, tasks, grace_s, why, StopDurability::NotStored);
     }
 
-    /// Orders tasks of a job to stop; unsent starts are dropped at once.
+    /// Orders tasks of a job to stop, with `grace_s` seconds to save a checkpoint. Unsent
+    /// starts are dropped immediately.
     pub fn order_stops(
         &mut self,
         now: Time,
@@ -253,10 +258,10 @@
         };
         if let Some(stop) = assignment.stop {
             let is_sooner = grace_s < stop.grace_s && grace_s == 0.0;
-            // A gang that saves its checkpoint must not be cut short because one of
-            // its tasks has ended, saved, before the others.
-            let is_saving = job.outcome != Some(JobOutcome::Cancelled);
-            if !is_sooner || is_saving {
+            // A gang that saves its checkpoint must not be stopped early because one of
+            // its tasks has saved and exited before the others.
+            let may_be_saving = job.outcome != Some(JobOutcome::Cancelled);
+            if !is_sooner || may_be_saving {
                 return;
             }
         }
@@ -276,14 +281,15 @@
             change: change.filter(|_| is_stored_first),
         });
         if is_stored_first && failpoints::enforced(SafetyCheck::StopsAreStored) {
-            // Sent once it is stored.
+            // The order is sent once it is stored.
             return;
         }
         let machine = assignment.machine.clone();
         self.direct_stops.entry(machine).or_default().push(task);
     }
 
-    /// Orders all tasks of a job that is over to stop.
+    /// Orders all tasks of an ended job to stop, and queues the job for deletion if none
+    /// is left.
     pub fn stop_ended_job(&mut self, now: Time, id: &JobId, why: &'static str) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -295,7 +301,7 @@
         }
     }
 
-    /// Nothing of a job is wanted any more: it was cancelled.
+    /// Marks a job as cancelled and orders its tasks to stop.
     pub fn cancel_job(&mut self, now: Time, id: &JobId, why: &'static str) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -306,11 +312,11 @@
         self.stop_ended_job(now, id, why);
     }
 
-    /// A commit found that a job's header is not open any more.
+    /// Cancels a job whose header a commit found to be no longer open.
     pub fn cancel_job_ended_elsewhere(&mut self, now: Time, id: &JobId) {
         if self.jobs.get(id).is_some_and(|job| job.is_open()) {
             tracing::info!(job = %id, "job found to be over when its starts were to be stored");
-            self.cancel_job(now, id, "its job is over");
+            self.cancel_job(now, id, "its job has ended");
         }
     }
 }
--- a/crates/controller/src/core/leader/task_reconciliation.rs
+++ b/crates/controller/src/core/leader/task_reconciliation.rs
@@ -1,5 +1,5 @@
-//! Compares what a heartbeat lists with the placements: which tasks run, which have
-//! ended, which starts were lost. Changes only the tables.
+//! Compares the tasks that a heartbeat lists with the assignments: which tasks run, which
+//! have ended, and which starts were lost. Changes only the leader's tables.
 
 use super::cluster_state::ClusterState;
 use super::task_completion::QuarantineRecorder;
@@ -12,38 +12,38 @@
 use crate::wire::workers::{Heartbeat, ReportedTask, StopReason, TaskState};
 use std::collections::BTreeMap;
 
-/// A heartbeat with what it is judged by.
+/// A heartbeat with the values that it is evaluated by.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core) struct ReceivedHeartbeat<'a> {
-    /// When it came.
+    /// When it was received.
     pub at: Now,
     /// This leader's fencing token.
     pub own_token: FencingToken,
-    /// What the worker sent.
+    /// The heartbeat as the agent sent it.
     pub heartbeat: &'a Heartbeat,
 }
 
 /// What a heartbeat showed.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::core) struct ReconciliationResult {
-    /// Whether tasks left the machine, so that others may have its room.
+    /// Whether tasks left the machine, so that other tasks may use its resources.
     pub freed_room: bool,
-    /// What it shows of starts that were sent.
+    /// Whether starts that were sent to the machine have arrived.
     pub delivery: DeliveryEvidence,
 }
 
-/// How far the gang of an earlier leader's start has come.
+/// How far the start of a gang that an earlier leader recorded has come.
 enum GangStart {
-    /// Part of it has not been heard of.
+    /// The state of some of its tasks is not known yet.
     Unknown,
-    /// Part of it did start.
+    /// Some of its tasks were started, or are being stopped.
     PartlyStarted,
-    /// None of it started, and all of its placements are kept.
+    /// None of its tasks was started, and the resources for all of them are reserved.
     NotStarted,
 }
 
 impl ClusterState {
-    /// Compares a heartbeat with the placements.
+    /// Compares the tasks that a heartbeat lists with the assignments to its machine.
     pub fn reconcile_tasks(
         &mut self,
         received: &ReceivedHeartbeat<'_>,
@@ -66,8 +66,9 @@
         result
     }
 
-    /// The reported tasks that are where the records say, by name. Results of others
-    /// count, and what others take is noted.
+    /// Returns the reported tasks that are assigned to this machine, by task. Of the
+    /// other reported tasks, results are recorded as done, and what running ones use is
+    /// recorded as the machine's unrecorded usage.
     fn match_reported_tasks<'a>(
         &mut self,
         now: Time,
@@ -106,7 +107,8 @@
         listed
     }
 
-    /// A result is one whenever it was reported, but only of an attempt that there was.
+    /// Records a result, however late it is reported, but only of an attempt that was
+    /// assigned.
     fn accept_result(&mut self, now: Time, id: &MachineId, task: &TaskId, attempt: Attempt) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -114,11 +116,12 @@
         if (1..=job.attempt.0).contains(&attempt.0) {
             self.record_task_done(now, task);
         } else {
-            tracing::error!(task = %task, %attempt, machine = %id, "result of an attempt that was never given ignored");
+            tracing::error!(task = %task, %attempt, machine = %id, "ignoring result of an attempt that was never assigned");
         }
     }
 
-    /// Compares one placed task with what the heartbeat says of it, if anything.
+    /// Compares one assigned task with what the heartbeat reports of it. `reported` is
+    /// `None` if the heartbeat does not list the task.
     fn reconcile_task(
         &mut self,
         received: &ReceivedHeartbeat<'_>,
@@ -139,7 +142,7 @@
         if matches!(assignment.phase, AssignmentPhase::Sent(_)) && reported.is_some() {
             result.delivery = DeliveryEvidence::Received;
         }
-        let is_wanted = is_open && assignment.stop.is_none();
+        let should_run = is_open && assignment.stop.is_none();
         let presence = assignment.check_presence(
             heartbeat.epoch,
             heartbeat.sequence,
@@ -149,11 +152,11 @@
         );
         match presence {
             PresenceProof::Absent => {
-                result.freed_room |= self.handle_absent_task(now, task, is_wanted);
+                result.freed_room |= self.handle_absent_task(now, task, should_run);
             }
-            // What is not wanted any more is not sent again; it never
-            // arrived, so it is nowhere.
-            PresenceProof::Undelivered if !is_wanted => {
+            // A start that is no longer needed is not sent again. It never arrived, so
+            // the task is on no machine.
+            PresenceProof::Undelivered if !should_run => {
                 self.record_task_gone(now, task, RemovalReason::NeverArrived);
             }
             PresenceProof::Undelivered => {
@@ -171,21 +174,22 @@
         }
     }
 
-    /// A placed task is proven not to be on its machine; true if that freed room.
-    fn handle_absent_task(&mut self, now: Time, task: &TaskId, is_wanted: bool) -> bool {
+    /// Processes the proof that an assigned task is not on its machine. Returns whether
+    /// that freed resources.
+    fn handle_absent_task(&mut self, now: Time, task: &TaskId, should_run: bool) -> bool {
         let job = self.jobs.get_mut(&task.job);
         let assignment = job.and_then(|job| job.assignments.get_mut(&task.index));
         let Some(assignment) = assignment else {
             return false;
         };
         match assignment.phase {
-            AssignmentPhase::Inherited if is_wanted => {
+            AssignmentPhase::Inherited if should_run => {
                 assignment.phase = AssignmentPhase::Reserved;
                 self.resume_inherited_start(now, task);
                 true
             }
-            // It waits for the rest of its gang.
-            AssignmentPhase::Reserved if is_wanted => false,
+            // The reserved task waits until the state of the rest of its gang is known.
+            AssignmentPhase::Reserved if should_run => false,
             _ => {
                 self.record_task_gone(now, task, RemovalReason::NotReported);
                 true
@@ -193,7 +197,7 @@
         }
     }
 
-    /// A placed task was reported; true if it exited.
+    /// Processes the report of an assigned task. Returns whether the task has exited.
     fn handle_task_report(
         &mut self,
         at: Now,
@@ -217,7 +221,7 @@
         assignment.phase = AssignmentPhase::Seen(reported.state);
         if reported.state == TaskState::Running && assignment.running_since.is_none() {
             assignment.running_since = Some(now);
-            tracing::debug!(task = %task, machine = %assignment.machine, since_s = now.since(assignment.assigned_at).as_secs(), "task runs");
+            tracing::debug!(task = %task, machine = %assignment.machine, since_s = now.since(assignment.assigned_at).as_secs(), "task running");
         }
         if reported.state != TaskState::Fetching {
             let fetch_began = assignment.fetching_since.take();
@@ -230,7 +234,8 @@
         false
     }
 
-    /// An image is on a machine; its fetch, if there was one, is over.
+    /// Records that an image is on a machine, and how long the fetch took if one was
+    /// running. Nothing is recorded if the machine has the whole image already.
     fn record_fetched(
         &mut self,
         now: Time,
@@ -252,10 +257,11 @@
         }
     }
 
-    /// Goes on with a start that an earlier leader recorded, once it is known
-    /// that it never arrived: on the same machine, so that room that was made
-    /// for it stays its own, under a new attempt. A gang goes on once all of it
-    /// is known about; one of which a part did start, not at all.
+    /// Resumes a start that an earlier leader recorded, once it is known that the start
+    /// never arrived: on the same machine, so that the resources freed for the task are
+    /// still used for it, and under a new attempt. A gang is resumed once the state of
+    /// all its tasks is known. If some of them were started, the gang is not resumed, and
+    /// its reserved tasks are removed.
     fn resume_inherited_start(&mut self, now: Time, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -270,7 +276,7 @@
             named.collect()
         };
         if !job.is_gang() {
-            if job.assignments.get(&task.index).is_some_and(is_kept) {
+            if job.assignments.get(&task.index).is_some_and(is_reserved) {
                 self.restart_tasks(now, &tasks(vec![task.index]));
             }
             return;
@@ -278,55 +284,56 @@
         match gang_start(job) {
             GangStart::Unknown => {}
             GangStart::PartlyStarted => {
-                let kept = job.assignments.iter().filter(|(_, a)| is_kept(a));
-                for task in tasks(kept.map(|(index, _)| *index).collect()) {
+                let reserved = job.assignments.iter().filter(|(_, a)| is_reserved(a));
+                for task in tasks(reserved.map(|(index, _)| *index).collect()) {
                     self.record_task_gone(now, &task, RemovalReason::NotReported);
                 }
             }
             GangStart::NotStarted => {
-                let all = tasks(job.assignments.keys().copied().collect());
-                self.restart_tasks(now, &all);
+                let all_tasks = tasks(job.assignments.keys().copied().collect());
+                self.restart_tasks(now, &all_tasks);
             }
         }
     }
 
-    /// Places tasks of one job where they are, under a new attempt, if all of their
-    /// machines can take them: a gang stays whole or goes whole.
+    /// Assigns tasks of one job to their machines again, under a new attempt, if all of
+    /// the machines can run them. Otherwise none of the tasks is assigned: a gang is
+    /// placed whole or not at all.
     fn restart_tasks(&mut self, now: Time, tasks: &[TaskId]) {
         let Some(job) = tasks.first().and_then(|task| self.jobs.get(&task.job)) else {
             return;
         };
         let silence = self.max_silence();
-        let stays = |assignment: &Assignment| {
+        let can_restart = |assignment: &Assignment| {
             let machine = self.machines.get(&assignment.machine);
             machine.is_some_and(|machine| {
                 machine.is_schedulable(now, silence) && machine.epoch == assignment.epoch
             })
         };
-        let all_stay = tasks
+        let can_restart_all = tasks
             .iter()
-            .all(|task| stays(&job.assignments[&task.index]));
+            .all(|task| can_restart(&job.assignments[&task.index]));
         let attempt = Attempt(job.attempt.0 + 1);
         for task in tasks {
             let machine = self.jobs[&task.job].assignments[&task.index]
                 .machine
                 .clone();
             self.remove_assignment(now, task, RemovalReason::NeverStarted);
-            if all_stay {
+            if can_restart_all {
                 self.place_task(now, task, &machine, attempt);
             }
         }
     }
 }
 
-fn is_kept(assignment: &Assignment) -> bool {
+fn is_reserved(assignment: &Assignment) -> bool {
     assignment.phase == AssignmentPhase::Reserved
 }
 
-/// How far a gang has come whose start an earlier leader recorded.
+/// How far the start of a gang that an earlier leader recorded has come.
 fn gang_start(job: &Job) -> GangStart {
     let assignments = || job.assignments.values();
-    if !assignments().any(is_kept) {
+    if !assignments().any(is_reserved) {
         return GangStart::Unknown;
     }
     let is_started_or_stopping = |assignment: &Assignment| {
@@ -340,7 +347,7 @@
         return GangStart::PartlyStarted;
     }
     let is_complete = job.assignments.len() == job.spec.tasks as usize;
-    if is_complete && assignments().all(is_kept) {
+    if is_complete && assignments().all(is_reserved) {
         GangStart::NotStarted
     } else {
         GangStart::Unknown
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -11,8 +11,9 @@
 use crate::wire::workers::TaskState;
 use std::collections::BTreeSet;
 
-/// How old its contact is when a leader has loaded, where the pages of the
-/// load took so many seconds each, and what it may do then.
+/// Loads a leader from three pages whose reads take `page_s` seconds each. Returns the
+/// age in seconds of its last contact after the load, and whether it may answer
+/// heartbeats and start tasks then.
 fn authority_after_load(page_s: f64) -> (f64, bool, bool) {
     let mut leader = leader();
     let key = |key: &str| Entry {
@@ -41,9 +42,9 @@
     (leader.authority.age(now).as_secs(), answers, starts)
 }
 
-// A slow load once counted as contact when its last page was asked for,
-// though what it knew of cancellations, and of later leaders, was as old as
-// the first: leases were kept alive for that much longer than allowed.
+// A leader that counted a slow load as contact at the request of the last page kept
+// leases alive for longer than allowed: it knew of cancellations and later leaders only
+// up to the first page.
 #[test]
 fn load_counts_as_contact_from_its_first_page() {
     assert_eq!(authority_after_load(0.1), (0.3, true, true));
@@ -52,10 +53,11 @@
     disable_check(&[SafetyCheck::LoadIsAsOldAsItsFirstRead]);
     let (_, answers, _) = authority_after_load(20.0);
     disable_check(&[]);
-    assert!(answers, "a load that dragged on was not missed");
+    assert!(answers, "a load that takes too long must be detected");
 }
 
-/// A leader with a job of three tasks, one of its records this one.
+/// A leader that has loaded a job of three tasks and this progress record of its first
+/// chunk.
 fn leader_with_record(stored: serde_json::Value) -> Leader {
     let mut leader = leader();
     let spec = crate::testing::submission("wk-1", wire::users::JobShape::Array, 3);
@@ -74,12 +76,12 @@
     leader
 }
 
-// A record that could not be read was taken for an empty one: tasks that ran
-// were halted, run a second time elsewhere, and their record written over.
+// A leader that treated an unreadable record as empty stopped running tasks, ran them a
+// second time on other machines, and overwrote the record.
 #[test]
-fn leaves_job_with_unreadable_record_alone() {
-    let future = serde_json::json!({"n": 1, "m": [], "later": true});
-    let seen = |stored: serde_json::Value| {
+fn neither_stops_nor_writes_job_with_unreadable_record() {
+    let unknown_format = serde_json::json!({"n": 1, "m": [], "later": true});
+    let load_and_act = |stored: serde_json::Value| {
         let mut leader = leader_with_record(stored);
         let id = MachineId::from("host-1");
         let m = leader
@@ -100,7 +102,7 @@
         let commands = leader
             .commands
             .commands_for(Time(0), cluster, authority, &id);
-        let halted = !commands.is_empty();
+        let sends_commands = !commands.is_empty();
         leader
             .cluster
             .unwritten
@@ -109,43 +111,51 @@
         let mut effects = effects_at(1.0);
         leader.submit_next_transaction(&mut effects);
         let used = leader.cluster.team_use()[&Team::from("red")].used.gpus;
-        (halted, leader.writer.pipeline.in_flight.is_some(), used)
+        (
+            sends_commands,
+            leader.writer.pipeline.in_flight.is_some(),
+            used,
+        )
     };
-    assert_eq!(seen(future.clone()), (false, false, 3.0));
+    assert_eq!(load_and_act(unknown_format.clone()), (false, false, 3.0));
     disable_check(&[SafetyCheck::UnreadableIsLeftAlone]);
-    let harmed = seen(future);
+    let without_check = load_and_act(unknown_format);
     disable_check(&[]);
-    assert_eq!(harmed, (true, true, 0.0));
-    let good = serde_json::json!({"n": 1, "m": [["host-1", 1, 0, [0]]]});
-    assert_eq!(seen(good), (true, true, 1.0));
+    assert_eq!(without_check, (true, true, 0.0));
+    let readable = serde_json::json!({"n": 1, "m": [["host-1", 1, 0, [0]]]});
+    assert_eq!(load_and_act(readable), (true, true, 1.0));
 }
 
-// A record that names what cannot be was taken at its word: a place of a task that the
-// job does not have held room for ever, a result beyond its last task was dropped.
+// A leader that accepted a record with impossible values lost track: an assignment of a
+// task that the job does not have used resources for ever, and a result beyond the job's
+// last task was dropped.
 #[test]
-fn leaves_job_with_impossible_record_alone() {
+fn rejects_record_with_impossible_values() {
     let record = |n: u64, d: serde_json::Value, p: serde_json::Value| {
         let stored = serde_json::json!({"n": n, "d": d, "p": p});
         leader_with_record(stored).cluster.jobs[&JobId::from("wk-1")].unreadable
     };
-    let (none, one) = (
+    let (no_entries, one_assignment) = (
         serde_json::json!([]),
         serde_json::json!([[0, 1, "host-1", 1]]),
     );
-    assert!(!record(1, none.clone(), one.clone()));
-    assert!(record(0, none.clone(), one), "its attempt was never given");
-    for place in [
+    assert!(!record(1, no_entries.clone(), one_assignment.clone()));
+    assert!(
+        record(0, no_entries.clone(), one_assignment),
+        "its attempt was never assigned"
+    );
+    for invalid in [
         serde_json::json!([[3, 1, "host-1", 1]]),
         serde_json::json!([[0, 0, "host-1", 1]]),
         serde_json::json!([[0, 1, "host-1", 0]]),
     ] {
-        assert!(record(1, none.clone(), place.clone()), "{place}");
+        assert!(record(1, no_entries.clone(), invalid.clone()), "{invalid}");
     }
-    assert!(record(1, serde_json::json!([[2, 9]]), none));
+    assert!(record(1, serde_json::json!([[2, 9]]), no_entries));
 }
 
-// While the state service takes few changes a second, new forms must not
-// keep starts waiting; and all records get theirs in the end.
+// While the key-value store accepts few changes a second, rewriting records in a newer
+// format must not delay starts. All records must be rewritten in the end.
 #[test]
 fn rewrites_outdated_records_within_rate_limit() {
     let old = serde_json::json!({"n": 1, "d": [], "p": [[0, 1, "host-1", 1]]});
@@ -156,15 +166,21 @@
         leader.submit_next_transaction(&mut effects);
         leader.writer.pipeline.in_flight.is_some()
     };
-    assert!(!written(&mut leader, 1.0), "the level does not have it yet");
+    assert!(
+        !written(&mut leader, 1.0),
+        "the format version in force does not include the new format"
+    );
     assert!(leader.is_rewritten());
     leader.format_version = WITH_HISTORY;
     assert!(!leader.is_rewritten());
     let level = leader.writer.write_tokens.level(Time(2_000_000));
     leader.writer.write_tokens.take(Time(2_000_000), level);
-    assert!(!written(&mut leader, 2.0), "there is more pressing work");
+    assert!(!written(&mut leader, 2.0), "the write rate is in use");
     leader.writer.write_tokens = TokenBucket::new(50.0, 50.0);
-    assert!(!written(&mut leader, 3.0), "it settles first");
+    assert!(
+        !written(&mut leader, 3.0),
+        "a change that is not urgent is written after a delay"
+    );
     assert!(written(&mut leader, 4.5));
     let answer = wire::kvstore::TransactionResponse {
         revision: Version(9),
--- a/crates/controller/src/core/leader/transaction_contents.rs
+++ b/crates/controller/src/core/leader/transaction_contents.rs
@@ -1,5 +1,5 @@
-//! What a transaction carries, most urgent first, as far as there is room in it. Sends
-//! nothing, and takes nothing back: that is the writer's.
+//! Fills a transaction with changes, the most urgent first, as far as they fit. Nothing
+//! is sent here, and changes that were not committed are queued again by the writer.
 
 use super::cluster_state::ClusterState;
 use crate::core::format_version::FormatVersion;
@@ -8,11 +8,11 @@
 use crate::types::Time;
 use crate::wire::kvstore::Operation;
 
-/// Settled intents deleted in one transaction.
-const MAX_SETTLED_DELETES: usize = 8;
+/// Most settled intents deleted in one transaction.
+const MAX_SETTLED_INTENT_DELETES: usize = 8;
 
-/// Adds write-ahead intents and other small records: calls wait for them, and they
-/// are few.
+/// Adds write-ahead intents and other small records. They go first because calls to the
+/// cloud wait for them, and they are few.
 pub(super) fn add_pending_puts(
     builder: &mut TransactionBuilder,
     pending_writes: &mut PendingWrites,
@@ -39,7 +39,8 @@
         if job.outcome != Some(JobOutcome::Done { written: false }) {
             continue;
         }
-        // If nothing of it is anywhere any more, it ends and goes at once.
+        // A job none of whose tasks may still be on a machine is marked as done and
+        // deleted in the same transaction.
         if job.assignments.is_empty() {
             let write = job.write_done_and_delete();
             if builder.add(CommitItem::FinishAndDelete(id.clone()), write) {
@@ -53,7 +54,7 @@
     }
 }
 
-/// Adds the progress records that are out of date, most urgent first.
+/// Adds the progress records that are out of date, the most urgent first.
 pub(super) fn add_dirty_chunks(
     builder: &mut TransactionBuilder,
     now: Time,
@@ -61,14 +62,14 @@
     format: FormatVersion,
 ) {
     let dirty_chunks = &mut cluster.unwritten.dirty_chunks;
-    // Some need no writing any more, so a few more are looked at.
+    // Some chunks need no writing any more, so twice as many as fit are examined.
     for due in dirty_chunks.due(now, builder.room() * 2) {
         if builder.room() == 0 {
             break;
         }
         let (id, chunk) = due.clone();
-        // Records of an ended job are only ever deleted, and those of one with
-        // a record that cannot be read stay as they are.
+        // Records of an ended job are only ever deleted. Records of a job with an
+        // unreadable record are not written.
         let job = cluster.jobs.get(&id);
         let job = job.filter(|job| job.is_open() && !job.unreadable);
         let state = job.and_then(|job| Some((job, job.chunks.get(&chunk)?.change)));
@@ -89,8 +90,8 @@
     }
 }
 
-/// Adds the deletion of ended jobs. In a rush hundreds of them wait: only those that
-/// there is room for are looked at.
+/// Adds the deletion of ended jobs. At peak load hundreds of them wait, so only as many
+/// as fit are examined.
 pub(super) fn add_job_deletions(builder: &mut TransactionBuilder, cluster: &mut ClusterState) {
     let mut postponed = None;
     while builder.room() > 1
@@ -99,12 +100,13 @@
         let Some(job) = cluster.jobs.get(&id) else {
             continue;
         };
-        // It comes back here once its end is stored, or its last task gone.
-        let is_end_stored = matches!(
+        // The job is queued again once its outcome is stored, or its last task is
+        // removed.
+        let is_outcome_stored = matches!(
             job.outcome,
             Some(JobOutcome::Cancelled | JobOutcome::Done { written: true })
         );
-        if !is_end_stored || !job.assignments.is_empty() {
+        if !is_outcome_stored || !job.assignments.is_empty() {
             continue;
         }
         let (ops, is_last) = job.delete_records(builder.room());
@@ -122,7 +124,7 @@
     builder: &mut TransactionBuilder,
     pending_writes: &mut PendingWrites,
 ) {
-    for key in pending_writes.take_deletes(builder.room().min(MAX_SETTLED_DELETES)) {
+    for key in pending_writes.take_deletes(builder.room().min(MAX_SETTLED_INTENT_DELETES)) {
         let op = Operation::Delete { key: key.clone() };
         builder.add(CommitItem::LeaderRecord(key, None), vec![op].into());
     }
