--- a/crates/controller/src/core/cache_hints.rs
+++ b/crates/controller/src/core/cache_hints.rs
@@ -1,50 +1,51 @@
-//! Hints about agents' image caches and image fetch times, as leaders sent them.
-//! They are stored nowhere. A controller that is elected takes its own over; a
-//! leader that has none, as its process was restarted, gets them back from its
-//! peers, in parts, each peer beginning at another place.
+//! Hints about agents' image caches and image fetch times, as leaders sent them in
+//! heartbeats. The hints are held in memory only. A controller that is elected starts
+//! with the hints that it holds. A leader that has none, because its process restarted,
+//! gets them back from its peers in parts; each peer starts at another position.
 
 use crate::types::{FencingToken, Image, MachineId, Time, TimeSpan};
 use std::collections::BTreeMap;
 
-/// Most machines remembered.
-const MAX_MACHINES: usize = 4000;
-/// Most images whose fetch time is remembered.
-const MAX_IMAGES: usize = 4096;
-/// Most machines given back at once.
+/// Most machines whose images are kept.
+const MAX_HINTED_MACHINES: usize = 4000;
+/// Most images whose fetch time is kept.
+const MAX_HINTED_IMAGES: usize = 4096;
+/// Most machines in one part that a leader gets back.
 pub const MAX_MACHINES_PER_PART: usize = 100;
 
-/// Images on a machine, with their sizes in gigabytes.
-pub type Images = Vec<(Image, f64)>;
+/// Images in a machine's cache, with their sizes in gigabytes.
+pub type CachedImages = Vec<(Image, f64)>;
 
-/// The images on one machine, as a leader sent them.
+/// The images in one machine's cache, as a leader sent them.
 #[derive(Clone, Debug)]
 struct MachineHint {
     received: Time,
-    /// The token of that leader.
+    /// The fencing token of the leader that sent the hint.
     token: FencingToken,
-    images: Images,
+    images: CachedImages,
 }
 
-/// How far giving hints back to a leader has come.
+/// Progress of returning hints to a leader.
 #[derive(Clone, Debug)]
 struct HintTransfer {
-    /// The leader's token.
-    to: FencingToken,
-    /// The last machine given.
+    /// The fencing token of the leader that receives the hints.
+    leader_token: FencingToken,
+    /// The machine after which the next part starts, in the order of ids and wrapping
+    /// around at the last. `None`: the next part starts at the first machine.
     after: Option<MachineId>,
     machines_left: usize,
 }
 
-/// All hints.
+/// All hints that a controller held when it was elected.
 #[derive(Debug)]
 pub struct AllHints {
-    /// Images on machines.
-    pub machines: Vec<(MachineId, Images)>,
-    /// What fetching images takes.
+    /// Images in the machines' caches.
+    pub machines: Vec<(MachineId, CachedImages)>,
+    /// Duration of fetching each image.
     pub fetches: Vec<(Image, TimeSpan)>,
 }
 
-/// The hints that a controller remembers.
+/// The hints that a controller holds.
 #[derive(Clone, Debug, Default)]
 pub struct CacheHints {
     machines: BTreeMap<MachineId, MachineHint>,
@@ -53,12 +54,14 @@
 }
 
 impl CacheHints {
-    /// Records what the leader of this token sent; fetch times are in milliseconds.
+    /// Records hints from the leader of this token; fetch times are in milliseconds. The
+    /// oldest machines are evicted at the limit, whereas new images are ignored at
+    /// theirs.
     pub fn record(
         &mut self,
         now: Time,
         token: FencingToken,
-        machines: Vec<(MachineId, Images)>,
+        machines: Vec<(MachineId, CachedImages)>,
         fetches: Vec<(Image, u64)>,
     ) {
         for (id, images) in machines {
@@ -69,16 +72,16 @@
             };
             self.machines.insert(id, hint);
         }
-        self.forget_oldest();
+        self.evict_oldest();
         for (image, ms) in fetches {
-            if self.fetches.len() < MAX_IMAGES || self.fetches.contains_key(&image) {
+            if self.fetches.len() < MAX_HINTED_IMAGES || self.fetches.contains_key(&image) {
                 self.fetches.insert(image, TimeSpan::millis(ms));
             }
         }
     }
 
-    fn forget_oldest(&mut self) {
-        while self.machines.len() > MAX_MACHINES {
+    fn evict_oldest(&mut self) {
+        while self.machines.len() > MAX_HINTED_MACHINES {
             let oldest = self.machines.iter().min_by_key(|(_, hint)| hint.received);
             let Some((id, _)) = oldest else { return };
             let id = id.clone();
@@ -86,21 +89,21 @@
         }
     }
 
-    /// Takes all hints, for a controller that is elected.
+    /// Removes and returns all hints, for a controller that was elected.
     pub fn take_all(&mut self) -> AllHints {
-        let all = std::mem::take(self);
-        let machines = all.machines.into_iter();
+        let taken = std::mem::take(self);
+        let machines = taken.machines.into_iter();
         AllHints {
             machines: machines.map(|(id, hint)| (id, hint.images)).collect(),
-            fetches: all.fetches.into_iter().collect(),
+            fetches: taken.fetches.into_iter().collect(),
         }
     }
 
-    /// Takes the hints about machines that are known by now.
+    /// Removes and returns the hints about machines for which `is_known` is true.
     pub fn take_known(
         &mut self,
         is_known: impl Fn(&MachineId) -> bool,
-    ) -> Vec<(MachineId, Images)> {
+    ) -> Vec<(MachineId, CachedImages)> {
         let ids = self.machines.keys();
         let known: Vec<MachineId> = ids.filter(|id| is_known(id)).cloned().collect();
         known
@@ -110,16 +113,25 @@
             .collect()
     }
 
-    /// What fetching images takes.
+    /// Duration of fetching each image.
     pub fn fetch_times(&self) -> impl Iterator<Item = (&Image, TimeSpan)> {
         self.fetches.iter().map(|(image, took)| (image, *took))
     }
 
-    /// The next part of what earlier leaders sent, for the leader of this token; each
-    /// part once. `start`: at which share of it this controller begins, 0 to 1.
-    pub fn next_part(&mut self, to: FencingToken, start: f64) -> Vec<(MachineId, Images)> {
-        if self.transfer.as_ref().is_none_or(|t| t.to != to) {
-            self.transfer = Some(self.start_transfer(to, start));
+    /// The next part of the hints from earlier leaders, for the leader of this token.
+    /// Each hint is returned once; the part is empty when all were. `start`: the position
+    /// of the first part, as a share of all machines from 0 to 1.
+    pub fn next_part(
+        &mut self,
+        leader_token: FencingToken,
+        start: f64,
+    ) -> Vec<(MachineId, CachedImages)> {
+        if self
+            .transfer
+            .as_ref()
+            .is_none_or(|t| t.leader_token != leader_token)
+        {
+            self.transfer = Some(self.start_transfer(leader_token, start));
         }
         let Some(transfer) = self.transfer.as_mut().filter(|t| t.machines_left > 0) else {
             return Vec::new();
@@ -128,29 +140,29 @@
         let is_beyond = |id: &MachineId| after.as_ref().is_none_or(|a| id > a);
         let beyond = self.machines.iter().filter(|(id, _)| is_beyond(id));
         let wrapped = self.machines.iter().filter(|(id, _)| !is_beyond(id));
-        let part: Vec<(MachineId, Images)> = beyond
+        let part: Vec<(MachineId, CachedImages)> = beyond
             .chain(wrapped)
-            .filter(|(_, hint)| hint.token < to)
+            .filter(|(_, hint)| hint.token < leader_token)
             .take(MAX_MACHINES_PER_PART.min(transfer.machines_left))
             .map(|(id, hint)| (id.clone(), hint.images.clone()))
             .collect();
         transfer.machines_left = match part.len() {
             0 => 0,
-            given => transfer.machines_left - given,
+            sent => transfer.machines_left - sent,
         };
         transfer.after = part.last().map(|(id, _)| id.clone());
         part
     }
 
-    fn start_transfer(&self, to: FencingToken, start: f64) -> HintTransfer {
+    fn start_transfer(&self, leader_token: FencingToken, start: f64) -> HintTransfer {
         let hints = self.machines.iter();
         let ids: Vec<&MachineId> = hints
-            .filter(|(_, hint)| hint.token < to)
+            .filter(|(_, hint)| hint.token < leader_token)
             .map(|(id, _)| id)
             .collect();
         let first = (ids.len() as f64 * start.clamp(0.0, 1.0)) as usize;
         HintTransfer {
-            to,
+            leader_token,
             after: first.checked_sub(1).map(|last| ids[last].clone()),
             machines_left: ids.len(),
         }
--- a/crates/controller/src/core/cache_hints/tests.rs
+++ b/crates/controller/src/core/cache_hints/tests.rs
@@ -16,41 +16,44 @@
     hints
 }
 
-// A leader whose process was started again at once took its own key and knew of
-// no image on any machine: everything was cold, for as long as it led.
+// A leader whose process restarted within its lease claimed its own key again without any
+// cache hints: every image counted as not cached on any machine, for as long as it led.
 #[test]
-fn each_hint_is_given_back_once() {
+fn each_hint_is_returned_once() {
     let mut peers = [
         hints_with_machines(950),
         hints_with_machines(950),
         hints_with_machines(950),
     ];
-    let mut heard = BTreeSet::new();
+    let mut received = BTreeSet::new();
     let mut rounds = 0;
-    while heard.len() < 950 {
+    while received.len() < 950 {
         for (i, p) in peers.iter_mut().enumerate() {
             let part = p.next_part(FencingToken(9), i as f64 / 3.0);
             assert!(part.len() <= MAX_MACHINES_PER_PART);
-            heard.extend(part.into_iter().map(|(id, _)| id));
+            received.extend(part.into_iter().map(|(id, _)| id));
         }
         rounds += 1;
     }
-    assert!(rounds <= 4, "{rounds}: each begins elsewhere");
-    let mut one = hints_with_machines(250);
+    assert!(
+        rounds <= 4,
+        "{rounds}: each peer starts at another position"
+    );
+    let mut single_peer = hints_with_machines(250);
     let parts: Vec<usize> = (0..5)
-        .map(|_| one.next_part(FencingToken(9), 0.5).len())
+        .map(|_| single_peer.next_part(FencingToken(9), 0.5).len())
         .collect();
     assert_eq!(parts, [100, 100, 50, 0, 0]);
-    // To itself, or to one that it hears it from, nothing is given back.
+    // A leader gets no hints back that carry its own token.
     assert!(
         hints_with_machines(50)
             .next_part(FencingToken(5), 0.0)
             .is_empty()
     );
     assert_eq!(
-        one.next_part(FencingToken(12), 0.0).len(),
+        single_peer.next_part(FencingToken(12), 0.0).len(),
         100,
-        "a later leader asks anew"
+        "a later leader gets all hints again"
     );
 }
 
--- a/crates/controller/src/core/delivery.rs
+++ b/crates/controller/src/core/delivery.rs
@@ -1,46 +1,47 @@
-//! Detects machines whose heartbeats arrive while the answers to them are lost. Such a
-//! machine is neither absent nor of use: its tasks stay assigned until there is proof,
-//! and nothing new goes there.
+//! Detects machines whose heartbeats arrive while the answers to the heartbeats are lost.
+//! The tasks of such a machine stay assigned until there is proof that they have stopped,
+//! and no new tasks are placed on the machine.
 //!
-//! Its lease gives evidence: it runs from the sending of the last heartbeat whose answer
-//! the agent received. So an agent epoch that ends although heartbeats of it were
-//! answered within a lease did not receive those answers, and one that outlives a lease
-//! has received one.
+//! The agent's lease provides the evidence. A lease starts when the agent sends the last
+//! heartbeat whose answer it received. So an agent epoch that ends although some of its
+//! heartbeats were answered within a lease did not receive those answers, and an epoch
+//! that lasts longer than a lease has received an answer.
 
 use crate::types::{Time, TimeSpan};
 use std::collections::VecDeque;
 
-/// Missed answers in a row after which answers count as lost. One or two are lost on
-/// the way, or sent late by a controller that is behind.
-const MAX_MISSED: u32 = 3;
-/// Heartbeats that a network partition held back arrive all at once, each made long
-/// before the answer to the one before it: only those that arrive this far apart count
-/// as further misses.
+/// Consecutive missed answers after which answers count as lost. One or two may be lost
+/// on the network, or sent late by a controller that is behind.
+const MISSES_UNTIL_LOST: u32 = 3;
+/// Minimum time between two heartbeats that both count as misses. Heartbeats that a
+/// network partition held back arrive in a burst, and each was sent long before the
+/// answer to the previous one.
 const MIN_TIME_BETWEEN_MISSES: TimeSpan = TimeSpan::millis(2000);
-/// Only answers at least this old count as missed by an epoch that ends.
+/// Minimum age of an answer that an ending epoch counts as missed.
 const MIN_ANSWER_AGE: TimeSpan = TimeSpan::millis(4000);
-/// How many answers of this age an epoch that ends must have missed.
+/// Minimum number of answers of [`MIN_ANSWER_AGE`] that an ending epoch must have missed
+/// to count as evidence of loss.
 const MIN_ANSWERS_MISSED: usize = 2;
-/// Answers remembered.
-const MAX_ANSWERS: usize = 8;
-/// Allowance for the agent's clock, and for a heartbeat on its way.
+/// Most answers whose sending times are kept.
+const MAX_RECORDED_ANSWERS: usize = 8;
+/// Allowance for the agent's clock, and for the transit time of a heartbeat.
 const SLACK: TimeSpan = TimeSpan::millis(1000);
-/// By how much an agent's clock may run slow: its lease may last that much longer.
-const CLOCK_DRIFT: f64 = 1.001;
+/// Factor by which an agent's slow clock may extend the duration of its lease.
+const MAX_CLOCK_DRIFT_FACTOR: f64 = 1.001;
 
-/// What a heartbeat shows of the answers before it.
+/// What a heartbeat proves about the delivery of the answers before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryEvidence {
-    /// Nothing.
+    /// The heartbeat proves nothing.
     None,
-    /// An answer was received: the heartbeat carries our fencing token for the first
-    /// time, or a start has arrived.
+    /// An answer was received: the heartbeat carries this leader's fencing token for the
+    /// first time, or shows that a start command has arrived.
     Received,
-    /// A start that was sent has not arrived.
+    /// A start command that was sent has not arrived.
     Missed,
-    /// The agent still has an older fencing token than ours.
+    /// The agent still has an older fencing token than this leader's.
     OlderToken,
-    /// The agent epoch is another one than before.
+    /// The agent is in another epoch than in the heartbeat before.
     NewEpoch,
 }
 
@@ -49,34 +50,36 @@
 struct LostDelivery {
     /// When it was detected.
     since: Time,
-    /// When the current agent epoch was first seen, as far as it is known.
+    /// When the current agent epoch was first seen. If the loss was detected in the
+    /// middle of an epoch, when the loss was detected.
     epoch_since: Time,
 }
 
-/// Whether the answers to one machine's heartbeats arrive.
+/// Tracks whether one agent receives the answers to its heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct DeliveryMonitor {
-    /// When the last answers were sent.
+    /// Sending times of the latest answers, oldest first.
     answers: VecDeque<Time>,
-    /// Signs in a row that answers were missed.
+    /// Consecutive signs that answers were missed.
     missed: u32,
-    /// When the last of them was counted.
+    /// When `missed` was last incremented.
     last_missed: Option<Time>,
-    /// Set while answers count as lost.
+    /// `Some` while answers count as lost.
     lost: Option<LostDelivery>,
 }
 
 impl DeliveryMonitor {
     /// Records that an answer was sent.
     pub fn record_answer(&mut self, now: Time) {
-        if self.answers.len() == MAX_ANSWERS {
+        if self.answers.len() == MAX_RECORDED_ANSWERS {
             self.answers.pop_front();
         }
         self.answers.push_back(now);
     }
 
-    /// Records a heartbeat that is newer than all before it. True if answers to the
-    /// machine count as lost from now on.
+    /// Records a heartbeat that is newer than all before it. `lease` is the duration of
+    /// agents' leases. Returns true if answers were not counted as lost before and are
+    /// from this heartbeat on.
     pub fn record_heartbeat(
         &mut self,
         now: Time,
@@ -102,14 +105,14 @@
     }
 
     fn count_missed(&mut self, now: Time) {
-        let is_further = self
+        let counts_as_miss = self
             .last_missed
             .is_none_or(|last| now.since(last) >= MIN_TIME_BETWEEN_MISSES);
-        if is_further && !self.answers.is_empty() {
+        if counts_as_miss && !self.answers.is_empty() {
             self.missed += 1;
             self.last_missed = Some(now);
         }
-        if self.missed >= MAX_MISSED {
+        if self.missed >= MISSES_UNTIL_LOST {
             self.lost.get_or_insert(LostDelivery {
                 since: now,
                 epoch_since: now,
@@ -117,7 +120,8 @@
         }
     }
 
-    /// The agent's epoch has ended and another one begun.
+    /// Starts a new agent epoch. An ongoing loss continues; otherwise the ended epoch may
+    /// prove a loss.
     fn start_epoch(&mut self, now: Time, lease: TimeSpan) {
         let since = match self.lost {
             Some(lost) => Some(lost.since),
@@ -131,8 +135,8 @@
         self.answers.clear();
     }
 
-    /// Whether the epoch that ended did not receive answers sent within a lease: had it
-    /// received them, its lease would still run.
+    /// Whether the ended epoch did not receive answers that were sent within a lease: if
+    /// it had received them, its lease would not have expired yet.
     fn epoch_missed_answers(&self, now: Time, lease: TimeSpan) -> bool {
         let is_missed = |sent: &&Time| {
             let age = now.since(**sent);
@@ -141,20 +145,20 @@
         self.answers.iter().filter(is_missed).count() >= MIN_ANSWERS_MISSED
     }
 
-    /// Whether the current epoch has lasted for longer than a lease, so that it has
-    /// received an answer.
+    /// Whether the current epoch has lasted longer than a lease, which proves that the
+    /// agent received an answer.
     fn epoch_outlived_lease(&self, now: Time, lease: TimeSpan) -> bool {
-        let longest = lease.scaled(CLOCK_DRIFT) + SLACK;
+        let max_lease = lease.scaled(MAX_CLOCK_DRIFT_FACTOR) + SLACK;
         self.lost
-            .is_some_and(|lost| now.since(lost.epoch_since) > longest)
+            .is_some_and(|lost| now.since(lost.epoch_since) > max_lease)
     }
 
-    /// Whether answers arrive, so that new work may go to the machine.
+    /// Whether answers arrive, so that new tasks may be placed on the machine.
     pub fn answers_arrive(&self) -> bool {
         self.lost.is_none()
     }
 
-    /// For how long answers have counted as lost.
+    /// For how long answers have counted as lost; `None` while answers arrive.
     pub fn loss_duration(&self, now: Time) -> Option<TimeSpan> {
         self.lost.map(|lost| now.since(lost.since))
     }
--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -1,7 +1,8 @@
-//! Users' requests about jobs. Any controller serves them: accepting and
-//! cancelling are transactions that compare the job's own key, and every answer
-//! that is not final rests on a read sent after the question came. Never decides
-//! where or when a task runs.
+//! Users' requests about jobs: submissions, status polls and cancellations. Any
+//! controller serves them. Accepting and cancelling a job are transactions that compare
+//! the version of the job's own key. Every answer that is not final rests on a read that
+//! was sent after the request arrived. The job API never decides where or when a task
+//! runs.
 
 mod answers;
 mod cancel;
@@ -19,115 +20,119 @@
 use answers::{FinishedJobs, TaskCounts, refuse};
 use std::collections::BTreeMap;
 
-/// Most jobs whose task counts are remembered.
-const MAX_COUNTS: usize = 4000;
-/// The part of the users' rate limit that polls leave to other requests.
-const RATE_LEFT_BY_POLLS: f64 = 0.3;
-/// A user waits 2 s for a poll.
+/// Most jobs whose task counts are kept.
+const MAX_JOBS_WITH_COUNTS: usize = 4000;
+/// The share of the users' rate limit that polls leave to other requests.
+const NON_POLL_RATE_SHARE: f64 = 0.3;
+/// Timeout of the read of a job's header. Shorter than the 2 s for which a user waits for
+/// a poll.
 const READ_TIMEOUT: TimeSpan = TimeSpan::millis(1500);
-/// A user waits 5 s for a submission, and hopes for less than one: a commit whose
-/// answer is lost is looked up by then.
+/// Timeout of a commit. Users wait 5 s for a submission and expect an answer in under one
+/// second, so a commit whose answer is lost is looked up before that second ends.
 const COMMIT_TIMEOUT: TimeSpan = TimeSpan::millis(800);
 
-const STORE_SILENT: &str = "the state service does not answer";
+const STORE_UNREACHABLE: &str = "the state service does not answer";
 const NO_SUCH_JOB: &str = "no such job";
 
-/// What a user's request waits for.
+/// The call that a user's request currently waits for.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// The read of a job's header, to answer a poll.
+    /// A read of the job's header, to answer a poll.
     Poll(JobId),
-    /// The read of the header of a job that is submitted but cannot be accepted.
+    /// A read of the header of a job whose submission cannot be accepted. The rejection
+    /// applies only if the job does not exist.
     RejectUnlessKnown(JobId, Rejection),
     /// The transaction that accepts a job.
     Accept {
         /// The job.
         id: JobId,
-        /// Its number of tasks.
+        /// The job's number of tasks.
         tasks: u32,
     },
-    /// The read of the header of a job whose acceptance was lost or raced.
+    /// A read of the header of a job whose acceptance got no answer or conflicted with
+    /// another write.
     ReadAccepted(JobId),
-    /// The read of the header of a job to cancel.
+    /// A read of the header of a job to cancel.
     ReadForCancel {
         /// The job.
         id: JobId,
-        /// Tries left.
-        tries_left: u32,
+        /// Retries left after a conflict or a lost answer.
+        retries_left: u32,
     },
     /// The transaction that cancels a job.
     Cancel {
         /// The job.
         id: JobId,
-        /// Tries left.
-        tries_left: u32,
+        /// Retries left after a conflict or a lost answer.
+        retries_left: u32,
     },
 }
 
 /// Why a submission cannot be accepted.
 #[derive(Clone, Debug)]
 pub enum Rejection {
-    /// It is malformed.
+    /// The submission is malformed, for the reason given.
     Malformed(String),
-    /// It can never run.
+    /// The job can never run, for the reason given.
     Unschedulable(&'static str),
-    /// This controller does not know the machine types yet.
+    /// This controller has not read the machine types yet.
     MachineTypesUnknown,
 }
 
-/// What a call of the job API is for.
+/// The purpose of an outgoing call of the job API.
 #[derive(Clone, Debug)]
 pub enum PendingCall {
-    /// A step of a user's request.
+    /// A call for a single user's request.
     User {
-        /// The request.
+        /// The user's request.
         request: RequestId,
-        /// The step.
+        /// What the request waits for.
         step: Step,
     },
-    /// A read that several polls share.
+    /// A version comparison that several polls share.
     SharedRead(VersionComparison),
 }
 
-/// A job's header as read from the store.
+/// A job's header as read from the key-value store, with the version of its key.
 #[derive(Clone, Copy, Debug)]
 struct StoredHeader {
     header: JobHeader,
     version: Version,
 }
 
-/// The users' side of a controller.
+/// The component that answers users' requests about jobs.
 #[derive(Debug, Default)]
 pub struct JobApi {
     finished: FinishedJobs,
-    /// Task counts as the leader last sent them, for display.
+    /// Task counts as the leader last sent them; they are informational.
     counts: BTreeMap<JobId, TaskCounts>,
     open_jobs: ReadCoalescer,
-    /// Jobs whose cancellation was confirmed to a user, and not announced to the peers
-    /// yet.
+    /// Jobs whose cancellation was confirmed to a user and has not been announced to the
+    /// peers yet.
     pub confirmed_cancellations: Vec<JobId>,
-    /// Calls under way.
+    /// Calls in flight.
     pub pending_calls: PendingCalls<PendingCall>,
 }
 
 impl JobApi {
-    /// Keeps task counts that the leader sent: tasks done and running.
+    /// Records task counts that the leader sent, as (job, tasks done, tasks running).
     pub fn record_task_counts(&mut self, counts: Vec<(JobId, u32, u32)>) {
         for (id, done, running) in counts {
-            if self.counts.len() >= MAX_COUNTS && !self.counts.contains_key(&id) {
-                // Those of jobs that nobody polls here any more would fill it.
+            if self.counts.len() >= MAX_JOBS_WITH_COUNTS && !self.counts.contains_key(&id) {
+                // Any entry may be evicted: counts of jobs that are no longer polled here
+                // would otherwise fill the map.
                 self.counts.pop_first();
             }
             self.counts.insert(id, TaskCounts { done, running });
         }
     }
 
-    /// Refuses a request that another controller may serve.
+    /// Refuses a request with status 503; another controller may serve it.
     pub fn refuse(&self, effects: &mut Effects, request: RequestId, why: &str) {
         refuse(effects, request, 503, why);
     }
 
-    /// Handles the reply to one of its calls.
+    /// Handles the reply to a call of the job API.
     pub fn handle_reply(&mut self, effects: &mut Effects, call: PendingCall, reply: Reply) {
         match call {
             PendingCall::User { request, step } => {
@@ -148,8 +153,8 @@
     ) {
         match step {
             Step::Accept { id, tasks } => self.handle_accept(effects, request, id, tasks, reply),
-            Step::Cancel { id, tries_left } => {
-                self.handle_cancel(effects, request, id, tries_left, &reply);
+            Step::Cancel { id, retries_left } => {
+                self.handle_cancel(effects, request, id, retries_left, &reply);
             }
             Step::Poll(_)
             | Step::RejectUnlessKnown(..)
@@ -158,14 +163,15 @@
         }
     }
 
-    /// Reads a job's header for a step of a request.
+    /// Reads a job's header for a request. Refuses the request if the users' rate limit
+    /// is used up; polls may use only the share that [`NON_POLL_RATE_SHARE`] leaves.
     fn read_header(&mut self, effects: &mut Effects, request: RequestId, id: &JobId, step: Step) {
-        let left_over = match step {
-            Step::Poll(_) => effects.user_calls.burst() * RATE_LEFT_BY_POLLS,
+        let reserved = match step {
+            Step::Poll(_) => effects.user_calls.burst() * NON_POLL_RATE_SHARE,
             _ => 0.0,
         };
         let now = effects.now.time;
-        if effects.user_calls.level(now) < left_over || !effects.user_calls.take(now, 1.0) {
+        if effects.user_calls.level(now) < reserved || !effects.user_calls.take(now, 1.0) {
             return refuse(effects, request, 503, "too many requests");
         }
         let path = format!("/keys/{}", job_records::job_header_key(id));
@@ -174,9 +180,9 @@
             .add(call, PendingCall::User { request, step });
     }
 
-    /// Commits a transaction for a step of a request. Every change that a user causes
-    /// compares the active format version: one that this controller decided before an
-    /// activation, or that the network held back over it, fails.
+    /// Commits a transaction for a request. Every write that a user causes compares the
+    /// active format version: a write that this controller decided on before an
+    /// activation, or that the network delayed past an activation, fails.
     fn commit(
         &mut self,
         effects: &mut Effects,
@@ -203,7 +209,7 @@
             .add(call, PendingCall::User { request, step });
     }
 
-    /// Goes on with a request whose job's header was read.
+    /// Continues a request whose job's header was read.
     fn handle_header(
         &mut self,
         effects: &mut Effects,
@@ -219,7 +225,7 @@
                 };
                 Some(stored)
             }
-            _ => return refuse(effects, request, 503, STORE_SILENT),
+            _ => return refuse(effects, request, 503, STORE_UNREACHABLE),
         };
         let (Step::Poll(id)
         | Step::RejectUnlessKnown(id, _)
@@ -228,8 +234,8 @@
         else {
             return;
         };
-        // A read sent before the job finished may be answered after a user learned
-        // that it did.
+        // A read that was sent before the job finished may be answered after a user
+        // learned that the job finished.
         let finished = self.finished.get(id).map(|header| StoredHeader {
             header,
             version: Version(0),
@@ -238,8 +244,10 @@
             return self.answer_absent(effects, request, id, step);
         };
         match step {
-            Step::ReadForCancel { id, tries_left } if stored.header.stage == HeaderStage::Open => {
-                self.write_cancel(effects, request, id, stored, *tries_left);
+            Step::ReadForCancel { id, retries_left }
+                if stored.header.stage == HeaderStage::Open =>
+            {
+                self.write_cancel(effects, request, id, stored, *retries_left);
             }
             _ => {
                 self.record_header(id, stored.header, stored.version);
@@ -248,9 +256,9 @@
         }
     }
 
-    /// Answers a request whose job was not found in the store.
+    /// Answers a request whose job was not found in the key-value store.
     fn answer_absent(&self, effects: &mut Effects, request: RequestId, id: &JobId, step: &Step) {
-        // Accepted here since the read was sent: what that says is older.
+        // The job was accepted here after the read was sent, so the read is outdated.
         if self.open_jobs.is_open(id) {
             return refuse(effects, request, 503, "accepted just now");
         }
--- a/crates/controller/src/core/job_api/answers.rs
+++ b/crates/controller/src/core/job_api/answers.rs
@@ -1,5 +1,5 @@
-//! Answers to users: the states of jobs that are finished, which are remembered as
-//! they never change again, and the forms of answers and refusals.
+//! Answers to users: job statuses and refusals. Headers of finished jobs are cached,
+//! since they never change again.
 
 use super::JobApi;
 use crate::core::effects::Effects;
@@ -10,19 +10,19 @@
 use crate::wire::users::{ErrorResponse, JobStage, JobStatus};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most finished jobs remembered.
-const MAX_FINISHED: usize = 2000;
-/// When a user may come back that another controller may serve, in seconds.
+/// Most finished jobs in the cache.
+const MAX_FINISHED_JOBS: usize = 2000;
+/// `Retry-After` of a refusal when another controller may serve the request, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// A job's tasks as the leader counted them.
+/// A job's numbers of done and running tasks as the leader counted them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TaskCounts {
     pub(super) done: u32,
     pub(super) running: u32,
 }
 
-/// Headers of finished jobs; the one remembered first is forgotten first.
+/// A cache of the headers of finished jobs, evicted in the order of insertion.
 #[derive(Debug, Default)]
 pub(super) struct FinishedJobs {
     headers: BTreeMap<JobId, JobHeader>,
@@ -34,13 +34,13 @@
         self.headers.get(id).copied()
     }
 
-    /// Remembers a job's header; false if the job was known already.
+    /// Adds a job's header; returns false if the job was in the cache already.
     fn insert(&mut self, id: &JobId, header: JobHeader) -> bool {
         if self.headers.insert(id.clone(), header).is_some() {
             return false;
         }
         self.insertion_order.push_back(id.clone());
-        if self.insertion_order.len() > MAX_FINISHED
+        if self.insertion_order.len() > MAX_FINISHED_JOBS
             && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.headers.remove(&oldest);
@@ -50,12 +50,13 @@
 }
 
 impl JobApi {
-    /// Remembers a job's header as read or written.
+    /// Records a job's header as read or written. The first record that a job was
+    /// cancelled adds it to the cancellations to announce.
     pub(super) fn record_header(&mut self, id: &JobId, header: JobHeader, version: Version) {
         if header.stage == HeaderStage::Open {
-            return self.open_jobs.remember(id, header, version);
+            return self.open_jobs.cache_header(id, header, version);
         }
-        self.open_jobs.forget(id);
+        self.open_jobs.evict_header(id);
         if !self.finished.insert(id, header) {
             return;
         }
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Answers from memory if the job is finished; whether it did.
+    /// Answers from the cache if the job is finished; returns whether it answered.
     #[must_use]
     pub(super) fn answer_if_finished(
         &self,
@@ -80,7 +81,7 @@
         true
     }
 
-    /// Answers with a job's status.
+    /// Answers a request with the job's status.
     pub(super) fn answer_status(
         &self,
         effects: &mut Effects,
@@ -108,7 +109,7 @@
     }
 }
 
-/// Answers with a status about a job.
+/// Answers a request with this HTTP status and job status.
 pub(super) fn answer_job(
     effects: &mut Effects,
     request: RequestId,
@@ -123,7 +124,8 @@
     effects.answer(request, answer);
 }
 
-/// Refuses a request; a user may come back if another controller may serve it.
+/// Refuses a request with an error text. Status 503 carries a `Retry-After`, since
+/// another controller may serve the request.
 pub(super) fn refuse(effects: &mut Effects, request: RequestId, status: u16, error: &str) {
     tracing::debug!(status, error, "user request refused");
     let body = wire::encode(&ErrorResponse {
--- a/crates/controller/src/core/job_api/cancel.rs
+++ b/crates/controller/src/core/job_api/cancel.rs
@@ -1,15 +1,16 @@
-//! Cancellations: the job's header is read, then written as cancelled if it is
-//! unchanged.
+//! Cancellations: the job's header is read, and then overwritten as cancelled on the
+//! condition that it is unchanged.
 
 use super::answers::refuse;
-use super::{JobApi, NO_SUCH_JOB, STORE_SILENT, Step, StoredHeader};
+use super::{JobApi, NO_SUCH_JOB, STORE_UNREACHABLE, Step, StoredHeader};
 use crate::core::effects::Effects;
 use crate::core::job_records::{self, HeaderStage, JobHeader};
 use crate::core::{Reply, RequestId};
 use crate::types::{JobId, Version};
 use crate::wire::users::is_valid_job_id;
 
-/// How often a cancellation that races with changes is tried again.
+/// Most retries of a cancellation that conflicts with other writes or whose answer is
+/// lost.
 const MAX_RETRIES: u32 = 3;
 
 impl JobApi {
@@ -29,11 +30,11 @@
         effects: &mut Effects,
         request: RequestId,
         id: &JobId,
-        tries_left: u32,
+        retries_left: u32,
     ) {
         let step = Step::ReadForCancel {
             id: id.clone(),
-            tries_left,
+            retries_left,
         };
         self.read_header(effects, request, id, step);
     }
@@ -44,12 +45,12 @@
         request: RequestId,
         id: &JobId,
         stored: StoredHeader,
-        tries_left: u32,
+        retries_left: u32,
     ) {
         let txn = job_records::cancel_transaction(id, stored.header, stored.version);
         let step = Step::Cancel {
             id: id.clone(),
-            tries_left,
+            retries_left,
         };
         self.commit(effects, request, txn, step);
     }
@@ -59,7 +60,7 @@
         effects: &mut Effects,
         request: RequestId,
         id: JobId,
-        tries_left: u32,
+        retries_left: u32,
         reply: &Reply,
     ) {
         match reply {
@@ -71,10 +72,10 @@
                 self.record_header(&id, cancelled, Version(0));
                 self.answer_status(effects, request, &id, cancelled);
             }
-            Reply::Answer(409, _) | Reply::Lost if tries_left > 0 => {
-                self.read_for_cancel(effects, request, &id, tries_left - 1);
+            Reply::Answer(409, _) | Reply::Lost if retries_left > 0 => {
+                self.read_for_cancel(effects, request, &id, retries_left - 1);
             }
-            _ => refuse(effects, request, 503, STORE_SILENT),
+            _ => refuse(effects, request, 503, STORE_UNREACHABLE),
         }
     }
 }
--- a/crates/controller/src/core/job_api/poll.rs
+++ b/crates/controller/src/core/job_api/poll.rs
@@ -1,8 +1,8 @@
-//! Status polls. Polls of jobs that were seen open share reads; the others read
-//! the job's header each for itself.
+//! Status polls. Polls of jobs that this controller has seen open share reads; any other
+//! poll reads the job's header separately.
 
 use super::answers::refuse;
-use super::{JobApi, NO_SUCH_JOB, PendingCall, STORE_SILENT, Step};
+use super::{JobApi, NO_SUCH_JOB, PendingCall, STORE_UNREACHABLE, Step};
 use crate::core::effects::Effects;
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::job_records::{HeaderStage, JobHeader};
@@ -12,10 +12,10 @@
 use crate::wire;
 use crate::wire::users::is_valid_job_id;
 
-/// The part of the users' rate limit that shared reads may take.
+/// The share of the users' rate limit that shared reads may use.
 const SHARED_READ_SHARE: f64 = 0.4;
-/// How long a shared read may take: short, so that one that is lost can be repeated
-/// while the user waits.
+/// Timeout of a shared read. Short, so that a lost read can be repeated while the user
+/// waits.
 const SHARED_READ_TIMEOUT: TimeSpan = TimeSpan::millis(700);
 
 impl JobApi {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Sends the next shared read, if one is due, and refuses polls that have waited
-    /// too long for one.
+    /// Sends the next shared read if one is due, and refuses polls that have waited too
+    /// long for one.
     pub fn send_shared_read(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
         for poll in self.open_jobs.take_overdue(now) {
-            refuse(effects, poll.request, 503, STORE_SILENT);
+            refuse(effects, poll.request, 503, STORE_UNREACHABLE);
         }
         let next = self.open_jobs.next_comparison(now, effects.max_conditions);
         let Some((txn, comparison)) = next else {
@@ -67,7 +67,8 @@
             .add(call, PendingCall::SharedRead(comparison));
     }
 
-    /// Answers the polls that shared a read.
+    /// Handles the reply to a shared read: answers polls of open jobs, reads changed jobs
+    /// one by one, and refuses the rest.
     pub(super) fn handle_shared_read(
         &mut self,
         effects: &mut Effects,
@@ -79,8 +80,8 @@
         let now = effects.now.time;
         let result = self.open_jobs.handle_reply(now, pause, comparison, reply);
         for poll in result.open {
-            // The job may have been cancelled, at this very controller, while the reply
-            // was on its way.
+            // The job may have been cancelled through this controller while the reply was
+            // in transit.
             if !self.answer_if_finished(effects, poll.request, &poll.id) {
                 self.answer_status(effects, poll.request, &poll.id, poll.header);
             }
@@ -90,7 +91,7 @@
             self.read_header(effects, poll.request, &poll.id, step);
         }
         for poll in result.failed {
-            refuse(effects, poll.request, 503, STORE_SILENT);
+            refuse(effects, poll.request, 503, STORE_UNREACHABLE);
         }
         self.send_shared_read(effects);
     }
--- a/crates/controller/src/core/job_api/submit.rs
+++ b/crates/controller/src/core/job_api/submit.rs
@@ -1,7 +1,7 @@
-//! Submissions: checked, then accepted by one transaction.
+//! Submissions: each is validated and then accepted by a single transaction.
 
 use super::answers::{answer_job, refuse};
-use super::{JobApi, Rejection, STORE_SILENT, Step};
+use super::{JobApi, Rejection, STORE_UNREACHABLE, Step};
 use crate::core::effects::Effects;
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::job_records::{self, HeaderStage, JobHeader, TransactionLimits};
@@ -13,15 +13,15 @@
 use crate::wire::kvstore::TransactionResponse;
 use crate::wire::users::{JobShape, JobStage, JobStatus, Submission, is_valid_job_id};
 
-/// What can be read of a submission that is malformed otherwise.
+/// The id of a submission that is otherwise malformed.
 #[derive(serde::Deserialize)]
 struct SubmissionId {
     #[serde(rename = "ref")]
     id: JobId,
 }
 
-/// Why a job can never run, if so.
-fn unschedulable(
+/// Why a job can never run under the current teams and machine types; `None` if it can.
+fn unschedulable_reason(
     job: &Submission,
     settings: &Settings,
     types: &MachineTypes,
@@ -40,11 +40,11 @@
     if !fits_somewhere {
         return Some("a task fits no allowed machine type");
     }
-    let at_once: Resources = match job.shape {
+    let concurrent_resources: Resources = match job.shape {
         JobShape::Array => task,
         JobShape::Gang | JobShape::Service => task.times(f64::from(job.tasks)),
     };
-    (!team.allows(&at_once)).then_some("the job needs more than its team's limit")
+    (!team.allows(&concurrent_resources)).then_some("the job needs more than its team's limit")
 }
 
 impl JobApi {
@@ -72,7 +72,9 @@
         }
         let rejection = match types {
             None => Some(Rejection::MachineTypesUnknown),
-            Some(types) => unschedulable(&job, settings, types).map(Rejection::Unschedulable),
+            Some(types) => {
+                unschedulable_reason(&job, settings, types).map(Rejection::Unschedulable)
+            }
         };
         if let Some(rejection) = rejection {
             return self.reject_unless_known(effects, request, &job.id, rejection);
@@ -114,9 +116,10 @@
         }
     }
 
-    /// A job that is known already stays accepted, whatever the machine types or teams
-    /// are today and whatever is sent under its id: a submission is refused for good
-    /// only once no such job is found.
+    /// Rejects a submission unless its job exists. A job that was accepted stays
+    /// accepted, whatever the machine types or teams are now and whatever is submitted
+    /// under its id: a submission is rejected permanently only once a read finds no such
+    /// job.
     fn reject_unless_known(
         &mut self,
         effects: &mut Effects,
@@ -150,15 +153,16 @@
         };
         match reply {
             Reply::Answer(200, body) => self.answer_accepted(effects, request, id, open, &body),
-            // Its own first copy, or another controller's, or a later end of the job:
-            // only a read tells.
+            // The conflict may come from an earlier copy of this submission, from a
+            // submission through another controller, or from a later end of the job: only
+            // a read shows which.
             Reply::Answer(409, _) if !failpoints::enforced(SafetyCheck::ConflictIsRead) => {
                 self.answer_status(effects, request, &id, open);
             }
             Reply::Answer(409, _) | Reply::Lost => {
                 self.read_header(effects, request, &id, Step::ReadAccepted(id.clone()));
             }
-            Reply::Answer(..) | Reply::NotSent => refuse(effects, request, 503, STORE_SILENT),
+            Reply::Answer(..) | Reply::NotSent => refuse(effects, request, 503, STORE_UNREACHABLE),
         }
     }
 
@@ -170,13 +174,13 @@
         open: JobHeader,
         body: &[u8],
     ) {
-        // The user may have been answered elsewhere, and have cancelled the job here,
-        // before this reply came.
+        // The user may have received an answer from another controller, and cancelled the
+        // job through this one, before this reply arrived.
         if self.answer_if_finished(effects, request, &id) {
             return;
         }
         if let Some(response) = wire::decode::<TransactionResponse>(body) {
-            self.open_jobs.remember(&id, open, response.revision);
+            self.open_jobs.cache_header(&id, open, response.revision);
         }
         let accepted = JobStatus {
             id,
--- a/crates/controller/src/core/job_api/tests.rs
+++ b/crates/controller/src/core/job_api/tests.rs
@@ -4,24 +4,24 @@
 use crate::wire::kvstore::TransactionResponse;
 use crate::wire::users::{JobStage, JobStatus};
 
-// A poll's read that was answered only after a cancellation had been told
-// brought the older state.
+// A poll's read that was answered only after a cancellation had been confirmed returned
+// the older state.
 #[test]
 fn late_read_does_not_revert_finished_job() {
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
-    let ended = Reply::Answer(200, wire::encode(&TransactionResponse::default()));
+    let cancel_committed = Reply::Answer(200, wire::encode(&TransactionResponse::default()));
     let cancel = Step::Cancel {
         id: id.clone(),
-        tries_left: 1,
+        retries_left: 1,
     };
-    job_api.handle_step_reply(&mut effects, RequestId(1), cancel, ended);
-    let head = Entry {
+    job_api.handle_step_reply(&mut effects, RequestId(1), cancel, cancel_committed);
+    let header = Entry {
         key: job_records::job_header_key(&id),
         value: job_records::job_header_value(HeaderStage::Open, 3),
         version: Version(4),
     };
-    let late = Reply::Answer(200, wire::encode(&head));
+    let late = Reply::Answer(200, wire::encode(&header));
     job_api.handle_step_reply(&mut effects, RequestId(2), Step::Poll(id), late);
     let stages: Vec<JobStage> = effects
         .take_outputs()
@@ -45,21 +45,22 @@
         .collect()
 }
 
-fn cancelled() -> Reply {
-    let head = Entry {
+fn cancelled_header() -> Reply {
+    let header = Entry {
         key: "job/wk-1".into(),
         value: job_records::job_header_value(HeaderStage::Cancelled, 3),
         version: Version(9),
     };
-    Reply::Answer(200, wire::encode(&head))
+    Reply::Answer(200, wire::encode(&header))
 }
 
-fn accepted() -> Reply {
+fn committed() -> Reply {
     Reply::Answer(200, wire::encode(&TransactionResponse::default()))
 }
 
-// The answer to an acceptance may take seconds. Its user, who was told by another node
-// meanwhile and called the job off, once heard "pending" here after "withdrawn".
+// The answer to an acceptance may take seconds. A user whose submission another
+// controller confirmed in the meantime, and who cancelled the job, received "pending"
+// from this controller after "withdrawn".
 #[test]
 fn late_acceptance_does_not_revert_cancelled_job() {
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
@@ -68,7 +69,7 @@
         &mut effects,
         RequestId(1),
         Step::Poll(id.clone()),
-        cancelled(),
+        cancelled_header(),
     );
     job_api.handle_step_reply(
         &mut effects,
@@ -77,7 +78,7 @@
             id: id.clone(),
             tasks: 3,
         },
-        accepted(),
+        committed(),
     );
     assert_eq!(
         take_answers(&mut effects),
@@ -86,13 +87,14 @@
             (2, 200, Some(JobStage::Cancelled))
         ]
     );
-    // Nor does it bring the job back among the open ones.
+    // The late acceptance must not add the job to the open ones either.
     assert!(!job_api.open_jobs.is_open(&id));
 }
 
-// A read sent before a job was accepted may be answered after that was told.
+// A read that was sent before a job was accepted may be answered after the acceptance was
+// confirmed.
 #[test]
-fn earlier_read_does_not_report_accepted_job_as_unknown() {
+fn earlier_read_does_not_hide_accepted_job() {
     let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
     let id = JobId::from("wk-1");
     job_api.handle_step_reply(
@@ -102,14 +104,14 @@
             id: id.clone(),
             tasks: 3,
         },
-        accepted(),
+        committed(),
     );
-    let none = || Reply::Answer(404, Vec::new());
+    let not_found = || Reply::Answer(404, Vec::new());
     for (n, step) in [
         Step::Poll(id.clone()),
         Step::ReadForCancel {
             id: id.clone(),
-            tries_left: 1,
+            retries_left: 1,
         },
         Step::RejectUnlessKnown(id.clone(), Rejection::Unschedulable("unknown team")),
         Step::RejectUnlessKnown(id.clone(), Rejection::Malformed("pieces is invalid".into())),
@@ -117,7 +119,7 @@
     .into_iter()
     .enumerate()
     {
-        job_api.handle_step_reply(&mut effects, RequestId(2 + n as u64), step, none());
+        job_api.handle_step_reply(&mut effects, RequestId(2 + n as u64), step, not_found());
     }
     let statuses: Vec<u16> = take_answers(&mut effects)
         .iter()
@@ -126,18 +128,22 @@
     assert_eq!(statuses, [201, 503, 503, 503, 503]);
 }
 
-// Whatever is sent under an accepted job's id, its user is not told that it is malformed
-// or can never run; what is no job is refused once none is found, and nothing is stored.
+// A user who submits anything under an accepted job's id must not receive the answer that
+// it is malformed or can never run. A malformed submission is refused once no such job is
+// found, and nothing is stored.
 #[test]
 fn malformed_resubmission_is_answered_with_job_status() {
     let settings = crate::testing::settings(0);
-    let no = serde_json::json!({"ref": "wk-1", "lane": "a", "pieces": 0});
-    let whole = serde_json::json!({"ref": "wk-1", "lane": "a", "crew": "red", "shape": "batch", "urgency": "low",
+    let truncated = serde_json::json!({"ref": "wk-1", "lane": "a", "pieces": 0});
+    let complete = serde_json::json!({"ref": "wk-1", "lane": "a", "crew": "red", "shape": "batch", "urgency": "low",
         "pieces": 0, "vcpus": 1.0, "accelerators": 0.0, "memory_gb": 1.0, "bundle": "i", "size_gb": 1.0,
         "same_place": false, "scatter": false, "borrowed": true, "guess_s": 1.0, "snapshot_every_s": 0.0,
         "snapshot_s": 0.0});
-    for body in [no, whole] {
-        for (found, status) in [(cancelled(), 200), (Reply::Answer(404, Vec::new()), 400)] {
+    for body in [truncated, complete] {
+        for (found, status) in [
+            (cancelled_header(), 200),
+            (Reply::Answer(404, Vec::new()), 400),
+        ] {
             let (mut effects, mut job_api) = (effects_at(1.0), JobApi::default());
             let body = wire::encode(&body);
             job_api.submit(&mut effects, RequestId(1), &body, &settings, None);
@@ -146,13 +152,13 @@
                 panic!("{calls:?}")
             };
             assert_eq!((call.method, call.path.as_str()), ("GET", "/keys/job/wk-1"));
-            let what = job_api.pending_calls.take(call.id).unwrap();
-            job_api.handle_reply(&mut effects, what, found);
+            let pending = job_api.pending_calls.take(call.id).unwrap();
+            job_api.handle_reply(&mut effects, pending, found);
             let answers = take_answers(&mut effects);
             assert_eq!((answers.len(), answers[0].1), (1, status));
         }
     }
-    // What names no job at all is refused at once.
+    // A submission without a valid job id is refused without a read.
     for body in [
         wire::encode(&serde_json::json!({"ref": "a b", "pieces": 1})),
         wire::encode(&serde_json::json!([1, 2])),
--- a/crates/controller/src/core/leader_announcement.rs
+++ b/crates/controller/src/core/leader_announcement.rs
@@ -1,44 +1,45 @@
-//! Announcement of a new leader to agents, those first whose tasks can wait least.
+//! Announcement of a new leader to agents, in the order of the urgency of their tasks.
 //!
-//! An agent with tasks sends a heartbeat every few seconds, and if its controller is
-//! gone it notices only then. One that learns of a higher token sends a heartbeat at
-//! once, so it finds its way to the successor that much sooner. The announcement
-//! carries a token and nothing else: it neither starts nor stops anything, and
-//! renews no lease.
+//! An agent with tasks sends a heartbeat every few seconds, and detects only then that
+//! its controller is gone. An agent that learns of a higher fencing token sends a
+//! heartbeat immediately, so it reaches the successor earlier. The announcement carries a
+//! token and nothing else: it neither starts nor stops any task, and renews no lease.
 
 use crate::types::{MachineId, Time, TimeSpan};
 use std::collections::BTreeSet;
 
-/// All agents get the announcement within this time, in seconds, if there are neither
-/// few nor many.
-const TARGET_S: f64 = 4.0;
-/// Least and most agents a second: each costs a connection.
+/// Time within which all agents get the announcement, in seconds, unless
+/// [`MIN_PER_SECOND`] or [`MAX_PER_SECOND`] applies.
+const TARGET_DURATION_S: f64 = 4.0;
+/// Lower and upper limit of announcements per second: each costs a connection.
 const MIN_PER_SECOND: f64 = 20.0;
 const MAX_PER_SECOND: f64 = 250.0;
-/// Largest burst, as a share of the agents of one second.
-const BURST_SHARE: f64 = 0.1;
-/// Where heartbeats come at least this often, an announcement gains nothing.
-const FREQUENT_HEARTBEATS: TimeSpan = TimeSpan::millis(2000);
-/// Announcements end after this many heartbeat periods: by then all agents have
-/// come by themselves.
-const HEARTBEAT_PERIODS: f64 = 1.25;
+/// Largest burst, as a share of the announcements of one second.
+const MAX_BURST_SHARE: f64 = 0.1;
+/// Longest heartbeat period for which announcements are not sent: agents that send
+/// heartbeats this often find the new leader as fast without one.
+const MAX_PERIOD_WITHOUT_ANNOUNCEMENTS: TimeSpan = TimeSpan::millis(2000);
+/// Announcements end after this many heartbeat periods: by then all agents have sent a
+/// heartbeat without one.
+const MAX_HEARTBEAT_PERIODS: f64 = 1.25;
 
-/// How little a machine's tasks can wait.
+/// How urgently a machine's tasks need the new leader; the most urgent is first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnnouncementPriority {
-    /// A task on it is being stopped, for another task or for good.
+    /// A task on the machine is being stopped, in favour of another task or permanently.
     Stopping,
-    /// A task of high priority is on it.
+    /// A task of high priority is on the machine.
     Urgent,
-    /// Another task is on it.
+    /// Only other tasks are on the machine.
     Busy,
 }
 
-/// The agents that are still to get the announcement of a new leader.
+/// Rate-limited announcements of a new leader to agents.
 #[derive(Debug)]
 pub struct LeaderAnnouncer {
-    waiting: BTreeSet<(AnnouncementPriority, MachineId)>,
-    /// Announcements that may be sent now, as of `credit_at`.
+    /// Agents that have not got the announcement yet.
+    pending: BTreeSet<(AnnouncementPriority, MachineId)>,
+    /// Number of announcements that may be sent now, as of `credit_at`.
     credit: f64,
     credit_at: Time,
     /// When announcements end.
@@ -48,15 +49,16 @@
 }
 
 impl LeaderAnnouncer {
-    /// For a leader that was just elected; `heartbeat_period` is that of its agents.
+    /// Creates the announcer of a leader that was just elected; `heartbeat_period` is the
+    /// period of its agents' heartbeats.
     pub fn new(now: Time, heartbeat_period: TimeSpan) -> LeaderAnnouncer {
-        let ends_at = if heartbeat_period > FREQUENT_HEARTBEATS {
-            now + heartbeat_period.scaled(HEARTBEAT_PERIODS)
+        let ends_at = if heartbeat_period > MAX_PERIOD_WITHOUT_ANNOUNCEMENTS {
+            now + heartbeat_period.scaled(MAX_HEARTBEAT_PERIODS)
         } else {
             now
         };
         LeaderAnnouncer {
-            waiting: BTreeSet::new(),
+            pending: BTreeSet::new(),
             credit: 0.0,
             credit_at: now,
             ends_at,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Whether announcements are still sent.
+    /// Whether the time for announcements has not ended yet.
     pub fn is_active(&self, now: Time) -> bool {
         now < self.ends_at
     }
@@ -72,25 +74,25 @@
     /// Adds a machine with tasks whose agent has sent this leader no heartbeat yet.
     pub fn add(&mut self, now: Time, priority: AnnouncementPriority, machine: MachineId) {
         if self.is_active(now) {
-            self.waiting.insert((priority, machine));
+            self.pending.insert((priority, machine));
         }
     }
 
-    /// The machines whose agents get the announcement now, where the leader knows of
-    /// this many machines in all.
+    /// Removes and returns the machines whose agents get the announcement now. `machines`
+    /// is the number of all machines that the leader tracks, which sets the rate.
     pub fn take_due(&mut self, now: Time, machines: usize) -> Vec<MachineId> {
-        let rate = (machines as f64 / TARGET_S).clamp(MIN_PER_SECOND, MAX_PER_SECOND);
+        let rate = (machines as f64 / TARGET_DURATION_S).clamp(MIN_PER_SECOND, MAX_PER_SECOND);
         let elapsed = now.since(self.credit_at).as_secs();
         self.credit_at = now;
-        // Unused credit is not saved up: it would make a burst.
+        // Credit is capped, since accumulated credit would allow a large burst.
         let credit = self.credit + elapsed * rate;
-        self.credit = credit.min(rate * BURST_SHARE).max(1.0);
+        self.credit = credit.min(rate * MAX_BURST_SHARE).max(1.0);
         if !self.is_active(now) {
-            self.waiting.clear();
+            self.pending.clear();
         }
         let mut due = Vec::new();
         while self.credit >= 1.0
-            && let Some((_, machine)) = self.waiting.pop_first()
+            && let Some((_, machine)) = self.pending.pop_first()
         {
             self.credit -= 1.0;
             due.push(machine);
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -1,5 +1,6 @@
-//! A controller: owns its parts, advances them in time, and routes requests and
-//! replies to them. Never does I/O: what is to be sent is returned as outputs.
+//! A controller process as a state machine: [`Node`] owns the controller's components,
+//! passes each input (tick, request, reply) to the component that handles it, and returns
+//! the outputs to perform. This module and its submodules perform no I/O.
 
 mod cloud_proxy;
 mod format_version;
@@ -37,44 +38,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How long users are led away from a controller that shuts down: the load balancer
-/// checks readiness twice, a second apart.
+/// Time between a shutdown request and the exit of the process, in which the load
+/// balancer removes this controller: the load balancer checks readiness twice, one second
+/// apart.
 const DRAIN_TIME: TimeSpan = TimeSpan::millis(2500);
 
-/// What a call of the controller itself, not of one of its parts, is for.
+/// The purpose of an outgoing call that the controller itself made, not one of its
+/// components (election, job API, leader).
 #[derive(Clone, Debug)]
 enum PendingCall {
-    /// Read of the stored machine types.
+    /// A read of the machine types in the key-value store.
     MachineTypes,
-    /// An agent's heartbeat, forwarded to the leader.
+    /// A forward of an agent's heartbeat to the leader.
     ForwardedHeartbeat {
-        /// The agent's request.
+        /// The agent's request, which is answered with the leader's reply.
         request: RequestId,
     },
-    /// A heartbeat to this peer.
+    /// A heartbeat sent to this peer.
     PeerHeartbeat(NodeId),
-    /// A call to the cloud on behalf of the leader.
+    /// A call to the cloud API on behalf of the leader.
     CloudCall {
-        /// The leader's request.
+        /// The leader's request, which is answered with the cloud's reply.
         request: RequestId,
     },
     /// A direct probe of a suspected leader.
     Probe {
-        /// The leader's token.
+        /// The fencing token of the probed leader.
         token: FencingToken,
-        /// When it was sent.
+        /// When the probe was sent.
         sent: Time,
     },
-    /// A question to a peer whether it confirms the suspicion.
+    /// A query whether a peer confirms the suspicion of the leader.
     SuspicionQuery,
-    /// Read of the leader's key while the leader is suspected.
+    /// A read of the leader's key, sent while the leader is suspected.
     LeaderKey,
-    /// The transaction that activates this format version or, with `None`, records
-    /// that everything was rewritten.
+    /// The transaction that activates this format version. `None`: the transaction that
+    /// records that all stored records were rewritten in the active one.
     VersionWrite(Option<FormatVersion>),
 }
 
-/// A controller.
+/// A controller process without its I/O; see the module documentation.
 #[derive(Debug)]
 pub struct Node {
     settings: Rc<Settings>,
@@ -83,48 +86,55 @@
     pending_calls: PendingCalls<PendingCall>,
     election: Election,
     job_api: JobApi,
-    /// The leader's part, while this controller leads.
+    /// The leader's state; `None` while this controller does not lead.
     leader: Option<Leader>,
     peers: BTreeMap<NodeId, PeerView>,
-    /// Peers that the last heartbeat did not reach.
+    /// Peers that did not answer the last heartbeat sent to them. When one answers again,
+    /// the leader broadcasts its state from the beginning.
     unreached_peers: BTreeSet<NodeId>,
-    /// Agents whose heartbeats are forwarded to the leader.
+    /// Agents whose heartbeats this follower forwards to the leader, or recently
+    /// forwarded.
     forwarded_agents: ForwardedAgents,
-    /// What leaders said of agents' image caches, which is stored nowhere.
+    /// Contents of agents' image caches and image fetch times as leaders sent them. Held
+    /// in memory only.
     cache_hints: CacheHints,
     machine_types: Option<MachineTypes>,
     machine_types_due: Time,
     is_reading_machine_types: bool,
     peer_heartbeat_due: Time,
     last_peer_heartbeat: Time,
-    /// Cancellations that were confirmed to users here.
+    /// Recent cancellations that this controller confirmed to users, repeated in
+    /// heartbeats.
     cancellations: Cancellations,
     self_health: SelfHealth,
     failure_detector: FailureDetector,
-    /// When this leader steps down if no peer has replaced it, while it transfers
-    /// leadership.
+    /// When this leader steps down if no peer has replaced it. `None` unless it is
+    /// transferring leadership.
     transfer_deadline: Option<Time>,
-    /// Since when the process is shutting down.
+    /// When the shutdown of the process was requested; `None` before that.
     shutdown_since: Option<Time>,
-    /// Whether a transaction that concerns the active format version is under way.
+    /// Whether a [`PendingCall::VersionWrite`] is in flight; there is one at a time.
     is_writing_version: bool,
-    /// Whether a controller ran under another policy when that was last logged.
+    /// Whether controllers ran different policies when that was last logged.
     logged_policy_difference: bool,
-    /// Why this controller did not serve when that was last logged.
+    /// The reason for not serving that was last logged, so that each change is logged
+    /// once.
     logged_not_serving: Option<NotServing>,
-    /// When the key-value store last answered anything at all, or this life began.
+    /// When the key-value store last answered any call of the election or the leader,
+    /// even with a refusal. Starts at the first input of this process.
     last_store_answer: Option<Time>,
 }
 
 impl Node {
-    /// A controller at the start of its process.
+    /// Creates the controller of a process that has just started. `seed` seeds its random
+    /// number generator.
     pub fn new(settings: Settings, policy: Policy, seed: u64) -> Node {
         let supported = Some(SupportedVersions::SUPPORTED);
         Node::with_supported_versions(settings, policy, seed, supported)
     }
 
-    /// A controller that supports other format versions than this build: as an older
-    /// one would or, with none, as one that knows no format versions.
+    /// Creates a controller that supports other format versions than this build does, as
+    /// an older build would. `None` stands for a build that predates format versions.
     pub fn with_supported_versions(
         settings: Settings,
         policy: Policy,
@@ -134,9 +144,9 @@
         let settings = Rc::new(settings);
         let node_id = settings.node_id.clone();
         let mut effects = Effects::new(&settings, seed);
-        let life = effects.rng.random();
+        let incarnation = effects.rng.random();
         let changed = policy.changed.clone();
-        let member_versions = MemberVersions::new(node_id.clone(), supported, changed, life);
+        let member_versions = MemberVersions::new(node_id.clone(), supported, changed, incarnation);
         let max_version = FormatVersion(policy.highest_level as u32);
         let lease_ttl = TimeSpan::secs(policy.leader_lease_s);
         let controllers = settings.peers.len() + 1;
@@ -169,7 +179,7 @@
         }
     }
 
-    /// Handles an input; returns what is to be done.
+    /// Handles one input at the given time and returns the outputs to perform.
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
         self.effects.now = now;
         self.last_store_answer.get_or_insert(now.time);
@@ -178,7 +188,7 @@
             Input::Tick => self.tick(),
             Input::Request(id, listener, request) => self.handle_request(id, listener, request),
             Input::Reply(id, reply) => self.handle_reply(id, reply),
-            Input::Calibration(took) => self.self_health.calibration_us = took.0.max(1),
+            Input::Calibration(duration) => self.self_health.calibration_us = duration.0.max(1),
             Input::Shutdown => self.begin_shutdown(),
             Input::LeaseExpired(lease) => self.handle_lease_expiry(lease),
         }
@@ -202,7 +212,7 @@
         self.job_api.send_shared_read(&mut self.effects);
         if now >= self.peer_heartbeat_due {
             self.peer_heartbeat_due = now + PEER_HEARTBEAT_PERIOD;
-            self.forwarded_agents.forget_absent(now);
+            self.forwarded_agents.remove_stale(now);
             self.send_peer_heartbeats();
             self.advance_format_version();
         }
@@ -217,55 +227,56 @@
 
     fn handle_lease_expiry(&mut self, lease: u64) {
         if self.leader.as_ref().is_some_and(|l| l.lease == lease) {
-            self.end_leadership(LeadershipOutcome::StepDown("the lease ran out"));
+            self.end_leadership(LeadershipOutcome::StepDown("the lease expired"));
         }
     }
 }
 
-/// What others may ask a controller about.
+/// Queries by the driver and the simulator.
 impl Node {
-    /// Whether this controller leads and has loaded everything.
+    /// Whether this controller leads and has loaded all records from the key-value store.
     pub fn leads(&self) -> bool {
         self.leader.as_ref().is_some_and(Leader::is_loaded)
     }
 
-    /// The token under which this controller leads, if it does.
+    /// The fencing token under which this controller leads; `None` if it does not lead.
     pub fn token(&self) -> Option<FencingToken> {
         self.leader.as_ref().map(|l| l.token)
     }
 
-    /// The active format version as this controller knows it.
+    /// The active format version as this controller last observed it.
     pub fn active_version(&self) -> FormatVersion {
         self.election.member_versions.active_version()
     }
 
-    /// Whether this controller serves users, agents and peers.
+    /// Whether this controller serves users, agents and peers. It does so once it has
+    /// read the active format version, supports it, and has stored its own member record.
     pub fn is_serving(&self) -> bool {
         self.not_serving().is_none()
     }
 
     /// The format version up to which all stored records were rewritten, as this
-    /// controller knows.
+    /// controller last observed it.
     pub fn rewritten_version(&self) -> FormatVersion {
         self.election.member_versions.rewritten_version()
     }
 
-    /// Whether a process that shuts down may exit: it leads no more, and users had
-    /// time to be led elsewhere.
+    /// Whether a process that is shutting down may exit: it no longer leads, and the load
+    /// balancer had time to send users elsewhere.
     pub fn may_exit(&self) -> bool {
         let now = self.effects.now.time;
         let is_drained = |since: Time| now.since(since) >= DRAIN_TIME;
         self.leader.is_none() && self.shutdown_since.is_some_and(is_drained)
     }
 
-    /// While it leads: how many machines it knows, and how many of them have sent it
-    /// a heartbeat under its token.
+    /// The number of machines that this leader tracks, and how many of them have sent it
+    /// a heartbeat under its fencing token. `None` if this controller does not lead.
     pub fn machine_counts(&self) -> Option<(usize, usize)> {
         self.leader.as_ref().map(Leader::count_reporting_machines)
     }
 
-    /// Whether it leads and knows a machine; the simulator counts machines that
-    /// nobody knows.
+    /// Whether this controller leads and tracks the machine. The simulator counts
+    /// machines that no controller tracks.
     pub fn knows_machine(&self, machine: &MachineId) -> bool {
         self.leader.as_ref().is_some_and(|l| l.knows(machine))
     }
--- a/crates/controller/src/core/node/cloud_proxy.rs
+++ b/crates/controller/src/core/node/cloud_proxy.rs
@@ -1,4 +1,5 @@
-//! Calls to the cloud that a controller makes for a leader that does not reach it.
+//! Proxy for a leader that cannot reach the cloud API: this controller makes the leader's
+//! calls.
 
 use super::routes::CLOUD_PROXY;
 use super::{Node, PendingCall};
@@ -7,13 +8,14 @@
 use crate::http;
 use crate::types::{FencingToken, TimeSpan};
 
-/// How long the cloud may take; the leader waits a little longer.
+/// Timeout of a call to the cloud API; the leader waits a little longer.
 const CLOUD_TIMEOUT: TimeSpan = TimeSpan::millis(5000);
 
 impl Node {
-    /// Forwards a leader's call to the cloud. A leader whose token is known to be
-    /// replaced is refused; where that is not known yet no harm is done, as what it
-    /// asks for is stored in the key-value store.
+    /// Forwards a leader's call to the cloud API. A leader that is known to be replaced,
+    /// because a higher token exists, is refused. A replaced leader that this controller
+    /// does not recognize as such does no harm: the intents behind its calls are stored
+    /// in the key-value store.
     pub(super) fn proxy_cloud_call(&mut self, id: RequestId, token: &str, request: &http::Request) {
         let Some(token) = token.parse().ok().map(FencingToken) else {
             return self.effects.answer_status(id, 400);
@@ -35,7 +37,8 @@
             .add(call, PendingCall::CloudCall { request: id });
     }
 
-    /// Answers the leader as the cloud did, or says why it did not.
+    /// Answers the leader with the cloud's answer, or with a gateway error that says
+    /// whether the call was sent.
     pub(super) fn handle_cloud_reply(&mut self, id: RequestId, reply: Reply) {
         match reply {
             Reply::Answer(status, body) => {
@@ -52,7 +55,7 @@
     }
 }
 
-/// The cloud's path and query in a request to `/cloud/TOKEN/PATH?QUERY`.
+/// The path and query for the cloud API in a request to `/cloud/TOKEN/PATH?QUERY`.
 fn cloud_path(request: &http::Request) -> String {
     let prefix = format!("/{CLOUD_PROXY}/");
     let mut path = request.path[prefix.len()..].to_string();
--- a/crates/controller/src/core/node/format_version.rs
+++ b/crates/controller/src/core/node/format_version.rs
@@ -1,5 +1,5 @@
-//! The active format version: whether this controller supports it and, while it
-//! leads, the activation of the next one.
+//! Format versions: whether this controller supports the active one and, while this
+//! controller leads, the activation of the next one.
 
 use super::{Node, PendingCall};
 use crate::core::format_version::member_versions::{Activation, NotServing};
@@ -9,11 +9,13 @@
 use crate::wire;
 use crate::wire::kvstore::{Precondition, Transaction, TransactionResponse};
 
-/// How long a transaction that concerns the active format version may take.
+/// Timeout of a transaction that activates a format version or records the completion of
+/// a rewrite.
 const VERSION_WRITE_TIMEOUT: TimeSpan = TimeSpan::millis(2000);
 
 impl Node {
-    /// Why this controller does nothing for users, agents and peers, if so.
+    /// Why this controller serves neither users nor agents nor peers; `None` if it
+    /// serves.
     pub(super) fn not_serving(&self) -> Option<NotServing> {
         self.election.member_versions.check_serving().err()
     }
@@ -27,8 +29,9 @@
         FormatVersion(self.policy.highest_level as u32)
     }
 
-    /// Logs why this controller does not serve and, as the leader, activates the next
-    /// format version once all controllers support it, one step at a time.
+    /// Logs changes in whether this controller serves and in whether policies differ. A
+    /// loaded leader also activates the next format version once all controllers support
+    /// it, one version at a time, and records when all stored records were rewritten.
     pub(super) fn advance_format_version(&mut self) {
         self.log_not_serving();
         self.log_policy_difference();
@@ -80,7 +83,7 @@
         }
         match differing {
             Some((node, policy)) => tracing::warn!(%node, ?policy, "policies differ"),
-            None => tracing::info!("all controllers run under one policy"),
+            None => tracing::info!("all controllers run the same policy"),
         }
         self.logged_policy_difference = differing.is_some();
     }
@@ -88,7 +91,8 @@
     fn activate(&mut self, activation: Activation, token: FencingToken, holder: Precondition) {
         tracing::info!(version = %activation.to, "activating format version");
         if activation.to == FENCED {
-            // The leader's key moves: the election claims it anew.
+            // FENCED moves the leader's key to another name, so the election claims the
+            // key again.
             return self
                 .election
                 .activate_as_leader(&mut self.effects, token, activation);
@@ -100,12 +104,14 @@
         self.write_version(txn, holder, Some(activation.to));
     }
 
-    /// Commits a transaction of the holder of the leader's key.
+    /// Commits a transaction on the condition that this leader still holds the leader's
+    /// key. `activated_version`: the format version that the transaction sets; `None` if
+    /// it records the completion of a rewrite.
     fn write_version(
         &mut self,
         mut txn: Transaction,
         holder: Precondition,
-        activates: Option<FormatVersion>,
+        activated_version: Option<FormatVersion>,
     ) {
         txn.conditions.push(holder);
         let call = self.effects.call(
@@ -116,12 +122,12 @@
             VERSION_WRITE_TIMEOUT,
         );
         self.pending_calls
-            .add(call, PendingCall::VersionWrite(activates));
+            .add(call, PendingCall::VersionWrite(activated_version));
         self.is_writing_version = true;
     }
 
-    /// Notes that the transaction was committed, or failed. If its answer is lost, the
-    /// watch brings the change.
+    /// Handles the reply to a version write, and records the version that it activated.
+    /// If the reply is lost, the watch delivers the change.
     pub(super) fn handle_version_write(&mut self, activated: Option<FormatVersion>, reply: &Reply) {
         self.is_writing_version = false;
         let Some(response) = reply.decode_success::<TransactionResponse>() else {
--- a/crates/controller/src/core/node/heartbeat_forwarding.rs
+++ b/crates/controller/src/core/node/heartbeat_forwarding.rs
@@ -1,5 +1,5 @@
-//! Agents' heartbeats: those to this controller while it leads, and those that a
-//! follower forwards to the leader.
+//! Handling of agents' heartbeats: the leader answers them, and a follower forwards them
+//! to the leader or redirects the agent.
 
 use super::routes::{self, AGENT_HEARTBEAT};
 use super::{Node, PendingCall};
@@ -10,26 +10,27 @@
 use crate::wire::workers::{Heartbeat, LeaderRedirect};
 use std::collections::BTreeMap;
 
-/// Status of an answer that names the controller an agent should turn to
-/// ("misdirected request").
+/// Status of an answer that redirects an agent to another controller ("misdirected
+/// request").
 const MISDIRECTED: u16 = 421;
-/// How long an agent's heartbeats are forwarded before it is sent to the leader
-/// again, the first time; it doubles each time.
-const FIRST_FORWARDING_TIME: TimeSpan = TimeSpan::millis(20_000);
-/// How often that time doubles at most.
+/// How long an agent's heartbeats are forwarded before the agent is first redirected to
+/// the leader. Doubles with each redirect.
+const INITIAL_FORWARDING_TIME: TimeSpan = TimeSpan::millis(20_000);
+/// Most doublings of [`INITIAL_FORWARDING_TIME`].
 const MAX_DOUBLINGS: u32 = 4;
-/// How long an agent is remembered after its last heartbeat here.
-const AGENT_KEPT: TimeSpan = TimeSpan::millis(120_000);
-/// How long the leader may take over a forwarded heartbeat; agents wait 4 s.
+/// How long a [`ForwardedAgent`] is kept after the agent's last heartbeat here.
+const AGENT_RETENTION: TimeSpan = TimeSpan::millis(120_000);
+/// Timeout of a forwarded heartbeat. Shorter than the 4 s for which agents wait.
 const FORWARDING_TIMEOUT: TimeSpan = TimeSpan::millis(3000);
 
-/// An agent whose heartbeats are forwarded, or recently were.
+/// An agent whose heartbeats are forwarded to the leader, or recently were.
 #[derive(Debug, Default)]
 struct ForwardedAgent {
     last_seen: Time,
-    /// Since when its heartbeats are forwarded.
-    since: Option<Time>,
-    /// How often it was sent back to the leader after that.
+    /// Since when the agent's heartbeats are forwarded without a redirect. `None` right
+    /// after a redirect.
+    forwarding_since: Option<Time>,
+    /// How often the agent was redirected to the leader after a period of forwarding.
     redirects: u32,
 }
 
@@ -38,32 +39,32 @@
 pub(super) struct ForwardedAgents(BTreeMap<MachineId, ForwardedAgent>);
 
 impl ForwardedAgents {
-    /// Whether to forward this agent's heartbeat rather than to send the agent to the
-    /// leader again, which is tried rarer each time.
+    /// Whether to forward this agent's heartbeat rather than redirect the agent to the
+    /// leader. Redirects become rarer each time.
     fn should_forward(&mut self, now: Time, machine: &MachineId) -> bool {
         let agent = self.0.entry(machine.clone()).or_default();
         agent.last_seen = now;
-        let since = *agent.since.get_or_insert(now);
+        let since = *agent.forwarding_since.get_or_insert(now);
         let doublings = agent.redirects.min(MAX_DOUBLINGS);
-        let forwards = now.since(since) < TimeSpan(FIRST_FORWARDING_TIME.0 << doublings);
-        if !forwards {
-            agent.since = None;
+        let is_forwarded = now.since(since) < TimeSpan(INITIAL_FORWARDING_TIME.0 << doublings);
+        if !is_forwarded {
+            agent.forwarding_since = None;
             agent.redirects += 1;
         }
-        forwards
+        is_forwarded
     }
 
-    /// Forgets agents that have not come for long.
-    pub(super) fn forget_absent(&mut self, now: Time) {
+    /// Removes agents that have sent no heartbeat here for [`AGENT_RETENTION`].
+    pub(super) fn remove_stale(&mut self, now: Time) {
         self.0
-            .retain(|_, agent| now.since(agent.last_seen) < AGENT_KEPT);
+            .retain(|_, agent| now.since(agent.last_seen) < AGENT_RETENTION);
     }
 }
 
 impl Node {
-    /// Handles an agent's heartbeat: as the leader, by forwarding it to the leader, or
-    /// by naming the leader. The answer is the leader's wherever the agent gets it:
-    /// where the leader is out of an agent's reach, its lease need not run out.
+    /// Handles an agent's heartbeat. The leader answers it; a follower forwards it to the
+    /// leader or names the leader. The content of the answer is the leader's in either
+    /// case: an agent that cannot reach the leader keeps its lease through a follower.
     pub(super) fn handle_agent_heartbeat(&mut self, id: RequestId, body: Vec<u8>) {
         let Some(heartbeat) = wire::decode::<Heartbeat>(&body) else {
             return self.effects.answer_status(id, 400);
@@ -93,11 +94,13 @@
         self.redirect_agent(id, Some(leader));
     }
 
-    /// Whether a heartbeat is to be forwarded. An agent that has the leader's token
-    /// already comes here only when it cannot reach the leader. It stays here as long
-    /// as it is answered, so after a while it is sent to the leader again. One that
-    /// has another token may have found the leader not ready yet, and is better off
-    /// with it.
+    /// Whether to forward a heartbeat to the leader of this token.
+    ///
+    /// An agent that already has the leader's token comes to a follower only when it
+    /// cannot reach the leader. Such an agent stays with the follower as long as it is
+    /// answered, so after a while it is redirected to the leader. An agent with another
+    /// token may have contacted the leader before it was ready; it is redirected to the
+    /// leader immediately.
     fn should_forward(&mut self, heartbeat: &Heartbeat, token: FencingToken) -> bool {
         let now = self.effects.now.time;
         token == heartbeat.token
@@ -106,7 +109,7 @@
                 .should_forward(now, &heartbeat.machine)
     }
 
-    /// Handles a heartbeat that a peer forwards.
+    /// Handles an agent's heartbeat that a peer forwards.
     pub(super) fn handle_forwarded_heartbeat(&mut self, id: RequestId, body: &[u8]) {
         match wire::decode::<Heartbeat>(body) {
             Some(heartbeat) if self.leader.is_some() => {
@@ -117,8 +120,8 @@
         }
     }
 
-    /// Gives a heartbeat to the leader. `may_defer`: whether its answer may be deferred
-    /// until there is something to say.
+    /// Passes a heartbeat to this controller's leader state. `may_defer`: whether the
+    /// answer may be deferred until there are commands for the agent.
     fn deliver_heartbeat(&mut self, id: RequestId, heartbeat: Heartbeat, may_defer: bool) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -129,11 +132,11 @@
         }
     }
 
-    /// Answers a forwarded heartbeat as the leader did.
+    /// Answers a forwarded heartbeat with the leader's answer.
     pub(super) fn handle_forwarding_reply(&mut self, id: RequestId, reply: Reply) {
         match reply {
             Reply::Answer(200, body) => self.effects.answer_body(id, body),
-            // Another controller may do better.
+            // The agent tries another controller: that one may reach the leader.
             _ => self.redirect_agent(id, None),
         }
     }
@@ -147,9 +150,10 @@
         self.effects.answer(id, answer);
     }
 
-    /// The leader and its token as far as known, if it is another controller. One that
-    /// has loaded answers agents and comes first; a successor that has not may take
-    /// long.
+    /// The leader and its fencing token as this controller last observed them; `None` if
+    /// no leader is known or this controller holds the highest token. A leader that has
+    /// loaded all records answers agents, so it is preferred to a successor with a higher
+    /// token that has not, and that may take long to load.
     pub(super) fn known_leader(&self) -> Option<(NodeId, FencingToken)> {
         let now = self.effects.now.time;
         let from_peers = self
--- a/crates/controller/src/core/node/inspect.rs
+++ b/crates/controller/src/core/node/inspect.rs
@@ -1,17 +1,19 @@
-//! What operators see of a controller.
+//! The controller's state as operators read it at `/inspect`. The field names are part of
+//! the operators' interface.
 
 use super::Node;
 use crate::core::election::ElectionState;
 
-/// The value of a parameter in a query; empty if it is absent.
+/// The value of a query parameter; empty if the parameter is absent.
 fn parameter<'a>(query: &'a str, name: &str) -> &'a str {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    let found = pairs.find(|(key, _)| *key == name);
-    found.map_or("", |(_, value)| value)
+    let matching = pairs.find(|(key, _)| *key == name);
+    matching.map_or("", |(_, value)| value)
 }
 
 impl Node {
-    /// `query` may have `machine=` and `job=`: prefixes of the names to show.
+    /// The controller's state as JSON. `query` may hold `machine=` and `job=`: name
+    /// prefixes of the machines and jobs that the leader lists.
     pub(super) fn inspect(&self, query: &str) -> serde_json::Value {
         let now = self.effects.now;
         let machine = parameter(query, "machine");
@@ -44,7 +46,7 @@
         let peers = self.peers.iter().map(|(node_id, peer)| {
             serde_json::json!({
                 "node": node_id,
-                "heard_s_ago": now.since(peer.last_heard).as_secs(),
+                "heard_s_ago": now.since(peer.last_heartbeat).as_secs(),
                 "token": peer.token,
                 "leads": peer.is_leader,
                 "state_ok": peer.store_reachable,
--- a/crates/controller/src/core/node/leader_supervision.rs
+++ b/crates/controller/src/core/node/leader_supervision.rs
@@ -1,5 +1,5 @@
-//! Supervision of the leader by a follower: the failure detector is fed here, and
-//! what it asks for is sent.
+//! Supervision of the leader by a follower: passes evidence to the failure detector and
+//! performs the actions that the detector decides on.
 
 use super::routes::{self, PEER_HEARTBEAT, SUSPICION_QUERY};
 use super::{Node, PendingCall};
@@ -11,17 +11,18 @@
 use crate::wire::peers::{LeaderHeartbeat, SuspicionQuery, SuspicionReport};
 use std::rc::Rc;
 
-/// Contact with the key-value store that is recent enough to say that it answers: a
-/// follower's watch is held for two seconds.
-const RECENT_CONTACT: TimeSpan = TimeSpan::millis(2600);
+/// Contact with the key-value store within this time counts as proof that the store
+/// answers: a follower's watch is held for 2 s.
+const MAX_CONTACT_AGE: TimeSpan = TimeSpan::millis(2600);
 
-/// A probe that failed only after this share of its time-out was not refused: a
-/// connection that is refused fails at once, one that is not accepted takes all the
-/// time there is.
-const TIMED_OUT_SHARE: f64 = 0.9;
+/// A probe that failed after at least this share of its timeout counts as timed out
+/// rather than refused: a refused connection fails immediately, whereas one that is not
+/// accepted uses the whole timeout.
+const MIN_TIMED_OUT_SHARE: f64 = 0.9;
 
 impl Node {
-    /// Asks the failure detector what is to be done about the leader, and does it.
+    /// Queries the failure detector for the next action against the leader, and performs
+    /// it.
     pub(super) fn check_leader(&mut self) {
         let now = self.effects.now.time;
         let leader = self.election.leader.as_ref();
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Probes the leader, asks the peers whether they confirm the suspicion, and reads
+    /// Probes the leader, queries the peers whether they confirm the suspicion, and reads
     /// the leader's key.
     fn investigate_leader(&mut self, leader: &NodeId, token: FencingToken, suspicion: Suspicion) {
         tracing::debug!(%leader, ?suspicion, "investigating leader");
@@ -57,10 +58,10 @@
         for peer in &settings.peers {
             if peer.node_id == *leader {
                 let probe = PendingCall::Probe { token, sent };
-                self.ask_peer(peer, PEER_HEARTBEAT, heartbeat.clone(), probe);
+                self.call_peer(peer, PEER_HEARTBEAT, heartbeat.clone(), probe);
             } else {
                 let pending = PendingCall::SuspicionQuery;
-                self.ask_peer(peer, SUSPICION_QUERY, query.clone(), pending);
+                self.call_peer(peer, SUSPICION_QUERY, query.clone(), pending);
             }
         }
         let path = format!("/keys/{}", self.election.holder_key());
@@ -70,7 +71,7 @@
         self.pending_calls.add(call, PendingCall::LeaderKey);
     }
 
-    fn ask_peer(&mut self, peer: &Peer, route: &str, body: Vec<u8>, pending: PendingCall) {
+    fn call_peer(&mut self, peer: &Peer, route: &str, body: Vec<u8>, pending: PendingCall) {
         let call = self.effects.call(
             Target::Host(peer.addr),
             "POST",
@@ -81,7 +82,7 @@
         self.pending_calls.add(call, pending);
     }
 
-    /// Handles a heartbeat of the leader.
+    /// Handles a heartbeat that the leader sends to its followers.
     pub(super) fn handle_leader_heartbeat(&mut self, id: RequestId, body: &[u8]) {
         let Some(heartbeat) = wire::decode::<LeaderHeartbeat>(body) else {
             return self.effects.answer_status(id, 400);
@@ -91,14 +92,15 @@
         self.effects.answer_status(id, 200);
     }
 
-    /// Answers a peer that suspects the leader whether this controller confirms it.
+    /// Answers a peer that suspects the leader: whether this controller confirms the
+    /// suspicion, and how many agents recently left the leader for this controller.
     pub(super) fn handle_suspicion_query(&mut self, id: RequestId, body: &[u8]) {
         let Some(query) = wire::decode::<SuspicionQuery>(body) else {
             return self.effects.answer_status(id, 400);
         };
         let now = self.effects.now.time;
         let contact = self.election.last_contact;
-        let store_reachable = contact.is_some_and(|at| now.since(at) < RECENT_CONTACT);
+        let store_reachable = contact.is_some_and(|at| now.since(at) < MAX_CONTACT_AGE);
         let suspicion = if query.store_unreachable {
             Suspicion::StoreUnreachable
         } else {
@@ -124,7 +126,7 @@
         let outcome = match reply {
             Reply::Answer(..) => ProbeOutcome::Answered,
             Reply::NotSent | Reply::Lost => {
-                if now.since(sent) >= PROBE_TIMEOUT.scaled(TIMED_OUT_SHARE) {
+                if now.since(sent) >= PROBE_TIMEOUT.scaled(MIN_TIMED_OUT_SHARE) {
                     ProbeOutcome::TimedOut
                 } else {
                     ProbeOutcome::ConnectionRefused
@@ -134,7 +136,8 @@
         self.failure_detector.record_probe(now, token, outcome);
     }
 
-    /// Handles a peer's answer whether it confirms the suspicion.
+    /// Handles a peer's answer to a suspicion query. Answers under names other than the
+    /// configured peers' are ignored.
     pub(super) fn handle_suspicion_report(&mut self, reply: &Reply) {
         let Some(report) = reply.decode_success::<SuspicionReport>() else {
             return;
@@ -150,8 +153,8 @@
         }
     }
 
-    /// Handles the reply to the read of the leader's key; an absent key is an answer
-    /// too.
+    /// Handles the reply to the read of the leader's key. A 404 for an absent key proves
+    /// too that the key-value store is reachable.
     pub(super) fn handle_leader_key_reply(&mut self, reply: &Reply) {
         if matches!(reply, Reply::Answer(200 | 404, _)) {
             self.failure_detector.record_store_reachable();
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -1,4 +1,4 @@
-//! Beginning, exercising and ending leadership.
+//! Start and end of leadership, and access to the leader's state in between.
 
 use super::Node;
 use crate::core::effects::Effects;
@@ -9,7 +9,8 @@
 use std::rc::Rc;
 
 impl Node {
-    /// Begins to lead, if the election was won.
+    /// Starts leadership if the election was won. The new leader starts with the cache
+    /// hints that earlier leaders sent.
     pub(super) fn handle_election_outcome(&mut self, outcome: ElectionOutcome) {
         let ElectionOutcome::Elected { token, lease } = outcome else {
             return;
@@ -32,8 +33,8 @@
         self.peer_heartbeat_due = now;
     }
 
-    /// A leader that activated a format version holds the key anew, under another
-    /// token and lease.
+    /// Drops the leader state of a previous token: a leader that activated a format
+    /// version has claimed the leader's key again, under another token and lease.
     fn drop_previous_leadership(&mut self) {
         let Some(mut previous) = self.leader.take() else {
             return;
@@ -61,7 +62,8 @@
         )
     }
 
-    /// Lets the leader act, and ends its leadership if that is the outcome.
+    /// Runs `act` on the leader's state if this controller leads, and ends the leadership
+    /// if the outcome says so.
     pub(super) fn with_leader(
         &mut self,
         act: impl FnOnce(&mut Leader, &mut Effects) -> LeadershipOutcome,
--- a/crates/controller/src/core/node/leadership_transfer.rs
+++ b/crates/controller/src/core/node/leadership_transfer.rs
@@ -1,6 +1,6 @@
-//! Transfer of leadership to a peer, by a leader that shuts down or is out of
-//! processor time. Until the peer has taken the key this leader goes on, so that
-//! there is no gap; if no peer takes it, it steps down.
+//! Transfer of leadership to a peer, by a leader that is shutting down or is out of
+//! processor time. This leader keeps leading until the peer has claimed the leader's key,
+//! so that there is no gap. If no peer claims the key in time, this leader steps down.
 
 use super::Node;
 use super::routes::{self, LEADERSHIP_TRANSFER};
@@ -11,17 +11,19 @@
 use crate::wire;
 use crate::wire::peers::LeadershipTransfer;
 
-/// How long a successor has to take the key.
+/// How long a successor has to claim the leader's key.
 const TRANSFER_TIMEOUT: TimeSpan = TimeSpan::millis(3000);
 
 impl Node {
-    /// Transfers leadership if this leader shuts down or does not keep pace.
+    /// Transfers leadership if this leader is shutting down or is overloaded; steps down
+    /// if an earlier transfer has timed out.
     pub(super) fn check_self_health(&mut self) {
         let now = self.effects.now.time;
         let peers = self.peers.values().filter(|peer| peer.is_fresh(now));
         self.self_health
             .compare_with_peers(peers.map(|p| p.calibration_us));
-        let shuts_down = self.shutdown_since.is_some() && self.transfer_deadline.is_none();
+        let needs_shutdown_transfer =
+            self.shutdown_since.is_some() && self.transfer_deadline.is_none();
         let is_overloaded = self.self_health.tick(now, self.leader.is_some());
         let Some(token) = self.token() else {
             self.transfer_deadline = None;
@@ -30,13 +32,13 @@
         if self.transfer_deadline.is_some_and(|at| now >= at) {
             return self.step_down_after_transfer(now);
         }
-        if !is_overloaded && !shuts_down {
+        if !is_overloaded && !needs_shutdown_transfer {
             return;
         }
         if let Some(successor) = self.preferred_successor() {
             self.offer_leadership(&successor, token);
-        } else if shuts_down {
-            // Nobody is there to take it: it is released at once.
+        } else if needs_shutdown_transfer {
+            // No peer can lead: the key is released at the next tick.
             self.transfer_deadline = Some(now);
         }
     }
@@ -69,14 +71,15 @@
     fn step_down_after_transfer(&mut self, now: Time) {
         self.transfer_deadline = None;
         let reason = match self.shutdown_since {
-            Some(_) => "the process is to end",
+            Some(_) => "the process is shutting down",
             None => "out of processor time",
         };
         self.end_leadership(LeadershipOutcome::StepDown(reason));
         self.election.yield_to_peers(now);
     }
 
-    /// Claims the key from the leader that asks to be replaced by this controller.
+    /// Handles the leader's request to be replaced: this controller claims the leader's
+    /// key.
     pub(super) fn handle_leadership_transfer(&mut self, id: RequestId, body: &[u8]) {
         let Some(LeadershipTransfer { token }) = wire::decode(body) else {
             return self.effects.answer_status(id, 400);
--- a/crates/controller/src/core/node/machine_type_cache.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -1,5 +1,5 @@
-//! The cloud's machine types, kept in the key-value store for controllers that
-//! start while the cloud is unavailable.
+//! A copy of the cloud's machine types in the key-value store, for controllers that start
+//! while the cloud API is unavailable.
 
 use super::{Node, PendingCall};
 use crate::core::{Reply, Target, job_records};
@@ -8,14 +8,14 @@
 use crate::wire::cloud::{MachineType, MachineTypes};
 use crate::wire::kvstore::{EntryPage, Operation, Precondition, Transaction};
 
-/// Time between reads of the stored machine types.
+/// Time between reads of the stored machine types once some are known.
 const READ_PERIOD: TimeSpan = TimeSpan::millis(30_000);
-/// The same while none are known.
+/// Time between reads while no machine types are known.
 const RETRY_PERIOD: TimeSpan = TimeSpan::millis(500);
-/// How long one read or write may take.
+/// Timeout of one read or write.
 const CALL_TIMEOUT: TimeSpan = TimeSpan::millis(2000);
-/// How many keys are read at once.
-const PAGE_SIZE: u32 = 100;
+/// Most keys in one read.
+const MAX_KEYS_PER_READ: u32 = 100;
 
 impl Node {
     pub(super) fn read_machine_types_if_due(&mut self) {
@@ -24,7 +24,7 @@
         }
         self.is_reading_machine_types = true;
         let prefix = job_records::MACHINE_TYPES;
-        let path = format!("/keys?starts={prefix}/&most={PAGE_SIZE}");
+        let path = format!("/keys?starts={prefix}/&most={MAX_KEYS_PER_READ}");
         let call = self
             .effects
             .call(Target::Store, "GET", path, Vec::new(), CALL_TIMEOUT);
@@ -53,7 +53,8 @@
         self.machine_types = Some(types);
     }
 
-    /// Stores machine types that the cloud has just listed, if they changed.
+    /// Stores machine types that the cloud has just listed, if they changed. Only the
+    /// leader writes them, on the condition that it still holds the leader's key.
     pub(super) fn store_machine_types(&mut self, types: MachineTypes) {
         let Some(leader) = &self.leader else {
             return;
@@ -86,17 +87,18 @@
     }
 }
 
-/// Splits machine types into chunks whose JSON has at most this many bytes.
+/// Splits machine types into chunks whose JSON has at most `max_bytes` bytes each. A
+/// single machine type above that size gets a chunk to itself.
 fn split_by_size(types: &[MachineType], max_bytes: usize) -> Vec<Vec<&MachineType>> {
-    const BRACKETS: usize = 2;
-    const COMMA: usize = 1;
+    const BRACKETS_BYTES: usize = 2;
+    const COMMA_BYTES: usize = 1;
     let mut chunks: Vec<Vec<&MachineType>> = vec![Vec::new()];
-    let mut chunk_bytes = BRACKETS;
+    let mut chunk_bytes = BRACKETS_BYTES;
     for machine_type in types {
-        let bytes = serde_json::to_vec(machine_type).map_or(0, |json| json.len()) + COMMA;
+        let bytes = serde_json::to_vec(machine_type).map_or(0, |json| json.len()) + COMMA_BYTES;
         if chunk_bytes + bytes > max_bytes {
             chunks.push(Vec::new());
-            chunk_bytes = BRACKETS;
+            chunk_bytes = BRACKETS_BYTES;
         }
         chunk_bytes += bytes;
         if let Some(chunk) = chunks.last_mut() {
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -1,5 +1,5 @@
-//! Heartbeats between controllers: what each says of itself about once a second,
-//! and what the receiver takes from it.
+//! Heartbeats between controllers: each controller sends its state to its peers about
+//! once a second, and records the peers' states from their heartbeats and answers.
 
 use super::routes::{self, PEER_HEARTBEAT};
 use super::{Node, PeerView, PendingCall};
@@ -12,25 +12,26 @@
 
 /// Time between heartbeats to the peers.
 pub(super) const PEER_HEARTBEAT_PERIOD: TimeSpan = TimeSpan::millis(1000);
-/// A heartbeat may take this share of the period, so that it ends before the next.
+/// Timeout of a heartbeat, as a share of the period: the call ends before the next
+/// heartbeat.
 const TIMEOUT_SHARE: f64 = 0.9;
-/// Least time between two heartbeats while there are new cancellations.
-const MIN_HEARTBEAT_GAP: TimeSpan = TimeSpan::millis(200);
-/// How long a cancellation is repeated in heartbeats, as some get lost.
-const CANCELLATION_KEPT: TimeSpan = TimeSpan::millis(10_000);
+/// Minimum time between two heartbeats while there are new cancellations.
+const MIN_HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::millis(200);
+/// How long a cancellation is repeated in heartbeats, since single heartbeats get lost.
+const CANCELLATION_RETENTION: TimeSpan = TimeSpan::millis(10_000);
 /// Most cancellations in one heartbeat.
-const MAX_CANCELLATIONS: usize = 200;
+const MAX_CANCELLATIONS_PER_HEARTBEAT: usize = 200;
 /// Most task counts, and most fetch times, in one heartbeat.
-const MAX_COUNTS: usize = 300;
+const MAX_COUNTS_PER_HEARTBEAT: usize = 300;
 
-/// A cancellation that was confirmed to a user here.
+/// A cancellation that this controller confirmed to a user.
 #[derive(Clone, Debug)]
 struct Cancellation {
     job: JobId,
     at: Time,
 }
 
-/// Recent cancellations that were confirmed here, the newest last.
+/// Recent cancellations that this controller confirmed, the newest last.
 #[derive(Debug, Default)]
 pub(super) struct Cancellations(VecDeque<Cancellation>);
 
@@ -39,14 +40,15 @@
         self.0.push_back(Cancellation { job, at });
     }
 
-    fn forget_old(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         self.0
-            .retain(|cancellation| now.since(cancellation.at) < CANCELLATION_KEPT);
+            .retain(|cancellation| now.since(cancellation.at) < CANCELLATION_RETENTION);
     }
 
-    /// The newest ones first, as many as one heartbeat carries.
+    /// The jobs of the newest cancellations, newest first, at most
+    /// [`MAX_CANCELLATIONS_PER_HEARTBEAT`].
     fn newest(&self) -> Vec<JobId> {
-        let newest = self.0.iter().rev().take(MAX_CANCELLATIONS);
+        let newest = self.0.iter().rev().take(MAX_CANCELLATIONS_PER_HEARTBEAT);
         newest
             .map(|cancellation| cancellation.job.clone())
             .collect()
@@ -54,7 +56,8 @@
 }
 
 impl Node {
-    /// What this controller says of itself. `counts`: task counts that changed.
+    /// This controller's heartbeat, without cache hints. `counts`: task counts that
+    /// changed, as (job, tasks done, tasks running).
     pub(super) fn own_heartbeat(&self, counts: Vec<(JobId, u32, u32)>) -> PeerHeartbeat {
         let read_token = self.election.leader.as_ref().map(|(_, token)| *token);
         let token = self.token().max(read_token).unwrap_or_default();
@@ -76,18 +79,19 @@
         }
     }
 
-    /// Announces at once that a cancellation was confirmed to a user, so that the leader
-    /// stops the job also while it cannot read so; and again for a while, as heartbeats
-    /// get lost.
+    /// Sends the next heartbeat early when a cancellation was confirmed to a user: the
+    /// leader then stops the job even while it cannot read the cancellation from the
+    /// key-value store. Heartbeats repeat the cancellation for
+    /// [`CANCELLATION_RETENTION`], since single heartbeats get lost.
     pub(super) fn announce_cancellations(&mut self) {
         let now = self.effects.now.time;
-        self.cancellations.forget_old(now);
+        self.cancellations.remove_expired(now);
         for job in std::mem::take(&mut self.job_api.confirmed_cancellations) {
             if let Some(leader) = &mut self.leader {
                 leader.record_announced_cancellation(now, &job);
             }
             self.cancellations.add(job, now);
-            let soonest = self.last_peer_heartbeat + MIN_HEARTBEAT_GAP;
+            let soonest = self.last_peer_heartbeat + MIN_HEARTBEAT_INTERVAL;
             self.peer_heartbeat_due = self.peer_heartbeat_due.min(soonest).max(now);
         }
     }
@@ -95,7 +99,7 @@
     pub(super) fn send_peer_heartbeats(&mut self) {
         self.last_peer_heartbeat = self.effects.now.time;
         let leader = self.leader.as_mut();
-        let counts = leader.map(|l| l.changed_counts(MAX_COUNTS));
+        let counts = leader.map(|l| l.changed_counts(MAX_COUNTS_PER_HEARTBEAT));
         let mut heartbeat = self.own_heartbeat(counts.unwrap_or_default());
         if let Some(leader) = &mut self.leader {
             let known = self.cache_hints.take_known(|id| leader.knows(id));
@@ -119,8 +123,9 @@
         }
     }
 
-    /// Handles a peer's answer to a heartbeat. A peer that missed one may have missed
-    /// changes: once it answers again, the leader repeats everything.
+    /// Handles a peer's answer to a heartbeat. A peer that missed a heartbeat may have
+    /// missed changes: when the peer answers again, the leader broadcasts its state from
+    /// the beginning.
     pub(super) fn handle_peer_heartbeat_reply(&mut self, peer: NodeId, reply: &Reply) {
         let answer = reply.decode_success::<PeerHeartbeat>();
         let Some(answer) = answer.filter(|answer| answer.node_id == peer) else {
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Handles a peer's heartbeat, and answers it in kind.
+    /// Handles a peer's heartbeat, and answers with this controller's own.
     pub(super) fn handle_peer_heartbeat(&mut self, id: RequestId, body: &[u8]) {
         let Some(heartbeat) = wire::decode::<PeerHeartbeat>(body) else {
             return self.effects.answer_status(id, 400);
@@ -149,9 +154,11 @@
         self.effects.answer_body(id, wire::encode(&answer));
     }
 
-    /// Gives the leader back a part of what earlier leaders said of image caches.
+    /// Adds a part of the cache hints that earlier leaders sent to an answer to the
+    /// leader.
     fn return_cache_hints(&mut self, answer: &mut PeerHeartbeat, token: FencingToken) {
-        // Begins by the order of the names, so that no two peers begin alike.
+        // Each peer starts at the position of its name in the order of all names, so that
+        // no two peers start at the same part.
         let names = self.settings.peers.iter().map(|peer| &peer.node_id);
         let position = names.filter(|name| **name < self.settings.node_id).count();
         let controllers = self.settings.peers.len() as f64 + 1.0;
@@ -163,15 +170,19 @@
         }
     }
 
-    /// What fetching images takes, in milliseconds.
+    /// Image fetch times in milliseconds, at most [`MAX_COUNTS_PER_HEARTBEAT`].
     fn fetch_times(&self) -> Vec<(Image, u64)> {
-        let fetches = self.cache_hints.fetch_times().take(MAX_COUNTS);
+        let fetches = self
+            .cache_hints
+            .fetch_times()
+            .take(MAX_COUNTS_PER_HEARTBEAT);
         fetches
             .map(|(image, took)| (image.clone(), took.as_millis()))
             .collect()
     }
 
-    /// Takes what a peer says into account.
+    /// Records a peer's state from its heartbeat or answer. Heartbeats under names other
+    /// than the configured peers' are ignored.
     pub(super) fn record_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
         let mut peers = self.settings.peers.iter();
         if !peers.any(|peer| peer.node_id == heartbeat.node_id) {
@@ -179,7 +190,7 @@
         }
         let now = self.effects.now.time;
         let view = PeerView {
-            last_heard: now,
+            last_heartbeat: now,
             token: heartbeat.token,
             is_leader: heartbeat.leads,
             leader_is_loaded: heartbeat.loaded,
@@ -208,9 +219,10 @@
         self.yield_to_loaded_successor(&view);
     }
 
-    /// Ends this controller's leadership once a successor answers agents. One that has
-    /// not read everything yet answers none, and may not for long: until then this
-    /// leader does, as long as its contact with the key-value store lets it.
+    /// Ends this controller's leadership once a successor with a higher token answers
+    /// agents. A successor that has not loaded all records answers no agent, possibly for
+    /// a long time. Until the successor has loaded, this leader keeps answering, as long
+    /// as the age of its last contact with the key-value store permits.
     fn yield_to_loaded_successor(&mut self, peer: &PeerView) {
         let now = self.effects.now.time;
         let is_replaced = |leader: &Leader| {
--- a/crates/controller/src/core/node/peers.rs
+++ b/crates/controller/src/core/node/peers.rs
@@ -1,45 +1,46 @@
-//! What a controller knows of its peers from their heartbeats.
+//! The states of the peers according to their heartbeats, and the order in which
+//! controllers succeed a leader.
 
 use super::Node;
 use crate::types::{FencingToken, NodeId, Time, TimeSpan};
 
-/// What a peer said counts for this long: heartbeats come every second, and one or
-/// two may be lost.
-const PEER_FRESH: TimeSpan = TimeSpan::millis(3500);
+/// How long a peer's last heartbeat is valid: heartbeats are sent every second, and one
+/// or two may be lost.
+const PEER_HEARTBEAT_VALIDITY: TimeSpan = TimeSpan::millis(3500);
 
-/// A peer, as of its last heartbeat.
+/// A peer's state as of its last heartbeat.
 #[derive(Clone, Debug)]
 pub(super) struct PeerView {
-    pub(super) last_heard: Time,
-    /// The highest token that it knows.
+    pub(super) last_heartbeat: Time,
+    /// The highest fencing token that the peer has seen.
     pub(super) token: FencingToken,
-    /// Whether it holds that token itself.
+    /// Whether the peer itself leads under `token`.
     pub(super) is_leader: bool,
-    /// Whether the holder of that token has loaded and answers agents, as far as
-    /// the peer knows.
+    /// Whether the leader of `token` has loaded all records and answers agents, according
+    /// to the peer.
     pub(super) leader_is_loaded: bool,
-    /// Whether the key-value store answers it.
+    /// Whether the key-value store answers the peer.
     pub(super) store_reachable: bool,
-    /// Whether it recently had more to do than it could.
+    /// Whether the peer was recently short of processor time, or is shutting down.
     pub(super) is_overloaded: bool,
-    /// How long the calibration workload takes it, in microseconds; 0: unknown.
+    /// Duration of the calibration workload on the peer, in microseconds; 0: unknown.
     pub(super) calibration_us: u64,
 }
 
 impl PeerView {
     pub(super) fn is_fresh(&self, now: Time) -> bool {
-        now.since(self.last_heard) < PEER_FRESH
+        now.since(self.last_heartbeat) < PEER_HEARTBEAT_VALIDITY
     }
 
-    /// Whether it could take over from another controller.
+    /// Whether the peer could take over leadership.
     pub(super) fn could_lead(&self, now: Time) -> bool {
         self.store_reachable && self.is_fresh(now)
     }
 }
 
-/// A controller that could lead. The order is that of preference: those that are
-/// overloaded come last, and the rest in the order of their names, so that all
-/// controllers agree on it.
+/// A controller that could lead, ordered by preference: controllers that are not
+/// overloaded come first, and then the order of names decides, so that all controllers
+/// agree on the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Candidate<'a> {
     pub(super) is_overloaded: bool,
@@ -47,13 +48,13 @@
 }
 
 impl Node {
-    /// The peers that could lead, except one, the preferred ones first.
-    pub(super) fn candidates<'a>(&'a self, except: &NodeId) -> Vec<Candidate<'a>> {
+    /// The peers that could lead, without `excluded`, in order of preference.
+    pub(super) fn candidates<'a>(&'a self, excluded: &NodeId) -> Vec<Candidate<'a>> {
         let now = self.effects.now.time;
         let mut candidates: Vec<_> = self
             .peers
             .iter()
-            .filter(|(node_id, peer)| *node_id != except && peer.could_lead(now))
+            .filter(|(node_id, peer)| *node_id != excluded && peer.could_lead(now))
             .map(|(node_id, peer)| Candidate {
                 is_overloaded: peer.is_overloaded,
                 node_id,
@@ -63,7 +64,8 @@
         candidates
     }
 
-    /// How many peers are preferred to this controller as successors of a leader.
+    /// The number of peers that are preferred to this controller as successors of
+    /// `leader`.
     pub(super) fn succession_rank(&self, leader: &NodeId) -> u32 {
         let own = Candidate {
             is_overloaded: self.self_health.is_overloaded,
--- a/crates/controller/src/core/node/replies.rs
+++ b/crates/controller/src/core/node/replies.rs
@@ -1,5 +1,5 @@
-//! Passes each reply to the part whose call it answers. A reply that no part waits
-//! for any more is dropped.
+//! Dispatch of each reply to the component whose call it answers. Replies to calls that
+//! no component waits for any more are dropped.
 
 use super::{Node, PendingCall};
 use crate::core::leader;
@@ -34,7 +34,8 @@
                 call => self.handle_own_reply(call, &reply),
             }
         }
-        // The election's state may have changed: its next call is made at once.
+        // The reply may have changed the election's state: the election makes its next
+        // call now, without waiting for a tick.
         self.election.tick(&mut self.effects);
     }
 
@@ -46,7 +47,7 @@
             PendingCall::SuspicionQuery => self.handle_suspicion_report(reply),
             PendingCall::LeaderKey => self.handle_leader_key_reply(reply),
             PendingCall::VersionWrite(activated) => self.handle_version_write(activated, reply),
-            // Answered to whoever waits for them, see above.
+            // Handled by the caller, which needs the reply by value.
             PendingCall::ForwardedHeartbeat { .. } | PendingCall::CloudCall { .. } => {}
         }
     }
--- a/crates/controller/src/core/node/requests.rs
+++ b/crates/controller/src/core/node/requests.rs
@@ -1,4 +1,4 @@
-//! Passes each request to the part that answers it.
+//! Dispatch of each HTTP request to the component that answers it.
 
 use super::Node;
 use super::routes::{Route, VersionedService};
@@ -10,10 +10,12 @@
 use crate::types::JobId;
 use crate::wire;
 
-/// When a user may come back whose request was one too many, in seconds.
-const RETRY_WHEN_CROWDED_S: u32 = 2;
-/// When an agent may come back that was refused, in seconds.
-const RETRY_HEARTBEAT_S: u32 = 1;
+/// `Retry-After` of a user's request that exceeds the limit of requests in progress, in
+/// seconds.
+const RETRY_WHEN_OVERLOADED_S: u32 = 2;
+/// `Retry-After` of an agent's heartbeat that a controller refuses because it does not
+/// serve, in seconds.
+const RETRY_HEARTBEAT_AFTER_S: u32 = 1;
 
 impl Node {
     pub(super) fn handle_request(
@@ -23,14 +25,14 @@
         request: http::Request,
     ) {
         let segments: Vec<&str> = request.path.split('/').skip(1).collect();
-        let route = Route::of(listener, &request.method, &segments);
-        if let Some(kind) = route.timed_as()
+        let route = Route::classify(listener, &request.method, &segments);
+        if let Some(kind) = route.timed_kind()
             && !self.effects.start_request(id, kind)
         {
-            return self.effects.answer_later(id, 503, RETRY_WHEN_CROWDED_S);
+            return self.effects.answer_later(id, 503, RETRY_WHEN_OVERLOADED_S);
         }
         if let Some(why) = self.not_serving()
-            && let Some(service) = VersionedService::of(listener, &segments)
+            && let Some(service) = VersionedService::from_path(listener, &segments)
         {
             return self.refuse_request(id, service, &why);
         }
@@ -61,12 +63,13 @@
         }
     }
 
-    /// Refuses a request that another controller may serve.
+    /// Refuses a request because this controller does not serve; another controller may
+    /// serve it.
     fn refuse_request(&mut self, id: RequestId, service: VersionedService, why: &NotServing) {
         match service {
             VersionedService::CloudProxy => self.effects.answer_status(id, BAD_GATEWAY),
             VersionedService::AgentHeartbeats => {
-                self.effects.answer_later(id, 503, RETRY_HEARTBEAT_S);
+                self.effects.answer_later(id, 503, RETRY_HEARTBEAT_AFTER_S);
             }
             VersionedService::Jobs => {
                 self.job_api.refuse(&mut self.effects, id, &why.to_string());
@@ -74,7 +77,8 @@
         }
     }
 
-    /// Takes a polled job's task counts from the leader, if this is it.
+    /// Updates a polled job's task counts from the leader's state, if this controller
+    /// leads.
     fn refresh_task_counts(&mut self, job: &str) {
         let Some(leader) = &self.leader else {
             return;
--- a/crates/controller/src/core/node/routes.rs
+++ b/crates/controller/src/core/node/routes.rs
@@ -1,5 +1,5 @@
-//! The HTTP routes of a controller, as one table. Only names what is asked for;
-//! never answers anything.
+//! The HTTP routes of a controller, as one table. Classifies requests, and never answers
+//! them.
 
 use crate::core::Listener;
 use crate::core::effects::RequestKind;
@@ -8,22 +8,24 @@
 const JOBS: &str = "submissions";
 /// Last path segment of a cancellation.
 const CANCEL: &str = "cancel";
-/// Agents' heartbeats, also those that a controller forwards to the leader.
+/// Path segment of agents' heartbeats, including those that a controller forwards to the
+/// leader.
 pub(crate) const AGENT_HEARTBEAT: &str = "checkin";
-/// The load balancer's readiness check.
+/// Path segment of the load balancer's readiness check.
 const READY: &str = "ready";
-/// Heartbeats between controllers.
+/// Path segment of heartbeats between controllers.
 pub(crate) const PEER_HEARTBEAT: &str = "greet";
-/// The leader's heartbeats to its followers.
+/// Path segment of the leader's heartbeats to its followers.
 pub(crate) const LEADER_HEARTBEAT: &str = "beat";
-/// A peer's question whether this controller confirms a suspicion of the leader.
+/// Path segment of a peer's query whether this controller confirms a suspicion of the
+/// leader.
 pub(crate) const SUSPICION_QUERY: &str = "opinion";
-/// The leader's request that this controller replace it.
+/// Path segment of the leader's request that this controller replace it.
 pub(crate) const LEADERSHIP_TRANSFER: &str = "take";
-/// First path segment of calls to the cloud that this controller makes for the
-/// leader; the leader's token and the cloud's path follow.
+/// First path segment of calls to the cloud API that this controller makes for the
+/// leader. The leader's token and the cloud's path follow.
 pub(crate) const CLOUD_PROXY: &str = "cloud";
-/// What operators see of a controller.
+/// Path segment of the inspection by operators.
 const INSPECT: &str = "inspect";
 
 /// The path of a route that is a single segment.
@@ -31,30 +33,30 @@
     format!("/{segment}")
 }
 
-/// What a request asks for.
+/// The kind of a request, with the parameters in its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route<'a> {
     /// A user submits a job.
     Submit,
-    /// A user polls this job.
+    /// A user polls the status of this job.
     Poll(&'a str),
     /// A user cancels this job.
     Cancel(&'a str),
-    /// An agent's heartbeat.
+    /// An agent's heartbeat to this controller.
     AgentHeartbeat,
-    /// The readiness check.
+    /// The load balancer's readiness check.
     Ready,
     /// An agent's heartbeat that a peer forwards.
     ForwardedHeartbeat,
-    /// A peer's heartbeat.
+    /// A heartbeat from a peer.
     PeerHeartbeat,
-    /// The leader's heartbeat.
+    /// A heartbeat from the leader to a follower.
     LeaderHeartbeat,
-    /// A peer's question about a suspected leader.
+    /// A peer's query about a suspected leader.
     SuspicionQuery,
     /// The leader's request to be replaced by this controller.
     LeadershipTransfer,
-    /// A call to the cloud on behalf of the leader of this token.
+    /// A call to the cloud API on behalf of the leader of this token.
     CloudProxy(&'a str),
     /// Inspection by an operator.
     Inspect,
@@ -65,15 +67,15 @@
 }
 
 impl<'a> Route<'a> {
-    /// The route of a request; `segments` are those of its path.
-    pub(super) fn of(listener: Listener, method: &str, segments: &[&'a str]) -> Route<'a> {
+    /// Classifies a request; `segments` are those of its path.
+    pub(super) fn classify(listener: Listener, method: &str, segments: &[&'a str]) -> Route<'a> {
         match listener {
-            Listener::Api => Route::of_api(method, segments),
-            Listener::Internal => Route::of_internal(method, segments),
+            Listener::Api => Route::classify_api(method, segments),
+            Listener::Internal => Route::classify_internal(method, segments),
         }
     }
 
-    fn of_api(method: &str, segments: &[&'a str]) -> Route<'a> {
+    fn classify_api(method: &str, segments: &[&'a str]) -> Route<'a> {
         match (method, segments) {
             ("POST", [JOBS]) => Route::Submit,
             ("GET", [JOBS, job]) => Route::Poll(job),
@@ -86,7 +88,7 @@
         }
     }
 
-    fn of_internal(method: &str, segments: &[&'a str]) -> Route<'a> {
+    fn classify_internal(method: &str, segments: &[&'a str]) -> Route<'a> {
         match (method, segments) {
             ("POST", [AGENT_HEARTBEAT]) => Route::ForwardedHeartbeat,
             ("POST", [PEER_HEARTBEAT]) => Route::PeerHeartbeat,
@@ -101,8 +103,9 @@
         }
     }
 
-    /// The kind under which its response time is measured, if it is.
-    pub(super) fn timed_as(self) -> Option<RequestKind> {
+    /// The kind under which the response time is measured. `None`: the response time is
+    /// not measured.
+    pub(super) fn timed_kind(self) -> Option<RequestKind> {
         match self {
             Route::Submit => Some(RequestKind::Submit),
             Route::Poll(_) => Some(RequestKind::Poll),
@@ -113,21 +116,22 @@
     }
 }
 
-/// What a controller refuses while it does not support the active format version,
-/// whatever the method and the rest of the path.
+/// A service that a controller refuses while it does not support the active format
+/// version, for any method and any rest of the path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VersionedService {
     /// Users' requests about jobs.
     Jobs,
     /// Agents' heartbeats, direct or forwarded.
     AgentHeartbeats,
-    /// Calls to the cloud for the leader.
+    /// Calls to the cloud API for the leader.
     CloudProxy,
 }
 
 impl VersionedService {
-    /// The service that a path belongs to, if it is one of them.
-    pub(super) fn of(listener: Listener, segments: &[&str]) -> Option<VersionedService> {
+    /// The service that a path belongs to; `None` if the path is served under any format
+    /// version.
+    pub(super) fn from_path(listener: Listener, segments: &[&str]) -> Option<VersionedService> {
         match (listener, segments) {
             (Listener::Api, [JOBS, ..]) => Some(VersionedService::Jobs),
             (_, [AGENT_HEARTBEAT]) => Some(VersionedService::AgentHeartbeats),
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -7,14 +7,14 @@
 use crate::wire;
 use crate::wire::peers::PeerHeartbeat;
 
-// Nodes that were started again during an outage said for all of it that they
-// were not ready, and were left out for seconds to a minute after its end.
+// Controllers that restarted during a store outage reported not ready for all of it, and
+// the load balancer left them out for seconds to a minute after its end.
 #[test]
-fn node_stays_ready_unless_a_peer_would_serve_better() {
+fn is_ready_unless_a_peer_serves_better() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
-    assert!(node.is_ready(), "nobody else is known");
+    assert!(node.is_ready(), "no peer is known");
     let peer = |state_ok| PeerHeartbeat {
         node_id: "node-1".into(),
         token: FencingToken(0),
@@ -30,30 +30,32 @@
         fetches: Vec::new(),
     };
     node.record_peer_heartbeat(peer(false));
-    assert!(node.is_ready(), "the outage is everybody's");
+    assert!(node.is_ready(), "the outage affects all controllers");
     node.record_peer_heartbeat(peer(true));
-    assert!(!node.is_ready(), "a peer has the state service");
+    assert!(!node.is_ready(), "a peer reaches the key-value store");
     node.election.last_contact = Some(Time(0));
     assert!(node.is_ready());
     node.self_health.is_overloaded = true;
-    assert!(node.is_ready(), "a follower stays");
+    assert!(node.is_ready(), "an overloaded follower stays ready");
     node.leader = Some(testing::leader());
-    assert!(!node.is_ready(), "a leader that is behind does not");
+    assert!(!node.is_ready(), "an overloaded leader does not");
     node.record_peer_heartbeat(peer(false));
-    assert!(node.is_ready(), "unless nobody is better");
-    // A follower with a slow processor kept its users, who waited for it.
+    assert!(node.is_ready(), "unless no peer is better");
+    // A follower with a slow processor stayed ready, and its users waited for slow
+    // answers.
     node.leader = None;
     node.self_health.is_slow = true;
     node.record_peer_heartbeat(peer(true));
-    assert!(!node.is_ready(), "a slow follower leaves users to others");
+    assert!(!node.is_ready(), "a slow follower sheds users to peers");
     node.record_peer_heartbeat(PeerHeartbeat {
         strained: true,
         ..peer(true)
     });
-    assert!(node.is_ready(), "if they have time");
+    assert!(node.is_ready(), "only to peers with spare processor time");
 }
 
-// An operator who restarted the leader's process left a gap of a lease.
+// A restart of the leader's process left a gap without a leader for the length of a
+// lease.
 #[test]
 fn shutdown_transfers_leadership_before_exit() {
     let settings = testing::settings(0);
@@ -61,17 +63,17 @@
     let mut node = Node::new(settings, policy, 1);
     let at = |node: &mut Node, secs: f64, input: Input| {
         let now = testing::effects_at(secs).now;
-        let out = node.handle(now, input).into_iter();
-        let takes = out.filter(|o| matches!(o, Output::Call(c) if c.path == "/take"));
-        takes.count()
+        let outputs = node.handle(now, input).into_iter();
+        let transfers = outputs.filter(|o| matches!(o, Output::Call(c) if c.path == "/take"));
+        transfers.count()
     };
     at(&mut node, 5.0, Input::Tick);
     node.handle_election_outcome(ElectionOutcome::Elected {
         token: FencingToken(5),
         lease: 3,
     });
-    let fit = || PeerView {
-        last_heard: Time(5_000_000),
+    let eligible_peer = || PeerView {
+        last_heartbeat: Time(5_000_000),
         token: FencingToken(5),
         is_leader: false,
         leader_is_loaded: true,
@@ -80,26 +82,34 @@
         calibration_us: 0,
     };
     for node_id in ["node-1", "node-2"] {
-        node.peers.insert(node_id.into(), fit());
+        node.peers.insert(node_id.into(), eligible_peer());
     }
     assert_eq!(at(&mut node, 5.1, Input::Tick), 0);
     assert_eq!(at(&mut node, 5.2, Input::Shutdown), 0);
     assert_eq!(at(&mut node, 5.25, Input::Tick), 1);
-    assert_eq!(at(&mut node, 5.3, Input::Tick), 0, "one is told, once");
+    assert_eq!(
+        at(&mut node, 5.3, Input::Tick),
+        0,
+        "a single transfer request is sent"
+    );
     assert!(
         node.token().is_some() && !node.is_ready(),
-        "no gap meanwhile"
+        "it leads until the key is claimed"
     );
     at(&mut node, 6.0, Input::Tick);
     assert!(!node.may_exit());
     node.end_leadership(LeadershipOutcome::Deposed(FencingToken(9)));
-    assert!(!node.may_exit(), "users are still led away");
+    assert!(
+        !node.may_exit(),
+        "the load balancer needs time to drain users"
+    );
     at(&mut node, 7.8, Input::Tick);
     assert!(node.may_exit());
 }
 
-// Renewals go on by themselves: where the word that a lease is over was lost, a
-// leader that had stepped down would have kept the key from all others.
+// The lease's renewals run outside the controller. If the call that releases a lease was
+// lost, renewals of a leader that had stepped down would have kept the key from all other
+// controllers.
 #[test]
 fn stepping_down_ends_lease_renewals() {
     let settings = testing::settings(0);
@@ -110,20 +120,24 @@
         token: FencingToken(5),
         lease: 3,
     });
-    let kept = |node: &mut Node| {
-        let out = node.effects.take_outputs().into_iter();
-        out.filter_map(|o| match o {
-            Output::LeaseKeepAlive(k) => Some((k.lease, k.until)),
-            _ => None,
-        })
-        .next_back()
+    let last_keep_alive = |node: &mut Node| {
+        let outputs = node.effects.take_outputs().into_iter();
+        outputs
+            .filter_map(|output| match output {
+                Output::LeaseKeepAlive(keep_alive) => Some((keep_alive.lease, keep_alive.until)),
+                _ => None,
+            })
+            .next_back()
     };
-    assert!(kept(&mut node).is_some_and(|(l, t)| l == 3 && t > node.effects.now.time));
+    assert!(
+        last_keep_alive(&mut node)
+            .is_some_and(|(lease, until)| lease == 3 && until > node.effects.now.time)
+    );
     node.end_leadership(LeadershipOutcome::StepDown("for a test"));
-    assert_eq!(kept(&mut node), Some((3, node.effects.now.time)));
+    assert_eq!(last_keep_alive(&mut node), Some((3, node.effects.now.time)));
 }
 
-// A leader whose process was back at once led on without knowing of any image.
+// A leader whose process restarted within its lease led on without any cache hints.
 #[test]
 fn restarted_leader_gets_cache_hints_back_from_peers() {
     let node = |n| {
@@ -153,20 +167,24 @@
     leader.send_peer_heartbeats();
     assert!(
         !leader.knows_machine(&id),
-        "a machine that is gone is not brought back"
+        "a hint does not add a removed machine"
     );
-    let l = leader.leader.as_mut().unwrap();
-    l.cluster
-        .register_machine(Time(2), &id, &l.autoscaler.intents);
+    let state = leader.leader.as_mut().unwrap();
+    state
+        .cluster
+        .register_machine(Time(2), &id, &state.autoscaler.intents);
     leader.send_peer_heartbeats();
-    let l = leader.leader.as_ref().unwrap();
-    assert_eq!(l.cluster.machines[&id].cache.images().count(), 1);
-    let cold = l.cluster.fetch_estimates.estimate(&"img".into(), 5.0, None);
-    assert_eq!(cold, TimeSpan::secs(9.0));
+    let state = leader.leader.as_ref().unwrap();
+    assert_eq!(state.cluster.machines[&id].cache.images().count(), 1);
+    let fetch_time = state
+        .cluster
+        .fetch_estimates
+        .estimate(&"img".into(), 5.0, None);
+    assert_eq!(fetch_time, TimeSpan::secs(9.0));
 }
 
-// While one peer was down everything was told from the beginning again
-// every second, and the others never heard of more than the first machines.
+// While one peer was down, the leader restarted its broadcast every second, and the other
+// peers never received more than the first machines.
 #[test]
 fn unreachable_peer_does_not_restart_broadcast_to_others() {
     let settings = testing::settings(0);
@@ -181,8 +199,8 @@
     let mut received = BTreeSet::new();
     for _ in 0..20 {
         node.send_peer_heartbeats();
-        for out in node.effects.take_outputs() {
-            let Output::Call(call) = out else { continue };
+        for output in node.effects.take_outputs() {
+            let Output::Call(call) = output else { continue };
             let Some(PendingCall::PeerHeartbeat(node_id)) = node.pending_calls.take(call.id) else {
                 continue;
             };
@@ -202,8 +220,9 @@
     assert_eq!(received.len(), 1000);
 }
 
-// A successor whose load an outage had cut off deposed the old leader with its first
-// greeting; nobody answered the workers then, for as long as the outage lasted.
+// A successor whose load of records an outage had interrupted deposed the old leader with
+// its first heartbeat. No controller answered the agents then, for as long as the outage
+// lasted.
 #[test]
 fn leader_yields_to_successor_once_it_has_loaded() {
     let settings = testing::settings(0);
@@ -211,7 +230,7 @@
     let mut node = Node::new(settings, policy, 1);
     node.effects.now.time = Time(5_000_000);
     node.leader = Some(testing::leader());
-    let greeting = |node_id: &str, leads, loaded| PeerHeartbeat {
+    let heartbeat_from = |node_id: &str, leads, loaded| PeerHeartbeat {
         node_id: node_id.into(),
         token: FencingToken(9),
         leads,
@@ -225,35 +244,37 @@
         caches: Vec::new(),
         fetches: Vec::new(),
     };
-    node.record_peer_heartbeat(greeting("node-1", true, false));
-    node.record_peer_heartbeat(greeting("node-2", false, false));
+    node.record_peer_heartbeat(heartbeat_from("node-1", true, false));
+    node.record_peer_heartbeat(heartbeat_from("node-2", false, false));
     assert!(node.leader.is_some());
-    // Workers that ask a third are sent to who answers them.
+    // Agents that contact a third controller are redirected to the leader that answers
+    // agents.
     let settings = testing::settings(2);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut third = Node::new(settings, policy, 1);
     third.effects.now.time = Time(5_000_000);
-    let old = PeerHeartbeat {
+    let old_leader = PeerHeartbeat {
         token: FencingToken(5),
-        ..greeting("node-0", true, true)
+        ..heartbeat_from("node-0", true, true)
     };
-    third.record_peer_heartbeat(old);
-    third.record_peer_heartbeat(greeting("node-1", true, false));
+    third.record_peer_heartbeat(old_leader);
+    third.record_peer_heartbeat(heartbeat_from("node-1", true, false));
     assert_eq!(third.known_leader().map(|(l, _)| l), Some("node-0".into()));
-    third.record_peer_heartbeat(greeting("node-1", true, true));
+    third.record_peer_heartbeat(heartbeat_from("node-1", true, true));
     assert_eq!(third.known_leader().map(|(l, _)| l), Some("node-1".into()));
-    // The third says so too, where the successor itself cannot.
+    // The third controller's heartbeat reports the loaded successor too, when the
+    // successor itself cannot reach the old leader.
     third.election.leader = Some(("node-1".into(), FencingToken(9)));
-    let word = third.own_heartbeat(Vec::new());
-    assert!(word.loaded && word.token == FencingToken(9));
-    node.record_peer_heartbeat(word);
+    let third_heartbeat = third.own_heartbeat(Vec::new());
+    assert!(third_heartbeat.loaded && third_heartbeat.token == FencingToken(9));
+    node.record_peer_heartbeat(third_heartbeat);
     assert!(node.leader.is_none());
 }
 
-// A leader cut from the state service and its peers, but not from users, called itself
-// ready, and each user sent to it waited for nothing.
+// A leader that was partitioned from the key-value store and its peers, but not from
+// users, reported ready, and each user sent to it waited in vain.
 #[test]
-fn isolated_node_is_not_ready() {
+fn isolated_controller_is_not_ready() {
     let settings = testing::settings(0);
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).unwrap();
     let mut node = Node::new(settings, policy, 1);
@@ -261,16 +282,21 @@
         node.handle(testing::effects_at(secs).now, Input::Tick);
         node.is_ready()
     };
-    assert!(tick(&mut node, 5.0), "it has just started");
+    assert!(tick(&mut node, 5.0), "the process has just started");
     assert!(tick(&mut node, 9.9));
-    assert!(!tick(&mut node, 10.1), "cut off from all");
-    // In an outage the state service refuses, and that is everybody's.
+    assert!(
+        !tick(&mut node, 10.1),
+        "no store answer and no peer for 5 s"
+    );
+    // In a store outage the store answers with refusals, and the outage affects all
+    // controllers.
     node.last_store_answer = Some(Time(10_000_000));
     assert!(tick(&mut node, 10.2));
 }
 
-// The node that confirmed a cancellation tells the leader, which stops the job though it
-// cannot read it, and goes on with one that is not cancelled after all.
+// A controller that confirmed a cancellation announces it to the leader, which stops the
+// job even if it cannot read the record. If a later read shows that the job is not
+// cancelled after all, the leader resumes the job.
 #[test]
 fn announced_cancellation_deletes_nothing_without_a_read() {
     let settings = testing::settings(0);
@@ -281,8 +307,8 @@
     node.job_api.confirmed_cancellations.push(id.clone());
     node.announce_cancellations();
     assert!(node.peer_heartbeat_due <= Time(5_000_000));
-    let word = node.own_heartbeat(Vec::new());
-    assert_eq!(word.cancelled, ["wk-1".into()]);
+    let announcing = node.own_heartbeat(Vec::new());
+    assert_eq!(announcing.cancelled, ["wk-1".into()]);
     let mut leader = testing::leader();
     let spec = testing::submission("wk-1", wire::users::JobShape::Array, 1);
     let wall = crate::types::WallTime(0);
@@ -294,11 +320,14 @@
     assert!(leader.authority.is_reported_cancelled(&id));
     let job = &leader.cluster.jobs[&id];
     assert!(job.is_open() && !leader.cluster.unwritten.jobs_to_delete.contains(&id));
-    let none = wire::kvstore::WatchResponse {
+    let no_changes = wire::kvstore::WatchResponse {
         revision: crate::types::Version(9),
         events: Vec::new(),
     };
-    let reply = Reply::Answer(200, wire::encode(&none));
+    let reply = Reply::Answer(200, wire::encode(&no_changes));
     leader.handle_read_reply(&mut testing::effects_at(6.0), Time(5_500_000), reply);
-    assert!(!leader.authority.is_reported_cancelled(&id), "it goes on");
+    assert!(
+        !leader.authority.is_reported_cancelled(&id),
+        "the job resumes"
+    );
 }
--- a/crates/controller/src/core/read_coalescing.rs
+++ b/crates/controller/src/core/read_coalescing.rs
@@ -1,7 +1,7 @@
-//! Coalesced reads of jobs that this controller has seen open. Every answer that
-//! is not final rests on a fresh read; polls that come close together share one: a
-//! transaction that only compares the versions of their jobs' headers. A header
-//! that is unchanged is still open. Never sends anything itself.
+//! Coalesced reads of the headers of jobs that this controller has seen open. Every
+//! answer that is not final rests on a fresh read; polls that arrive close together share
+//! one: a transaction that only compares the versions of their jobs' headers. A header
+//! that is unchanged is still open. This module never sends anything.
 
 use super::job_records::{self, JobHeader};
 use super::{Reply, RequestId};
@@ -10,101 +10,104 @@
 use crate::wire::kvstore::{Precondition, Transaction, TransactionResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most open headers remembered.
-const MAX_OPEN: usize = 8000;
-/// Most comparisons under way.
-const MAX_IN_FLIGHT: usize = 4;
-/// The next comparison does not wait for a reply that takes longer than this.
+/// Most open headers in the cache.
+const MAX_OPEN_HEADERS: usize = 8000;
+/// Most comparisons in flight.
+const MAX_COMPARISONS_IN_FLIGHT: usize = 4;
+/// The next comparison is sent without waiting for a reply that takes longer than this.
 const SLOW_REPLY: TimeSpan = TimeSpan::millis(100);
-/// A poll whose comparison was lost joins another one if it is younger than this: its
+/// Maximum age of a poll that joins another comparison after its own was lost: the poll's
 /// user waits for 2 s.
-const MAX_AGE_TO_REPEAT: TimeSpan = TimeSpan::millis(1000);
-/// A poll that has waited this long is refused: asked again, it may do better.
+const MAX_AGE_TO_REQUEUE: TimeSpan = TimeSpan::millis(1000);
+/// How long a poll waits for a comparison before it is refused: a repeat of the poll may
+/// succeed.
 const MAX_WAIT: TimeSpan = TimeSpan::millis(1500);
 
 /// A poll that waits for a comparison.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaitingRead {
-    /// The request.
+    /// The user's request.
     pub request: RequestId,
-    /// The job.
+    /// The polled job.
     pub id: JobId,
-    /// When the poll came.
+    /// When the poll arrived.
     pub since: Time,
 }
 
 /// A poll of a job that is still open.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenRead {
-    /// The request.
+    /// The user's request.
     pub request: RequestId,
-    /// The job.
+    /// The polled job.
     pub id: JobId,
     /// The job's header.
     pub header: JobHeader,
 }
 
-/// A comparison under way.
+/// A comparison in flight.
 #[derive(Clone, Debug)]
 pub struct VersionComparison {
-    /// The polls it is for.
+    /// The polls that the comparison answers.
     reads: Vec<WaitingRead>,
-    /// The headers it compares: its reply vouches for these alone, whatever has been
-    /// read or forgotten since it was sent.
+    /// The headers that the comparison covers. The reply confirms these alone, whatever
+    /// has been read or removed since the comparison was sent.
     headers: BTreeMap<JobId, JobHeader>,
     sent: Time,
 }
 
-/// What a comparison says of the polls that shared it.
+/// The polls of a comparison, grouped by what its reply proves.
 #[derive(Debug, Default, PartialEq)]
 pub struct ComparisonResult {
-    /// Their jobs are open.
+    /// Polls whose jobs are still open.
     pub open: Vec<OpenRead>,
-    /// Their jobs changed: to be read one by one.
+    /// Polls whose jobs changed or were not compared; their headers are to be read one by
+    /// one.
     pub changed: Vec<WaitingRead>,
-    /// Nothing is known.
+    /// Polls that are to be refused, as the comparison proved nothing.
     pub failed: Vec<WaitingRead>,
 }
 
-/// A header that was seen open.
+/// A header that was read or written as open, with the version of its key.
 #[derive(Clone, Copy, Debug)]
 struct OpenHeader {
     header: JobHeader,
     version: Version,
 }
 
-/// Open headers, and the polls that ask for them.
+/// A cache of open headers, and the polls that wait for a comparison of them.
 #[derive(Debug, Default)]
 pub struct ReadCoalescer {
     open: BTreeMap<JobId, OpenHeader>,
     waiting: Vec<WaitingRead>,
-    /// When the comparisons under way were sent.
+    /// Sending times of the comparisons in flight.
     in_flight: Vec<Time>,
-    /// No comparison is sent before this.
+    /// The earliest time of the next comparison.
     not_before: Time,
 }
 
 impl ReadCoalescer {
-    /// Remembers a header read or written as open.
-    pub fn remember(&mut self, id: &JobId, header: JobHeader, version: Version) {
-        if self.open.len() >= MAX_OPEN && !self.open.contains_key(id) {
-            // Any will do: it is read again when asked for.
+    /// Caches a header that was read or written as open.
+    pub fn cache_header(&mut self, id: &JobId, header: JobHeader, version: Version) {
+        if self.open.len() >= MAX_OPEN_HEADERS && !self.open.contains_key(id) {
+            // Any header may be evicted: an evicted one is read again when its job is
+            // polled.
             self.open.pop_first();
         }
         self.open.insert(id.clone(), OpenHeader { header, version });
     }
 
-    /// Forgets a job that is over.
-    pub fn forget(&mut self, id: &JobId) {
+    /// Removes the header of a job that has finished.
+    pub fn evict_header(&mut self, id: &JobId) {
         self.open.remove(id);
     }
 
-    /// Whether a job was seen open here.
+    /// Whether the cache holds an open header of the job.
     pub fn is_open(&self, id: &JobId) -> bool {
         self.open.contains_key(id)
     }
 
-    /// Enqueues a poll if its job was seen open; whether it did.
+    /// Enqueues a poll if its job was seen open; returns whether it did.
     #[must_use]
     pub fn enqueue(&mut self, now: Time, request: RequestId, id: &JobId) -> bool {
         if !self.is_open(id) {
@@ -118,7 +121,7 @@
         true
     }
 
-    /// Takes the polls that have waited too long for a comparison.
+    /// Removes and returns the polls that have waited too long for a comparison.
     pub fn take_overdue(&mut self, now: Time) -> Vec<WaitingRead> {
         let waiting = std::mem::take(&mut self.waiting);
         let is_overdue = |read: &WaitingRead| now.since(read.since) >= MAX_WAIT;
@@ -127,14 +130,16 @@
         overdue
     }
 
-    /// The next comparison, if one is due, of at most `max_jobs` jobs.
+    /// The next comparison if one is due, with its transaction. It covers at most
+    /// `max_jobs` jobs.
     pub fn next_comparison(
         &mut self,
         now: Time,
         max_jobs: usize,
     ) -> Option<(Transaction, VersionComparison)> {
         let is_slow = |sent: &Time| now.since(*sent) >= SLOW_REPLY;
-        let is_busy = self.in_flight.len() >= MAX_IN_FLIGHT || !self.in_flight.iter().all(is_slow);
+        let is_busy = self.in_flight.len() >= MAX_COMPARISONS_IN_FLIGHT
+            || !self.in_flight.iter().all(is_slow);
         if is_busy || self.waiting.is_empty() || now < self.not_before {
             return None;
         }
@@ -142,7 +147,7 @@
         let mut headers = BTreeMap::new();
         let mut conditions = Vec::new();
         for id in jobs {
-            // One forgotten meanwhile is not compared.
+            // A header that was removed while its poll waited is not compared.
             if let Some(OpenHeader { header, version }) = self.open.get(&id).copied() {
                 let key = job_records::job_header_key(&id);
                 conditions.push(Precondition { key, version });
@@ -162,7 +167,8 @@
         Some((txn, comparison))
     }
 
-    /// Takes the polls of the first `max_jobs` jobs that are waited for.
+    /// Removes and returns the waiting polls of the first `max_jobs` polled jobs, and
+    /// those jobs.
     fn take_waiting(&mut self, max_jobs: usize) -> (BTreeSet<JobId>, Vec<WaitingRead>) {
         let mut jobs: BTreeSet<JobId> = BTreeSet::new();
         let mut reads = Vec::new();
@@ -177,7 +183,8 @@
         (jobs, reads)
     }
 
-    /// Takes the reply to a comparison; the next one follows after `pause`.
+    /// Handles the reply to a comparison. No further comparison is sent for the duration
+    /// of `pause`.
     pub fn handle_reply(
         &mut self,
         now: Time,
@@ -191,10 +198,11 @@
         }
         self.not_before = now + pause;
         match reply {
-            Reply::Answer(200, _) => all_unchanged(comparison),
-            Reply::Answer(409, body) => self.some_changed(comparison, body),
-            Reply::Lost => self.repeat_young(now, comparison),
-            // Refused: whoever waits for the next one would be refused as well.
+            Reply::Answer(200, _) => confirm_open(comparison),
+            Reply::Answer(409, body) => self.split_by_change(comparison, body),
+            Reply::Lost => self.requeue_recent(now, comparison),
+            // The store refused the comparison, and would refuse one for the waiting
+            // polls too.
             Reply::Answer(..) | Reply::NotSent => {
                 let mut failed = comparison.reads;
                 failed.append(&mut self.waiting);
@@ -206,7 +214,7 @@
         }
     }
 
-    fn some_changed(&mut self, comparison: VersionComparison, body: &[u8]) -> ComparisonResult {
+    fn split_by_change(&mut self, comparison: VersionComparison, body: &[u8]) -> ComparisonResult {
         let mut result = ComparisonResult::default();
         let response = wire::decode::<TransactionResponse>(body).unwrap_or_default();
         let failed = response.failed;
@@ -215,30 +223,31 @@
                 self.open.remove(&read.id);
                 result.changed.push(read);
             } else {
-                // Not named as changed does not say unchanged.
+                // The store may not name every changed header, so this one is compared
+                // again.
                 self.waiting.push(read);
             }
         }
         result
     }
 
-    /// One lost reply is no reason to leave all who shared it, and those who came after
-    /// them, without an answer.
-    fn repeat_young(&mut self, now: Time, comparison: VersionComparison) -> ComparisonResult {
-        let is_young = |read: &WaitingRead| now.since(read.since) < MAX_AGE_TO_REPEAT;
+    /// Requeues the recent polls of a comparison whose reply was lost, so that one lost
+    /// reply does not leave these polls, and those that arrived later, without an answer.
+    fn requeue_recent(&mut self, now: Time, comparison: VersionComparison) -> ComparisonResult {
+        let is_recent = |read: &WaitingRead| now.since(read.since) < MAX_AGE_TO_REQUEUE;
         let reads = comparison.reads.into_iter();
-        let (young, old): (Vec<WaitingRead>, _) = reads.partition(is_young);
-        self.waiting.extend(young);
+        let (recent, expired): (Vec<WaitingRead>, _) = reads.partition(is_recent);
+        self.waiting.extend(recent);
         ComparisonResult {
-            failed: old,
+            failed: expired,
             ..ComparisonResult::default()
         }
     }
 }
 
-/// Polls of headers that were compared found them open; the others are read one by
-/// one.
-fn all_unchanged(comparison: VersionComparison) -> ComparisonResult {
+/// Handles a reply that says all compared headers are unchanged: polls of compared
+/// headers found their jobs open, and the others are to be read one by one.
+fn confirm_open(comparison: VersionComparison) -> ComparisonResult {
     let mut result = ComparisonResult::default();
     for read in comparison.reads {
         match comparison.headers.get(&read.id) {
--- a/crates/controller/src/core/read_coalescing/tests.rs
+++ b/crates/controller/src/core/read_coalescing/tests.rs
@@ -1,114 +1,128 @@
-//! Tests of shared reads.
-
 use super::*;
 use crate::core::job_records::HeaderStage;
 
-fn polls() -> ReadCoalescer {
-    let mut p = ReadCoalescer::default();
-    let head = JobHeader {
+fn coalescer_with_polls() -> ReadCoalescer {
+    let mut coalescer = ReadCoalescer::default();
+    let header = JobHeader {
         stage: HeaderStage::Open,
         task_count: 3,
     };
     for (id, version) in [("a", 5), ("b", 6)] {
-        p.remember(&id.into(), head, Version(version));
+        coalescer.cache_header(&id.into(), header, Version(version));
     }
     for (n, id) in ["a", "b", "a"].iter().enumerate() {
-        assert!(p.enqueue(Time(0), RequestId(n as u64), &(*id).into()));
+        assert!(coalescer.enqueue(Time(0), RequestId(n as u64), &(*id).into()));
     }
-    p
+    coalescer
 }
 
-fn ids(asked: &[WaitingRead]) -> Vec<u64> {
-    asked.iter().map(|a| a.request.0).collect()
+fn ids(reads: &[WaitingRead]) -> Vec<u64> {
+    reads.iter().map(|read| read.request.0).collect()
 }
 
-// With a read for each poll, a backlog of jobs used up the state service's
-// rate, and submissions were refused for it.
+// With one read for each poll, a backlog of jobs used up the key-value store's rate, and
+// submissions were refused.
 #[test]
 fn polls_share_one_comparison() {
-    let mut p = polls();
-    assert!(!p.enqueue(Time(0), RequestId(9), &"unseen".into()));
-    let (txn, asked) = p.next_comparison(Time(1), 192).unwrap();
+    let mut coalescer = coalescer_with_polls();
+    assert!(!coalescer.enqueue(Time(0), RequestId(9), &"unseen".into()));
+    let (txn, comparison) = coalescer.next_comparison(Time(1), 192).unwrap();
     assert_eq!((txn.conditions.len(), txn.ops.len()), (2, 0));
-    assert!(p.enqueue(Time(1), RequestId(4), &"b".into()));
-    assert!(p.next_comparison(Time(1), 192).is_none(), "one at a time");
-    let out = p.handle_reply(
+    assert!(coalescer.enqueue(Time(1), RequestId(4), &"b".into()));
+    assert!(
+        coalescer.next_comparison(Time(1), 192).is_none(),
+        "one at a time"
+    );
+    let result = coalescer.handle_reply(
         Time(2),
         TimeSpan(10),
-        asked,
+        comparison,
         &Reply::Answer(200, wire::encode(&0)),
     );
-    assert_eq!(out.open.len(), 3);
+    assert_eq!(result.open.len(), 3);
     assert!(
-        p.next_comparison(Time(11), 192).is_none(),
+        coalescer.next_comparison(Time(11), 192).is_none(),
         "not before the pause"
     );
-    assert_eq!(ids(&p.next_comparison(Time(12), 192).unwrap().1.reads), [4]);
+    assert_eq!(
+        ids(&coalescer.next_comparison(Time(12), 192).unwrap().1.reads),
+        [4]
+    );
 }
 
 #[test]
 fn only_unchanged_headers_are_reported_open() {
-    let mut p = polls();
-    let (_, asked) = p.next_comparison(Time(1), 192).unwrap();
+    let mut coalescer = coalescer_with_polls();
+    let (_, comparison) = coalescer.next_comparison(Time(1), 192).unwrap();
     let body = wire::encode(&TransactionResponse {
         revision: Version(9),
         failed: vec!["job/a".into()],
     });
-    let out = p.handle_reply(Time(2), TimeSpan(0), asked, &Reply::Answer(409, body));
-    assert_eq!((ids(&out.changed), out.open.len()), (vec![0, 2], 0));
-    // The other one is compared again, with what comes meanwhile.
-    let (_, again) = p.next_comparison(Time(3), 192).unwrap();
+    let result =
+        coalescer.handle_reply(Time(2), TimeSpan(0), comparison, &Reply::Answer(409, body));
+    assert_eq!((ids(&result.changed), result.open.len()), (vec![0, 2], 0));
+    // The other poll joins the next comparison, with polls that arrived in the meantime.
+    let (_, again) = coalescer.next_comparison(Time(3), 192).unwrap();
     assert_eq!(ids(&again.reads), [1]);
-    assert!(p.enqueue(Time(3), RequestId(7), &"b".into()));
+    assert!(coalescer.enqueue(Time(3), RequestId(7), &"b".into()));
     let refused = Reply::Answer(503, Vec::new());
-    let out = p.handle_reply(Time(4), TimeSpan(0), again, &refused);
-    assert_eq!(ids(&out.failed), [1, 7], "all are told at once");
-    assert!(p.next_comparison(Time(5), 192).is_none());
+    let result = coalescer.handle_reply(Time(4), TimeSpan(0), again, &refused);
+    assert_eq!(
+        ids(&result.failed),
+        [1, 7],
+        "the waiting poll is refused too"
+    );
+    assert!(coalescer.next_comparison(Time(5), 192).is_none());
 }
 
-// With two in five answers lost, a job was not answered for 90 s: a lost comparison left
-// all without an answer who shared it, and all who had come since.
+// With two in five answers lost, a job's polls got no answer for 90 s: a lost comparison
+// left all polls that shared it unanswered, and all polls that had arrived since.
 #[test]
 fn lost_comparison_is_repeated_without_blocking_others() {
     let ms = |n: u64| Time(n * 1000);
-    let mut p = polls();
-    let (_, lost) = p.next_comparison(ms(0), 192).unwrap();
-    assert!(p.enqueue(ms(50), RequestId(7), &"b".into()));
+    let mut coalescer = coalescer_with_polls();
+    let (_, lost) = coalescer.next_comparison(ms(0), 192).unwrap();
+    assert!(coalescer.enqueue(ms(50), RequestId(7), &"b".into()));
     assert!(
-        p.next_comparison(ms(60), 192).is_none(),
-        "an answer may come any moment"
+        coalescer.next_comparison(ms(60), 192).is_none(),
+        "the reply is not late yet"
+    );
+    let (_, second) = coalescer.next_comparison(ms(110), 192).unwrap();
+    assert_eq!(
+        ids(&second.reads),
+        [7],
+        "a late reply does not block other polls"
     );
-    let (_, second) = p.next_comparison(ms(110), 192).unwrap();
-    assert_eq!(ids(&second.reads), [7], "one that is late holds nobody up");
-    let out = p.handle_reply(ms(700), TimeSpan(0), lost, &Reply::Lost);
-    assert_eq!(out, ComparisonResult::default());
-    let (_, again) = p.next_comparison(ms(700), 192).unwrap();
+    let result = coalescer.handle_reply(ms(700), TimeSpan(0), lost, &Reply::Lost);
+    assert_eq!(result, ComparisonResult::default());
+    let (_, again) = coalescer.next_comparison(ms(700), 192).unwrap();
     assert_eq!(ids(&again.reads), [0, 1, 2]);
     // No poll is kept for longer than its user waits.
-    let out = p.handle_reply(ms(1400), TimeSpan(0), again, &Reply::Lost);
-    assert_eq!(ids(&out.failed), [0, 1, 2]);
-    p.handle_reply(ms(1400), TimeSpan(0), second, &Reply::Lost);
-    assert!(p.enqueue(ms(1400), RequestId(8), &"a".into()));
-    assert!(p.take_overdue(ms(2800)).is_empty());
-    assert_eq!(ids(&p.take_overdue(ms(2900))), [8]);
+    let result = coalescer.handle_reply(ms(1400), TimeSpan(0), again, &Reply::Lost);
+    assert_eq!(ids(&result.failed), [0, 1, 2]);
+    coalescer.handle_reply(ms(1400), TimeSpan(0), second, &Reply::Lost);
+    assert!(coalescer.enqueue(ms(1400), RequestId(8), &"a".into()));
+    assert!(coalescer.take_overdue(ms(2800)).is_empty());
+    assert_eq!(ids(&coalescer.take_overdue(ms(2900))), [8]);
 }
 
-// A job that is forgotten while its poll waits is not compared. A head that another
-// read, sent before the poll came, then brings says nothing of what has ended since:
-// the poll was once answered by it, after another node had told the job's end.
+// A header that is removed while its poll waits is not compared. If a read that was sent
+// before the poll arrived then stores the header again, that header proves nothing about
+// changes since: a poll was once answered with it after another controller had reported
+// the job as finished.
 #[test]
-fn header_recorded_after_sending_is_not_vouched_for() {
-    let mut p = polls();
-    let head = JobHeader {
+fn header_recorded_after_sending_is_not_trusted() {
+    let mut coalescer = coalescer_with_polls();
+    let header = JobHeader {
         stage: HeaderStage::Open,
         task_count: 3,
     };
-    p.forget(&"a".into());
-    let (txn, asked) = p.next_comparison(Time(1), 192).unwrap();
-    assert_eq!(txn.conditions.len(), 1, "only what is there is compared");
-    p.remember(&"a".into(), head, Version(5));
-    let yes = Reply::Answer(200, wire::encode(&0));
-    let out = p.handle_reply(Time(2), TimeSpan(0), asked, &yes);
-    assert_eq!(ids(&out.changed), [0, 2], "they are read by themselves");
-    assert_eq!(out.open.len(), 1);
+    coalescer.evict_header(&"a".into());
+    let (txn, comparison) = coalescer.next_comparison(Time(1), 192).unwrap();
+    assert_eq!(txn.conditions.len(), 1, "only cached headers are compared");
+    coalescer.cache_header(&"a".into(), header, Version(5));
+    let unchanged = Reply::Answer(200, wire::encode(&0));
+    let result = coalescer.handle_reply(Time(2), TimeSpan(0), comparison, &unchanged);
+    assert_eq!(ids(&result.changed), [0, 2], "they are read one by one");
+    assert_eq!(result.open.len(), 1);
 }
--- a/crates/controller/src/testing.rs
+++ b/crates/controller/src/testing.rs
@@ -11,20 +11,20 @@
 use crate::wire::users::{JobShape, Priority, Submission};
 use std::rc::Rc;
 
-/// Settings of node `n` of three, each in a zone of its own.
+/// Settings of controller `n` of three, each in a separate zone.
 pub fn settings(n: u32) -> Settings {
-    settings_of(n, 3, 3)
+    cluster_settings(n, 3, 3)
 }
 
-/// Settings of node `n` of so many, in so many zones.
-pub fn settings_of(n: u32, nodes: u32, zones: u32) -> Settings {
+/// Settings of controller `n` (from 0) of `nodes` controllers in `zones` zones.
+pub fn cluster_settings(n: u32, nodes: u32, zones: u32) -> Settings {
     let zone = |i: u32| format!("z{}", i % zones);
     let node = |i: u32| {
         serde_json::json!({"label": format!("node-{i}"), "zone": zone(i),
             "endpoint": format!("10.0.0.{}:8081", i + 1)})
     };
     let peers: Vec<_> = (0..nodes).filter(|&i| i != n).map(node).collect();
-    let team = |name: &str, gpus: f64, most: f64| serde_json::json!({"name": name, "gpus": gpus, "gpus_max": most});
+    let team = |name: &str, gpus: f64, max_gpus: f64| serde_json::json!({"name": name, "gpus": gpus, "gpus_max": max_gpus});
     let text = serde_json::json!({
         "label": format!("node-{n}"), "zone": zone(n),
         "api_addr": format!("10.0.0.{}:8080", n + 1), "internal_addr": format!("10.0.0.{}:8081", n + 1),
@@ -43,7 +43,7 @@
     Settings::parse(&text.to_string()).expect("the fixture is valid")
 }
 
-/// Effects at this time, in seconds.
+/// Effects at `secs` seconds of the controller's monotonic clock.
 pub fn effects_at(secs: f64) -> Effects {
     let mut effects = Effects::new(&settings(0), 1);
     effects.now = Now {
@@ -69,7 +69,7 @@
     }
 }
 
-/// A leader that has just got its token and knows the machine type.
+/// A leader that was just elected under token 5 and has the machine type.
 pub fn leader() -> Leader {
     let settings = Rc::new(settings(0));
     let policy = Policy::from_script(DEFAULT_SCRIPT, &settings).expect("the default is valid");
@@ -84,7 +84,7 @@
     Leader::new(settings, Rc::new(policy), term, Time(0), &types)
 }
 
-/// A job of one-GPU tasks.
+/// A job of tasks with one GPU each.
 pub fn submission(id: &str, shape: JobShape, tasks: u32) -> Submission {
     Submission {
         id: id.into(),
