--- a/crates/controller/src/core/delivery.rs
+++ b/crates/controller/src/core/delivery.rs
@@ -48,7 +48,7 @@
 /// An ongoing loss of answers.
 #[derive(Clone, Copy, Debug)]
 struct LostDelivery {
-    /// When it was detected.
+    /// When the loss was detected.
     since: Time,
     /// When the current agent epoch was first seen. If the loss was detected in the
     /// middle of an epoch, when the loss was detected.
