--- a/crates/controller/src/core/placement_tables.rs
+++ b/crates/controller/src/core/placement_tables.rs
@@ -1,6 +1,7 @@
-//! The paper's three tables as one scheduling cycle sees them: which machines hold an
-//! image (*Cache*), when each machine is predicted to be free (*Available*), and what
-//! fetching an image costs (*Estimate*). Tables only: decisions are the cycle's.
+//! The three tables of the paper that `scheduling_cycle` follows: which machines hold an
+//! image (*Cache*), when each machine is predicted to be free (*Available*), and how
+//! long fetching an image takes (*Estimate*). The tables hold data only; decisions are
+//! made in `scheduling_cycle`.
 
 mod fetch_estimates;
 mod image_cache;
--- a/crates/controller/src/core/placement_tables/image_cache/tests.rs
+++ b/crates/controller/src/core/placement_tables/image_cache/tests.rs
@@ -9,13 +9,14 @@
     }
     cache.record_use(&image(0), 10.0, Time(10), TimeSpan::ZERO);
     cache.record_fetched(&image(3), 10.0, Time(11), 30.0);
-    let mut left: Vec<_> = cache.images().map(|(i, _)| i.to_string()).collect();
-    left.sort();
-    assert_eq!(left, ["i0", "i2", "i3"]);
+    let mut images_after: Vec<_> = cache.images().map(|(i, _)| i.to_string()).collect();
+    images_after.sort();
+    assert_eq!(images_after, ["i0", "i2", "i3"]);
 }
 
-// A fetch that took longer than expected once counted as over: work was
-// sent there as if the image were there, and its arrival was never noted.
+// Guards against counting a fetch as complete once its expected time is over: work was
+// placed on the machine as if the image were in its cache, and the real end of the fetch
+// was never recorded.
 #[test]
 fn overdue_fetch_still_counts_as_in_progress() {
     let mut cache = ImageCache::default();
--- a/crates/controller/src/core/placement_tables/machine_row.rs
+++ b/crates/controller/src/core/placement_tables/machine_row.rs
@@ -1,33 +1,34 @@
-//! A machine as a scheduling cycle sees it.
+//! One machine's row in the tables of a scheduling cycle.
 
 use super::ImageCache;
 use crate::types::{MachineId, MachineTypeName, Resources, Time, Zone};
 
-/// A machine as a scheduling cycle sees it.
+/// One machine's row in the tables of a scheduling cycle. The leader builds the row
+/// before the cycle; each start that the cycle decides updates it.
 #[derive(Clone, Debug)]
 pub struct MachineRow {
-    /// The machine.
+    /// The machine that this row describes.
     pub id: MachineId,
-    /// Its machine type.
+    /// The machine's type.
     pub machine_type: MachineTypeName,
-    /// Its zone.
+    /// The zone that the machine is in.
     pub zone: Zone,
-    /// Whether it is spot capacity.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// All resources it has.
+    /// Total resources of the machine.
     pub capacity: Resources,
-    /// What is free for new tasks.
+    /// Resources that are free for new tasks now.
     pub free: Resources,
-    /// When what is reservable is predicted to be free.
+    /// Time at which all of `reservable` is predicted to be free.
     pub available_at: Time,
-    /// What is free once all tasks have ended whose end can be predicted.
+    /// Resources that are free once all tasks with a predictable end have ended.
     pub reservable: Resources,
-    /// When high-priority work was last placed here.
+    /// When high-priority work was last placed on the machine; `None` if never.
     pub last_high_priority_start: Option<Time>,
-    /// Its images.
+    /// The images on the machine.
     pub cache: ImageCache,
-    /// Fetch rate of its type, in gigabytes per second.
+    /// Fetch rate of the machine's type, in gigabytes per second.
     pub fetch_rate: f64,
-    /// Whether it is in quarantine: only work that has waited for long may go there.
+    /// Whether the machine is in quarantine: only overdue work may be placed on it.
     pub quarantined: bool,
 }
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -1,5 +1,6 @@
-//! Preemption: which running tasks to stop for work that cannot be placed. Pure, as the
-//! scheduling cycle: it chooses, and stops nothing itself.
+//! Preemption: chooses running tasks to stop for work that cannot be placed. The tasks
+//! are stopped by the caller; like the scheduling cycle, this module neither sends nor
+//! stores anything.
 
 mod victims;
 
@@ -10,21 +11,22 @@
 use crate::types::{JobId, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The tasks to stop for a request, and where its own tasks go then.
+/// The tasks to stop for a request, and the machines on which the request's tasks then
+/// start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Eviction {
-    /// Indices of the tasks to stop.
+    /// Indices into [`Victims`] of the tasks to stop.
     pub victims: BTreeSet<usize>,
-    /// Rows for the request's tasks, one entry for each task.
+    /// Row index of the machine for each task of the request, one entry per task.
     pub rows: Vec<usize>,
 }
 
-/// Whether `request` has a reason to have `victim` stopped. Only the two that the
-/// platform names count: a higher priority, or a guaranteed quota against what another
-/// team runs beyond its own. How much may be taken is for [`ReclaimLimits`] to say.
-fn has_reason(request: &PlacementRequest, victim: &Victim) -> bool {
-    // A guarantee could also take from higher priorities; stopping urgent work
-    // for work that can wait serves nobody.
+/// Whether `request` may preempt `victim`. The platform allows two reasons only: a higher
+/// priority, or a guaranteed quota against work that another team runs beyond that other
+/// team's guaranteed quota. [`ReclaimLimits`] decides how much may be preempted.
+fn may_preempt(request: &PlacementRequest, victim: &Victim) -> bool {
+    // A guarantee could also preempt work of higher priority, but stopping urgent work
+    // for work that can wait has no benefit.
     victim.priority < request.priority
         || (request.within_guarantee
             && victim.team != request.team
@@ -32,22 +34,22 @@
             && victim.priority == request.priority)
 }
 
-/// Machine seconds of lost work that one second of fetching the image weighs as much
-/// as: the work that room is made for waits meanwhile.
-const COST_PER_FETCH_SECOND: f64 = 2.0;
+/// Machine seconds of lost work that count as much as one second of fetching the image,
+/// since the request's tasks wait for the fetch.
+const MACHINE_SECONDS_PER_FETCH_SECOND: f64 = 2.0;
 
-/// Cost for each task, in machine seconds, of a fetch by which its start misses its
-/// objective: running work is rather stopped where the image is.
-const MISSED_OBJECTIVE_COST: f64 = 100.0;
+/// Cost per task, in machine seconds, of a fetch that makes a start miss the job's
+/// objective. The cost favours preemption on machines that hold the image.
+const MISSED_OBJECTIVE_MACHINE_SECONDS: f64 = 100.0;
 
-/// What making room on one row would come to.
+/// A plan for making room on one row.
 struct RowPlan {
     row: usize,
-    /// Tasks of the request that would fit.
+    /// Number of the request's tasks that then fit.
     tasks: u32,
-    /// Indices of the tasks to stop.
+    /// Indices into [`Victims`] of the tasks to stop.
     victims: Vec<usize>,
-    /// Cost in machine seconds.
+    /// Cost of the plan, in machine seconds.
     cost: f64,
 }
 
@@ -57,15 +59,15 @@
     }
 }
 
-/// Finds the cheapest set of tasks to stop so that `request` fits: a gang whole, of
-/// others at most `max_tasks` tasks. `taken` are victims that are being stopped for
-/// another request already.
+/// Finds the cheapest set of tasks to stop so that `request` fits: all tasks of a gang,
+/// and at most `max_tasks` tasks of other jobs. `already_chosen` holds the victims that
+/// are being stopped for other requests. Returns `None` if no allowed set is enough.
 pub fn evict(
     cycle: &SchedulingCycle<'_>,
     request: &PlacementRequest,
     victims: &Victims,
-    taken: &BTreeSet<usize>,
-    bounds: &ReclaimLimits,
+    already_chosen: &BTreeSet<usize>,
+    reclaim_limits: &ReclaimLimits,
     max_tasks: u32,
 ) -> Option<Eviction> {
     let limit = if request.gang { u32::MAX } else { max_tasks };
@@ -73,28 +75,28 @@
         cycle,
         request,
         victims,
-        taken,
-        bounds,
-        wanted_tasks: (request.tasks.len() as u32).min(limit),
+        already_chosen,
+        reclaim_limits,
+        requested_tasks: (request.tasks.len() as u32).min(limit),
     };
-    let mut eviction = search.cheapest(&search.plan_rows())?;
+    let mut eviction = search.cheapest_combination(&search.plan_rows())?;
     search.include_whole_gangs(&mut eviction);
     Some(eviction)
 }
 
-/// What one search for tasks to stop works on.
+/// Inputs of one search for tasks to stop.
 struct EvictionSearch<'a, 'c> {
     cycle: &'a SchedulingCycle<'c>,
     request: &'a PlacementRequest,
     victims: &'a Victims,
-    taken: &'a BTreeSet<usize>,
-    bounds: &'a ReclaimLimits,
-    /// Tasks to make room for.
-    wanted_tasks: u32,
+    already_chosen: &'a BTreeSet<usize>,
+    reclaim_limits: &'a ReclaimLimits,
+    /// Number of tasks to make room for.
+    requested_tasks: u32,
 }
 
 impl<'a> EvictionSearch<'a, '_> {
-    /// Plans for all rows on which room can be made, the cheapest for each task first.
+    /// Plans for all rows on which room can be made, in ascending order of cost per task.
     fn plan_rows(&self) -> Vec<RowPlan> {
         let rows = 0..self.cycle.rows.len();
         let mut plans: Vec<RowPlan> = rows
@@ -105,7 +107,7 @@
         plans
     }
 
-    /// Whether the request could run on a row if enough were stopped there.
+    /// Whether the request could run on a row if enough tasks on the row were stopped.
     fn is_usable(&self, index: usize) -> bool {
         let row = &self.cycle.rows[index];
         let request = self.request;
@@ -117,7 +119,8 @@
             && request.zone_room(&row.zone) != 0
     }
 
-    /// What stopping the cheapest tasks of a row comes to; `None` if nothing fits then.
+    /// Plans to stop the cheapest tasks of a row until one task of the request fits;
+    /// `None` if none fits.
     fn plan_row(&self, index: usize) -> Option<RowPlan> {
         let row = &self.cycle.rows[index];
         let need = &self.request.need;
@@ -128,26 +131,26 @@
             victims: Vec::new(),
             cost: 0.0,
         };
-        let mut spent = ReclaimUsage::default();
+        let mut reclaimed = ReclaimUsage::default();
         let mut gangs: BTreeSet<&JobId> = BTreeSet::new();
         for (cost, victim_index) in self.victims_by_cost(index) {
             if need.fits(&free) {
                 break;
             }
             let victim = &self.victims[victim_index];
-            // A gang is counted once, with the first of its tasks.
+            // A gang counts once against the limits, with the first of its tasks.
             if !victim.gang || gangs.insert(&victim.job) {
                 let loss = self.victims.loss(victim_index, self.request);
-                if !self.bounds.allows(&spent, &loss) {
+                if !self.reclaim_limits.allows(&reclaimed, &loss) {
                     continue;
                 }
-                self.bounds.spend(&mut spent, &loss);
+                self.reclaim_limits.spend(&mut reclaimed, &loss);
             }
             free += victim.need;
             plan.victims.push(victim_index);
             plan.cost += cost;
         }
-        let limit = self.wanted_tasks.min(self.request.zone_room(&row.zone));
+        let limit = self.requested_tasks.min(self.request.zone_room(&row.zone));
         plan.tasks = need.count_in(&free, limit);
         if plan.tasks == 0 {
             return None;
@@ -156,39 +159,40 @@
         Some(plan)
     }
 
-    /// The tasks on a row that may be stopped for the request, with their cost in
-    /// machine seconds, the cheapest first.
+    /// The tasks on a row that may be stopped for the request, each with its cost in
+    /// machine seconds, in ascending order of cost.
     fn victims_by_cost(&self, row: usize) -> Vec<(f64, usize)> {
         let mut victims: Vec<(f64, usize)> = self.victims.by_row[row]
             .iter()
             .copied()
-            .filter(|index| !self.taken.contains(index))
-            .filter(|index| has_reason(self.request, &self.victims[*index]))
+            .filter(|index| !self.already_chosen.contains(index))
+            .filter(|index| may_preempt(self.request, &self.victims[*index]))
             .map(|index| (self.victims.cost(index), index))
             .collect();
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
         victims
     }
 
-    /// The work that room is made for also waits for its image.
+    /// Adds the cost of the time for which the request's tasks wait for their image.
     fn add_fetch_cost(&self, plan: &mut RowPlan) {
         let fetch = self
             .cycle
             .fetch_time(self.request, &self.cycle.rows[plan.row]);
-        plan.cost += fetch.as_secs() * COST_PER_FETCH_SECOND;
+        plan.cost += fetch.as_secs() * MACHINE_SECONDS_PER_FETCH_SECOND;
         let starts_at = self.cycle.parameters.now + fetch;
         if self
             .request
             .start_by
-            .is_some_and(|latest| starts_at > latest)
+            .is_some_and(|latest_start| starts_at > latest_start)
         {
-            plan.cost += MISSED_OBJECTIVE_COST * f64::from(plan.tasks);
+            plan.cost += MISSED_OBJECTIVE_MACHINE_SECONDS * f64::from(plan.tasks);
         }
     }
 
-    /// The cheapest combination of plans that makes room for enough tasks: within one
-    /// zone, if the request needs that.
-    fn cheapest(&self, plans: &[RowPlan]) -> Option<Eviction> {
+    /// The cheapest combination of plans that makes room for enough tasks: all tasks of a
+    /// gang, at least one task of other jobs. If the request needs one zone, the
+    /// combination lies within one zone.
+    fn cheapest_combination(&self, plans: &[RowPlan]) -> Option<Eviction> {
         let zones: Vec<Option<&Zone>> = if self.request.one_zone {
             self.cycle.zones().iter().map(Some).collect()
         } else {
@@ -199,7 +203,7 @@
             let combined = self.combine(plans, zone);
             let is_enough = match self.request.gang {
                 true => combined.tasks_left == 0,
-                false => combined.tasks_left < self.wanted_tasks,
+                false => combined.tasks_left < self.requested_tasks,
             };
             if is_enough && best.as_ref().is_none_or(|best| combined.cost < best.cost) {
                 best = Some(combined);
@@ -208,10 +212,10 @@
         best.map(|combined| combined.eviction)
     }
 
-    /// Takes plans in their order until there is room for all wanted tasks. With
-    /// `zone`, only plans for rows of this zone.
+    /// Adds plans in their order until there is room for all requested tasks. With
+    /// `zone`, only plans for rows of this zone are added.
     fn combine(&self, plans: &[RowPlan], zone: Option<&Zone>) -> CombinedPlan<'a> {
-        let mut combined = CombinedPlan::new(self.wanted_tasks);
+        let mut combined = CombinedPlan::new(self.requested_tasks);
         let mut tasks_in_zones: BTreeMap<&Zone, u32> = BTreeMap::new();
         for plan in plans {
             let row = &self.cycle.rows[plan.row];
@@ -230,10 +234,11 @@
         combined
     }
 
-    /// Counts what a plan takes against the bounds; false, with nothing counted, if it
-    /// is too much: what each row's plan may take alone, all may not take together.
+    /// Counts the victims of a plan against the reclaim limits. Returns false and counts
+    /// nothing if the limits would be exceeded: plans that are allowed one by one can
+    /// exceed the limits together.
     fn charge(&self, combined: &mut CombinedPlan<'a>, plan: &RowPlan) -> bool {
-        let mut spent = combined.spent.clone();
+        let mut reclaimed = combined.reclaimed.clone();
         let mut new_gangs: BTreeSet<&JobId> = BTreeSet::new();
         for &index in &plan.victims {
             let victim = &self.victims[index];
@@ -243,17 +248,18 @@
                 continue;
             }
             let loss = self.victims.loss(index, self.request);
-            if !self.bounds.allows(&spent, &loss) {
+            if !self.reclaim_limits.allows(&reclaimed, &loss) {
                 return false;
             }
-            self.bounds.spend(&mut spent, &loss);
+            self.reclaim_limits.spend(&mut reclaimed, &loss);
         }
-        combined.spent = spent;
+        combined.reclaimed = reclaimed;
         combined.gangs.extend(new_gangs);
         true
     }
 
-    /// Adds all other tasks of the gangs of which some are stopped: a gang stops whole.
+    /// Adds all other tasks of each gang that has a task among the victims, since the
+    /// tasks of a gang stop together.
     fn include_whole_gangs(&self, eviction: &mut Eviction) {
         let gangs: BTreeSet<&JobId> = eviction
             .victims
@@ -266,36 +272,36 @@
             .iter()
             .filter_map(|job| self.victims.gangs.get(job))
             .flat_map(|gang| &gang.members)
-            .filter(|index| !self.taken.contains(index));
+            .filter(|index| !self.already_chosen.contains(index));
         eviction.victims.extend(members);
     }
 }
 
-/// Row plans that are carried out together.
+/// A combination of row plans.
 struct CombinedPlan<'a> {
     eviction: Eviction,
-    /// Cost in machine seconds.
+    /// Total cost of the plans, in machine seconds.
     cost: f64,
-    /// Wanted tasks without room yet.
+    /// Number of requested tasks that still have no room.
     tasks_left: u32,
-    /// What all these plans take from teams and classes.
-    spent: ReclaimUsage,
-    /// Gangs that are counted in `spent`.
+    /// Resources that all these plans reclaim from teams and classes.
+    reclaimed: ReclaimUsage,
+    /// Gangs that are already counted in `reclaimed`.
     gangs: BTreeSet<&'a JobId>,
 }
 
 impl CombinedPlan<'_> {
-    fn new(wanted_tasks: u32) -> Self {
+    fn new(requested_tasks: u32) -> Self {
         CombinedPlan {
             eviction: Eviction::default(),
             cost: 0.0,
-            tasks_left: wanted_tasks,
-            spent: ReclaimUsage::default(),
+            tasks_left: requested_tasks,
+            reclaimed: ReclaimUsage::default(),
             gangs: BTreeSet::new(),
         }
     }
 
-    /// Adds a row's plan, with room for `tasks` of the request's tasks.
+    /// Adds a row's plan and assigns `tasks` of the request's tasks to the row.
     fn add(&mut self, plan: &RowPlan, tasks: u32) {
         self.tasks_left -= tasks;
         self.cost += plan.cost;
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -1,5 +1,5 @@
-//! Reclaiming for guaranteed quotas against a slow plain model: whatever is stopped is
-//! added up task by task afterwards.
+//! Checks reclaiming for guaranteed quotas against a slow model that sums up the stopped
+//! tasks one by one.
 
 use super::*;
 use crate::core::placement_tables::{FetchEstimates, ImageCache, MachineRow};
@@ -16,10 +16,10 @@
     gpus: 4.0,
     memory_gb: 8.0,
 };
-/// Most tasks that one request of the model makes room for.
+/// Maximum number of tasks that one search makes room for.
 const MAX_TASKS: u32 = 16;
 
-fn amounts(gpus: f64) -> Resources {
+fn equal_amounts(gpus: f64) -> Resources {
     Resources {
         cpus: gpus,
         gpus,
@@ -27,7 +27,7 @@
     }
 }
 
-/// The lender: the team that runs all tasks.
+/// The team that runs all tasks and may lose those beyond its guaranteed quota.
 fn lender() -> Team {
     Team::from("lender")
 }
@@ -40,7 +40,7 @@
         class: "any".into(),
         image: "i".into(),
         image_gb: 1.0,
-        need: amounts(gpus),
+        need: equal_amounts(gpus),
         tasks: (0..tasks).collect(),
         gang: true,
         priority: Priority::Normal,
@@ -79,7 +79,7 @@
     }
 }
 
-/// A task of the lender's. Tasks with the same job and size are one gang.
+/// A task of the lender. Two or more tasks with the same job and size are one gang.
 #[derive(Clone, Copy)]
 struct LenderTask {
     machine: usize,
@@ -100,7 +100,7 @@
             class: "any".into(),
             machines: 0.25,
             priority: Priority::Normal,
-            need: amounts(f64::from(self.gpus)),
+            need: equal_amounts(f64::from(self.gpus)),
             gang,
             row: self.machine,
             cost_machine_seconds: f64::from(self.job),
@@ -109,19 +109,20 @@
     }
 }
 
-/// Machines on which a lender runs tasks.
+/// Machines on which the lender runs tasks.
 struct Fleet {
     rows: Vec<MachineRow>,
-    /// The lender's tasks that fit.
+    /// Those of the lender's tasks that fit on the machines.
     victims: Vec<Victim>,
-    /// What the lender uses.
-    account: QuotaUsage,
+    /// The lender's quota usage.
+    quota_usage: QuotaUsage,
 }
 
 impl Fleet {
-    /// A fleet with the lender's tasks, as far as they fit. The lender has a guaranteed
-    /// quota of `guarantee` GPUs and is losing `losing` GPUs already.
-    fn new(guarantee: f64, losing: f64, tasks: &[LenderTask]) -> Fleet {
+    /// Creates a fleet with those of the lender's tasks that fit. The lender has a
+    /// guaranteed quota of `guarantee` GPUs, and further tasks of the lender with
+    /// `stopping_gpus` GPUs are already being stopped.
+    fn new(guarantee: f64, stopping_gpus: f64, tasks: &[LenderTask]) -> Fleet {
         let machines = tasks.iter().map(|t| t.machine).max().map_or(0, |m| m + 1);
         let share = TeamShare {
             cpus: None,
@@ -129,12 +130,17 @@
             cpus_max: None,
             gpus_max: None,
         };
-        let mut account = QuotaUsage::new(&BTreeMap::from([(lender(), share)]));
-        account.add_tasks(&lender(), QuotaUnits::of(&amounts(losing)), 1, 1);
+        let mut quota_usage = QuotaUsage::new(&BTreeMap::from([(lender(), share)]));
+        quota_usage.add_tasks(
+            &lender(),
+            QuotaUnits::of(&equal_amounts(stopping_gpus)),
+            1,
+            1,
+        );
         let mut fleet = Fleet {
             rows: (0..machines).map(empty_machine).collect(),
             victims: Vec::new(),
-            account,
+            quota_usage,
         };
         for (number, task) in tasks.iter().enumerate() {
             let gang_size = tasks.iter().filter(|t| t.is_same_gang(task)).count();
@@ -149,32 +155,32 @@
             return;
         }
         *free -= task.need;
-        self.account
+        self.quota_usage
             .add_tasks(&lender(), QuotaUnits::of(&task.need), 1, 0);
         self.victims.push(task);
     }
 }
 
-/// What the model comes to.
+/// Result of the model.
 #[derive(Debug, PartialEq)]
 struct Reclaimed {
-    /// GPUs that the lender still runs.
-    left: f64,
-    /// Requests that got room.
+    /// Number of GPUs that the lender still uses.
+    remaining_gpus: f64,
+    /// Number of requests that got room.
     served: usize,
 }
 
-/// Lets each request preempt in turn, as a cycle does, and adds up what is stopped.
+/// Lets each request preempt in turn, as a cycle does, and sums up the stopped tasks.
 fn reclaim(
     guarantee: f64,
-    losing: f64,
+    stopping_gpus: f64,
     tasks: &[LenderTask],
     requests: &[PlacementRequest],
 ) -> Reclaimed {
-    let mut fleet = Fleet::new(guarantee, losing, tasks);
+    let mut fleet = Fleet::new(guarantee, stopping_gpus, tasks);
     let running: f64 = fleet.victims.iter().map(|v| v.need.gpus).sum();
-    let mut bounds = ReclaimLimits {
-        usage: fleet.account,
+    let mut reclaim_limits = ReclaimLimits {
+        usage: fleet.quota_usage,
         minimum_shares: Default::default(),
     };
     let victims = Victims::new(fleet.victims, fleet.rows.len());
@@ -186,30 +192,43 @@
         backfill_margin: 1.5,
     };
     let mut cycle = SchedulingCycle::new(parameters, &mut fleet.rows, &mut teams, &estimates);
-    let mut taken = BTreeSet::new();
+    let mut already_chosen = BTreeSet::new();
     let mut stopped = 0.0;
     let mut served = 0;
     for request in requests {
-        let found = evict(&cycle, request, &victims, &taken, &bounds, MAX_TASKS);
+        let found = evict(
+            &cycle,
+            request,
+            &victims,
+            &already_chosen,
+            &reclaim_limits,
+            MAX_TASKS,
+        );
         let Some(eviction) = found else {
             continue;
         };
         served += 1;
-        stopped += stop_victims(&mut cycle, &mut bounds, &victims, request, &eviction);
+        stopped += stop_victims(
+            &mut cycle,
+            &mut reclaim_limits,
+            &victims,
+            request,
+            &eviction,
+        );
         start_tasks(&mut cycle, request, &eviction);
-        taken.extend(eviction.victims);
+        already_chosen.extend(eviction.victims);
     }
     Reclaimed {
-        left: running - stopped,
+        remaining_gpus: running - stopped,
         served,
     }
 }
 
-/// Stops the chosen tasks; returns the GPUs they had. A gang counts once against the
-/// bounds.
+/// Stops the chosen tasks and returns the number of their GPUs. A gang counts once
+/// against the reclaim limits.
 fn stop_victims(
     cycle: &mut SchedulingCycle<'_>,
-    bounds: &mut ReclaimLimits,
+    reclaim_limits: &mut ReclaimLimits,
     victims: &Victims,
     request: &PlacementRequest,
     eviction: &Eviction,
@@ -221,7 +240,7 @@
         stopped += victim.need.gpus;
         cycle.rows[victim.row].free += victim.need;
         if !victim.gang || gangs.insert(victim.job.clone()) {
-            bounds.take(&victims.loss(index, request));
+            reclaim_limits.take(&victims.loss(index, request));
         }
     }
     stopped
@@ -242,7 +261,7 @@
     })]
     #[test]
     fn reclaim_leaves_guaranteed_quota(
-        guarantee in 0u32..40, losing in 0u32..8,
+        guarantee in 0u32..40, stopping_gpus in 0u32..8,
         tasks in proptest::collection::vec((0usize..10, 0u8..6, 1u32..4), 1..40),
         sizes in proptest::collection::vec((1u32..4, 1u32..5), 1..6),
     ) {
@@ -250,38 +269,41 @@
             .map(|(machine, job, gpus)| LenderTask { machine, job, gpus }).collect();
         let requests: Vec<PlacementRequest> = sizes.iter().enumerate()
             .map(|(number, &(tasks, gpus))| request(number, tasks, f64::from(gpus))).collect();
-        let (guarantee, losing) = (f64::from(guarantee), f64::from(losing));
+        let (guarantee, stopping_gpus) = (f64::from(guarantee), f64::from(stopping_gpus));
 
-        let after = reclaim(guarantee, losing, &tasks, &requests);
+        let after = reclaim(guarantee, stopping_gpus, &tasks, &requests);
 
-        // Nothing at all is taken of a lender that is below its guarantee already.
-        let before = reclaim(guarantee, losing, &tasks, &[]);
-        prop_assert!(after.left >= before.left.min(guarantee), "{after:?}");
+        // A lender that is below its guarantee already loses nothing.
+        let before = reclaim(guarantee, stopping_gpus, &tasks, &[]);
+        prop_assert!(after.remaining_gpus >= before.remaining_gpus.min(guarantee), "{after:?}");
     }
 }
 
 /// One task of four GPUs on each of four machines.
-fn four_tasks(job_of: impl Fn(usize) -> u8) -> Vec<LenderTask> {
+fn four_tasks(job_of_machine: impl Fn(usize) -> u8) -> Vec<LenderTask> {
     (0..4)
         .map(|machine| LenderTask {
             machine,
-            job: job_of(machine),
+            job: job_of_machine(machine),
             gpus: 4,
         })
         .collect()
 }
 
-// Within one cycle the same surplus was once spent by each request anew, by
-// each victim of a request, and a gang counted as one of its tasks.
+// Guards against reclaiming the same surplus several times within one cycle: once for
+// each request, once for each victim of a request, or with a gang counted as one task.
 #[test]
 fn reclaims_surplus_only_once() {
     let singles = four_tasks(|machine| machine as u8);
     let gang = four_tasks(|_| 1);
     let requests = [request(0, 1, 4.0), request(1, 1, 4.0)];
-    let result = |left, served| Reclaimed { left, served };
+    let result = |remaining_gpus, served| Reclaimed {
+        remaining_gpus,
+        served,
+    };
     assert_eq!(reclaim(12.0, 0.0, &singles, &requests), result(12.0, 1));
     assert_eq!(reclaim(13.0, 0.0, &singles, &requests), result(16.0, 0));
-    // What is being stopped already is no surplus any more.
+    // Tasks that are already being stopped no longer count as surplus.
     assert_eq!(
         reclaim(12.0, 4.0, &singles, &requests[..1]),
         result(12.0, 1)
@@ -290,7 +312,8 @@
     assert_eq!(reclaim(0.0, 0.0, &gang, &requests[..1]), result(0.0, 1));
 }
 
-// The model notices: with the bound switched off the lender loses all four.
+// Checks that the model detects a violation: without the limits the lender loses all
+// four tasks.
 #[test]
 fn model_detects_unbounded_reclaim() {
     use crate::core::failpoints::{SafetyCheck, disable_check};
@@ -299,5 +322,5 @@
     disable_check(&[SafetyCheck::ReclaimsAreBounded]);
     let after = reclaim(12.0, 0.0, &singles, &requests);
     disable_check(&[]);
-    assert_eq!(after.left, 0.0);
+    assert_eq!(after.remaining_gpus, 0.0);
 }
--- a/crates/controller/src/core/preemption/victims.rs
+++ b/crates/controller/src/core/preemption/victims.rs
@@ -1,4 +1,5 @@
-//! The running tasks that may be stopped, and what stopping them costs. Chooses none.
+//! The running tasks that may be preempted, and the cost of stopping each. The choice
+//! among them is made in `preemption`.
 
 use crate::core::quota::ReclaimCandidate;
 use crate::core::scheduling_cycle::PlacementRequest;
@@ -6,56 +7,58 @@
 use crate::wire::users::Priority;
 use std::collections::HashMap;
 
-/// A running task that may be stopped; a gang's tasks only stop together.
+/// A running task that may be preempted. The tasks of a gang only stop together.
 #[derive(Clone, Debug)]
 pub struct Victim {
-    /// The task's job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's number.
+    /// The task's number within the job, from 0.
     pub task: u32,
-    /// The job's team.
+    /// The team whose quota the job counts against.
     pub team: Team,
-    /// The job's class.
+    /// The job's class, which can have a minimum share.
     pub class: Class,
-    /// The share of its machine that the task takes, in machines.
+    /// Part of its machine that the task occupies, from 0 to 1.
     pub machines: f64,
     /// The job's priority.
     pub priority: Priority,
-    /// What the task takes.
+    /// Resources that the task occupies.
     pub need: Resources,
-    /// Whether it belongs to a gang.
+    /// Whether the task belongs to a gang.
     pub gang: bool,
-    /// Row of its machine.
+    /// Index of the machine's row in the scheduling cycle.
     pub row: usize,
-    /// What stopping it costs, in machine seconds of lost work.
+    /// Cost of stopping the task, in machine seconds of lost work.
     pub cost_machine_seconds: f64,
-    /// Whether it has run long enough to be stopped for a guarantee.
+    /// Whether the task has run long enough to be stopped for another team's guaranteed
+    /// quota.
     pub past_minimum_run: bool,
 }
 
-/// All tasks of a gang that may be stopped.
+/// All tasks of one gang.
 #[derive(Debug, Default)]
 pub(super) struct GangVictims {
-    /// Indices of its tasks.
+    /// Indices of the gang's tasks in [`Victims`].
     pub(super) members: Vec<usize>,
-    /// What stopping all of them costs, in machine seconds.
+    /// Cost of stopping all of these tasks, in machine seconds of lost work.
     cost: f64,
 }
 
-/// The tasks that may be stopped, indexed by machine and by gang.
+/// The tasks that may be preempted, indexed by machine and by gang.
 #[derive(Debug)]
 pub struct Victims {
-    all: Vec<Victim>,
+    tasks: Vec<Victim>,
+    /// Indices of the tasks on each row.
     pub(super) by_row: Vec<Vec<usize>>,
     pub(super) gangs: HashMap<JobId, GangVictims>,
 }
 
 impl Victims {
-    /// Indexes `all`, which run on machines of a table with `rows` rows.
-    pub fn new(all: Vec<Victim>, rows: usize) -> Victims {
-        let mut by_row = vec![Vec::new(); rows];
+    /// Indexes `tasks`. `row_count` is the number of rows in the scheduling cycle.
+    pub fn new(tasks: Vec<Victim>, row_count: usize) -> Victims {
+        let mut by_row = vec![Vec::new(); row_count];
         let mut gangs: HashMap<JobId, GangVictims> = HashMap::new();
-        for (index, victim) in all.iter().enumerate() {
+        for (index, victim) in tasks.iter().enumerate() {
             by_row[victim.row].push(index);
             if victim.gang {
                 let gang = gangs.entry(victim.job.clone()).or_default();
@@ -63,35 +66,39 @@
                 gang.cost += victim.cost_machine_seconds;
             }
         }
-        Victims { all, by_row, gangs }
+        Victims {
+            tasks,
+            by_row,
+            gangs,
+        }
     }
 
-    /// The gang that a task belongs to, if it belongs to one.
+    /// The gang that a task belongs to; `None` for a task of another kind of job.
     fn gang_of(&self, victim: &Victim) -> Option<&GangVictims> {
         self.gangs.get(&victim.job).filter(|_| victim.gang)
     }
 
-    /// What its team and class lose when a task is stopped for `request`: with a gang's
-    /// task the whole gang.
+    /// The work that a team and a class lose when a task is stopped for `request`. For a
+    /// task of a gang that is the whole gang.
     pub fn loss(&self, index: usize, request: &PlacementRequest) -> ReclaimCandidate<'_> {
-        let victim = &self.all[index];
-        let tasks = match self.gang_of(victim) {
+        let victim = &self.tasks[index];
+        let lost_tasks = match self.gang_of(victim) {
             Some(gang) => gang.members.len() as f64,
             None => 1.0,
         };
         ReclaimCandidate {
             team: &victim.team,
             class: &victim.class,
-            takes: victim.need.times(tasks),
-            machines: victim.machines * tasks,
+            resources: victim.need.times(lost_tasks),
+            machines: victim.machines * lost_tasks,
             for_guarantee: victim.priority >= request.priority,
         }
     }
 
-    /// What stopping a task costs, in machine seconds: with a gang's task that of the
-    /// whole gang.
+    /// Cost of stopping a task, in machine seconds of lost work. For a task of a gang
+    /// that is the cost of stopping the whole gang.
     pub(super) fn cost(&self, index: usize) -> f64 {
-        let victim = &self.all[index];
+        let victim = &self.tasks[index];
         self.gang_of(victim)
             .map_or(victim.cost_machine_seconds, |gang| gang.cost)
     }
@@ -100,6 +107,6 @@
 impl std::ops::Index<usize> for Victims {
     type Output = Victim;
     fn index(&self, index: usize) -> &Victim {
-        &self.all[index]
+        &self.tasks[index]
     }
 }
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -14,8 +14,8 @@
     pub team: &'a Team,
     /// Its class.
     pub class: &'a Class,
-    /// What it takes altogether.
-    pub takes: Resources,
+    /// Resources of all its tasks together.
+    pub resources: Resources,
     /// The same as a number of machines.
     pub machines: f64,
     /// Whether only a guaranteed quota is a reason to stop it, not a higher priority.
@@ -59,14 +59,14 @@
 
     fn keeps_guarantee(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
         let before = spent.teams.get(loss.team).copied().unwrap_or_default();
-        let after = before + QuotaUnits::of(&loss.takes);
+        let after = before + QuotaUnits::of(&loss.resources);
         self.usage.keeps_guarantee(loss.team, after)
     }
 
     /// Counts work as chosen by a search that may yet fail.
     pub fn spend(&self, spent: &mut ReclaimUsage, loss: &ReclaimCandidate<'_>) {
         let team = spent.teams.entry(loss.team.clone()).or_default();
-        *team = *team + QuotaUnits::of(&loss.takes);
+        *team = *team + QuotaUnits::of(&loss.resources);
         for group in ShareGroup::both(loss.class, loss.team) {
             *spent.groups.entry(group).or_default() += loss.machines;
         }
@@ -75,7 +75,7 @@
     /// Counts work as stopped: later searches see that.
     pub fn take(&mut self, loss: &ReclaimCandidate<'_>) {
         self.usage
-            .add_stopping(loss.team, QuotaUnits::of(&loss.takes));
+            .add_stopping(loss.team, QuotaUnits::of(&loss.resources));
         for group in ShareGroup::both(loss.class, loss.team) {
             self.minimum_shares.lose(&group, loss.machines);
         }
--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -1,17 +1,18 @@
-//! One scheduling cycle: decides which waiting tasks start on which machines. Pure: it
-//! works on tables made for this cycle, and neither sends nor stores anything.
+//! One scheduling cycle: decides which waiting tasks start on which machines. The cycle
+//! works on tables that the caller builds for it, and neither sends nor stores anything.
 //!
 //! The algorithm is that of *A Job Scheduling Design for Visualization Services using
 //! GPU Clusters* (Hsu, Wang, Ma, Yu, Chen), Algorithm 1, with the changes listed in
 //! `docs/design.md`:
 //!
-//! 1. High-priority work first, grouped by image: groups whose image some machine
-//!    holds ahead of cold ones, cold ones by fetch estimate (lines 8 to 15).
+//! 1. High-priority work first, grouped by image. Groups whose image some machine
+//!    holds (warm) precede groups whose image no machine holds (cold). Cold groups are
+//!    ordered by fetch estimate (lines 8 to 15).
 //! 2. Then, priority by priority, other work on machines that hold its image
 //!    (lines 16 to 22).
-//! 3. Then cold images, those with the fewest holders first, but only on machines
-//!    that had no high-priority start for over half the image's estimate
-//!    (lines 23 to 31).
+//! 3. Then work that needs a fetch, images with the fewest holders first, but only on
+//!    machines that had no high-priority start for over half the image's fetch
+//!    estimate (lines 23 to 31).
 
 mod backfill;
 mod candidates;
@@ -35,86 +36,91 @@
 /// A decision to start a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartDecision {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's number.
+    /// The task's number within the job, from 0.
     pub task: u32,
-    /// Index of the machine's row.
+    /// Index of the machine's row in [`SchedulingCycle::rows`].
     pub row: usize,
 }
 
-/// What a team uses, and may use.
+/// A team's resource usage and quota within one cycle.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TeamUse {
-    /// Everything its tasks take or may take.
+    /// Resources of all assigned tasks of the team, whether or not a task is confirmed
+    /// to be running.
     pub used: Resources,
-    /// Its quota: guaranteed and maximum.
+    /// The team's guaranteed and maximum quota.
     pub share: TeamShare,
 }
 
-/// What does not change within a cycle.
+/// Parameters that stay constant within a cycle.
 #[derive(Clone, Copy, Debug)]
 pub struct CycleParameters {
-    /// The time of the cycle.
+    /// The time at which the cycle runs.
     pub now: Time,
-    /// By how much the fetch times of one gang's machines may differ: its first task
-    /// waits for its last.
+    /// Maximum difference between the fetch times of the machines of one gang. The
+    /// first task of a gang waits for the last one.
     pub max_fetch_skew: TimeSpan,
-    /// By how many times its estimate a task counts with that would run beside a
-    /// reservation: estimates are often wrong by half.
+    /// Factor by which the estimated run time of a backfilled task is multiplied.
+    /// Estimates are often wrong by half.
     pub backfill_margin: f64,
 }
 
 /// The state of a cycle.
 #[derive(Debug)]
 pub struct SchedulingCycle<'a> {
-    /// What does not change within the cycle.
+    /// Parameters that stay constant within the cycle.
     pub parameters: CycleParameters,
-    /// The machines.
+    /// One row per machine. Each start that the cycle decides updates its row.
     pub rows: &'a mut [MachineRow],
-    /// The teams.
+    /// Usage and quota of each team. A cycle places no task of
+    /// a team that is missing here.
     pub teams: &'a mut BTreeMap<Team, TeamUse>,
-    /// Fetch estimates.
+    /// Estimated fetch times of images.
     pub estimates: &'a FetchEstimates,
-    /// Decisions so far.
+    /// The starts decided so far, in the order of the decisions.
     pub starts: Vec<StartDecision>,
-    /// Rows reserved for gangs that have waited long.
+    /// Rows reserved for gangs that have waited long, by row index.
     pub reservations: BTreeMap<usize, ReservedRow>,
-    /// Jobs that found no room but what is reserved for others.
+    /// Jobs that found room only on rows reserved for other jobs.
     pub held_back: BTreeSet<JobId>,
-    /// Rows that had room for the smallest request when last searched. Where most
-    /// machines are full, looking at the others is what a cycle costs.
+    /// Rows that had room for the smallest request at the last search. Where most
+    /// machines are full, scanning the full ones would be the main cost of a cycle.
     open_rows: Vec<usize>,
-    /// Of these, the ones with room for each need that was searched for: rows only
-    /// lose room until the next search, and there are few different needs.
+    /// For each resource need searched so far, the open rows with room for that need.
+    /// Until the next search of all rows, rows only lose room. A cycle sees few
+    /// distinct needs.
     rows_with_room: Vec<RowsWithRoom>,
-    /// Rows by the time they should be free, of each zone and of all, for
-    /// reservations: made when first needed, cleared once a row's time changes.
+    /// Rows by predicted availability, one list per zone and one of all rows. Built
+    /// when the first reservation is tried; cleared when a row's `available_at` changes.
     rows_by_availability: Vec<RowsByAvailability>,
-    /// Zones with machines.
+    /// Zones with at least one machine.
     zones: BTreeSet<Zone>,
-    /// How many rows hold each image, or are fetching it.
+    /// Number of rows that hold or are fetching each image.
     holder_counts: HashMap<Image, usize>,
 }
 
-/// High-priority requests for one image. Groups are placed in the order of the fields.
+/// High-priority requests for one image. Groups are placed in ascending order of these
+/// fields, compared from first to last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ImageGroup {
     priority: Reverse<Priority>,
-    /// Whether no machine holds the image.
+    /// Whether no machine holds or is fetching the image.
     is_cold: bool,
-    /// Estimate for a cold image, otherwise zero.
+    /// Estimated fetch time of a cold image, zero for a warm one.
     fetch_cost: TimeSpan,
+    /// `order` of the first request.
     order: i64,
-    /// Indices of the requests, in their order.
+    /// Indices of the requests, in rank order.
     members: Vec<usize>,
 }
 
-/// How many rows hold each image, or are fetching it.
+/// Counts the rows that hold or are fetching each image.
 fn count_holders(rows: &[MachineRow]) -> HashMap<Image, usize> {
     let mut counts: HashMap<Image, usize> = HashMap::new();
-    for image in rows.iter().flat_map(|row| row.cache.known()) {
-        // An image is cloned once, not for each row: there are many rows.
+    for image in rows.iter().flat_map(|row| row.cache.cached_or_fetching()) {
+        // Clones each image once instead of once per row, since there are many rows.
         match counts.get_mut(image) {
             Some(count) => *count += 1,
             None => {
@@ -126,15 +132,15 @@
 }
 
 impl<'a> SchedulingCycle<'a> {
-    /// A cycle over these tables, with nothing placed yet.
+    /// Creates a cycle over these tables that has placed nothing yet.
     pub fn new(
-        pace: CycleParameters,
+        parameters: CycleParameters,
         rows: &'a mut [MachineRow],
         teams: &'a mut BTreeMap<Team, TeamUse>,
         estimates: &'a FetchEstimates,
     ) -> SchedulingCycle<'a> {
         SchedulingCycle {
-            parameters: pace,
+            parameters,
             zones: rows.iter().map(|row| row.zone.clone()).collect(),
             open_rows: Vec::new(),
             rows_with_room: Vec::new(),
@@ -149,28 +155,29 @@
         }
     }
 
-    /// Zones with machines.
+    /// Zones with at least one machine.
     pub fn zones(&self) -> &BTreeSet<Zone> {
         &self.zones
     }
 
-    /// Runs the whole cycle; tasks that were placed are removed from `requests`.
+    /// Runs the whole cycle. Placed tasks are removed from `requests`.
     pub fn run(&mut self, requests: &mut [PlacementRequest]) {
         self.place_warm_high_priority(requests);
         self.place_remaining(requests);
     }
 
-    /// The cycle's first part: high-priority work where its image is, or nearly is.
-    /// Between the parts the caller may preempt tasks on machines that hold an image,
-    /// which often lets work start sooner than a fetch elsewhere.
+    /// First part of the cycle: places high-priority work on machines that hold its
+    /// image or finish fetching it within 3 s. Between the two parts the caller may
+    /// preempt tasks on machines that hold an image, which often lets work start sooner
+    /// than a fetch on another machine.
     pub fn place_warm_high_priority(&mut self, requests: &mut [PlacementRequest]) {
         requests.sort_by_cached_key(PlacementRequest::rank);
         self.find_open_rows(requests);
         self.place_high_priority(requests, PlacementScope::Warm);
     }
 
-    /// Before the cycle: places work of classes and teams below their minimum share,
-    /// up to it.
+    /// Places work of classes and teams below their minimum share, until each reaches
+    /// that share. Called before the cycle itself.
     pub fn place_up_to_minimum_shares(
         &mut self,
         requests: &mut [PlacementRequest],
@@ -197,18 +204,21 @@
         largest_machine: &Resources,
     ) {
         let groups = ShareGroup::both(&request.class, &request.team);
-        let lacking = groups
+        let shortfall_machines = groups
             .iter()
             .map(|g| shares.shortfall(g))
             .fold(0.0, f64::max);
-        if lacking <= 0.0 {
+        if shortfall_machines <= 0.0 {
             return;
         }
         let machines_per_task = request.need.share_of(largest_machine);
-        // The last task may exceed the minimum share a little, a gang by its size.
+        // The last task of an array may exceed the minimum share by part of a task, a
+        // gang by up to its whole size.
         let limit = match request.gang {
             true => request.tasks.len(),
-            false => ((lacking / machines_per_task).ceil() as usize).min(request.tasks.len()),
+            false => {
+                ((shortfall_machines / machines_per_task).ceil() as usize).min(request.tasks.len())
+            }
         };
         let beyond_limit = request.tasks.split_off(limit);
         self.place(request, PlacementScope::Any);
@@ -217,7 +227,7 @@
         groups.iter().for_each(|group| shares.gain(group, placed));
     }
 
-    /// The cycle's second part: everything that was not placed yet.
+    /// Second part of the cycle: places all remaining requests.
     pub fn place_remaining(&mut self, requests: &mut [PlacementRequest]) {
         self.find_open_rows(requests);
         self.place_high_priority(requests, PlacementScope::Any);
@@ -228,7 +238,7 @@
         self.place_held_back(requests);
     }
 
-    /// Places high-priority work, grouped by image (Algorithm 1, lines 8 to 15).
+    /// Places high-priority work grouped by image (Algorithm 1, lines 8 to 15).
     fn place_high_priority(&mut self, requests: &mut [PlacementRequest], scope: PlacementScope) {
         for group in self.groups_by_image(requests) {
             for member in group.members {
@@ -237,7 +247,7 @@
         }
     }
 
-    /// The high-priority requests by image, in the order in which they are placed.
+    /// Groups the high-priority requests by image, in placement order.
     fn groups_by_image(&self, requests: &[PlacementRequest]) -> Vec<ImageGroup> {
         let mut members_by_image: BTreeMap<Image, Vec<usize>> = BTreeMap::new();
         for (index, request) in requests.iter().enumerate().filter(|(_, r)| r.is_high()) {
@@ -266,12 +276,13 @@
         groups
     }
 
-    /// Places work that has waited for long, and reserves machines for gangs that
-    /// still find no room. Otherwise a gang that needs several machines at once would
-    /// wait for ever behind smaller work that takes each one as it comes free.
+    /// Places work that has waited long, and reserves machines for gangs that still
+    /// find no room. Without reservations a gang that needs several machines at the
+    /// same time would starve, as smaller work occupies each machine that becomes free.
     fn place_aged(&mut self, requests: &mut [PlacementRequest]) {
-        // A request that finds too few machines to reserve leaves none to a larger
-        // one like it: in a rush there are hundreds.
+        // When a request finds too few machines to reserve, an equivalent request of
+        // the same size or larger fails too and is skipped. Under load hundreds of such
+        // requests wait.
         let mut without_reservation: Vec<PlacementRequest> = Vec::new();
         for request in requests.iter_mut().filter(|r| r.aged) {
             self.place(request, PlacementScope::Any);
@@ -281,8 +292,9 @@
         }
     }
 
-    /// Places the work of one priority below high: on holders of its image
-    /// (Algorithm 1, lines 16 to 22), then cold (lines 23 to 31).
+    /// Places the work of one priority below high: first on machines that hold its
+    /// image (Algorithm 1, lines 16 to 22), then on machines that have to fetch it
+    /// (lines 23 to 31).
     fn place_of_priority(&mut self, requests: &mut [PlacementRequest], priority: Priority) {
         let mut batch: Vec<usize> = (0..requests.len())
             .filter(|&index| requests[index].priority == priority)
@@ -290,7 +302,8 @@
         for &index in &batch {
             self.place(&mut requests[index], PlacementScope::Holders);
         }
-        // Fewest holders first: the rarest image gains most from a fetch.
+        // Images with the fewest holders come first, as a rare image gains most from
+        // another fetch.
         batch.sort_by_cached_key(|&index| {
             let request = &requests[index];
             let holders = self.holder_count(&request.image);
@@ -299,13 +312,13 @@
         for &index in &batch {
             self.place(&mut requests[index], PlacementScope::Gated);
             if !self.reservations.is_empty() && !requests[index].tasks.is_empty() {
-                let room = self.find_rows_with_room(requests[index].need);
-                self.note_held_back(&requests[index], room);
+                let room_index = self.find_rows_with_room(requests[index].need);
+                self.note_held_back(&requests[index], room_index);
             }
         }
     }
 
-    /// How many rows hold an image, or are fetching it.
+    /// Number of rows that hold or are fetching an image.
     fn holder_count(&self, image: &Image) -> usize {
         self.holder_counts.get(image).copied().unwrap_or(0)
     }
--- a/crates/controller/src/core/scheduling_cycle/backfill.rs
+++ b/crates/controller/src/core/scheduling_cycle/backfill.rs
@@ -1,9 +1,9 @@
-//! Backfill: what other work may use of a machine that is reserved for a gang. Changes
-//! no reservation.
+//! Backfill: which resources of a machine that is reserved for a gang other work may
+//! use. Reservations are made in `reservation`.
 //!
 //! The rule is that of EASY backfilling (Lifka, "The ANL/IBM SP Scheduling System",
-//! 1995): work may go ahead of a reservation if by its estimate it is over before the
-//! reserved start, or if it takes only what the gang leaves.
+//! 1995): work may start ahead of a reservation if its estimated end lies before the
+//! reserved start, or if it uses only resources that the gang does not need.
 
 use super::SchedulingCycle;
 use super::candidates::PlacementScope;
@@ -13,27 +13,27 @@
 /// A machine that is reserved for a gang.
 #[derive(Clone, Debug)]
 pub struct ReservedRow {
-    /// The gang's job.
+    /// Job of the gang that holds the reservation.
     pub holder: JobId,
-    /// When the whole gang is predicted to begin.
+    /// Predicted start of the whole gang.
     pub starts_at: Time,
-    /// By when other work has to be over: the predicted start, but never later than the
-    /// one that was predicted first. Work that outlasts its estimate delays the gang
-    /// once; what is predicted anew after that lets no further work in.
+    /// Latest end of backfilled work: the predicted start, but never later than the
+    /// start that was predicted first. Work that exceeds its estimate delays the gang
+    /// once; the later prediction that results admits no further work.
     pub backfill_until: Time,
-    /// What the gang leaves of the machine once it has begun.
+    /// Resources of the machine that the gang leaves free once it runs.
     pub spare: Resources,
 }
 
 impl SchedulingCycle<'_> {
-    /// Whether a row is not reserved for another job.
+    /// Whether a row is free of reservations for jobs other than `job`.
     pub fn may_use(&self, row: usize, job: &JobId) -> bool {
         self.reservations
             .get(&row)
             .is_none_or(|reserved| reserved.holder == *job)
     }
 
-    /// What a request may use of a row now.
+    /// Resources of a row that a request may use now.
     pub(super) fn usable(&self, request: &PlacementRequest, row: usize) -> Resources {
         let free = self.rows[row].free;
         match self.reservations.get(&row) {
@@ -44,8 +44,9 @@
         }
     }
 
-    /// Takes what a task of a request uses of a reserved row from what is spare there.
-    pub(super) fn take_spare(&mut self, request: &PlacementRequest, row: usize) {
+    /// Subtracts a task's need from the spare resources of a reserved row, if the task
+    /// could still run there when the reservation's holder starts.
+    pub(super) fn consume_spare(&mut self, request: &PlacementRequest, row: usize) {
         let delays = self
             .reservations
             .get(&row)
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Whether a task of a request could still be there when the row's holder begins.
+    /// Whether a task of a request could still run on a row at the end of its backfill
+    /// period, and so delay the holder of the reservation.
     fn would_delay(&self, request: &PlacementRequest, row: usize, reserved: &ReservedRow) -> bool {
         if reserved.holder == request.job {
             return false;
@@ -63,20 +65,21 @@
         let Some(run_time) = request.run_time else {
             return true;
         };
-        // The tasks of a gang begin with the last of them.
+        // The tasks of a gang start together with the last one.
         let gang_wait = match request.gang {
             true => self.parameters.max_fetch_skew,
             false => TimeSpan::ZERO,
         };
         let fetch = self.fetch_time(request, &self.rows[row]);
         let run_time = run_time.scaled(self.parameters.backfill_margin);
-        let over_at = self.parameters.now + fetch + gang_wait + run_time;
-        over_at > reserved.backfill_until
+        let ends_at = self.parameters.now + fetch + gang_wait + run_time;
+        ends_at > reserved.backfill_until
     }
 
-    /// Notes a request that finds no room but what is reserved for others. Gangs that
-    /// reserve machines themselves wait their turn.
-    pub(super) fn note_held_back(&mut self, request: &PlacementRequest, room: usize) {
+    /// Adds the request's job to `held_back` if the only room for it is reserved for
+    /// other jobs. Gangs that have waited long are excluded, since machines are reserved
+    /// for them too.
+    pub(super) fn note_held_back(&mut self, request: &PlacementRequest, room_index: usize) {
         if request.gang && request.aged {
             return;
         }
@@ -86,14 +89,18 @@
                 && request.zone_room(&self.rows[row].zone) > 0
                 && !request.need.fits(&self.usable(request, row))
         };
-        if self.rows_with_room[room].rows.iter().any(is_reserved_room) {
+        if self.rows_with_room[room_index]
+            .rows
+            .iter()
+            .any(is_reserved_room)
+        {
             self.held_back.insert(request.job.clone());
         }
     }
 
-    /// Places work that has been held back for too long beside reserved room: of each
-    /// job one task, or a whole gang. So nobody waits without end beside room that is
-    /// free, and a gang is delayed by little.
+    /// Places work that has been held back for too long, regardless of reservations: one
+    /// task of each array, or a whole gang. So no job starves while free room is reserved
+    /// for others, and a reservation is delayed only a little.
     pub(super) fn place_held_back(&mut self, requests: &mut [PlacementRequest]) {
         let reservations = std::mem::take(&mut self.reservations);
         for request in requests.iter_mut() {
@@ -101,9 +108,9 @@
                 continue;
             }
             let tasks = if request.gang { request.tasks.len() } else { 1 };
-            let later = request.tasks.split_off(tasks.min(request.tasks.len()));
+            let remaining = request.tasks.split_off(tasks.min(request.tasks.len()));
             self.place(request, PlacementScope::Gated);
-            request.tasks.extend(later);
+            request.tasks.extend(remaining);
         }
         self.reservations = reservations;
     }
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -1,5 +1,5 @@
-//! Finds machines with room for a task and puts them in order, best first. Assigns
-//! nothing.
+//! Finds machines with room for a task and sorts them, best first. Assignment of tasks
+//! is done in `placement`.
 
 use super::SchedulingCycle;
 use super::request::PlacementRequest;
@@ -7,46 +7,53 @@
 use crate::types::{Resources, TimeSpan, Zone};
 use std::collections::HashMap;
 
-/// Rows with room for a need.
+/// The rows that have room for a task with certain resource needs.
 #[derive(Debug)]
 pub(super) struct RowsWithRoom {
     pub(super) need: Resources,
     pub(super) rows: Vec<usize>,
-    /// How many tasks they could take when they were searched: no more will fit.
+    /// Number of tasks that fitted on all rows together at the time of the search: an
+    /// upper bound, since rows only lose room afterwards.
     pub(super) max_tasks: u64,
-    /// How many tasks those of the zone with most room could take.
+    /// Number of tasks that fitted in the zone with the most room at the time of the
+    /// search.
     pub(super) max_tasks_in_one_zone: u64,
 }
 
-/// A fetch that ends within this time hardly delays a start.
-const NEARLY_FETCHED: TimeSpan = TimeSpan::millis(3000);
+/// An image whose fetch ends within this time counts as warm, since the fetch hardly
+/// delays a start.
+const MAX_WARM_FETCH_TIME: TimeSpan = TimeSpan::millis(3000);
 
 /// Which machines a pass of the cycle may use.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum PlacementScope {
     /// Any machine.
     Any,
-    /// Machines on which the image is, or will be within moments.
+    /// Machines that hold the image or finish fetching it within
+    /// [`MAX_WARM_FETCH_TIME`].
     Warm,
-    /// Machines that hold the image or are fetching it.
+    /// Machines that hold or are fetching the image.
     Holders,
-    /// Holders, and machines without recent high-priority starts.
+    /// Holders, and machines without recent high-priority starts. For overdue requests
+    /// all machines.
     Gated,
 }
 
-/// A row with room for a task. Candidates are preferred in the order of the fields.
+/// A row with room for a task. Candidates are used in ascending order of these fields,
+/// compared from first to last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     fetch_time: TimeSpan,
-    /// What stays free, in thousandths of the machine.
+    /// Part of the machine that stays free, in thousandths.
     free_after: i64,
-    /// Spot capacity is preferred: on-demand machines suit all work.
+    /// Spot machines come first, because on-demand machines suit all work.
     is_on_demand: bool,
     row: usize,
 }
 
 impl SchedulingCycle<'_> {
-    /// Searches all rows for those with room for the smallest of the requests.
+    /// Searches all rows for open rows: those with room for the component-wise minimum of
+    /// the needs of all requests.
     pub(super) fn find_open_rows(&mut self, requests: &[PlacementRequest]) {
         let needs = requests
             .iter()
@@ -62,12 +69,15 @@
         };
     }
 
-    /// Index into `rows_with_room` of the rows with room for a need, which are
-    /// searched among the open rows if that was not done yet.
+    /// Returns the index into `rows_with_room` of the rows with room for `need`. The
+    /// first call for a need searches the open rows.
     pub(super) fn find_rows_with_room(&mut self, need: Resources) -> usize {
-        let known = self.rows_with_room.iter().position(|of| of.need == need);
+        let known = self
+            .rows_with_room
+            .iter()
+            .position(|searched| searched.need == need);
         if let Some(index) = known {
-            // Rows that have filled up since are not looked at again.
+            // Removes rows that have filled up since the search.
             let (rows, list) = (&self.rows, &mut self.rows_with_room[index].rows);
             list.retain(|&row| need.fits(&rows[row].free));
             return index;
@@ -95,7 +105,7 @@
         }
     }
 
-    /// How long a task of this request would wait for its image on a row.
+    /// Time that a task of this request would wait for its image on a row.
     pub fn fetch_time(&self, request: &PlacementRequest, row: &MachineRow) -> TimeSpan {
         row.cache
             .remaining(&request.image, self.parameters.now)
@@ -105,7 +115,7 @@
             })
     }
 
-    /// Whether a pass of this scope may use a row for this request.
+    /// Whether a pass with this scope may use a row for this request.
     fn is_in_scope(
         &self,
         request: &PlacementRequest,
@@ -119,7 +129,7 @@
         };
         match scope {
             PlacementScope::Any => true,
-            PlacementScope::Warm => self.fetch_time(request, row) <= NEARLY_FETCHED,
+            PlacementScope::Warm => self.fetch_time(request, row) <= MAX_WARM_FETCH_TIME,
             PlacementScope::Holders => is_holder(),
             PlacementScope::Gated => {
                 is_holder() || request.overdue || self.allows_cold_fetch(request, row)
@@ -127,7 +137,7 @@
         }
     }
 
-    /// Whether a row may fetch an image for work below high priority: it had no
+    /// Whether a row may fetch an image for work below high priority: the row had no
     /// high-priority start for over half the fetch time (Algorithm 1, lines 23 to 31).
     fn allows_cold_fetch(&self, request: &PlacementRequest, row: &MachineRow) -> bool {
         let fetch_time = self.fetch_time(request, row);
@@ -135,18 +145,19 @@
             .is_none_or(|last| self.parameters.now.since(last) > TimeSpan(fetch_time.0 / 2))
     }
 
-    /// Rows with room for a task, best first: the shortest fetch, then the tightest
-    /// fit, so that whole machines stay free for gangs (bin packing).
+    /// Returns the rows with room for a task, best first: the shortest fetch, then the
+    /// tightest fit, so that whole machines stay free for gangs (bin packing).
     ///
-    /// `room` is an index into `rows_with_room`; with `zone`, only rows of this zone.
+    /// `room_index` is an index into `rows_with_room`. With `zone`, only rows of this
+    /// zone are returned.
     pub(super) fn candidates(
         &self,
         request: &PlacementRequest,
-        room: usize,
+        room_index: usize,
         scope: PlacementScope,
         zone: Option<&Zone>,
     ) -> Vec<usize> {
-        let mut candidates: Vec<Candidate> = self.rows_with_room[room]
+        let mut candidates: Vec<Candidate> = self.rows_with_room[room_index]
             .rows
             .iter()
             .map(|&index| (index, &self.rows[index]))
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -1,5 +1,5 @@
 //! Places the tasks of one request: for an array as many as fit, for a gang all or
-//! none. Which machines come into question is for `candidates` to say.
+//! none. The eligible machines are determined in `candidates`.
 
 use super::candidates::{PlacementScope, RowsWithRoom};
 use super::request::PlacementRequest;
@@ -8,15 +8,15 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks that one row would take.
+/// Number of tasks to assign to one row.
 struct RowAllocation {
     row: usize,
     tasks: u32,
 }
 
-/// What placing a request in one zone would come to. The least in the order of the
-/// fields is chosen: for arrays the zone that takes most tasks, then the zone where
-/// the last image is fetched first.
+/// Result of a trial placement of a request in one zone. The smallest trial is chosen,
+/// comparing these fields from first to last: for arrays the zone with room for the most
+/// tasks, then the zone in which the slowest fetch ends first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneTrial<'z> {
     tasks: Reverse<usize>,
@@ -26,13 +26,13 @@
 }
 
 impl SchedulingCycle<'_> {
-    /// Places as many tasks as fit, or for a gang all or none.
+    /// Places as many tasks of an array as fit, and of a gang all or none.
     pub(super) fn place(&mut self, request: &mut PlacementRequest, scope: PlacementScope) {
         if request.tasks.is_empty() {
             return;
         }
-        let room = self.find_rows_with_room(request.need);
-        if !self.rows_with_room[room].may_take(request) {
+        let room_index = self.find_rows_with_room(request.need);
+        if !self.rows_with_room[room_index].may_fit(request) {
             return;
         }
         let quota_room = self.quota_room(request);
@@ -40,21 +40,20 @@
             return;
         }
         let candidates = if request.one_zone {
-            self.candidates_in_best_zone(request, room, scope, quota_room)
+            self.candidates_in_best_zone(request, room_index, scope, quota_room)
         } else {
-            Some(self.candidates(request, room, scope, None))
+            Some(self.candidates(request, room_index, scope, None))
         };
         if let Some(candidates) = candidates {
-            self.fill(request, &candidates, quota_room);
+            self.assign_to_candidates(request, &candidates, quota_room);
         }
     }
 
-    /// The candidates of the zone in which a request is best placed; `None` if it can
-    /// be placed in none.
+    /// The candidates of the best zone for a request; `None` if no zone can place it.
     fn candidates_in_best_zone(
         &self,
         request: &PlacementRequest,
-        room: usize,
+        room_index: usize,
         scope: PlacementScope,
         quota_room: u32,
     ) -> Option<Vec<usize>> {
@@ -65,7 +64,7 @@
         };
         let best = zones
             .iter()
-            .filter_map(|zone| self.try_zone(request, room, scope, quota_room, zone))
+            .filter_map(|zone| self.try_zone(request, room_index, scope, quota_room, zone))
             .min();
         best.map(|trial| trial.candidates)
     }
@@ -73,12 +72,12 @@
     fn try_zone<'z>(
         &self,
         request: &PlacementRequest,
-        room: usize,
+        room_index: usize,
         scope: PlacementScope,
         quota_room: u32,
         zone: &'z Zone,
     ) -> Option<ZoneTrial<'z>> {
-        let candidates = self.candidates(request, room, scope, Some(zone));
+        let candidates = self.candidates(request, room_index, scope, Some(zone));
         let allocations = self.allocate(request, &candidates, quota_room);
         let tasks: usize = allocations.iter().map(|a| a.tasks as usize).sum();
         let is_enough = !request.gang || tasks == request.tasks.len();
@@ -96,22 +95,22 @@
         })
     }
 
-    /// How many of its tasks the team's maximum quota leaves room for.
+    /// Number of the request's tasks that fit within its team's maximum quota.
     pub(super) fn quota_room(&self, request: &PlacementRequest) -> u32 {
         let Some(team) = self.teams.get(&request.team) else {
             return 0;
         };
-        let left = |maximum: Option<f64>, used: f64| maximum.map_or(f64::INFINITY, |m| m - used);
+        let unused = |maximum: Option<f64>, used: f64| maximum.map_or(f64::INFINITY, |m| m - used);
         let room = Resources {
-            cpus: left(team.share.cpus_max, team.used.cpus),
-            gpus: left(team.share.gpus_max, team.used.gpus),
+            cpus: unused(team.share.cpus_max, team.used.cpus),
+            gpus: unused(team.share.gpus_max, team.used.gpus),
             memory_gb: f64::INFINITY,
         };
         request.need.count_in(&room, request.tasks.len() as u32)
     }
 
-    /// How the tasks would be spread over the candidates, at most `limit` of them: each
-    /// row takes as many as fit before the next one.
+    /// Distributes at most `limit` tasks over the candidates: each row receives as many
+    /// tasks as fit before the next row is used.
     fn allocate(
         &self,
         request: &PlacementRequest,
@@ -127,7 +126,8 @@
                 break;
             }
             let row = &self.rows[index];
-            // A gang's tasks wait for the slowest fetch, but only so long.
+            // All tasks of a gang wait for its slowest fetch, so the difference between
+            // fetch times is limited.
             if request.gang {
                 let fetch_time = self.fetch_time(request, row);
                 let shortest = *shortest_fetch.get_or_insert(fetch_time);
@@ -148,8 +148,13 @@
         allocations
     }
 
-    /// Assigns tasks to the candidates, best first; of a gang all or none.
-    fn fill(&mut self, request: &mut PlacementRequest, candidates: &[usize], limit: u32) {
+    /// Assigns at most `limit` tasks to the candidates, best first; of a gang all or none.
+    fn assign_to_candidates(
+        &mut self,
+        request: &mut PlacementRequest,
+        candidates: &[usize],
+        limit: u32,
+    ) {
         let allocations = self.allocate(request, candidates, limit);
         let total: u32 = allocations.iter().map(|a| a.tasks).sum();
         if request.gang && (total as usize) < request.tasks.len() {
@@ -162,12 +167,12 @@
         }
     }
 
-    /// Records the start of a task in the tables, so that the rest of the cycle sees
-    /// its room as taken and its image as being fetched.
+    /// Decides the start of a task on a row and records it in the tables, so that the
+    /// rest of the cycle counts its resources as used and its image as being fetched.
     pub fn assign(&mut self, request: &mut PlacementRequest, task: u32, row: usize) {
         let now = self.parameters.now;
         let fetch_time = self.fetch_time(request, &self.rows[row]);
-        self.take_spare(request, row);
+        self.consume_spare(request, row);
         let machine = &mut self.rows[row];
         machine.free -= request.need;
         match request.run_time {
@@ -203,9 +208,9 @@
 }
 
 impl RowsWithRoom {
-    /// Whether these rows may have room for a request. Where there is little room, most
-    /// gangs need not be tried.
-    fn may_take(&self, request: &PlacementRequest) -> bool {
+    /// Whether these rows may have room for a request. When little room is free, this
+    /// check avoids a placement attempt for most gangs.
+    fn may_fit(&self, request: &PlacementRequest) -> bool {
         let max_tasks = match request.one_zone {
             true => self.max_tasks_in_one_zone,
             false => self.max_tasks,
--- a/crates/controller/src/core/scheduling_cycle/request.rs
+++ b/crates/controller/src/core/scheduling_cycle/request.rs
@@ -1,5 +1,6 @@
-//! What is to be placed of a job: its waiting tasks, what they need, and where they
-//! may go. Says nothing about which machines have room.
+//! A placement request: the waiting tasks of a job, the resources that each needs, and
+//! the machines that are allowed for them. Which machines have room is determined in
+//! `candidates`.
 
 use crate::core::placement_tables::MachineRow;
 use crate::types::{
@@ -9,62 +10,65 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The waiting tasks of a job.
+/// The waiting tasks of a job, with the constraints on their placement.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// The job.
+    /// The job whose tasks wait.
     pub job: JobId,
-    /// The job's team.
+    /// The team whose quota the job counts against.
     pub team: Team,
-    /// The job's class.
+    /// The job's class, which has its own objectives and minimum share.
     pub class: Class,
-    /// The image its tasks run.
+    /// The image that every task of the job runs.
     pub image: Image,
     /// The image's size in gigabytes.
     pub image_gb: f64,
-    /// What each task takes.
+    /// Resources that each task occupies.
     pub need: Resources,
-    /// The tasks that wait, by number.
+    /// Numbers of the tasks that are still to be placed.
     pub tasks: Vec<u32>,
-    /// Whether all of them start together or none (gang scheduling).
+    /// Whether the tasks start all together or not at all (gang scheduling).
     pub gang: bool,
     /// The job's priority.
     pub priority: Priority,
-    /// Whether it lies within its team's guaranteed quota.
+    /// Whether the job lies within its team's guaranteed quota.
     pub within_guarantee: bool,
-    /// Smaller goes first among equals.
+    /// Rank among requests of equal priority; the smallest value is placed first.
     pub order: i64,
-    /// Allowed machine types; `None`: all.
+    /// Allowed machine types; `None` allows all.
     pub machine_types: Option<Vec<MachineTypeName>>,
-    /// The only allowed zone, if any.
+    /// The only allowed zone; `None` allows all.
     pub zone: Option<Zone>,
     /// Whether all tasks must be in one zone.
     pub one_zone: bool,
-    /// Most tasks in one zone, if limited.
+    /// Maximum number of tasks in one zone; `None` means no limit.
     pub max_per_zone: Option<u32>,
-    /// Number of tasks that are or may be in each zone.
+    /// Number of the job's tasks that are or may be running in each zone.
     pub tasks_in_zones: BTreeMap<Zone, u32>,
-    /// Whether it may use spot capacity.
+    /// Whether the job may run on spot machines.
     pub spot: bool,
-    /// Expected run time of a task; `None`: it ends when its user ends it, as services do.
+    /// Expected run time of a task; `None` for tasks that run until their user ends
+    /// them, as services do.
     pub run_time: Option<TimeSpan>,
-    /// Latest start that still meets its next objective, if it has one.
+    /// Latest start that still meets the job's next objective; `None` without one.
     pub start_by: Option<Time>,
-    /// Whether it has waited so long that machines are reserved for it.
+    /// Whether the job has waited long enough for machines to be reserved for it.
     pub aged: bool,
-    /// Whether it has waited so long that rules which only make work wait for a better
-    /// machine no longer apply: the limit on cold fetches beside high-priority work,
-    /// and the quarantine of machines.
+    /// Whether the job has waited so long that the rules which only delay work until a
+    /// better machine is free no longer apply: the limit on cold fetches on machines
+    /// with recent high-priority starts, and the quarantine of machines.
     pub overdue: bool,
-    /// The start that was first predicted for a gang with reserved machines.
+    /// Start time that was first predicted for a gang with reserved machines.
     pub promised_start: Option<Time>,
-    /// Whether it has waited too long beside room that is reserved for others.
+    /// Whether the job has waited too long while the only free room was reserved for
+    /// other jobs.
     pub held_back_too_long: bool,
-    /// Machines to avoid.
+    /// Machines on which no task of the job is placed.
     pub avoid: BTreeSet<MachineId>,
 }
 
-/// The order in which requests are placed: that of the fields.
+/// Sort key of requests: they are placed in ascending order of these fields, compared
+/// from first to last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PlacementRank {
     priority: Reverse<Priority>,
@@ -74,33 +78,34 @@
 }
 
 impl PlacementRequest {
-    /// Whether a task of this job may be on this machine at all, room apart.
+    /// Whether the constraints allow a task of this job on this machine, regardless of
+    /// free resources.
     pub fn allows(&self, row: &MachineRow) -> bool {
         (self.spot || !row.spot)
             && self.zone.as_ref().is_none_or(|zone| zone == &row.zone)
             && self
                 .machine_types
                 .as_ref()
-                .is_none_or(|kinds| kinds.contains(&row.machine_type))
+                .is_none_or(|allowed| allowed.contains(&row.machine_type))
             && !self.avoid.contains(&row.id)
             && (self.overdue || !row.quarantined)
     }
 
-    /// How many more tasks may go to a zone.
+    /// Number of further tasks that the zone constraints allow in a zone.
     pub fn zone_room(&self, zone: &Zone) -> u32 {
         let in_zone = self.tasks_in_zones.get(zone).copied().unwrap_or(0);
-        let is_elsewhere = self
+        let has_tasks_elsewhere = self
             .tasks_in_zones
             .iter()
             .any(|(other, &tasks)| other != zone && tasks > 0);
-        if self.one_zone && is_elsewhere {
+        if self.one_zone && has_tasks_elsewhere {
             return 0;
         }
         self.max_per_zone
-            .map_or(u32::MAX, |most| most.saturating_sub(in_zone))
+            .map_or(u32::MAX, |limit| limit.saturating_sub(in_zone))
     }
 
-    /// The place of this request among all that are placed.
+    /// Sort key of this request in the placement order.
     pub(super) fn rank(&self) -> PlacementRank {
         PlacementRank {
             priority: Reverse(self.priority),
@@ -110,8 +115,8 @@
         }
     }
 
-    /// Whether a placement that is possible for this request is possible for `other`
-    /// and the reverse, apart from the image and the number of tasks.
+    /// Whether the two requests can be placed on the same machines, regardless of their
+    /// images and numbers of tasks.
     pub fn is_like(&self, other: &PlacementRequest) -> bool {
         self.priority == other.priority
             && self.within_guarantee == other.within_guarantee
@@ -127,7 +132,7 @@
             && self.avoid == other.avoid
     }
 
-    /// Whether it is interactive work in the sense of the paper.
+    /// Whether the request counts as interactive work in the sense of the paper.
     pub(super) fn is_high(&self) -> bool {
         self.priority >= Priority::High
     }
--- a/crates/controller/src/core/scheduling_cycle/reservation.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation.rs
@@ -1,7 +1,7 @@
-//! Reserves machines for gangs that have waited for long: those that should soonest be
-//! free together. A reservation lasts for one cycle and starts nothing. It rests only on
-//! ends that can be predicted: what services hold, or tasks that have run far past
-//! their estimate, counts as taken.
+//! Reserves machines for gangs that have waited long: the set of machines with the
+//! earliest predicted time at which all are free. A reservation lasts for one cycle and
+//! starts no task. Only predictable ends of tasks count: resources of services, and of
+//! tasks that have run far past their estimate, count as occupied.
 
 use super::SchedulingCycle;
 use super::backfill::ReservedRow;
@@ -9,45 +9,46 @@
 use crate::types::{Resources, Time, Zone};
 use std::collections::BTreeMap;
 
-/// Rows of one zone, or of all, those that should be free soonest first.
+/// Rows of one zone or of all zones, in ascending order of `available_at`.
 #[derive(Debug)]
 pub(super) struct RowsByAvailability {
-    /// `None`: of all zones.
+    /// The zone of the rows; `None` for the list of all zones.
     zone: Option<Zone>,
     rows: Vec<usize>,
-    /// All rows before this position are reserved.
+    /// All rows before this position in `rows` are reserved.
     first_free: usize,
 }
 
-/// Rows that could be reserved for a gang together.
+/// A set of rows that could be reserved for a gang.
 struct Reservation {
-    /// When the last of the rows should be free.
+    /// Predicted time at which all of the rows are free.
     available_at: Time,
-    /// The rows, each with what the gang leaves of it.
+    /// The rows, each with the resources that the gang leaves free on it.
     rows: Vec<(usize, Resources)>,
 }
 
 impl SchedulingCycle<'_> {
-    /// Whether a reservation should be tried for a request, given those for which it
-    /// failed in this cycle. None is for a gang whose team is at its limit: when that
-    /// ends cannot be predicted, and no machine's end brings it about.
+    /// Whether a reservation should be tried for a request, given the requests for which
+    /// one failed in this cycle. A gang whose team has no room in its maximum quota gets
+    /// none: when the quota becomes free cannot be predicted, and does not depend on
+    /// when a particular machine becomes free.
     pub(super) fn may_reserve(
         &self,
         request: &PlacementRequest,
         without_reservation: &[PlacementRequest],
     ) -> bool {
-        let needs_no_less = |failed: &PlacementRequest| {
+        let is_at_least_as_large = |failed: &PlacementRequest| {
             request.tasks.len() >= failed.tasks.len() && request.is_like(failed)
         };
         request.gang
             && !request.tasks.is_empty()
             && self.reservations.len() < self.rows.len()
-            && !without_reservation.iter().any(needs_no_less)
+            && !without_reservation.iter().any(is_at_least_as_large)
             && self.quota_room(request) as usize >= request.tasks.len()
     }
 
-    /// Reserves the machines that should soonest be free together; false if there are
-    /// not enough.
+    /// Reserves the set of machines that is predicted to be free earliest. Returns false
+    /// if too few machines can be reserved.
     pub(super) fn reserve(&mut self, request: &PlacementRequest) -> bool {
         let mut best: Option<Reservation> = None;
         for list in self.availability_lists_for(request) {
@@ -55,8 +56,8 @@
             else {
                 continue;
             };
-            let is_sooner = |best: &Reservation| found.available_at < best.available_at;
-            if best.as_ref().is_none_or(is_sooner) {
+            let is_earlier = |best: &Reservation| found.available_at < best.available_at;
+            if best.as_ref().is_none_or(is_earlier) {
                 best = Some(found);
             }
         }
@@ -82,7 +83,8 @@
         true
     }
 
-    /// The first rows of a list that are enough for all tasks of a request.
+    /// The first rows of a list that together have room for all tasks of a request;
+    /// `None` if the whole list has too little room.
     fn find_reservation(
         &self,
         request: &PlacementRequest,
@@ -121,34 +123,37 @@
     /// Indices of the lists from which rows are reserved for a request: one for each
     /// zone if all its tasks must be in one, otherwise the list of all rows.
     fn availability_lists_for(&mut self, request: &PlacementRequest) -> Vec<usize> {
-        // In a rush hundreds of gangs look for rows to reserve, so the rows are put in
-        // order once for all of them.
+        // Under load hundreds of gangs search for rows to reserve, so the rows are sorted
+        // once for all of them.
         if self.rows_by_availability.is_empty() {
             self.rows_by_availability = self.sort_by_availability();
         }
-        let held = &self.reservations;
+        let reserved_rows = &self.reservations;
         let mut selected = Vec::new();
         for (index, list) in self.rows_by_availability.iter_mut().enumerate() {
             if list.zone.is_some() == request.one_zone {
-                let rest = &list.rows[list.first_free..];
-                list.first_free += rest.iter().take_while(|row| held.contains_key(row)).count();
+                let unchecked = &list.rows[list.first_free..];
+                list.first_free += unchecked
+                    .iter()
+                    .take_while(|row| reserved_rows.contains_key(row))
+                    .count();
                 selected.push(index);
             }
         }
         selected
     }
 
-    /// One list for each zone, and one of all rows.
+    /// Builds one list for each zone and one of all rows.
     fn sort_by_availability(&self) -> Vec<RowsByAvailability> {
-        let mut all: Vec<usize> = (0..self.rows.len()).collect();
-        all.sort_by_key(|&row| (self.rows[row].available_at, row));
+        let mut all_rows: Vec<usize> = (0..self.rows.len()).collect();
+        all_rows.sort_by_key(|&row| (self.rows[row].available_at, row));
         let zones = self.zones.iter().cloned().map(Some);
         zones
             .chain([None])
             .map(|zone| {
                 let is_in_zone =
                     |row: &usize| zone.as_ref().is_none_or(|z| *z == self.rows[*row].zone);
-                let rows = all.iter().copied().filter(is_in_zone).collect();
+                let rows = all_rows.iter().copied().filter(is_in_zone).collect();
                 RowsByAvailability {
                     zone,
                     rows,
--- a/crates/controller/src/core/scheduling_cycle/reservation_tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation_tests.rs
@@ -1,4 +1,5 @@
-//! Reservations and backfill against their definitions, computed the slow way.
+//! Compares reservations and backfill with direct, slow computations of their
+//! definitions.
 
 use super::*;
 use crate::core::placement_tables::ImageCache;
@@ -23,7 +24,7 @@
     NOW + TimeSpan::secs(f64::from(seconds))
 }
 
-/// A machine with so many GPUs free now, so many that come free later, and when.
+/// A machine with `free` GPUs free now and `later` further GPUs free in `in_s` seconds.
 fn machine(index: usize, zone: u8, free: u32, later: u32, in_s: u32) -> MachineRow {
     let mut cache = ImageCache::default();
     cache.record_fetched(&"image".into(), 10.0, NOW, 100.0);
@@ -85,8 +86,8 @@
     }
 }
 
-/// What a cycle decided.
-struct Decided {
+/// Results of a cycle.
+struct CycleResult {
     rows: Vec<MachineRow>,
     starts: Vec<StartDecision>,
     reservations: BTreeMap<usize, ReservedRow>,
@@ -97,7 +98,7 @@
     mut rows: Vec<MachineRow>,
     requests: &mut [PlacementRequest],
     gpus_max: Option<f64>,
-) -> Decided {
+) -> CycleResult {
     let share = TeamShare {
         gpus_max,
         ..Default::default()
@@ -114,7 +115,7 @@
     cycle.run(requests);
     let (starts, reservations) = (cycle.starts, cycle.reservations);
     let held_back = cycle.held_back;
-    Decided {
+    CycleResult {
         held_back,
         rows,
         starts,
@@ -122,11 +123,12 @@
     }
 }
 
-fn run(rows: Vec<MachineRow>, requests: &mut [PlacementRequest]) -> Decided {
+fn run(rows: Vec<MachineRow>, requests: &mut [PlacementRequest]) -> CycleResult {
     run_with_limit(rows, requests, None)
 }
 
-/// Machines of zone 0 of which one GPU is free and never comes free the rest.
+/// Machines of zone 0 with one free GPU each; services occupy the other GPUs and never
+/// end.
 fn machines_with_services(count: usize) -> Vec<MachineRow> {
     (0..count).map(|i| machine(i, 0, 1, 0, 0)).collect()
 }
@@ -135,50 +137,51 @@
 fn reserves_nothing_where_services_never_end() {
     let small = request("small", 3, gpus(1), Some(500));
     let mut requests = [aged_gang("gang", 2, false), small];
-    let decided = run(machines_with_services(3), &mut requests);
-    assert!(decided.reservations.is_empty());
-    assert_eq!(decided.starts.len(), 3);
+    let result = run(machines_with_services(3), &mut requests);
+    assert!(result.reservations.is_empty());
+    assert_eq!(result.starts.len(), 3);
 }
 
 #[test]
-fn reserves_nothing_for_a_gang_larger_than_any_zone() {
+fn reserves_nothing_for_gang_larger_than_any_zone() {
     let rows = (0..6).map(|i| machine(i, (i % 2) as u8, 1, 3, 20));
     let small = request("small", 6, gpus(1), Some(500));
     let mut requests = [aged_gang("gang", 4, true), small];
-    let decided = run(rows.collect(), &mut requests);
-    assert!(decided.reservations.is_empty());
-    assert_eq!(decided.starts.len(), 6);
+    let result = run(rows.collect(), &mut requests);
+    assert!(result.reservations.is_empty());
+    assert_eq!(result.starts.len(), 6);
 }
 
 #[test]
-fn reserves_nothing_for_a_gang_whose_team_is_at_its_limit() {
+fn reserves_nothing_for_team_at_its_maximum_quota() {
     let rows = (0..4).map(|i| machine(i, 0, 1, 3, 20));
     let small = request("small", 4, gpus(1), Some(500));
     let mut requests = [aged_gang("gang", 4, false), small];
-    let decided = run_with_limit(rows.collect(), &mut requests, Some(15.0));
-    assert!(decided.reservations.is_empty());
-    assert_eq!(decided.starts.len(), 4);
+    let result = run_with_limit(rows.collect(), &mut requests, Some(15.0));
+    assert!(result.reservations.is_empty());
+    assert_eq!(result.starts.len(), 4);
 }
 
-// Each would fit alone. The second holds no part of what it needs.
+// Either gang alone would fit. The second gang must not reserve a part of the machines
+// that it needs.
 #[test]
-fn of_two_gangs_that_need_the_same_machines_one_reserves() {
+fn only_one_of_two_competing_gangs_reserves() {
     let rows = (0..6).map(|i| machine(i, 0, 1, 3, 20 + i as u32));
     let small = request("small", 6, gpus(1), Some(500));
     let (first, second) = (aged_gang("a", 4, false), aged_gang("b", 4, false));
-    let decided = run(rows.collect(), &mut [first, second, small]);
-    let holders: BTreeSet<&JobId> = decided.reservations.values().map(|r| &r.holder).collect();
+    let result = run(rows.collect(), &mut [first, second, small]);
+    let holders: BTreeSet<&JobId> = result.reservations.values().map(|r| &r.holder).collect();
     assert_eq!(holders, BTreeSet::from([&JobId::from("a")]));
     assert_eq!(
-        decided.reservations.keys().copied().collect::<Vec<_>>(),
+        result.reservations.keys().copied().collect::<Vec<_>>(),
         [0, 1, 2, 3]
     );
-    let used: Vec<usize> = decided.starts.iter().map(|start| start.row).collect();
-    assert_eq!(used, [4, 5], "what is not reserved is used");
+    let used: Vec<usize> = result.starts.iter().map(|start| start.row).collect();
+    assert_eq!(used, [4, 5], "unreserved rows are used");
 }
 
 #[test]
-fn backfill_ends_before_the_reserved_start_by_half_again_its_estimate() {
+fn backfill_adds_margin_to_run_time_estimate() {
     let rows = || vec![machine(0, 0, 2, 2, 60), machine(1, 0, 2, 2, 60)];
     let started = |run_s: Option<u32>| {
         let small = request("small", 4, gpus(1), run_s);
@@ -192,22 +195,27 @@
 }
 
 #[test]
-fn backfill_may_take_what_the_gang_leaves() {
+fn backfill_uses_resources_the_gang_leaves_free() {
     let gang = PlacementRequest {
         need: gpus(3),
         ..aged_gang("gang", 2, false)
     };
     let rows = vec![machine(0, 0, 2, 2, 60), machine(1, 0, 2, 2, 60)];
     let service = request("service", 4, gpus(1), None);
-    let decided = run(rows, &mut [gang, service]);
-    let mut used: Vec<usize> = decided.starts.iter().map(|start| start.row).collect();
+    let result = run(rows, &mut [gang, service]);
+    let mut used: Vec<usize> = result.starts.iter().map(|start| start.row).collect();
     used.sort_unstable();
-    assert_eq!(used, [0, 1], "one on each: the gang needs three of four");
+    assert_eq!(
+        used,
+        [0, 1],
+        "one task per machine: the gang needs three of four GPUs"
+    );
 }
 
-// The gang was to begin in 10 s; what ran there took longer, and now it is to begin in 60.
+// The start that was first predicted lies 10 s ahead. The tasks that occupy the machines
+// run longer than estimated, so the current prediction is 60 s.
 #[test]
-fn what_outlasts_its_estimate_lets_no_further_work_in() {
+fn overrun_of_running_tasks_admits_no_further_backfill() {
     let started = |promised_s: u32| {
         let gang = PlacementRequest {
             promised_start: Some(in_seconds(promised_s)),
@@ -222,7 +230,7 @@
 }
 
 #[test]
-fn work_held_back_for_long_gets_one_task_beside_a_reservation() {
+fn job_held_back_too_long_starts_one_task() {
     let started = |held_back_too_long: bool| {
         let rows = vec![machine(0, 0, 2, 2, 60), machine(1, 0, 2, 2, 60)];
         let small = |job: &str| PlacementRequest {
@@ -230,19 +238,20 @@
             ..request(job, 3, gpus(1), Some(500))
         };
         let mut requests = [aged_gang("gang", 2, false), small("a"), small("b")];
-        let decided = run(rows, &mut requests);
-        assert_eq!(decided.held_back.len(), 2);
-        let jobs = decided.starts.iter().map(|start| start.job.to_string());
+        let result = run(rows, &mut requests);
+        assert_eq!(result.held_back.len(), 2);
+        let jobs = result.starts.iter().map(|start| start.job.to_string());
         jobs.collect::<Vec<_>>()
     };
     assert_eq!(started(false), Vec::<String>::new());
     assert_eq!(started(true), ["a", "b"]);
 }
 
-/// The earliest time by which a gang of whole machines has all of them, the slow way.
+/// The earliest time at which all machines for a gang are free, where each task needs a
+/// whole machine, computed by trying every row's time.
 fn earliest_start(
     rows: &[MachineRow],
-    taken: &BTreeSet<usize>,
+    reserved_rows: &BTreeSet<usize>,
     tasks: usize,
     one_zone: bool,
 ) -> Option<Time> {
@@ -253,7 +262,7 @@
     let has_enough = |time: Time| {
         zones.iter().any(|zone| {
             let whole = rows.iter().enumerate().filter(|(index, row)| {
-                !taken.contains(index)
+                !reserved_rows.contains(index)
                     && row.reservable.gpus >= 4.0
                     && row.available_at <= time
                     && zone.is_none_or(|zone| *zone == row.zone)
@@ -272,8 +281,8 @@
         cases: 600, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..Default::default()
     })]
-    // Full machines, so that nothing starts: each gang in turn gets the machines with
-    // which it begins soonest, or none.
+    // All machines are full, so that no task starts. Each gang in turn reserves the
+    // machines with the earliest possible start, or none.
     #[test]
     fn each_gang_reserves_its_earliest_start(
         rows in proptest::collection::vec((0u8..3, 2u32..5, 0u32..90), 1..12),
@@ -283,24 +292,24 @@
             .map(|(i, (zone, later, in_s))| machine(i, zone, 0, later, in_s)).collect();
         let mut requests: Vec<PlacementRequest> = gangs.iter().enumerate()
             .map(|(i, &(tasks, one_zone))| aged_gang(&format!("g{i}"), tasks, one_zone)).collect();
-        let decided = run(rows.clone(), &mut requests);
-        prop_assert!(decided.starts.is_empty());
-        let mut taken = BTreeSet::new();
+        let result = run(rows.clone(), &mut requests);
+        prop_assert!(result.starts.is_empty());
+        let mut reserved_rows = BTreeSet::new();
         for (index, (tasks, one_zone)) in gangs.into_iter().enumerate() {
             let holder = JobId::from(format!("g{index}").as_str());
-            let reserved: Vec<(usize, Time)> = decided.reservations.iter()
+            let reserved: Vec<(usize, Time)> = result.reservations.iter()
                 .filter(|(_, r)| r.holder == holder).map(|(row, r)| (*row, r.starts_at)).collect();
-            let expected = earliest_start(&rows, &taken, tasks as usize, one_zone);
+            let expected = earliest_start(&rows, &reserved_rows, tasks as usize, one_zone);
             prop_assert_eq!(reserved.first().map(|(_, time)| *time), expected);
             prop_assert_eq!(reserved.len(), expected.map_or(0, |_| tasks as usize));
-            taken.extend(reserved.into_iter().map(|(row, _)| row));
+            reserved_rows.extend(reserved.into_iter().map(|(row, _)| row));
         }
     }
 
-    // If everything takes as long as it was counted with, the gangs begin when they were
-    // to: their rows have the room then.
+    // If every task ends when the cycle predicts, each reserved row has room for its gang
+    // at the gang's predicted start.
     #[test]
-    fn backfill_leaves_each_gang_its_room_at_its_time(
+    fn backfill_leaves_room_at_predicted_gang_start(
         rows in proptest::collection::vec((0u8..2, 0u32..4, 0u32..5, 1u32..120), 2..10),
         gangs in proptest::collection::vec((2u32..6, any::<bool>()), 1..4),
         others in proptest::collection::vec((1u32..6, 1u32..4, proptest::option::of(1u32..100), any::<bool>()), 1..6),
@@ -312,13 +321,13 @@
         requests.extend(others.into_iter().enumerate().map(|(i, (tasks, count, run_s, gang))| {
             PlacementRequest { gang, ..request(&format!("o{i}"), tasks, gpus(count), run_s) }
         }));
-        let all = requests.clone();
-        let decided = run(before.clone(), &mut requests);
-        for (&row, reserved) in &decided.reservations {
-            // What is still there then, of what was started in this cycle.
+        let submitted = requests.clone();
+        let result = run(before.clone(), &mut requests);
+        for (&row, reserved) in &result.reservations {
+            // Subtracts the tasks started in this cycle that still run at that time.
             let mut room = before[row].reservable;
-            for start in decided.starts.iter().filter(|start| start.row == row) {
-                let request = all.iter().find(|request| request.job == start.job).unwrap();
+            for start in result.starts.iter().filter(|start| start.row == row) {
+                let request = submitted.iter().find(|request| request.job == start.job).unwrap();
                 let wait = if request.gang { TimeSpan::secs(20.0) } else { TimeSpan::ZERO };
                 let ends = request.run_time.map(|run| NOW + wait + run.scaled(1.5));
                 if ends.is_none_or(|ends| ends > reserved.starts_at) {
@@ -327,7 +336,7 @@
             }
             prop_assert!(gpus(4).fits(&room), "row {row}: {room:?} at {:?}", reserved.starts_at);
         }
-        for (row, before) in decided.rows.iter().zip(&before) {
+        for (row, before) in result.rows.iter().zip(&before) {
             prop_assert!(row.free.gpus >= 0.0 && row.free.gpus <= before.free.gpus);
         }
     }
