--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -144,7 +144,7 @@
                 if !self.reclaim_limits.allows(&reclaimed, &loss) {
                     continue;
                 }
-                self.reclaim_limits.spend(&mut reclaimed, &loss);
+                self.reclaim_limits.count_reclaimed(&mut reclaimed, &loss);
             }
             free += victim.need;
             plan.victims.push(victim_index);
@@ -251,7 +251,7 @@
             if !self.reclaim_limits.allows(&reclaimed, &loss) {
                 return false;
             }
-            self.reclaim_limits.spend(&mut reclaimed, &loss);
+            self.reclaim_limits.count_reclaimed(&mut reclaimed, &loss);
         }
         combined.reclaimed = reclaimed;
         combined.gangs.extend(new_gangs);
--- a/crates/controller/src/core/quota/arrival_history.rs
+++ b/crates/controller/src/core/quota/arrival_history.rs
@@ -1,35 +1,36 @@
-//! The recent arrivals of each class and team, as they are stored for a successor: it
-//! reads the jobs that are open, but not those that arrived and have ended, and without
-//! them minimum shares and reserves would take a busy hour for a quiet one.
+//! The recent arrivals of each class and team, stored for the next leader. The next
+//! leader reads the open jobs, but not the jobs that have ended. Without the ended jobs,
+//! minimum shares and reserves would be computed as if a busy hour had been quiet.
 
 use crate::types::{Class, Team, TimeSpan, WallTime};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The key under which it is stored.
+/// The key of the stored history in the key-value store.
 pub const ARRIVAL_HISTORY_KEY: &str = "d/f";
 
-/// Intervals into which the window looked back over is divided.
+/// Number of intervals into which the window is divided.
 const INTERVALS_PER_WINDOW: u64 = 20;
-/// No interval is shorter than this.
+/// Minimum length of an interval.
 const MIN_INTERVAL: TimeSpan = TimeSpan::millis(1000);
-/// Most jobs that one interval is read as, so that a damaged record costs little.
+/// Maximum number of jobs read from one interval, which bounds the cost of a damaged
+/// record.
 const MAX_JOBS_PER_INTERVAL: u32 = 200;
 
-/// What arrived within one interval.
+/// The work that arrived within one interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredArrivals", into = "StoredArrivals")]
 struct Arrivals {
-    /// Machines that the work fills.
+    /// Sum over all jobs of the number of machines that the job fills.
     machines: f64,
-    /// The work in machine seconds.
+    /// Sum over all jobs of machines times run time, in machine seconds.
     machine_seconds: f64,
-    /// Number of jobs.
+    /// Number of jobs that arrived.
     jobs: u32,
 }
 
-/// [`Arrivals`] as they are stored: machines, machine seconds, jobs.
+/// Stored form of [`Arrivals`]: machines, machine seconds, jobs.
 type StoredArrivals = (f64, f64, u32);
 
 impl From<StoredArrivals> for Arrivals {
@@ -49,7 +50,7 @@
 }
 
 impl Arrivals {
-    /// Rounded to hundredths of machines and whole seconds, which take fewer bytes.
+    /// Rounds to hundredths of machines and whole machine seconds, which need fewer bytes.
     fn rounded(&self) -> Arrivals {
         Arrivals {
             machines: (self.machines * 100.0).round() / 100.0,
@@ -59,43 +60,44 @@
     }
 }
 
-/// A job that arrived, as far as a stored history tells.
+/// A job reconstructed from a stored history.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MissingArrival {
-    /// About when it arrived.
+    /// Approximate arrival time: the middle of the stored interval.
     pub at: WallTime,
-    /// Its class.
+    /// The job's class.
     pub class: Class,
-    /// Its team.
+    /// The job's team.
     pub team: Team,
-    /// Machines that it filled.
+    /// Number of machines that the job filled.
     pub machines: f64,
-    /// For how many seconds.
+    /// Run time in seconds.
     pub run_s: f64,
 }
 
-/// A class, a team, and what arrived in each interval, as it is stored.
+/// Stored form of one group: class, team, and the arrivals by interval number.
 type StoredGroup = (Class, Team, Vec<(u64, Arrivals)>);
 
 #[derive(Serialize, Deserialize)]
 struct StoredHistory {
-    /// Length of an interval.
+    /// Length of an interval, in milliseconds.
     #[serde(rename = "t")]
     interval_ms: u64,
     #[serde(rename = "c")]
     groups: Vec<StoredGroup>,
 }
 
-/// What arrived, by class, team and interval.
+/// Arrivals by class, team and interval.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ArrivalHistory {
     /// Length of an interval.
     interval: TimeSpan,
+    /// Arrivals of each group by interval number.
     arrivals: BTreeMap<(Class, Team), BTreeMap<u64, Arrivals>>,
 }
 
 impl ArrivalHistory {
-    /// An empty history that looks back over `window`.
+    /// Creates an empty history over the most recent `window`.
     pub fn new(window: TimeSpan) -> ArrivalHistory {
         ArrivalHistory {
             interval: TimeSpan(window.0 / INTERVALS_PER_WINDOW).max(MIN_INTERVAL),
@@ -103,12 +105,12 @@
         }
     }
 
-    /// The number of the interval that contains a time.
+    /// Number of the interval that contains a time, counted from wall time 0.
     fn interval_at(&self, at: WallTime) -> u64 {
         at.0 / self.interval.as_millis().max(1)
     }
 
-    /// Counts a job that arrived: the machines it fills, and for how many seconds.
+    /// Adds an arrived job that fills `machines` machines for `run_s` seconds.
     pub fn record(&mut self, at: WallTime, class: &Class, team: &Team, machines: f64, run_s: f64) {
         let interval = self.interval_at(at);
         let group = (class.clone(), team.clone());
@@ -119,8 +121,8 @@
         arrivals.jobs += 1;
     }
 
-    /// The history as it is to be stored: of the window before `now`, in at most
-    /// `max_bytes` bytes. The oldest intervals are left out if need be.
+    /// The stored form of the history over the window before `now`, in at most `max_bytes`
+    /// bytes. The oldest intervals are left out until the size fits.
     pub fn store(&self, now: WallTime, max_bytes: usize) -> Value {
         let mut oldest = self.interval_at(now).saturating_sub(INTERVALS_PER_WINDOW);
         loop {
@@ -134,6 +136,7 @@
         }
     }
 
+    /// The stored form of all intervals from number `oldest` on.
     fn since_interval(&self, oldest: u64) -> StoredHistory {
         let groups = self.arrivals.iter().map(|((class, team), intervals)| {
             let recent = intervals.range(oldest..);
@@ -148,22 +151,23 @@
         }
     }
 
-    /// What a stored history contains beyond what is known here, as single jobs;
-    /// `None` if it cannot be read. What is known here either is part of what was
-    /// stored or came later, so of each interval only the excess counts.
+    /// The arrivals of a stored history that are missing here, as single jobs; `None` if
+    /// the stored history cannot be read. Each job recorded here either is part of the
+    /// stored history or arrived later, so only the excess of each interval counts.
     pub fn missing(&self, stored: &Value) -> Option<Vec<MissingArrival>> {
         let stored = StoredHistory::deserialize(stored).ok()?;
         let mut missing = Vec::new();
         for (class, team, intervals) in stored.groups {
-            let known = self.arrivals.get(&(class.clone(), team.clone()));
+            let recorded_intervals = self.arrivals.get(&(class.clone(), team.clone()));
             for (interval, arrivals) in intervals {
-                // With another window the intervals differ: each is put where its
-                // middle lies.
+                // If the stored intervals have another length, each one is matched to the
+                // interval here that contains its middle.
                 let start_ms = interval.saturating_mul(stored.interval_ms);
                 let middle = WallTime(start_ms + stored.interval_ms / 2);
-                let known = known.and_then(|known| known.get(&self.interval_at(middle)));
-                let known = known.copied().unwrap_or_default();
-                let Some((job, count)) = excess(arrivals, known, middle, &class, &team) else {
+                let recorded = recorded_intervals
+                    .and_then(|by_number| by_number.get(&self.interval_at(middle)));
+                let recorded = recorded.copied().unwrap_or_default();
+                let Some((job, count)) = excess(arrivals, recorded, middle, &class, &team) else {
                     continue;
                 };
                 missing.extend((0..count).map(|_| job.clone()));
@@ -173,22 +177,22 @@
     }
 }
 
-/// By how much the arrivals stored for an interval exceed those known: a job, and how
-/// many like it.
+/// The excess of the stored arrivals of an interval over the recorded ones: a job, and
+/// the number of jobs like it. `None` without an excess.
 fn excess(
     stored: Arrivals,
-    known: Arrivals,
+    recorded: Arrivals,
     at: WallTime,
     class: &Class,
     team: &Team,
 ) -> Option<(MissingArrival, u32)> {
-    let machines = stored.machines - known.machines;
-    let machine_seconds = stored.machine_seconds - known.machine_seconds;
+    let machines = stored.machines - recorded.machines;
+    let machine_seconds = stored.machine_seconds - recorded.machine_seconds;
     if machines <= 0.0 || machine_seconds <= 0.0 {
         return None;
     }
-    // As many jobs as there were, so that none looks larger than it was.
-    let jobs = stored.jobs.saturating_sub(known.jobs);
+    // Keeps the number of jobs, so that no job appears larger than it was.
+    let jobs = stored.jobs.saturating_sub(recorded.jobs);
     let jobs = jobs.clamp(1, MAX_JOBS_PER_INTERVAL);
     let job = MissingArrival {
         at,
--- a/crates/controller/src/core/quota/arrival_history/tests.rs
+++ b/crates/controller/src/core/quota/arrival_history/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn full() -> ArrivalHistory {
+fn sample_history() -> ArrivalHistory {
     let mut history = ArrivalHistory::new(TimeSpan::secs(600.0));
     for i in 0..200u64 {
         let class = ["urgent", "low"][i as usize % 2].into();
@@ -15,37 +15,45 @@
     history
 }
 
-fn sum(all: &[MissingArrival]) -> f64 {
-    all.iter().map(|m| m.machines * m.run_s).sum()
+fn total_machine_seconds(jobs: &[MissingArrival]) -> f64 {
+    jobs.iter().map(|m| m.machines * m.run_s).sum()
 }
 
-// A successor knew of the open jobs only: a class whose work was being done
-// looked as if nothing had come for it.
+// Guards against a next leader that counts open jobs only: a class whose jobs were done
+// promptly appeared to have no arrivals.
 #[test]
 fn successor_restores_ended_arrivals_without_double_counting() {
     let now = WallTime(1_600_000);
-    let stored = full().store(now, 8192);
+    let stored = sample_history().store(now, 8192);
     let mut successor = ArrivalHistory::new(TimeSpan::secs(600.0));
-    let all = successor.missing(&stored).unwrap();
-    assert!((sum(&all) - 200.0 * 60.0).abs() < 1.0, "{}", sum(&all));
-    // Ten jobs are open and were read.
+    let missing_before = successor.missing(&stored).unwrap();
+    assert!(
+        (total_machine_seconds(&missing_before) - 200.0 * 60.0).abs() < 1.0,
+        "{}",
+        total_machine_seconds(&missing_before)
+    );
+    // Ten jobs are still open, and the next leader has read them.
     for i in 190..200u64 {
         let class = ["urgent", "low"][i as usize % 2].into();
         let at = WallTime(1_000_000 + i * 3_000);
         successor.record(at, &class, &"red".into(), 2.0, 30.0);
     }
-    let rest = successor.missing(&stored).unwrap();
-    assert!((sum(&rest) - 190.0 * 60.0).abs() < 1.0, "{}", sum(&rest));
+    let missing_after = successor.missing(&stored).unwrap();
+    assert!(
+        (total_machine_seconds(&missing_after) - 190.0 * 60.0).abs() < 1.0,
+        "{}",
+        total_machine_seconds(&missing_after)
+    );
     assert!(
-        rest.iter().all(|m| m.machines < 2.1),
-        "a job larger than any was"
+        missing_after.iter().all(|m| m.machines < 2.1),
+        "a reconstructed job is larger than any arrived job"
     );
-    assert_eq!(full().missing(&stored), Some(Vec::new()));
+    assert_eq!(sample_history().missing(&stored), Some(Vec::new()));
 }
 
 #[test]
 fn stored_history_fits_limit_and_rejects_damage() {
-    let mut history = full();
+    let mut history = sample_history();
     for i in 0..40 {
         let team = format!("team-with-a-long-name-{i}").as_str().into();
         for k in 0..20u64 {
--- a/crates/controller/src/core/quota/minimum_share.rs
+++ b/crates/controller/src/core/quota/minimum_share.rs
@@ -1,26 +1,26 @@
-//! Minimum shares of the fleet for classes and teams: while more urgent work takes all
-//! there is, a group that is served less than it should be goes first for a part of the
-//! machines, and what it has of that part is not preempted.
+//! Minimum shares of the fleet for classes and teams. While work of higher priority would
+//! occupy all machines, an underserved class or team is placed first on a part of the
+//! fleet, and its work within that part is not preempted.
 
 use crate::types::{Class, Team};
 use crate::wire::users::Priority;
 use std::collections::BTreeMap;
 
-/// Part of the fleet that the minimum shares of all classes, or of all teams, together
-/// never exceed: more urgent work keeps the rest.
-const MAX_PART_OF_FLEET: f64 = 0.5;
+/// Maximum fraction of the fleet for the minimum shares of all classes together, and for
+/// those of all teams together. Work of higher priority keeps the rest.
+const MAX_FLEET_FRACTION: f64 = 0.5;
 
-/// Whom a minimum share is for.
+/// A class or team that can have a minimum share.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShareGroup {
-    /// A class of jobs.
+    /// All jobs of a class.
     Class(Class),
-    /// A team.
+    /// All jobs of a team.
     Team(Team),
 }
 
 impl ShareGroup {
-    /// Both groups that a job belongs to.
+    /// The two groups that a job belongs to.
     pub fn both(class: &Class, team: &Team) -> [ShareGroup; 2] {
         [
             ShareGroup::Class(class.clone()),
@@ -33,21 +33,21 @@
     }
 }
 
-/// How a group is served.
+/// Demand, delay and usage of a group within the window of [`MinimumShares::new`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Service {
     /// Work that arrived within the window, in machine seconds.
     pub arrived: f64,
-    /// Work that has waited too long, in machine seconds.
+    /// Waiting work that is overdue, in machine seconds.
     pub overdue: f64,
-    /// Machines that it uses.
+    /// Number of machines that the group's tasks occupy.
     pub used: f64,
-    /// The highest priority among what is overdue.
+    /// Highest priority of the overdue work; `None` without overdue work.
     pub priority: Option<Priority>,
 }
 
 impl Service {
-    /// Adds what is known of a part of the group.
+    /// Adds the figures of a part of the group.
     pub fn add(&mut self, part: &Service) {
         self.arrived += part.arrived;
         self.overdue += part.overdue;
@@ -55,8 +55,8 @@
         self.priority = self.priority.max(part.priority);
     }
 
-    /// The share, from 0 to 1, of the window's work that was served, as far as can be
-    /// told from what is overdue.
+    /// The fraction, from 0 to 1, of the window's work that was served, estimated from the
+    /// overdue work.
     pub fn share(&self) -> f64 {
         if self.overdue <= 0.0 {
             return 1.0;
@@ -65,23 +65,24 @@
     }
 }
 
-/// A minimum share in force, in machines.
+/// A minimum share in force.
 #[derive(Clone, Copy, Debug)]
 struct MinimumShare {
-    /// Machines that the group should have.
-    least: f64,
-    /// Machines that it has.
+    /// Number of machines that the group is entitled to.
+    entitled_machines: f64,
+    /// Number of machines that the group's tasks occupy.
     used: f64,
 }
 
-/// The minimum shares in force.
+/// The minimum shares in force; a group without an entry has none.
 #[derive(Clone, Debug, Default)]
 pub struct MinimumShares {
     groups: BTreeMap<ShareGroup, MinimumShare>,
 }
 
-/// The largest amount that anyone gets when `total` is divided by max-min fairness:
-/// nobody gets more than requested, and who gets less gets no less than anybody else.
+/// The largest single amount when `total` is divided by max-min fairness: no request
+/// gets more than its amount, and a request that gets less than its amount gets at least
+/// as much as every other request.
 fn largest_fair_amount(mut total: f64, mut requested: Vec<f64>) -> f64 {
     requested.sort_by(f64::total_cmp);
     let count = requested.len();
@@ -95,8 +96,9 @@
 }
 
 impl MinimumShares {
-    /// The minimum shares in a fleet of `fleet` machines, where a `share` (0 to 1) of
-    /// the work that arrived within `window_s` seconds is to be served.
+    /// Computes the minimum shares in a fleet of `fleet` machines. `share` is the fraction
+    /// (0 to 1) of the work arriving within `window_s` seconds that is to be served; 0
+    /// disables minimum shares.
     pub fn new(
         services: &BTreeMap<ShareGroup, Service>,
         fleet: f64,
@@ -115,11 +117,11 @@
             let starved = starved_groups(overdue, share);
             let needed = |s: &Service| share * (s.arrived + s.overdue) / window_s;
             let requested = starved.iter().map(|(_, s)| needed(s)).collect();
-            let largest = largest_fair_amount(fleet * MAX_PART_OF_FLEET, requested);
+            let largest = largest_fair_amount(fleet * MAX_FLEET_FRACTION, requested);
             for (group, service) in starved {
                 let minimum = MinimumShare {
-                    // The largest that anybody gets bounds those who requested more.
-                    least: needed(service).min(largest),
+                    // The largest fair amount caps the groups that need more.
+                    entitled_machines: needed(service).min(largest),
                     used: service.used,
                 };
                 shares.groups.insert(group.clone(), minimum);
@@ -128,28 +130,29 @@
         shares
     }
 
-    /// Machines that a group lacks to its minimum share.
+    /// Number of machines that a group is short of its minimum share; zero for a group
+    /// without one.
     pub fn shortfall(&self, group: &ShareGroup) -> f64 {
         let minimum = self.groups.get(group);
-        minimum.map_or(0.0, |share| (share.least - share.used).max(0.0))
+        minimum.map_or(0.0, |share| (share.entitled_machines - share.used).max(0.0))
     }
 
-    /// Whether a group keeps its minimum share when it loses so many machines.
+    /// Whether a group keeps its minimum share when it loses `machines` machines.
     pub fn allows_loss(&self, group: &ShareGroup, machines: f64) -> bool {
         let minimum = self.groups.get(group);
-        minimum.is_none_or(|share| share.used - machines >= share.least)
+        minimum.is_none_or(|share| share.used - machines >= share.entitled_machines)
     }
 
-    /// Counts work of a group that was placed, in machines.
-    pub fn gain(&mut self, group: &ShareGroup, machines: f64) {
+    /// Adds placed work of a group, as a number of machines.
+    pub fn add_used(&mut self, group: &ShareGroup, machines: f64) {
         if let Some(share) = self.groups.get_mut(group) {
             share.used += machines;
         }
     }
 
-    /// Counts work of a group that is stopped, in machines.
-    pub fn lose(&mut self, group: &ShareGroup, machines: f64) {
-        self.gain(group, -machines);
+    /// Subtracts stopped work of a group, as a number of machines.
+    pub fn subtract_used(&mut self, group: &ShareGroup, machines: f64) {
+        self.add_used(group, -machines);
     }
 
     /// Whether no minimum share is in force.
@@ -157,23 +160,24 @@
         self.groups.is_empty()
     }
 
-    /// A group's minimum share in machines, if one is in force.
+    /// A group's minimum share as a number of machines; `None` if none is in force.
     pub fn of(&self, group: &ShareGroup) -> Option<f64> {
-        self.groups.get(group).map(|share| share.least)
+        self.groups.get(group).map(|share| share.entitled_machines)
     }
 }
 
-/// Of groups with overdue work, those that are served less than `share`.
+/// The groups with overdue work whose served fraction is below `share`.
 fn starved_groups<'a>(
     overdue: Vec<(&'a ShareGroup, &'a Service)>,
     share: f64,
 ) -> Vec<(&'a ShareGroup, &'a Service)> {
-    // What goes first anyway needs no minimum share, unless all are of one priority.
+    // Groups of the highest priority are placed first anyway and need no minimum share,
+    // unless all groups have the same priority.
     let highest = overdue.iter().filter_map(|(_, s)| s.priority).max();
-    let all_alike = overdue.iter().all(|(_, s)| s.priority == highest);
+    let same_priority = overdue.iter().all(|(_, s)| s.priority == highest);
     overdue
         .into_iter()
-        .filter(|(_, s)| all_alike || s.priority < highest)
+        .filter(|(_, s)| same_priority || s.priority < highest)
         .filter(|(_, s)| s.share() < share)
         .collect()
 }
--- a/crates/controller/src/core/quota/mod.rs
+++ b/crates/controller/src/core/quota/mod.rs
@@ -1,6 +1,6 @@
-//! Quotas of teams and minimum shares of classes and teams: what they use, are
-//! guaranteed, and may lose. Plain values: the leader passes in what it knows, and asks
-//! what may be stopped.
+//! Quotas of teams and minimum shares of classes and teams: usage, guarantees, and the
+//! work that may be stopped. The types hold plain values: the leader fills in usage, and
+//! queries which work may be stopped.
 
 pub mod arrival_history;
 pub mod minimum_share;
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -1,5 +1,5 @@
 //! Limits on reclaiming: how much of the work of a team or class may be stopped for
-//! other work. Does not choose what is stopped.
+//! other work. The tasks to stop are chosen in `preemption`.
 
 use super::minimum_share::{MinimumShares, ShareGroup};
 use super::usage::{QuotaUnits, QuotaUsage};
@@ -7,77 +7,80 @@
 use crate::types::{Class, Resources, Team};
 use std::collections::BTreeMap;
 
-/// Work that may be stopped: a task, or a whole gang.
+/// Work whose preemption is to be checked: a task, or a whole gang.
 #[derive(Clone, Copy, Debug)]
 pub struct ReclaimCandidate<'a> {
-    /// Its team.
+    /// The team that loses the work.
     pub team: &'a Team,
-    /// Its class.
+    /// The class that loses the work.
     pub class: &'a Class,
-    /// Resources of all its tasks together.
+    /// Total resources of the task or of all tasks of the gang.
     pub resources: Resources,
-    /// The same as a number of machines.
+    /// The same resources as a number of machines.
     pub machines: f64,
-    /// Whether only a guaranteed quota is a reason to stop it, not a higher priority.
+    /// Whether a guaranteed quota is the only reason to stop the work, and not a higher
+    /// priority.
     pub for_guarantee: bool,
 }
 
-/// What one search has chosen to stop so far, before it is known whether it succeeds.
+/// Work that one search has chosen to stop so far, while the search can still fail.
 #[derive(Clone, Debug, Default)]
 pub struct ReclaimUsage {
+    /// Quota units that each team loses.
     teams: BTreeMap<Team, QuotaUnits>,
-    /// Machines of each class and team.
+    /// Number of machines that each class and team loses.
     groups: BTreeMap<ShareGroup, f64>,
 }
 
-/// What all reclaims of a cycle together may take.
+/// Limits on all work that the preemptions of one cycle may stop together.
 #[derive(Clone, Debug, Default)]
 pub struct ReclaimLimits {
-    /// What teams use of their quotas.
+    /// Quota usage of each team.
     pub usage: QuotaUsage,
-    /// What classes and teams must be left.
+    /// Minimum shares that classes and teams keep.
     pub minimum_shares: MinimumShares,
 }
 
 impl ReclaimLimits {
-    /// Whether this work may be stopped too, after all that was taken and `spent`: its
-    /// team keeps its guaranteed quota, its class and team their minimum shares.
-    pub fn allows(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
+    /// Whether the work `loss` may be stopped in addition to all stopped work and to
+    /// `reclaimed`: its team keeps its guaranteed quota, and its class and team keep their
+    /// minimum shares.
+    pub fn allows(&self, reclaimed: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
         if loss.for_guarantee
             && failpoints::enforced(SafetyCheck::ReclaimsAreBounded)
-            && !self.keeps_guarantee(spent, loss)
+            && !self.keeps_guarantee(reclaimed, loss)
         {
             return false;
         }
         let groups = ShareGroup::both(loss.class, loss.team);
         groups.iter().all(|group| {
-            let before = spent.groups.get(group).copied().unwrap_or(0.0);
+            let before = reclaimed.groups.get(group).copied().unwrap_or(0.0);
             self.minimum_shares
                 .allows_loss(group, before + loss.machines)
         })
     }
 
-    fn keeps_guarantee(&self, spent: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
-        let before = spent.teams.get(loss.team).copied().unwrap_or_default();
+    fn keeps_guarantee(&self, reclaimed: &ReclaimUsage, loss: &ReclaimCandidate<'_>) -> bool {
+        let before = reclaimed.teams.get(loss.team).copied().unwrap_or_default();
         let after = before + QuotaUnits::of(&loss.resources);
         self.usage.keeps_guarantee(loss.team, after)
     }
 
-    /// Counts work as chosen by a search that may yet fail.
-    pub fn spend(&self, spent: &mut ReclaimUsage, loss: &ReclaimCandidate<'_>) {
-        let team = spent.teams.entry(loss.team.clone()).or_default();
+    /// Adds work to `reclaimed`, the choice of a search that can still fail.
+    pub fn count_reclaimed(&self, reclaimed: &mut ReclaimUsage, loss: &ReclaimCandidate<'_>) {
+        let team = reclaimed.teams.entry(loss.team.clone()).or_default();
         *team = *team + QuotaUnits::of(&loss.resources);
         for group in ShareGroup::both(loss.class, loss.team) {
-            *spent.groups.entry(group).or_default() += loss.machines;
+            *reclaimed.groups.entry(group).or_default() += loss.machines;
         }
     }
 
-    /// Counts work as stopped: later searches see that.
+    /// Counts work as being stopped, for all later searches.
     pub fn take(&mut self, loss: &ReclaimCandidate<'_>) {
         self.usage
             .add_stopping(loss.team, QuotaUnits::of(&loss.resources));
         for group in ShareGroup::both(loss.class, loss.team) {
-            self.minimum_shares.lose(&group, loss.machines);
+            self.minimum_shares.subtract_used(&group, loss.machines);
         }
     }
 }
--- a/crates/controller/src/core/quota/usage.rs
+++ b/crates/controller/src/core/quota/usage.rs
@@ -1,22 +1,22 @@
-//! What teams use of their quotas, in exact units: what their tasks take or may take,
-//! and what of that is being stopped. What may be reclaimed from a team for another
-//! team's guaranteed quota is computed from this and from nothing else.
+//! Quota usage of teams in exact units: the resources of a team's assigned tasks, and
+//! the part of them that is being stopped. The amount that may be reclaimed from a team
+//! for another team's guaranteed quota is computed from this usage alone.
 
 use crate::settings::TeamShare;
 use crate::types::{Resources, Team};
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
 
-/// CPUs and GPUs in thousandths, so that sums are exact.
+/// Amounts of CPUs and GPUs as integers in thousandths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QuotaUnits {
-    /// Thousandths of a CPU.
+    /// Number of CPUs, in thousandths of a CPU.
     pub cpus: i64,
-    /// Thousandths of a GPU.
+    /// Number of GPUs, in thousandths of a GPU.
     pub gpus: i64,
 }
 
-/// Bound on an amount in thousandths, so that sums of amounts can't overflow.
+/// Maximum absolute value of one amount in thousandths, so that sums cannot overflow.
 const MAX_THOUSANDTHS: f64 = 1e15;
 
 fn thousandths(amount: f64) -> i64 {
@@ -26,7 +26,7 @@
 }
 
 impl QuotaUnits {
-    /// Amounts in units; memory is not under quota.
+    /// Converts amounts to quota units. Memory has no quota and is left out.
     pub fn of(amounts: &Resources) -> QuotaUnits {
         QuotaUnits {
             cpus: thousandths(amounts.cpus),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// These units `count` times.
+    /// These units multiplied by `count`.
     #[must_use]
     pub fn times(self, count: usize) -> QuotaUnits {
         QuotaUnits {
@@ -64,54 +64,55 @@
     }
 }
 
-/// What one team uses.
+/// Quota and usage of one team.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TeamUsage {
-    /// Its quota: guaranteed and maximum.
+    /// The team's guaranteed and maximum quota.
     pub share: TeamShare,
-    /// What its tasks take or may take.
+    /// Resources of all assigned tasks, whether or not a task is confirmed to be running.
     pub used: QuotaUnits,
-    /// What of that is being stopped.
+    /// The part of `used` whose tasks are being stopped.
     pub stopping: QuotaUnits,
 }
 
 impl TeamUsage {
-    /// What it uses once all that is being stopped has ended.
+    /// Usage once all tasks that are being stopped have ended.
     pub fn used_after_stops(&self) -> QuotaUnits {
         self.used - self.stopping
     }
 
-    /// What it uses beyond its guaranteed quota; zero of a resource without one.
+    /// Usage beyond the guaranteed quota once all tasks that are being stopped have ended;
+    /// zero for a resource without a guaranteed quota.
     pub fn beyond_guarantee(&self) -> QuotaUnits {
-        let beyond = |guarantee: Option<f64>, stays: i64| {
-            guarantee.map_or(0, |amount| (stays - thousandths(amount)).max(0))
+        let beyond = |guarantee: Option<f64>, remaining: i64| {
+            guarantee.map_or(0, |amount| (remaining - thousandths(amount)).max(0))
         };
-        let stays = self.used_after_stops();
+        let remaining = self.used_after_stops();
         QuotaUnits {
-            cpus: beyond(self.share.cpus, stays.cpus),
-            gpus: beyond(self.share.gpus, stays.gpus),
+            cpus: beyond(self.share.cpus, remaining.cpus),
+            gpus: beyond(self.share.gpus, remaining.gpus),
         }
     }
 
-    /// Whether it keeps its guaranteed quota when it loses `units`, besides what is
-    /// being stopped already.
-    fn covers(&self, units: QuotaUnits) -> bool {
-        let rest = self.used_after_stops() - units;
-        let kept = |guarantee: Option<f64>, rest: i64| {
-            guarantee.is_none_or(|amount| rest >= thousandths(amount))
+    /// Whether the team keeps its guaranteed quota when it loses `units` in addition to
+    /// the tasks that are being stopped already.
+    fn can_lose(&self, units: QuotaUnits) -> bool {
+        let after_loss = self.used_after_stops() - units;
+        let is_kept = |guarantee: Option<f64>, after_loss: i64| {
+            guarantee.is_none_or(|amount| after_loss >= thousandths(amount))
         };
-        kept(self.share.cpus, rest.cpus) && kept(self.share.gpus, rest.gpus)
+        is_kept(self.share.cpus, after_loss.cpus) && is_kept(self.share.gpus, after_loss.gpus)
     }
 }
 
-/// What all teams use.
+/// Quota and usage of all teams.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaUsage {
     teams: BTreeMap<Team, TeamUsage>,
 }
 
 impl QuotaUsage {
-    /// These teams, with nothing used yet.
+    /// Creates entries with zero usage for the teams in `shares`.
     pub fn new(shares: &BTreeMap<Team, TeamShare>) -> QuotaUsage {
         let unused = |(team, share): (&Team, &TeamShare)| {
             let usage = TeamUsage {
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Adds `tasks` tasks of a team that take `each`, of which `stopping` are being
-    /// stopped. Teams that this was not made for are not counted.
+    /// Adds `tasks` tasks of a team that use `each` units each; `stopping` of these tasks
+    /// are being stopped. Tasks of a team without an entry are ignored.
     pub fn add_tasks(&mut self, team: &Team, each: QuotaUnits, tasks: usize, stopping: usize) {
         if let Some(usage) = self.teams.get_mut(team) {
             usage.used = usage.used + each.times(tasks);
@@ -134,22 +135,22 @@
         }
     }
 
-    /// Counts `units` more of a team as being stopped.
+    /// Counts another `units` of a team's usage as being stopped.
     pub fn add_stopping(&mut self, team: &Team, units: QuotaUnits) {
         if let Some(usage) = self.teams.get_mut(team) {
             usage.stopping = usage.stopping + units;
         }
     }
 
-    /// Whether a team keeps its guaranteed quota when it loses `units`, besides what is
-    /// being stopped already. False for a team that is not counted.
+    /// Whether a team keeps its guaranteed quota when it loses `units` in addition to the
+    /// tasks that are being stopped already. False for a team without an entry.
     pub fn keeps_guarantee(&self, team: &Team, units: QuotaUnits) -> bool {
         self.teams
             .get(team)
-            .is_some_and(|usage| usage.covers(units))
+            .is_some_and(|usage| usage.can_lose(units))
     }
 
-    /// The teams with what they use.
+    /// All teams with their quotas and usage.
     pub fn teams(&self) -> impl Iterator<Item = (&Team, &TeamUsage)> {
         self.teams.iter()
     }
--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -224,7 +224,9 @@
         self.place(request, PlacementScope::Any);
         let placed = (limit - request.tasks.len()) as f64 * machines_per_task;
         request.tasks.extend(beyond_limit);
-        groups.iter().for_each(|group| shares.gain(group, placed));
+        groups
+            .iter()
+            .for_each(|group| shares.add_used(group, placed));
     }
 
     /// Second part of the cycle: places all remaining requests.
--- a/crates/controller/src/core/scheduling_cycle/backfill.rs
+++ b/crates/controller/src/core/scheduling_cycle/backfill.rs
@@ -99,7 +99,7 @@
     }
 
     /// Places work that has been held back for too long, regardless of reservations: one
-    /// task of each array, or a whole gang. So no job starves while free room is reserved
+    /// task of each job, or a whole gang. So no job starves while free room is reserved
     /// for others, and a reservation is delayed only a little.
     pub(super) fn place_held_back(&mut self, requests: &mut [PlacementRequest]) {
         let reservations = std::mem::take(&mut self.reservations);
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -72,11 +72,11 @@
     /// Returns the index into `rows_with_room` of the rows with room for `need`. The
     /// first call for a need searches the open rows.
     pub(super) fn find_rows_with_room(&mut self, need: Resources) -> usize {
-        let known = self
+        let known_index = self
             .rows_with_room
             .iter()
             .position(|searched| searched.need == need);
-        if let Some(index) = known {
+        if let Some(index) = known_index {
             // Removes rows that have filled up since the search.
             let (rows, list) = (&self.rows, &mut self.rows_with_room[index].rows);
             list.retain(|&row| need.fits(&rows[row].free));
