--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -1,7 +1,7 @@
-//! Durable records of jobs and of leadership: what is stored in the key-value store,
-//! and how it is written and read back. Nothing here sends a request.
+//! Durable records of jobs and of leadership in the key-value store: their contents, and
+//! how they are written and read back. Requests are sent by other modules.
 //!
-//! The keys under which records are stored: [`super::keys`].
+//! The keys of the records are defined in [`super::keys`].
 
 mod chunk_size;
 mod dirty_chunks;
--- a/crates/controller/src/core/job_records/dirty_chunks.rs
+++ b/crates/controller/src/core/job_records/dirty_chunks.rs
@@ -1,19 +1,21 @@
-//! The queue of chunks that differ from what is stored. It decides which are written
-//! next, never what is written.
+//! The queue of chunks that differ from their stored records. The queue decides which
+//! chunks are written next; the contents of each write come from `job_writes`.
 
 use crate::types::{JobId, Time, TimeSpan};
 use std::collections::BTreeMap;
 
-/// How long a chunk without starts waits for further changes.
+/// Time that a chunk without starts waits for further changes before it is written.
 const SETTLE_TIME: TimeSpan = TimeSpan::millis(1000);
 
-/// Names a chunk: its job and its number.
+/// A chunk's job and its number within the job.
 type ChunkId = (JobId, u32);
 
-/// Why a chunk waits to be written, and since when.
+/// A chunk that waits to be written.
 #[derive(Clone, Copy, Debug)]
 struct DirtyChunk {
+    /// Time of the oldest change that is not yet written.
     since: Time,
+    /// Whether the changes include the start of a task.
     has_starts: bool,
 }
 
@@ -23,17 +25,18 @@
     }
 }
 
-/// Chunks that differ from what is stored. Those with task starts go first, as a
-/// start waits for its record; the others wait a little, since the completion of a
-/// task is often soon followed by the next one, or by its job's, and then needs no
-/// write of its own.
+/// Chunks that differ from their stored records. Chunks with task starts are written
+/// first, because a start is sent only once its record is stored. Other chunks wait for
+/// 1 s (`SETTLE_TIME`): the completion of a task is often soon followed by the completion of
+/// another task or of the job, and one write then covers both.
 #[derive(Debug, Default)]
 pub struct DirtyChunks {
     chunks: BTreeMap<ChunkId, DirtyChunk>,
 }
 
 impl DirtyChunks {
-    /// Records a change at `now`; `start`: of a task that is to be started.
+    /// Records a change of a chunk at `now`. `start` tells whether the change is the start
+    /// of a task.
     pub fn mark(&mut self, chunk: (JobId, u32), now: Time, start: bool) {
         let dirty = self.chunks.entry(chunk).or_insert(DirtyChunk {
             since: now,
@@ -42,9 +45,9 @@
         dirty.has_starts |= start;
     }
 
-    /// At most `limit` chunks to write now: those with starts first, the oldest first
-    /// among equals. In a rush thousands wait and this is called many times a second,
-    /// so only the chosen ones are sorted.
+    /// Returns at most `limit` chunks to write now: chunks with starts first, then by age,
+    /// oldest first. Under load thousands of chunks wait and this method is called many
+    /// times a second, so only the returned chunks are sorted.
     pub fn due(&self, now: Time, limit: usize) -> Vec<(JobId, u32)> {
         let mut due: Vec<_> = self
             .chunks
@@ -60,7 +63,7 @@
         due.into_iter().map(|(_, _, chunk)| chunk.clone()).collect()
     }
 
-    /// Removes a chunk that is being written, or needs no writing.
+    /// Removes a chunk that is being written or no longer needs to be written.
     pub fn forget(&mut self, chunk: &(JobId, u32)) {
         self.chunks.remove(chunk);
     }
--- a/crates/controller/src/core/job_records/header.rs
+++ b/crates/controller/src/core/job_records/header.rs
@@ -1,29 +1,29 @@
-//! The header record of a job: whether it is open, done or cancelled. It stays when
-//! everything else of the job is deleted.
+//! The header record of a job: whether the job is open, done or cancelled. The header is
+//! kept when all other records of the job are deleted.
 
 use super::value::to_value;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::fmt;
 
-/// The stored state of a job.
+/// The state of a job in its header record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeaderStage {
-    /// Accepted, and neither done nor cancelled.
+    /// The job is accepted, and neither done nor cancelled.
     #[serde(rename = "p")]
     Open,
-    /// Every task is done.
+    /// All tasks of the job are done.
     #[serde(rename = "d")]
     Done,
-    /// Cancelled by its user.
+    /// The job was cancelled by its user.
     #[serde(rename = "c")]
     Cancelled,
 }
 
-/// A job's header as it is stored.
+/// Stored form of a job's header.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobHeader {
-    /// The job's state.
+    /// Whether the job is open, done or cancelled.
     #[serde(rename = "s")]
     pub stage: HeaderStage,
     /// Number of the job's tasks.
@@ -31,28 +31,25 @@
     pub task_count: u32,
 }
 
-/// The header of a job with `tasks` tasks, as a value to be written.
-pub fn job_header_value(stage: HeaderStage, tasks: u32) -> Value {
-    to_value(&JobHeader {
-        stage,
-        task_count: tasks,
-    })
+/// The header of a job with `task_count` tasks, as the value to write.
+pub fn job_header_value(stage: HeaderStage, task_count: u32) -> Value {
+    to_value(&JobHeader { stage, task_count })
 }
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// All tasks are done.
+    /// All tasks of the job are done.
     Done {
-        /// Whether the stored header says so already.
+        /// Whether the stored header already has the state [`HeaderStage::Done`].
         written: bool,
     },
-    /// Cancelled by its user.
+    /// The job was cancelled by its user. The stored header records that.
     Cancelled,
 }
 
 impl fmt::Display for JobOutcome {
-    /// The spelling in `/inspect`, whatever the variants are called.
+    /// The spelling that `/inspect` returns, independent of the variants' names.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             JobOutcome::Done { written } => write!(f, "Done {{ written: {written} }}"),
--- a/crates/controller/src/core/job_records/index_ranges.rs
+++ b/crates/controller/src/core/job_records/index_ranges.rs
@@ -1,19 +1,19 @@
-//! A set of task numbers stored as ranges: jobs have up to many thousands of tasks,
-//! and most sets of them are a few runs of neighbours.
+//! A set of task numbers stored as ranges. Jobs have up to many thousands of tasks, and
+//! most sets of tasks consist of a few ranges of consecutive numbers.
 
 use std::collections::BTreeMap;
 
-/// A set of task numbers, kept as disjoint ranges that do not touch.
+/// A set of task numbers, kept as disjoint ranges that are not adjacent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct IndexRanges {
-    /// Ranges `[start, end)`: end by start.
+    /// Ranges `[start, end)`, as a map from start to end.
     ranges: BTreeMap<u32, u32>,
-    /// Numbers in all ranges together.
+    /// Number of members of the set.
     count: u32,
 }
 
 impl IndexRanges {
-    /// All numbers below `end`.
+    /// The set of all numbers below `end`.
     pub fn below(end: u32) -> IndexRanges {
         let mut set = IndexRanges::default();
         if end > 0 {
@@ -23,7 +23,8 @@
         set
     }
 
-    /// The range `[start, end)` that contains `index`, if any.
+    /// The range `[start, end)` that contains `index`; `None` if the set does not contain
+    /// `index`.
     fn range_containing(&self, index: u32) -> Option<(u32, u32)> {
         let (&start, &end) = self.ranges.range(..=index).next_back()?;
         (index < end).then_some((start, end))
@@ -34,7 +35,8 @@
         self.range_containing(index).is_some()
     }
 
-    /// Adds `index`, joining it with the ranges it touches; false if it was there.
+    /// Adds `index` and merges it with adjacent ranges. Returns false if the set already
+    /// contained `index`.
     pub fn insert(&mut self, index: u32) -> bool {
         if self.contains(index) {
             return false;
@@ -55,7 +57,8 @@
         true
     }
 
-    /// Removes `index`, splitting its range; false if it was not there.
+    /// Removes `index` and splits its range. Returns false if the set did not contain
+    /// `index`.
     pub fn remove(&mut self, index: u32) -> bool {
         let Some((start, end)) = self.range_containing(index) else {
             return false;
@@ -86,7 +89,7 @@
         self.ranges.iter().flat_map(|(&start, &end)| start..end)
     }
 
-    /// The ranges `[start, end)` of members within `[low, high)`.
+    /// The ranges `[start, end)` of members, clipped to `[low, high)`.
     pub fn within(&self, low: u32, high: u32) -> Vec<(u32, u32)> {
         let first = self.range_containing(low).map_or(low, |(start, _)| start);
         self.ranges
--- a/crates/controller/src/core/job_records/job.rs
+++ b/crates/controller/src/core/job_records/job.rs
@@ -1,5 +1,6 @@
 //! A job in the leader's memory: which of its tasks are done, waiting, or assigned to
-//! machines, and what of that is stored. What is written of it: `job_writes`.
+//! machines, and which of these changes are stored. The writes of a job's records are
+//! built in `job_writes`.
 
 use super::chunk_size::ChunkSize;
 use super::header::JobOutcome;
@@ -13,75 +14,80 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What is known of one chunk's stored record.
+/// Versions of one chunk, in memory and in the key-value store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Chunk {
-    /// Version of the stored record; 0: none is stored.
+    /// Version of the stored record; 0 if no record is stored.
     pub version: Version,
-    /// Number of changes made in memory.
+    /// Number of changes made in memory. The changes are numbered from 1.
     pub change: u64,
-    /// The last of these changes that is stored.
+    /// Number of the last change that is stored; 0 if none of them is.
     pub stored: u64,
 }
 
-/// What only scheduling needs to know of a job. Not stored: lost on failover.
+/// Scheduling state of a job that is kept in memory only and is lost on failover.
 #[derive(Clone, Debug, Default)]
 pub struct JobNotes {
-    /// Failures in a row.
+    /// Number of consecutive failures of the job's tasks.
     pub failures: u32,
-    /// Not to be placed before this time (backoff after failures).
+    /// Earliest time at which tasks are placed (backoff after failures).
     pub not_before: Time,
-    /// Machines on which it failed.
+    /// Machines on which tasks of the job failed.
     pub failed_on: BTreeSet<MachineId>,
-    /// Since when it has tasks waiting.
+    /// Time since which the job has waiting tasks; `None` if no task waits.
     pub waiting_since: Option<Time>,
-    /// The start that was first predicted for it, while machines are reserved for it.
+    /// Start time that was first predicted for the job while machines are reserved for
+    /// it; `None` without a reservation.
     pub promised_start: Option<Time>,
-    /// Since when the only room that it finds is reserved for others.
+    /// Time since which the only room for the job is reserved for other jobs; `None` if
+    /// the job is not held back.
     pub held_back_since: Option<Time>,
-    /// Why it waits, for operators.
+    /// Reason why the job waits, shown to operators.
     pub waiting_reason: &'static str,
-    /// Whether it counts within its team's guaranteed quota.
+    /// Whether the job lies within its team's guaranteed quota.
     pub within_guarantee: bool,
-    /// Why its tasks were last stopped, for operators.
+    /// Reason why tasks of the job were last stopped, shown to operators; `None` if none
+    /// was.
     pub last_stop: Option<&'static str>,
 }
 
 /// A job in the leader's memory.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The job as submitted.
+    /// The submission as its user sent it.
     pub spec: Rc<Submission>,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     pub accepted_at: WallTime,
-    /// Version of its header record while the job is open.
+    /// Version of the stored header record while the job is open.
     pub header_version: Version,
-    /// Number of parts of its stored submission.
+    /// Number of parts in which the submission is stored.
     pub parts: u32,
-    /// How it ended, if it has.
+    /// How the job ended; `None` while the job is open.
     pub outcome: Option<JobOutcome>,
-    /// Tasks that are done.
+    /// Numbers of the tasks that are done.
     pub done: IndexRanges,
-    /// Tasks that are neither done nor assigned.
+    /// Numbers of the tasks that are neither done nor assigned.
     pub waiting: IndexRanges,
-    /// Where tasks are or may be, by task number: at most one machine each.
+    /// Machines on which tasks are or may be running, by task number: at most one machine
+    /// per task.
     pub assignments: BTreeMap<u32, Assignment>,
-    /// Chunks that were changed or are stored, by chunk number.
+    /// Chunks that have changed or are stored, by chunk number.
     pub chunks: BTreeMap<u32, Chunk>,
-    /// Done tasks whose completion is not stored yet, with the change of their chunk
-    /// that records it.
+    /// Done tasks whose completion is not stored yet, each with the number of the change
+    /// of its chunk that records the completion.
     pub unstored_done: BTreeMap<u32, u64>,
-    /// The highest attempt ever used by any of its tasks.
+    /// Highest attempt number ever used by any task of the job.
     pub attempt: Attempt,
-    /// Whether one of its records cannot be read: the job is then left as it is.
+    /// Whether one of the job's records cannot be read. No task of such a job is started
+    /// and none of its records is written.
     pub unreadable: bool,
-    /// What scheduling notes about it.
+    /// Scheduling state that is kept in memory only.
     pub notes: JobNotes,
 }
 
 impl Job {
-    /// A job just accepted, with all tasks waiting. `header_version` is that of its
-    /// header, `parts` the number of parts of its submission.
+    /// Creates a job with all tasks waiting. `header_version` is the version of the stored
+    /// header, and `parts` the number of parts in which the submission is stored.
     pub fn new(
         spec: Rc<Submission>,
         accepted_at: WallTime,
@@ -106,22 +112,22 @@
         }
     }
 
-    /// Whether it is a service, which is never done.
+    /// Whether the job is a service, which is never done.
     pub fn is_service(&self) -> bool {
         self.spec.shape == JobShape::Service
     }
 
-    /// Whether it is a gang, whose tasks start together or not at all.
+    /// Whether the job is a gang, whose tasks start all together or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.shape == JobShape::Gang
     }
 
-    /// Whether its tasks may still be started.
+    /// Whether the job is neither done nor cancelled.
     pub fn is_open(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Counts a change of a task's record; returns the change's number.
+    /// Counts a change of the chunk that contains a task. Returns the change's number.
     pub fn record_change(&mut self, size: ChunkSize, task: u32) -> u64 {
         let chunk = self.chunks.entry(size.of(task)).or_default();
         chunk.change += 1;
@@ -135,8 +141,9 @@
             .is_some_and(|chunk| chunk.stored >= change)
     }
 
-    /// Whether a done task may be cleared from its machine: its completion is stored.
-    /// An agent that forgets it earlier would let it run again after a failover.
+    /// Whether the completion of a done task is stored, so that its agent may delete the
+    /// task. If the agent deleted the task earlier, the task would run again after a
+    /// failover.
     pub fn done_is_stored(&self, task: u32) -> bool {
         let end_is_stored = matches!(
             self.outcome,
@@ -145,12 +152,12 @@
         self.done.contains(task) && (end_is_stored || !self.unstored_done.contains_key(&task))
     }
 
-    /// Takes over a stored chunk of an earlier leader. One that cannot be read keeps
-    /// the whole job from being started or written: what it says would be lost, and
-    /// its tasks may run.
+    /// Loads a chunk that an earlier leader stored. If the chunk cannot be read, no task
+    /// of the job is started and none of its records is written: a write would destroy
+    /// the chunk's contents, and the chunk's tasks may be running.
     ///
     /// # Errors
-    /// The record is damaged, or of a later format version.
+    /// Returns an error if the record is damaged or has a later format version.
     pub fn load_chunk(
         &mut self,
         chunk: u32,
@@ -165,7 +172,7 @@
         let progress = self.read_progress(stored);
         self.unreadable |=
             progress.is_err() && failpoints::enforced(SafetyCheck::UnreadableIsLeftAlone);
-        self.take_over_progress(progress?);
+        self.apply_progress(progress?);
         Ok(())
     }
 
@@ -175,7 +182,7 @@
         Ok(progress)
     }
 
-    fn take_over_progress(&mut self, progress: ChunkProgress) {
+    fn apply_progress(&mut self, progress: ChunkProgress) {
         self.attempt = self.attempt.max(progress.attempt);
         for (start, end) in progress.done {
             for task in start..end.min(self.spec.tasks) {
@@ -201,8 +208,8 @@
         }
     }
 
-    /// Number of tasks that may be on machines, for its team's quota usage: all, if one
-    /// of its records cannot be read.
+    /// Number of tasks that may be running, which count towards the team's quota usage.
+    /// If one of the job's records cannot be read, all tasks count.
     pub fn tasks_possibly_running(&self) -> usize {
         match self.unreadable {
             true => self.spec.tasks as usize,
@@ -210,7 +217,7 @@
         }
     }
 
-    /// Whether a chunk has starts that are neither stored nor sent.
+    /// Whether a chunk contains task starts that are neither stored nor sent.
     pub fn starts_in(&self, size: ChunkSize, chunk: u32) -> bool {
         let stored = self.chunks.get(&chunk).map_or(0, |chunk| chunk.stored);
         self.assignments
--- a/crates/controller/src/core/job_records/job_writes.rs
+++ b/crates/controller/src/core/job_records/job_writes.rs
@@ -1,5 +1,5 @@
-//! What is written of a job: its chunks, its end, and the deletion of its records.
-//! Only makes up writes; the commit pipeline sends them.
+//! Builds the writes of a job's records: its chunks, its end, and the deletion of its
+//! records. The commit pipeline sends these writes.
 
 use super::chunk_size::ChunkSize;
 use super::header::{HeaderStage, job_header_value};
@@ -18,7 +18,7 @@
 use serde_json::Value;
 
 impl Job {
-    /// The record of a chunk as it should be stored in the format version `format`.
+    /// The record of a chunk in the format version `format`.
     pub fn chunk_value(&self, size: ChunkSize, chunk: u32, format: FormatVersion) -> Value {
         let tasks = size.tasks_of(chunk);
         let assignments = self
@@ -34,7 +34,7 @@
         progress.write(format)
     }
 
-    /// Those of these tasks that are being stopped.
+    /// The tasks of a range that are being stopped.
     fn stopping(&self, tasks: std::ops::Range<u32>) -> IndexRanges {
         let mut stopping = IndexRanges::default();
         if failpoints::enforced(SafetyCheck::StopsAreStored) {
@@ -47,7 +47,7 @@
         stopping
     }
 
-    /// Stores a chunk.
+    /// The write that stores a chunk in the format version `format`.
     pub fn write_chunk(
         &self,
         size: ChunkSize,
@@ -56,15 +56,15 @@
     ) -> ConditionalWrite {
         let key = chunk_key(&self.spec.id, chunk);
         let mut preconditions = Vec::new();
-        // However late this transaction is carried out, it overwrites no newer record.
+        // A delayed transaction must not overwrite a newer record.
         if failpoints::enforced(SafetyCheck::RecordsCompareVersions) {
             preconditions.push(Precondition {
                 key: key.clone(),
                 version: self.stored_version(chunk),
             });
         }
-        // No start is stored once the job's end is, however late this transaction is
-        // carried out and whatever this node does not know yet.
+        // No start may be stored after the job's end, even if this transaction is delayed
+        // or this controller has not yet received the job's end.
         if self.starts_in(size, chunk) && failpoints::enforced(SafetyCheck::StartsNeedAnOpenJob) {
             preconditions.push(self.header_is_unchanged());
         }
@@ -75,13 +75,15 @@
         }
     }
 
+    /// Version of a chunk's stored record; 0 if no record is stored.
     fn stored_version(&self, chunk: u32) -> Version {
         self.chunks
             .get(&chunk)
             .map_or(Version(0), |chunk| chunk.version)
     }
 
-    /// That the job is neither done nor cancelled: both change its header.
+    /// The precondition that the job is neither done nor cancelled, since both change its
+    /// header.
     fn header_is_unchanged(&self) -> Precondition {
         Precondition {
             key: job_header_key(&self.spec.id),
@@ -89,21 +91,22 @@
         }
     }
 
-    /// What must hold to mark the job as done. A job ends once: whatever this node
-    /// does not know yet, a cancellation is not overwritten.
-    fn preconditions_of_end(&self) -> Vec<Precondition> {
+    /// Preconditions for marking the job as done. A job ends only once: a cancellation that
+    /// this controller has not yet received must not be overwritten.
+    fn done_preconditions(&self) -> Vec<Precondition> {
         match failpoints::enforced(SafetyCheck::OneOutcomeIsCommitted) {
             true => vec![self.header_is_unchanged()],
             false => Vec::new(),
         }
     }
 
-    /// Marks the job as done; the records of tasks that may still run are kept.
+    /// The write that marks the job as done and keeps all other records, for jobs with
+    /// tasks that may still be running.
     pub fn write_done(&self) -> ConditionalWrite {
         let id = &self.spec.id;
         let header = job_header_value(HeaderStage::Done, self.spec.tasks);
         ConditionalWrite {
-            preconditions: self.preconditions_of_end(),
+            preconditions: self.done_preconditions(),
             operations: vec![
                 put(job_header_key(id), header.clone()),
                 put(job_outcome_key(id), header),
@@ -111,8 +114,8 @@
         }
     }
 
-    /// Marks the job as done and deletes all its other keys: where none of its tasks
-    /// can be on a machine, the header answers all that can still be asked.
+    /// The write that marks the job as done and deletes all its other keys. For jobs
+    /// without tasks on machines: the header then suffices for all later queries.
     pub fn write_done_and_delete(&self) -> ConditionalWrite {
         let id = &self.spec.id;
         let header = job_header_value(HeaderStage::Done, self.spec.tasks);
@@ -121,21 +124,23 @@
         let mut operations = vec![put(job_header_key(id), header)];
         operations.extend(obsolete.map(|key| Operation::Delete { key }));
         ConditionalWrite {
-            preconditions: self.preconditions_of_end(),
+            preconditions: self.done_preconditions(),
             operations,
         }
     }
 
-    /// Deletes the keys of a job that has ended, at most `room` of them in this
-    /// transaction; whether these are the last.
-    pub fn delete_records(&self, room: usize) -> (Vec<Operation>, bool) {
+    /// The operations that delete at most `max_keys` keys of a job that has ended, and
+    /// whether these are the last keys of the job.
+    pub fn delete_records(&self, max_keys: usize) -> (Vec<Operation>, bool) {
         let keys = self.keys();
-        let mut count = keys.len().min(room);
+        let mut count = keys.len().min(max_keys);
         let is_last = count == keys.len();
-        // A submission without its job's outcome looks open to a successor, which would
-        // start it again: both are deleted together, or neither yet.
-        let would_split_them = count + 1 == keys.len();
-        if would_split_them && failpoints::enforced(SafetyCheck::OutcomeOutlivesSubmission) {
+        // A submission without its job's outcome appears open to the next leader, which
+        // would start the job again. So both are deleted in the same transaction.
+        let would_split_outcome_from_submission = count + 1 == keys.len();
+        if would_split_outcome_from_submission
+            && failpoints::enforced(SafetyCheck::OutcomeOutlivesSubmission)
+        {
             count -= 1;
         }
         let deletes = keys
@@ -145,9 +150,9 @@
         (deletes.collect(), is_last)
     }
 
-    /// All keys to delete once nothing of the job can run any more. The outcome and
-    /// the submission come last: a successor must find neither records without
-    /// a submission, nor a submission without its outcome.
+    /// All keys to delete once no task of the job can be running any more. The outcome and
+    /// the submission come last: the next leader must find neither records without a
+    /// submission nor a submission without its outcome.
     pub fn keys(&self) -> Vec<String> {
         let id = &self.spec.id;
         let chunks = self
--- a/crates/controller/src/core/job_records/submission.rs
+++ b/crates/controller/src/core/job_records/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions as they are stored: accepting a job, cancelling it, and reading a
+//! Stored submissions: the transactions that accept and cancel a job, and reading a
 //! submission back. A submission longer than one value is stored in several parts.
 
 use super::header::{HeaderStage, JobHeader, job_header_value};
@@ -14,18 +14,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Bytes of a value kept free for the fields of [`SubmissionRecord`].
+/// Bytes of a value reserved for the fields of [`SubmissionRecord`].
 const RECORD_FIELDS_BYTES: usize = 128;
-/// A part is never shorter than this, however small the limit on values.
+/// Minimum of the limit on the size of one part, however small the limit on values is.
 const MIN_PART_BYTES: usize = 64;
 
-/// The first part of a submission. Further parts are stored as plain strings.
+/// The first part of a stored submission. Further parts are stored as JSON strings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SubmissionRecord {
-    /// When the job was accepted.
+    /// Time at which the job was accepted.
     #[serde(rename = "at")]
     accepted_at: WallTime,
-    /// Number of parts, this one included.
+    /// Number of parts, including the first one.
     #[serde(rename = "n")]
     parts: u32,
     /// The first part of the submission's JSON text.
@@ -33,8 +33,8 @@
     text: String,
 }
 
-/// The transaction that accepts a job, unless a job of its name was accepted before.
-/// `None`: the submission is too large to be stored.
+/// The transaction that accepts a job. The transaction fails if a job with the same ID was
+/// accepted before. Returns `None` if the submission is too large to be stored.
 pub fn accept_transaction(
     job: &Submission,
     at: WallTime,
@@ -58,17 +58,18 @@
     })
 }
 
-/// Most bytes of submission text in one part.
+/// Maximum bytes of submission text in one part, counted as an escaped JSON string.
 fn max_part_bytes(limits: TransactionLimits) -> usize {
-    // Quotes grow when JSON text becomes a JSON string; a third is ample for
-    // our field names, and the sum is checked by the caller.
+    // Quotes are escaped when JSON text becomes a JSON string. A third of the value is
+    // ample for the escapes of the field names, and the caller checks the total size.
     (limits.value_bytes * 2 / 3)
         .saturating_sub(RECORD_FIELDS_BYTES)
         .max(MIN_PART_BYTES)
 }
 
-/// Cuts a text where it reaches `max_bytes` as an escaped JSON string. There is at
-/// least one part, and every part but the last may exceed the limit by one character.
+/// Splits a text into parts of `max_bytes` bytes, counted as an escaped JSON string. There
+/// is at least one part, and every part but the last may exceed the limit by one
+/// character.
 fn split_into_parts(text: &str, max_bytes: usize) -> Vec<String> {
     let mut parts = Vec::new();
     let mut part = String::new();
@@ -87,7 +88,7 @@
     parts
 }
 
-/// Bytes that a character takes within a JSON string.
+/// Number of bytes of a character in a JSON string, escapes included.
 fn escaped_bytes(character: char) -> usize {
     match character {
         '"' | '\\' => 2,
@@ -118,8 +119,8 @@
 }
 
 /// The transaction that cancels a job whose header was read as open at `version`. The
-/// transaction that marks the job as done compares the same version, so only one of
-/// the two is committed.
+/// transaction that marks the job as done has the same version as its precondition, so
+/// only one of the two transactions is committed.
 pub fn cancel_transaction(id: &JobId, header: JobHeader, version: Version) -> Transaction {
     let value = job_header_value(HeaderStage::Cancelled, header.task_count);
     let key = job_header_key(id);
@@ -132,24 +133,24 @@
     }
 }
 
-/// Puts submissions back together from their parts.
+/// Assembles stored submissions from their parts.
 #[derive(Debug, Default)]
 pub struct SubmissionAssembler {
-    /// Further parts by job and part number, until their first part is read.
+    /// Further parts by job and part number, kept until the first part is read.
     parts: BTreeMap<(JobId, u32), String>,
 }
 
 impl SubmissionAssembler {
-    /// Keeps a further part until its submission is read. A value that is no text is
-    /// ignored: the submission then stays incomplete.
+    /// Keeps a further part until the first part is read. A value other than a string is
+    /// ignored, and the submission then stays incomplete.
     pub fn part(&mut self, id: JobId, part: u32, value: &Value) {
         if let Value::String(text) = value {
             self.parts.insert((id, part), text.clone());
         }
     }
 
-    /// The job of a submission whose first part is `value`, stored at `version`;
-    /// `None` if a part is missing or the text is no submission.
+    /// Creates the job of a submission whose first part is `value`, stored at `version`.
+    /// Returns `None` if a part is missing or the assembled text is not a submission.
     pub fn job(&mut self, id: &JobId, version: Version, value: &Value) -> Option<Job> {
         let record: SubmissionRecord = read_record(value)?;
         let mut text = record.text;
--- a/crates/controller/src/core/job_records/submission/tests.rs
+++ b/crates/controller/src/core/job_records/submission/tests.rs
@@ -12,22 +12,22 @@
     };
     let mut spec = testing::submission("wk-1", JobShape::Array, 3);
     spec.kinds = Some((0..300).map(|i| format!("kind-\"{i}\"").into()).collect());
-    let txn = accept_transaction(&spec, WallTime(5), limits).unwrap();
+    let transaction = accept_transaction(&spec, WallTime(5), limits).unwrap();
     let mut assembler = SubmissionAssembler::default();
-    let mut first = None;
-    for op in &txn.ops {
-        let Operation::Put { key, value, .. } = op else {
+    let mut first_part = None;
+    for operation in &transaction.ops {
+        let Operation::Put { key, value, .. } = operation else {
             panic!()
         };
         assert!(json_len(value) <= 2048, "{}", json_len(value));
         match parse_watched_key(key) {
-            Watched::Job(id) => first = Some((id, value.clone())),
+            Watched::Job(id) => first_part = Some((id, value.clone())),
             Watched::Part(id, n) => assembler.part(id, n, value),
             _ => assert_eq!(key, "job/wk-1"),
         }
     }
-    let (id, v) = first.unwrap();
-    let job = assembler.job(&id, Version(9), &v).unwrap();
+    let (id, first_value) = first_part.unwrap();
+    let job = assembler.job(&id, Version(9), &first_value).unwrap();
     assert_eq!((*job.spec).clone(), spec);
     assert_eq!(job.accepted_at, WallTime(5));
 }
--- a/crates/controller/src/core/job_records/transaction.rs
+++ b/crates/controller/src/core/job_records/transaction.rs
@@ -1,5 +1,6 @@
-//! Building the leader's transactions: what each carries, and how much fits into one.
-//! Every one of them is conditional on the fencing token. Nothing here sends them.
+//! Building the leader's transactions: the contents of each transaction, and the limits
+//! on its size. Every transaction is conditional on the fencing token. The commit
+//! pipeline of the leader sends the transactions.
 
 use super::value::json_len;
 use crate::core::garbage_collection::OrphanedKey;
@@ -10,23 +11,23 @@
 /// Limits of the key-value store on one transaction.
 #[derive(Clone, Copy, Debug)]
 pub struct TransactionLimits {
-    /// Most puts and deletes.
+    /// Maximum number of puts and deletes together.
     pub ops: usize,
-    /// Most bytes of one value.
+    /// Maximum size of one value, in bytes.
     pub value_bytes: usize,
 }
 
-/// Most bytes of one transaction, below what the key-value store accepts: room is
-/// left for preconditions and framing.
+/// Maximum size of one transaction, in bytes. The limit is below the maximum that the
+/// key-value store accepts, which leaves room for preconditions and framing.
 pub(super) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
-/// Bytes of a put besides its key and value.
+/// Bytes of a put in addition to its key and value.
 const PUT_FRAMING_BYTES: usize = 40;
-/// Bytes of a delete besides its key.
+/// Bytes of a delete in addition to its key.
 const DELETE_FRAMING_BYTES: usize = 20;
-/// Bytes of a precondition besides its key.
+/// Bytes of a precondition in addition to its key.
 const PRECONDITION_FRAMING_BYTES: usize = 40;
 
-/// An upper estimate of the bytes that an operation takes within a transaction.
+/// An upper estimate of the bytes of an operation within a transaction.
 pub(super) fn operation_bytes(operation: &Operation) -> usize {
     match operation {
         Operation::Put { key, value, .. } => key.len() + json_len(value) + PUT_FRAMING_BYTES,
@@ -38,17 +39,17 @@
     precondition.key.len() + PRECONDITION_FRAMING_BYTES
 }
 
-/// One part of a transaction: what it compares, and what it changes.
+/// One part of a transaction: preconditions and operations.
 #[derive(Clone, Debug)]
 pub struct ConditionalWrite {
-    /// What must hold for the whole transaction to be committed.
+    /// Conditions that must hold for the whole transaction to be committed.
     pub preconditions: Vec<Precondition>,
-    /// What is changed.
+    /// Puts and deletes to apply.
     pub operations: Vec<Operation>,
 }
 
 impl From<Vec<Operation>> for ConditionalWrite {
-    /// Operations without preconditions of their own.
+    /// Creates a write without preconditions.
     fn from(operations: Vec<Operation>) -> ConditionalWrite {
         ConditionalWrite {
             preconditions: Vec::new(),
@@ -57,68 +58,72 @@
     }
 }
 
-/// What a transaction in flight carries, to act on once its outcome is known.
+/// An item of a transaction in flight, which is processed once the transaction's outcome
+/// is known.
 #[derive(Clone, Debug)]
 pub enum CommitItem {
-    /// A chunk of a job's progress.
+    /// A chunk of a job that is stored.
     Chunk {
-        /// The job.
+        /// The job that the chunk belongs to.
         job: JobId,
-        /// The chunk's number.
+        /// The chunk's number within the job.
         chunk: u32,
-        /// The change up to which it is written.
+        /// Number of the last change that the write contains.
         change: u64,
     },
     /// A job's header that marks it as done.
     Finish(JobId),
     /// A job's header that marks it as done, with all its other keys deleted.
     FinishAndDelete(JobId),
-    /// Keys of an ended job deleted; whether they were the last ones.
+    /// Deletion of keys of an ended job. The flag tells whether they are the job's last
+    /// keys.
     DeleteRecords(JobId, bool),
-    /// A record of the leader's stored, or deleted: its key and value.
+    /// A record of the leader that is stored or deleted: its key, and its value or `None`
+    /// for a deletion.
     LeaderRecord(String, Option<Value>),
-    /// A key whose job is gone, deleted.
+    /// Deletion of a key whose job no longer exists.
     DeleteOrphan(OrphanedKey),
 }
 
-/// A transaction, with what it carries.
+/// A transaction with its items.
 #[derive(Clone, Debug)]
 pub struct BuiltTransaction {
-    /// What is sent to the key-value store.
+    /// The request to the key-value store.
     pub transaction: Transaction,
-    /// What its operations are about, in their order.
+    /// The items that the operations belong to, in the order of the operations.
     pub items: Vec<CommitItem>,
 }
 
-/// The leader's only way to write: one transaction at a time, so that the order of
-/// writes is always known.
+/// State of the leader's commit pipeline. All writes of the leader pass through the
+/// pipeline, one transaction at a time, so that the order of writes is always known.
 #[derive(Debug, Default)]
 pub struct CommitPipeline {
-    /// The transaction in flight.
+    /// The transaction in flight; `None` if none is.
     pub in_flight: Option<BuiltTransaction>,
-    /// Whether an answer to it was lost, so that it may be committed already.
+    /// Whether an answer for the transaction in flight was lost, so that the transaction
+    /// may be committed already.
     pub outcome_unknown: bool,
-    /// Whether a call for it is outstanding.
+    /// Whether a call for the transaction in flight is outstanding.
     pub call_outstanding: bool,
     /// Earliest time of the next call.
     pub not_before: Time,
-    /// When a transaction was last committed.
+    /// Time at which a transaction was last committed; `None` if none was.
     pub last_committed: Option<Time>,
 }
 
-/// Collects changes up to the limits of one transaction.
+/// Collects writes up to the limits of one transaction.
 #[derive(Debug)]
 pub struct TransactionBuilder {
     transaction: Transaction,
     items: Vec<CommitItem>,
-    /// Estimated bytes of all that was added.
+    /// Estimated size of all added writes, in bytes.
     bytes: usize,
     limits: TransactionLimits,
 }
 
 impl TransactionBuilder {
-    /// An empty transaction that is only committed while `leader_key` has the version
-    /// `token`, that is, by the leader that holds this fencing token.
+    /// Creates an empty transaction that is only committed while `leader_key` has the
+    /// version `token`, that is, while the leader with this fencing token leads.
     pub fn new(
         leader_key: &str,
         token: FencingToken,
@@ -138,18 +143,18 @@
         }
     }
 
-    /// Whether no operation was added yet.
+    /// Whether no operation has been added yet.
     pub fn is_empty(&self) -> bool {
         self.transaction.ops.is_empty()
     }
 
-    /// How many more operations fit.
+    /// Number of further operations that the limits allow.
     pub fn room(&self) -> usize {
         self.limits.ops - self.transaction.ops.len()
     }
 
-    /// Adds an item with its write, all or nothing; false if
-    /// it does not fit.
+    /// Adds an item with its whole write. Returns false and adds nothing if the write does
+    /// not fit.
     pub fn add(&mut self, item: CommitItem, write: ConditionalWrite) -> bool {
         let operations: usize = write.operations.iter().map(operation_bytes).sum();
         let preconditions: usize = write.preconditions.iter().map(precondition_bytes).sum();
@@ -164,7 +169,7 @@
         true
     }
 
-    /// The transaction and what it carries; `None` if it has no operations.
+    /// Returns the transaction with its items; `None` if there are no operations.
     pub fn finish(self) -> Option<BuiltTransaction> {
         if self.is_empty() {
             return None;
