--- a/crates/controller/src/core/autoscaler/state.rs
+++ b/crates/controller/src/core/autoscaler/state.rs
@@ -62,7 +62,7 @@
     /// When the machine types are next read.
     pub(in crate::core) types_due: Time,
     /// Whether the last call terminated machines: other calls take turns with it.
-    pub(in crate::core) released_last: bool,
+    pub(in crate::core) last_call_terminated: bool,
     /// When intents are next checked for being settled.
     pub(in crate::core) next_settle: Time,
 }
@@ -85,7 +85,7 @@
             partial_list: Vec::new(),
             last_list: None,
             types_due: now,
-            released_last: false,
+            last_call_terminated: false,
             next_settle: now,
         }
     }
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -1,6 +1,6 @@
-//! The calls to the cloud: one at a time, in turns between terminating, provisioning
-//! and listing machines, and what their answers change. How many machines to have is
-//! decided in `capacity_planning`.
+//! The calls to the cloud: one at a time, alternating between terminations and other calls,
+//! and the changes that their answers make. `capacity_planning` decides how many machines to
+//! have.
 
 use super::cluster_state::ClusterState;
 use super::command_dispatch::CommandDispatcher;
@@ -24,42 +24,43 @@
 use crate::wire::users::ErrorResponse;
 use std::collections::BTreeMap;
 
-/// Time between checks for intents that are settled.
+/// Time between checks for completed intents.
 const SETTLE_INTERVAL: TimeSpan = TimeSpan::millis(1000);
-/// How long a call to the cloud may take, and longer by a peer.
-const CALL_TIMEOUT: TimeSpan = TimeSpan::millis(5000);
+/// Timeout of a call to the cloud: of a direct call, and of a call through a peer, which
+/// takes longer.
+const DIRECT_CALL_TIMEOUT: TimeSpan = TimeSpan::millis(5000);
 const PEER_CALL_TIMEOUT: TimeSpan = TimeSpan::millis(6000);
 /// Time between reads of the machine types.
 const TYPES_INTERVAL: TimeSpan = TimeSpan::millis(60_000);
-/// Pauses after calls that failed.
-const SHORTEST_BACKOFF: TimeSpan = TimeSpan::millis(700);
-const LONGEST_BACKOFF: TimeSpan = TimeSpan::millis(5000);
+/// Shortest and longest pause after a failed call.
+const MIN_BACKOFF: TimeSpan = TimeSpan::millis(700);
+const MAX_BACKOFF: TimeSpan = TimeSpan::millis(5000);
 
-/// The parts that an answer of the cloud changes.
+/// The parts of the leader that an answer of the cloud changes.
 pub(in crate::core) struct CloudContext<'a> {
     /// Jobs and machines.
     pub cluster: &'a mut ClusterState,
-    /// Told of machines that a list shows.
+    /// Announces the leader to machines that a list shows.
     pub commands: &'a mut CommandDispatcher,
-    /// Forgets machines that are gone.
+    /// Drops its data about machines that are gone.
     pub heartbeats: &'a mut HeartbeatReconciler,
 }
 
-/// What the cloud answered, as far as it matters to every kind of call.
+/// The outcome of a call to the cloud, of any kind.
 enum CloudAnswer {
-    /// Carried out; the body says what.
+    /// The call was carried out; with the body of the answer.
     Accepted(Vec<u8>),
-    /// Understood and not carried out: there are no such machines.
+    /// The call was not carried out: the cloud has no capacity for such machines.
     NoCapacity(Vec<u8>),
-    /// Refused for good.
+    /// The cloud will never accept the call.
     Malformed(Vec<u8>),
-    /// Certainly not carried out, and may be asked again.
+    /// The call was certainly not carried out and may be retried.
     Refused,
-    /// Not answered: it may have been carried out, or may yet be.
+    /// No answer: the call may have been carried out, or may yet be.
     Unanswered,
 }
 
-/// The method, path and body of a call.
+/// The HTTP method, path and body of a call.
 struct CloudRequest {
     method: &'static str,
     path: String,
@@ -67,7 +68,8 @@
 }
 
 impl Autoscaler {
-    /// Forgets intents and quarantine records that are settled.
+    /// Removes completed intents and outdated quarantine records; at most once per
+    /// `SETTLE_INTERVAL`.
     pub(in crate::core) fn settle_intents(
         &mut self,
         at: Now,
@@ -79,17 +81,17 @@
         }
         self.next_settle = at.time + SETTLE_INTERVAL;
         let machines = &cluster.machines;
-        let is_heard_of = |id: &MachineId| {
+        let is_seen = |id: &MachineId| {
             let machine = machines.get(id);
             machine.is_none_or(|m| m.last_heartbeat.is_some() || m.last_listed.is_some())
         };
-        self.intents.settle_completed(at.time, is_heard_of);
-        let is_known = |id: &MachineId| machines.contains_key(id);
-        quarantine.forget_old(&mut self.intents.pending_writes, at.wall, is_known);
+        self.intents.settle_completed(at.time, is_seen);
+        let exists = |id: &MachineId| machines.contains_key(id);
+        quarantine.forget_old(&mut self.intents.pending_writes, at.wall, exists);
     }
 
-    /// Makes the next call to the cloud, if one is due, itself or by a peer that
-    /// reaches the cloud better.
+    /// Makes the next call to the cloud, if one is due, directly or through the peer that
+    /// the cloud proxy has chosen.
     pub(in crate::core) fn make_next_call(
         &mut self,
         effects: &mut Effects,
@@ -107,9 +109,9 @@
         self.rate_limit.take(now, 1.0);
         self.call_in_flight = true;
         let CloudRequest { method, path, body } = self.request_for(&call);
-        let by = self.cloud_proxy.peer(now).cloned();
+        let via = self.cloud_proxy.peer(now).cloned();
         let mut peers = cluster.settings.peers.iter();
-        let peer = by
+        let peer = via
             .as_ref()
             .and_then(|node| peers.find(|peer| peer.node_id == *node));
         let id = match peer {
@@ -123,12 +125,12 @@
                     PEER_CALL_TIMEOUT,
                 )
             }
-            None => effects.call(Target::Cloud, method, path, body, CALL_TIMEOUT),
+            None => effects.call(Target::Cloud, method, path, body, DIRECT_CALL_TIMEOUT),
         };
-        pending_calls.add(id, PendingCall::Cloud(call, by));
+        pending_calls.add(id, PendingCall::Cloud(call, via));
     }
 
-    /// A call as it is sent; that it is asked for is noted.
+    /// Builds the request of a call, and marks the call's intents as requested.
     fn request_for(&mut self, call: &CloudCall) -> CloudRequest {
         let get = |path: String| CloudRequest {
             method: "GET",
@@ -143,8 +145,9 @@
         match call {
             CloudCall::Types => get("/machine_types".to_string()),
             CloudCall::List => {
-                let last = self.partial_list.last();
-                let since = last.map_or(String::new(), |machine| format!("since={}&", machine.id));
+                let last_machine = self.partial_list.last();
+                let since =
+                    last_machine.map_or(String::new(), |machine| format!("since={}&", machine.id));
                 get(format!("/machines?{since}most=500"))
             }
             CloudCall::ProvisionRequest(request) => {
@@ -161,21 +164,22 @@
         }
     }
 
-    /// Writes down which machines are to be terminated, ahead of asking for it.
+    /// Records termination intents for the machines marked as terminating, before any call
+    /// that terminates them.
     pub(in crate::core) fn record_releases(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
         wall: WallTime,
     ) {
         let intents = &self.intents;
-        let (may_terminate, may_release_busy) =
+        let (may_terminate_empty, may_terminate_busy) =
             (intents.may_terminate(false), intents.may_terminate(true));
-        if !may_release_busy {
+        if !may_terminate_busy {
             return;
         }
         let is_new = |(id, machine): &(&MachineId, &Machine)| {
             machine.lifecycle == MachineLifecycle::Terminating
-                && (may_terminate || !machine.tasks.is_empty())
+                && (may_terminate_empty || !machine.tasks.is_empty())
                 && !intents.is_terminating(id)
         };
         let new = machines.iter().filter(is_new);
@@ -187,26 +191,28 @@
         }
     }
 
-    /// The next call, if one is due. While spot machines go all the time there is
-    /// always something to release; other calls take turns with it.
+    /// The next call, if one is due. While the cloud keeps taking spot machines back, there is
+    /// always something to terminate, so other calls alternate with terminations.
     pub(in crate::core) fn next_call(&mut self, now: Time, needs_types: bool) -> Option<CloudCall> {
         if needs_types {
             return Some(CloudCall::Types);
         }
-        let call = if self.released_last {
-            self.other_call(now).or_else(|| self.release_call())
+        let call = if self.last_call_terminated {
+            self.other_call(now).or_else(|| self.termination_call())
         } else {
-            self.release_call().or_else(|| self.other_call(now))
+            self.termination_call().or_else(|| self.other_call(now))
         };
-        self.released_last = matches!(call, Some(CloudCall::Release(_)));
+        self.last_call_terminated = matches!(call, Some(CloudCall::Release(_)));
         call
     }
 
-    fn release_call(&self) -> Option<CloudCall> {
+    fn termination_call(&self) -> Option<CloudCall> {
         let machines = self.intents.next_termination();
         (!machines.is_empty()).then_some(CloudCall::Release(machines))
     }
 
+    /// The next call that terminates no machine. A provision goes ahead of a list that is due,
+    /// unless the list is a whole interval late.
     fn other_call(&self, now: Time) -> Option<CloudCall> {
         let is_list_late = now >= self.list_due + self.list_interval;
         if is_list_late {
@@ -221,21 +227,22 @@
         (now >= self.types_due).then_some(CloudCall::Types)
     }
 
-    /// The cloud answered, or not; `by` is the peer that made the call, if one did.
+    /// Handles the cloud's answer to a call, or its absence. `via`: the peer through which the
+    /// call was made; `None`: it was direct.
     pub(in crate::core) fn handle_cloud_reply(
         &mut self,
         effects: &mut Effects,
         context: &mut CloudContext<'_>,
         call: CloudCall,
-        by: Option<&NodeId>,
+        via: Option<&NodeId>,
         reply: Reply,
     ) -> LeadershipOutcome {
         let now = effects.now.time;
         self.call_in_flight = false;
-        if by.is_some() && matches!(reply, Reply::Answer(CONFLICT, _)) {
+        if via.is_some() && matches!(reply, Reply::Answer(CONFLICT, _)) {
             return LeadershipOutcome::StepDown("a peer knows a later leader");
         }
-        let answer = self.classify_reply(now, &call, by, reply);
+        let answer = self.classify_reply(now, &call, via, reply);
         let (is_accepted, body) = match answer {
             CloudAnswer::Unanswered | CloudAnswer::Refused => {
                 self.handle_failure(effects, call, &answer);
@@ -254,51 +261,49 @@
             CloudCall::ProvisionRequest(request) => {
                 self.apply_no_capacity(now, context.cluster, request);
             }
-            CloudCall::Release(machines) => self.apply_released(now, context, machines),
+            CloudCall::Release(machines) => self.apply_terminated(now, context, machines),
         }
         LeadershipOutcome::Continue
     }
 
-    /// What a reply says, and whether its way to the cloud works.
+    /// Classifies a reply, and records for the cloud proxy whether the call was answered.
     fn classify_reply(
         &mut self,
         now: Time,
         call: &CloudCall,
-        by: Option<&NodeId>,
+        via: Option<&NodeId>,
         reply: Reply,
     ) -> CloudAnswer {
         let answered = match reply {
-            // What a peer says when it got no answer itself, or did not ask.
-            Reply::Answer(400 | 404 | 405 | BAD_GATEWAY | GATEWAY_TIMEOUT, _) if by.is_some() => {
+            // Answers of a peer that got no answer from the cloud, or did not call it.
+            Reply::Answer(400 | 404 | 405 | BAD_GATEWAY | GATEWAY_TIMEOUT, _) if via.is_some() => {
                 None
             }
             Reply::Answer(status, body) => Some((status, body)),
             Reply::NotSent | Reply::Lost => None,
         };
         let Some((status, body)) = answered.filter(|(status, _)| *status != 0) else {
-            self.cloud_proxy.unanswered(now, by);
+            self.cloud_proxy.unanswered(now, via);
             return CloudAnswer::Unanswered;
         };
-        self.cloud_proxy.answered(now, by);
+        self.cloud_proxy.answered(now, via);
         match status {
             200 => CloudAnswer::Accepted(body),
             503 if is_no_capacity(&body) => CloudAnswer::NoCapacity(body),
-            // Only 200 proves that released machines are gone.
+            // Only 200 proves that terminated machines are gone.
             400 if !matches!(call, CloudCall::Release(_)) => CloudAnswer::Malformed(body),
             _ => CloudAnswer::Refused,
         }
     }
 
-    /// A call failed and is made again after a pause.
+    /// Handles a failed call: pauses all calls, and keeps or drops a provision intent.
     fn handle_failure(&mut self, effects: &mut Effects, call: CloudCall, answer: &CloudAnswer) {
         let jitter = effects.jitter();
-        let pause = self
-            .backoff
-            .failed(SHORTEST_BACKOFF, LONGEST_BACKOFF, jitter);
+        let pause = self.backoff.failed(MIN_BACKOFF, MAX_BACKOFF, jitter);
         self.not_before = effects.now.time + pause;
         if let CloudCall::ProvisionRequest(request) = call {
-            // Answered by a refusal, it was not carried out; otherwise it
-            // may have been, or may yet be: only its own name may ask again.
+            // A refused request was not carried out. A request without an answer may have
+            // been, or may yet be: it may only be repeated under the same name.
             match answer {
                 CloudAnswer::Unanswered => self.intents.mark_provision_uncertain(&request.request),
                 _ => self.intents.settle_refused_provision(&request.request),
@@ -306,6 +311,7 @@
         }
     }
 
+    /// Stores the machine types that were read; the effects pass them on to be recorded.
     fn apply_types(&mut self, effects: &mut Effects, cluster: &mut ClusterState, body: &[u8]) {
         self.types_due = effects.now.time + TYPES_INTERVAL;
         if let Some(types) = wire::decode::<MachineTypes>(body) {
@@ -314,7 +320,7 @@
         }
     }
 
-    /// A page of the machine list was read; after the last one the list counts.
+    /// Collects a page of the machine list, and applies the whole list after its last page.
     fn apply_list_page(&mut self, now: Time, context: &mut CloudContext<'_>, body: &[u8]) {
         let next_list = now + self.list_interval;
         let Some(page) = wire::decode::<MachineList>(body) else {
@@ -329,15 +335,16 @@
         self.list_due = next_list;
         self.last_list = Some(now);
         for listed in std::mem::take(&mut self.partial_list) {
-            // One that was taken in again would count as coming up, and
-            // nothing would be provisioned for the work that waits for it.
+            // Lists lag: a terminated machine that is added again would count as booting,
+            // and no machine would be provisioned for the work that waits.
             if !self.intents.is_terminated(&listed.id) {
                 apply_listed_machine(now, context, &self.intents, listed);
             }
         }
     }
 
-    /// Machines were provisioned, perhaps fewer than asked for.
+    /// Adds the machines that the cloud provisioned. Fewer than requested mean that the pool
+    /// has no more capacity.
     fn apply_provisioned(
         &mut self,
         now: Time,
@@ -364,13 +371,14 @@
         }
     }
 
+    /// Settles a provision for which the cloud has no capacity, and pauses the pool.
     fn apply_no_capacity(&mut self, now: Time, cluster: &ClusterState, request: ProvisionRequest) {
         self.intents.settle_without_capacity(&request.request);
         tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, "no capacity");
         self.pause_pool(now, cluster, &request);
     }
 
-    /// A pool that has no capacity is not asked again for a while.
+    /// Excludes a pool without capacity from provisioning for the policy's pause.
     fn pause_pool(&mut self, now: Time, cluster: &ClusterState, request: &ProvisionRequest) {
         let pause = TimeSpan::secs(cluster.policy.no_capacity_pause_s);
         let pool = CapacityPool {
@@ -381,8 +389,8 @@
         self.paused_pools.insert(pool, now + pause);
     }
 
-    /// Machines were terminated: by now they and everything on them are gone.
-    fn apply_released(
+    /// Removes machines that the cloud has terminated; their tasks are gone with them.
+    fn apply_terminated(
         &mut self,
         now: Time,
         context: &mut CloudContext<'_>,
@@ -402,7 +410,7 @@
     wire::decode::<ErrorResponse>(body).is_some_and(|response| response.error == "no capacity")
 }
 
-/// Takes over what a list says of one machine.
+/// Updates one machine from the cloud's list.
 fn apply_listed_machine(
     now: Time,
     context: &mut CloudContext<'_>,
@@ -414,10 +422,10 @@
     machine.machine_type.get_or_insert(listed.kind);
     machine.zone.get_or_insert(listed.zone);
     machine.spot = listed.spot;
-    let mut stopping = Vec::new();
+    let mut tasks_to_stop = Vec::new();
     if machine.address.is_none() {
         machine.address = listed.addr.parse().ok();
-        stopping.extend(machine.tasks.iter().cloned());
+        tasks_to_stop.extend(machine.tasks.iter().cloned());
     }
     machine.listed = Some((listed.stage, TimeSpan::secs(listed.age_s)));
     machine.last_listed = Some(now);
@@ -425,11 +433,11 @@
         machine.mark_for_termination("failed");
     }
     context.commands.announce_to(now, cluster, &listed.id);
-    if !stopping.is_empty() {
-        // Stops that an earlier leader sent to part of them are sent to all;
-        // tasks that are not to stop are left out when they are sent.
+    if !tasks_to_stop.is_empty() {
+        // An earlier leader may have sent stops to only some of the machine's tasks, so all of
+        // them are queued. Tasks without an ordered stop are left out when stops are sent.
         let direct_stops = cluster.direct_stops.entry(listed.id).or_default();
-        direct_stops.extend(stopping);
+        direct_stops.extend(tasks_to_stop);
     }
 }
 
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -21,11 +21,11 @@
     Reply::Answer(200, wire::encode(&list))
 }
 
-// Lists lag: one that still had a machine just released once brought it
-// back as a machine that never came up, and for minutes nothing was rented
-// for work that this phantom seemed to have room for.
+// Lists lag. A list that still names a machine that was just terminated must not add it
+// again: such a machine counted as booting, and for minutes no machine was provisioned for
+// the work that it seemed to have room for.
 #[test]
-fn stale_list_does_not_bring_back_released_machine() {
+fn stale_list_does_not_restore_terminated_machine() {
     let mut leader = leader();
     leader.handle_cloud_reply(
         &mut effects_at(1.0),
@@ -34,10 +34,10 @@
         list(&["host-1", "host-2"]),
     );
     assert_eq!(leader.cluster.machines.len(), 2);
-    let release = CloudCall::Release(vec!["host-1".into()]);
+    let termination = CloudCall::Release(vec!["host-1".into()]);
     leader.handle_cloud_reply(
         &mut effects_at(2.0),
-        release,
+        termination,
         None,
         Reply::Answer(200, Vec::new()),
     );
@@ -47,19 +47,19 @@
         None,
         list(&["host-1", "host-2"]),
     );
-    let left: Vec<_> = leader
+    let remaining: Vec<_> = leader
         .cluster
         .machines
         .keys()
         .map(|m| m.to_string())
         .collect();
-    assert_eq!(left, ["host-2"]);
+    assert_eq!(remaining, ["host-2"]);
 }
 
-// While spot machines were taken back all the time every call to the cloud
-// was a release, and for minutes nothing was rented.
+// While the cloud keeps taking spot machines back, there is always a machine to terminate.
+// When every call was a termination, no machine was provisioned for minutes.
 #[test]
-fn releases_alternate_with_other_calls() {
+fn terminations_alternate_with_other_calls() {
     let mut leader = leader();
     let pool = CapacityPool {
         machine_type: "g4".into(),
@@ -67,7 +67,7 @@
         spot: true,
     };
     leader.autoscaler.intents.provision(pool, 3, WallTime(0));
-    let mut made = Vec::new();
+    let mut calls = Vec::new();
     for n in 0..6 {
         let id = MachineId::from(format!("host-{n}"));
         leader
@@ -80,7 +80,7 @@
         for (key, _) in leader.autoscaler.intents.pending_writes.take_puts(9) {
             leader.autoscaler.intents.mark_stored(&key);
         }
-        made.push(
+        calls.push(
             match leader
                 .autoscaler
                 .next_call(Time(1), leader.cluster.machine_types.is_empty())
@@ -105,18 +105,19 @@
             },
         );
     }
-    assert_eq!(made[..4], ["release", "rent", "release", "list"]);
+    assert_eq!(calls[..4], ["release", "rent", "release", "list"]);
 }
 
-// What a leader had under way with the cloud once died with its process.
+// A leader's provisions and terminations are recorded; without the records they were lost
+// when the leader's process ended.
 #[test]
 fn successor_continues_recorded_intents() {
     let now = Now {
         time: Time(1),
         wall: WallTime(5000),
     };
-    let mut first = leader();
-    first.autoscaler.intents.provision(
+    let mut predecessor = leader();
+    predecessor.autoscaler.intents.provision(
         CapacityPool {
             machine_type: "g4".into(),
             zone: "z0".into(),
@@ -125,72 +126,74 @@
         3,
         WallTime(0),
     );
-    first
+    predecessor
         .cluster
-        .register_machine(Time(0), &"host-1".into(), &first.autoscaler.intents)
+        .register_machine(Time(0), &"host-1".into(), &predecessor.autoscaler.intents)
         .mark_for_termination("idle");
-    first
+    predecessor
         .autoscaler
-        .record_releases(&first.cluster.machines, WallTime(0));
+        .record_releases(&predecessor.cluster.machines, WallTime(0));
     assert!(
-        first
+        predecessor
             .autoscaler
             .next_call(Time(1), false)
             .is_some_and(|c| matches!(c, CloudCall::List))
     );
-    let stored = first.autoscaler.intents.pending_writes.take_puts(9);
-    let mut next = leader();
+    let stored = predecessor.autoscaler.intents.pending_writes.take_puts(9);
+    let mut successor = leader();
     let entries = stored.into_iter().map(|(key, value)| wire::kvstore::Entry {
         key,
         value,
         version: crate::types::Version(7),
     });
-    next.records()
+    successor
+        .records()
         .context
         .load_leader_records(now, entries.collect());
-    // It starts nothing there, whatever brings the machine up again.
+    // The successor starts nothing on the machine, even if the machine is registered again.
     assert_eq!(
-        next.cluster
-            .register_machine(Time(2), &"host-1".into(), &next.autoscaler.intents)
+        successor
+            .cluster
+            .register_machine(Time(2), &"host-1".into(), &successor.autoscaler.intents)
             .lifecycle,
         MachineLifecycle::Terminating
     );
-    let Some(CloudCall::Release(names)) = next
+    let Some(CloudCall::Release(names)) = successor
         .autoscaler
-        .next_call(Time(2), next.cluster.machine_types.is_empty())
+        .next_call(Time(2), successor.cluster.machine_types.is_empty())
     else {
-        panic!("the release is not asked for")
+        panic!("the termination is not requested")
     };
-    next.handle_cloud_reply(
+    successor.handle_cloud_reply(
         &mut effects_at(2.0),
         CloudCall::Release(names),
         None,
         Reply::Answer(200, Vec::new()),
     );
-    next.handle_cloud_reply(
+    successor.handle_cloud_reply(
         &mut effects_at(2.0),
         CloudCall::List,
         None,
         list(&["host-1"]),
     );
     assert!(
-        next.cluster.machines.is_empty(),
-        "a late list brought it back"
+        successor.cluster.machines.is_empty(),
+        "a stale list restored the machine"
     );
-    let Some(CloudCall::ProvisionRequest(rent)) = next
+    let Some(CloudCall::ProvisionRequest(request)) = successor
         .autoscaler
-        .next_call(Time(3), next.cluster.machine_types.is_empty())
+        .next_call(Time(3), successor.cluster.machine_types.is_empty())
     else {
-        panic!("the hire is not repeated")
+        panic!("the provision is not repeated")
     };
-    assert_eq!((rent.request.as_str(), rent.count), ("5-1", 3));
+    assert_eq!((request.request.as_str(), request.count), ("5-1", 3));
 }
 
-// Only 200 proves that released machines are gone. A 400 once did too, and a
-// peer that calls for us may give one, or a 404, of its own.
+// Only status 200 proves that terminated machines are gone. A 400 was once taken as proof
+// too, but a peer that forwards the call may answer 400 or 404 without calling the cloud.
 #[test]
-fn refused_release_keeps_machine() {
-    for (status, by) in [(400, None), (400, Some("node-1")), (404, Some("node-1"))] {
+fn refused_termination_keeps_machine() {
+    for (status, via) in [(400, None), (400, Some("node-1")), (404, Some("node-1"))] {
         let mut leader = leader();
         let id = MachineId::from("host-1");
         leader
@@ -199,10 +202,10 @@
             .mark_for_termination("idle");
         let call = CloudCall::Release(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
-        leader.handle_cloud_reply(&mut effects_at(2.0), call, by.map(NodeId::from), reply);
+        leader.handle_cloud_reply(&mut effects_at(2.0), call, via.map(NodeId::from), reply);
         assert!(
             leader.cluster.machines.contains_key(&id),
-            "{status} by {by:?}"
+            "{status} via {via:?}"
         );
         assert!(!leader.autoscaler.intents.is_terminated(&id));
     }
--- a/crates/controller/src/core/leader/cluster_state.rs
+++ b/crates/controller/src/core/leader/cluster_state.rs
@@ -1,5 +1,5 @@
-//! The leader's tables of jobs and machines, which all of its parts read, and the
-//! changes to them that still have to be written or sent. Makes no calls itself.
+//! The leader's tables of jobs and machines, shared by all parts of the leader, and the
+//! changes to them that are still to be written or sent. Makes no calls itself.
 
 use crate::core::assignment::Assignment;
 use crate::core::autoscaler::intents::Intents;
@@ -14,64 +14,66 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Changes to jobs that no transaction has picked up yet.
+/// Changes to jobs that are not part of any transaction yet.
 #[derive(Debug, Default)]
 pub(in crate::core) struct UnwrittenChanges {
     /// Chunks whose stored record is out of date.
     pub dirty_chunks: DirtyChunks,
-    /// Jobs whose header is to say that they are done.
+    /// Jobs that are done and whose header is not updated yet.
     pub finished_jobs: BTreeSet<JobId>,
     /// Ended jobs whose keys are to be deleted.
     pub jobs_to_delete: BTreeSet<JobId>,
 }
 
-/// How far the starts are stored that a machine has not been sent yet.
+/// Whether the unsent starts of a machine are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::core) enum UnsentStarts {
-    /// There are none.
+    /// The machine has no unsent starts.
     None,
-    /// Some are not stored yet, so must not be sent.
+    /// At least one unsent start is not stored yet and must not be sent.
     WaitForStorage,
-    /// All of them are stored and can be sent.
+    /// All unsent starts are stored and may be sent.
     Sendable,
 }
 
-/// Heartbeat intervals after which a silent machine gets no more work.
-const MISSED_HEARTBEATS: f64 = 2.5;
-/// Added to them, for delays on the way.
+/// Heartbeat intervals after which a silent machine gets no new work.
+const MAX_SILENT_INTERVALS: f64 = 2.5;
+/// Added to these intervals, for network delays.
 const HEARTBEAT_SLACK: TimeSpan = TimeSpan::millis(1000);
 
-/// A task that has run this many times as long as estimated, and `MIN_PREDICTABLE_RUN`
-/// more, has no end that could be predicted.
-const PREDICTABLE_OVERRUN: f64 = 3.0;
-/// Estimates of seconds are often those of users who had none.
+/// The end of a task is not predictable once the task has run for this many times its
+/// estimate plus `MIN_PREDICTABLE_RUN`.
+const MAX_PREDICTABLE_OVERRUN: f64 = 3.0;
+/// Added to that limit: users who have no estimate often give a few seconds.
 const MIN_PREDICTABLE_RUN: TimeSpan = TimeSpan::millis(60_000);
 
-/// Jobs, machines, and what is known of both.
+/// Jobs, machines, and the data derived from both.
 #[derive(Debug)]
 pub(in crate::core) struct ClusterState {
-    /// The node's settings.
+    /// The controller's settings.
     pub settings: Rc<Settings>,
     /// The scheduling policy.
     pub policy: Rc<Policy>,
-    /// All jobs that have a record.
+    /// All jobs that have a record in the key-value store.
     pub jobs: BTreeMap<JobId, Job>,
-    /// All machines heard of and not known to be gone.
+    /// All machines that a heartbeat, a list or a record named and that are not known to be
+    /// gone.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// What machines of each type offer and cost.
+    /// Resources, zones and price of each machine type, as read from the cloud.
     pub machine_types: BTreeMap<MachineTypeName, MachineType>,
     /// How long fetching each image takes.
     pub fetch_estimates: FetchEstimates,
-    /// Tasks per stored record.
+    /// The number of tasks in one stored chunk record.
     pub chunk_size: ChunkSize,
-    /// What the next transactions write.
+    /// Changes to jobs that the next transactions write.
     pub unwritten: UnwrittenChanges,
-    /// Stops to send straight to each machine, ahead of its next heartbeat.
+    /// Tasks to stop by a direct command to their machine, ahead of the machine's next
+    /// heartbeat.
     pub direct_stops: BTreeMap<MachineId, Vec<TaskId>>,
 }
 
 impl ClusterState {
-    /// Without jobs and machines.
+    /// A state without jobs and machines.
     pub fn new(settings: Rc<Settings>, policy: Rc<Policy>) -> ClusterState {
         ClusterState {
             jobs: BTreeMap::new(),
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Adds or replaces machine types read from the cloud or the state service.
+    /// Adds or replaces machine types read from the cloud or the key-value store.
     pub fn set_machine_types(&mut self, types: &MachineTypes) {
         for machine_type in &types.kinds {
             let name = machine_type.name.clone();
@@ -94,18 +96,20 @@
         }
     }
 
-    /// The type of a machine, if both are known.
+    /// The type of a machine; `None` if the machine's type name is not known or the name
+    /// has no machine type.
     pub fn type_of(&self, machine: &Machine) -> Option<&MachineType> {
         self.machine_types.get(machine.machine_type.as_ref()?)
     }
 
     /// How long a machine may be silent and still get work.
     pub fn max_silence(&self) -> TimeSpan {
-        self.settings.workers.report.scaled(MISSED_HEARTBEATS) + HEARTBEAT_SLACK
+        self.settings.workers.report.scaled(MAX_SILENT_INTERVALS) + HEARTBEAT_SLACK
     }
 
-    /// The record of a machine that was heard of, new or not. One that is being
-    /// terminated stays so, whoever decided it and whatever brought it up again.
+    /// The entry of a machine that a heartbeat, a list or an answer named, created if
+    /// missing. A machine with a termination intent, of this leader or an earlier one, is
+    /// marked as terminating.
     pub fn register_machine(
         &mut self,
         now: Time,
@@ -122,7 +126,7 @@
         machine
     }
 
-    /// Room for images on a machine, in GB; zero while its type is unknown.
+    /// The capacity of a machine's image cache, in GB; zero while the type is unknown.
     pub fn cache_room_gb(&self, id: &MachineId) -> f64 {
         self.machines
             .get(id)
@@ -130,7 +134,8 @@
             .map_or(0.0, |machine_type| machine_type.cache_gb)
     }
 
-    /// Expected remaining time of a task on its machine.
+    /// Expected remaining time of a task on its machine, from its estimate and, before it
+    /// runs, the estimated image fetch. Zero for a task that exceeds its estimate.
     pub fn remaining_time(&self, now: Time, job: &Job, assignment: &Assignment) -> TimeSpan {
         let run = TimeSpan::secs(job.spec.estimate_s);
         if let Some(started) = assignment.running_since {
@@ -143,9 +148,9 @@
         run + fetch
     }
 
-    /// In what time a task's machine is predicted to have its room again; `None`: no end
-    /// can be predicted. A task that is late is expected to run on for as long as it is
-    /// late already.
+    /// Predicted time until a task frees its resources; `None`: its end is not predictable.
+    /// A task that exceeds its estimate is expected to run for as long again as it has
+    /// exceeded it so far.
     pub fn predicted_remaining(
         &self,
         now: Time,
@@ -159,26 +164,26 @@
             return None;
         }
         let estimate = TimeSpan::secs(job.spec.estimate_s);
-        let ran = assignment
+        let elapsed = assignment
             .running_since
             .map_or(TimeSpan::ZERO, |started| now.since(started));
-        if ran <= estimate {
+        if elapsed <= estimate {
             return Some(self.remaining_time(now, job, assignment));
         }
-        let most = estimate.scaled(PREDICTABLE_OVERRUN) + MIN_PREDICTABLE_RUN;
-        (ran <= most).then(|| TimeSpan(ran.0 - estimate.0))
+        let limit = estimate.scaled(MAX_PREDICTABLE_OVERRUN) + MIN_PREDICTABLE_RUN;
+        (elapsed <= limit).then(|| TimeSpan(elapsed.0 - estimate.0))
     }
 
-    /// Whether any open job has tasks that wait for room.
+    /// Whether any open job has tasks that are not placed.
     pub fn has_waiting_tasks(&self) -> bool {
         self.jobs
             .values()
             .any(|job| job.is_open() && !job.waiting.is_empty())
     }
 
-    /// How far the unsent starts of a machine are stored.
+    /// Whether the unsent starts of a machine are stored.
     pub fn unsent_starts(&self, id: &MachineId) -> UnsentStarts {
-        let (mut stored, mut unstored) = (false, false);
+        let (mut has_stored, mut has_unstored) = (false, false);
         let tasks = self.machines.get(id).map(|machine| &machine.tasks);
         for task in tasks.into_iter().flatten() {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -189,12 +194,12 @@
                 continue;
             };
             if job.is_stored(self.chunk_size, task.index, unsent.change) {
-                stored = true;
+                has_stored = true;
             } else {
-                unstored = true;
+                has_unstored = true;
             }
         }
-        match (stored, unstored) {
+        match (has_stored, has_unstored) {
             (_, true) => UnsentStarts::WaitForStorage,
             (true, false) => UnsentStarts::Sendable,
             (false, false) => UnsentStarts::None,
--- a/crates/controller/src/core/leader/cycle_inputs.rs
+++ b/crates/controller/src/core/leader/cycle_inputs.rs
@@ -1,5 +1,4 @@
-//! What one scheduling cycle reads of the cluster: machines as rows, and what teams
-//! use of their quotas.
+//! The tables that one scheduling cycle reads: machines as rows, and the quota usage of teams.
 
 use super::cluster_state::ClusterState;
 use crate::core::failpoints::{self, SafetyCheck};
@@ -11,24 +10,24 @@
 use std::collections::{BTreeMap, HashMap};
 
 impl ClusterState {
-    /// The machines that work may be placed on, as the cycle sees them.
+    /// One row for each machine that work may be placed on, quarantined machines included.
     pub fn machine_rows(&self, now: Time) -> Vec<MachineRow> {
-        let silence = self.max_silence();
+        let max_silence = self.max_silence();
         self.machines
             .iter()
-            .filter(|(_, machine)| machine.is_healthy(now, silence))
+            .filter(|(_, machine)| machine.is_healthy(now, max_silence))
             .filter_map(|(id, machine)| self.machine_row(now, id, machine))
             .collect()
     }
 
-    /// One machine as a row, if its type and zone are known.
+    /// The row of one machine; `None` while the machine's type or zone is not known.
     pub fn machine_row(&self, now: Time, id: &MachineId, machine: &Machine) -> Option<MachineRow> {
-        let kind = machine.machine_type.clone()?;
-        let machine_type = self.machine_types.get(&kind)?;
+        let type_name = machine.machine_type.clone()?;
+        let machine_type = self.machine_types.get(&type_name)?;
         let capacity = machine_type.has();
         Some(MachineRow {
             id: id.clone(),
-            machine_type: kind,
+            machine_type: type_name,
             zone: machine.zone.clone()?,
             spot: machine.spot,
             capacity,
@@ -42,14 +41,16 @@
         })
     }
 
-    /// Predicts what of each row's machine will be free, and when all of that is.
+    /// Fills in `available_at` and `reservable` of each row: `reservable` is what will become
+    /// free, that is all but the share of tasks without a predictable end; `available_at` is
+    /// when all of that is free.
     pub fn predict_availability(&self, now: Time, rows: &mut [MachineRow]) {
-        let index = row_index(rows);
+        let row_by_machine = row_index(rows);
         let mut available_at = vec![now; rows.len()];
         let mut unpredictable = vec![Resources::default(); rows.len()];
         for job in self.jobs.values() {
             for assignment in job.assignments.values() {
-                let Some(&row) = index.get(&assignment.machine) else {
+                let Some(&row) = row_by_machine.get(&assignment.machine) else {
                     continue;
                 };
                 match self.predicted_remaining(now, job, assignment) {
@@ -64,18 +65,23 @@
         }
     }
 
-    /// What teams use, counting every place a task may be.
+    /// The quota and usage of each team. A task counts on every machine where it may be
+    /// running, tasks of ended jobs included.
     pub fn team_use(&self) -> BTreeMap<Team, TeamUse> {
-        let unused = |share| TeamUse {
+        let without_usage = |share| TeamUse {
             used: Resources::default(),
             share,
         };
         let teams = self.settings.teams.iter();
         let mut teams: BTreeMap<Team, TeamUse> = teams
-            .map(|(team, share)| (team.clone(), unused(*share)))
+            .map(|(team, share)| (team.clone(), without_usage(*share)))
             .collect();
-        let ended_count = failpoints::enforced(SafetyCheck::EndedJobsCountForQuota);
-        for job in self.jobs.values().filter(|j| ended_count || j.is_open()) {
+        let count_ended_jobs = failpoints::enforced(SafetyCheck::EndedJobsCountForQuota);
+        for job in self
+            .jobs
+            .values()
+            .filter(|j| count_ended_jobs || j.is_open())
+        {
             if let Some(team) = teams.get_mut(&job.spec.team) {
                 team.used += job.spec.needs().times(job.tasks_possibly_running() as f64);
             }
@@ -83,7 +89,8 @@
         teams
     }
 
-    /// What teams hold of their quotas, and what of that is being stopped.
+    /// What each team uses of its quota, and how much of that belongs to tasks that are being
+    /// stopped.
     pub fn quota_usage(&self) -> QuotaUsage {
         let mut usage = QuotaUsage::new(&self.settings.teams);
         for job in self
@@ -93,13 +100,18 @@
         {
             let assignments = job.assignments.values();
             let stopping = assignments.filter(|a| a.stop.is_some()).count();
-            let each = QuotaUnits::of(&job.spec.needs());
-            usage.add_tasks(&job.spec.team, each, job.tasks_possibly_running(), stopping);
+            let per_task = QuotaUnits::of(&job.spec.needs());
+            usage.add_tasks(
+                &job.spec.team,
+                per_task,
+                job.tasks_possibly_running(),
+                stopping,
+            );
         }
         usage
     }
 
-    /// What all machines together have that have sent a heartbeat.
+    /// The total resources of all machines that have sent a heartbeat.
     pub fn fleet_resources(&self) -> Resources {
         let mut fleet = Resources::default();
         let machines = self.machines.values();
@@ -112,7 +124,7 @@
     }
 }
 
-/// Where each machine stands among the rows.
+/// The index of each machine's row.
 pub(super) fn row_index(rows: &[MachineRow]) -> HashMap<&MachineId, usize> {
     let rows = rows.iter().enumerate();
     rows.map(|(index, row)| (&row.id, index)).collect()
--- a/crates/controller/src/core/leader/fleet_health.rs
+++ b/crates/controller/src/core/leader/fleet_health.rs
@@ -1,52 +1,58 @@
-//! Machines that are to go: which never came up, fell silent, failed or are no longer
-//! listed. Only marks them; the autoscaler terminates them.
+//! Health checks of machines: marks machines for termination that never came up, fell
+//! silent, failed or are no longer listed. The autoscaler terminates them.
 
 use super::cluster_state::ClusterState;
 use crate::core::machine::{Machine, MachineLifecycle};
 use crate::types::{Time, TimeSpan};
 
-/// Boot time of a machine whose type is not known, in seconds.
+/// Assumed boot time of a machine of unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// Added to twice the cloud's list lag, before a list counts as newer than a heartbeat.
-const LIST_SLACK: TimeSpan = TimeSpan::millis(1000);
+/// Added to twice the cloud's list lag: a list that was read this long after a heartbeat is
+/// newer than the heartbeat.
+const LIST_LAG_SLACK: TimeSpan = TimeSpan::millis(1000);
 
-/// What is to become of a machine.
+/// The outcome of a machine's health check.
 enum HealthResult {
-    /// It stays as it is.
+    /// The machine is kept.
     Keep,
-    /// It was never there: nothing is known of it but that it was asked for.
+    /// The machine is removed from the tables: it was requested, but neither a heartbeat
+    /// nor a list has ever shown it.
     Forget,
-    /// It is terminated, for this reason, without a log line: it is expected.
+    /// The machine is terminated for this reason, an expected one that is not logged.
     Terminate(&'static str),
-    /// It is terminated, for this reason, and the log says so.
+    /// The machine is terminated for this reason, and that is logged.
     TerminateAndLog(&'static str),
 }
 
-/// How machines are judged in one check.
+/// The limits that one check applies to all machines.
 struct HealthCheck {
     now: Time,
-    /// How long a machine may be silent and still get work.
+    /// Silence after which a machine gets no new work.
     max_silence: TimeSpan,
-    /// After how much silence a machine is terminated whatever the list says.
-    silent_release: TimeSpan,
-    /// For how long a quarantined machine is kept, idle.
+    /// Silence, or loss of answers to heartbeats, after which a machine is terminated even if
+    /// the cloud lists it.
+    silence_limit: TimeSpan,
+    /// How long a machine is kept idle; also the longest remaining quarantine with which an
+    /// empty machine is kept.
     idle_limit: TimeSpan,
-    /// A list says that a machine is gone if it was read so long after its heartbeat:
-    /// lists are up to twice the lag old.
-    list_lag: TimeSpan,
-    /// When the last whole list was read.
+    /// A list without a machine proves that the machine is gone if the list was read more
+    /// than this after the machine's last heartbeat: lists are up to twice the lag old.
+    max_list_age: TimeSpan,
+    /// When the last complete list was read; `None`: none yet.
     last_list: Option<Time>,
 }
 
 impl ClusterState {
-    /// Marks machines that never came up, fell silent or are gone.
+    /// Marks machines for termination that never came up, fell silent or failed, and removes
+    /// entries of machines that never existed. `last_list`: when the last complete list was
+    /// read.
     pub fn retire_machines(&mut self, now: Time, last_list: Option<Time>) {
         let check = HealthCheck {
             now,
             max_silence: self.max_silence(),
-            silent_release: TimeSpan::secs(self.policy.silent_release_s),
+            silence_limit: TimeSpan::secs(self.policy.silent_release_s),
             idle_limit: TimeSpan::secs(self.policy.idle_s),
-            list_lag: TimeSpan(self.settings.list_lag.0 * 2) + LIST_SLACK,
+            max_list_age: TimeSpan(self.settings.list_lag.0 * 2) + LIST_LAG_SLACK,
             last_list,
         };
         let mut forgotten = Vec::new();
@@ -56,7 +62,7 @@
                 .and_then(|name| self.machine_types.get(name))
                 .map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
             let boot_limit = TimeSpan::secs(boot_s * self.policy.boot_patience);
-            match check.judge(machine, boot_limit) {
+            match check.evaluate(machine, boot_limit) {
                 HealthResult::Keep => {}
                 HealthResult::Forget => forgotten.push(id.clone()),
                 HealthResult::Terminate(reason) => machine.mark_for_termination(reason),
@@ -73,7 +79,7 @@
 }
 
 impl HealthCheck {
-    fn judge(&self, machine: &Machine, boot_limit: TimeSpan) -> HealthResult {
+    fn evaluate(&self, machine: &Machine, boot_limit: TimeSpan) -> HealthResult {
         match machine.lifecycle {
             MachineLifecycle::Terminating => return HealthResult::Keep,
             MachineLifecycle::Draining if machine.tasks.is_empty() => {
@@ -81,25 +87,25 @@
             }
             MachineLifecycle::Draining | MachineLifecycle::InService => {}
         }
-        if machine.tasks.is_empty() && self.is_quarantined_for_long(machine) {
-            // It is paid for nothing, as an idle machine is.
+        if machine.tasks.is_empty() && self.has_long_quarantine_left(machine) {
+            // The machine costs money and does no work, like an idle machine.
             return HealthResult::Terminate("put aside");
         }
         if machine.tasks.is_empty() && self.is_unreachable_for_long(machine) {
-            // It is paid, and nothing can be had of it.
+            // The machine costs money and cannot be used.
             return HealthResult::TerminateAndLog("does not hear");
         }
         if machine.presumed_dead && machine.listed_as_failed() {
             return HealthResult::Terminate("failed");
         }
-        self.judge_silence(machine, boot_limit)
+        self.evaluate_silence(machine, boot_limit)
     }
 
-    /// Judges a machine by how long it has been silent.
-    fn judge_silence(&self, machine: &Machine, boot_limit: TimeSpan) -> HealthResult {
-        let last_heard = machine.last_heartbeat.unwrap_or(machine.first_seen);
-        let silence = self.now.since(last_heard);
-        let is_unlisted = self.is_unlisted(machine, last_heard);
+    /// Evaluates how long a machine has been silent, and whether the last list names it.
+    fn evaluate_silence(&self, machine: &Machine, boot_limit: TimeSpan) -> HealthResult {
+        let last_seen = machine.last_heartbeat.unwrap_or(machine.first_seen);
+        let silence = self.now.since(last_seen);
+        let is_unlisted = self.is_unlisted(machine, last_seen);
         if machine.last_heartbeat.is_none() {
             let is_late = silence > boot_limit;
             if is_late && machine.last_listed.is_some() {
@@ -111,38 +117,38 @@
             return HealthResult::Keep;
         }
         if silence > self.max_silence && is_unlisted {
-            // Silent and no longer listed: taken by the cloud. A release costs nothing
-            // then, and its answer proves that the tasks are gone, long
-            // before the lease would.
+            // Silent and no longer listed: the cloud has taken the machine back. Terminating
+            // it costs nothing, and the answer proves that its tasks are gone, long before
+            // the lease expires.
             let reason = "silent and not listed";
             if machine.tasks.is_empty() {
                 return HealthResult::Terminate(reason);
             }
             return HealthResult::TerminateAndLog(reason);
         }
-        if silence > self.silent_release {
+        if silence > self.silence_limit {
             return HealthResult::TerminateAndLog("silent for long");
         }
         HealthResult::Keep
     }
 
-    fn is_quarantined_for_long(&self, machine: &Machine) -> bool {
+    fn has_long_quarantine_left(&self, machine: &Machine) -> bool {
         let until = machine.quarantined_until;
         until.is_some_and(|until| until.since(self.now) > self.idle_limit)
     }
 
     fn is_unreachable_for_long(&self, machine: &Machine) -> bool {
         let unreachable = machine.delivery.loss_duration(self.now);
-        unreachable.is_some_and(|span| span > self.silent_release)
+        unreachable.is_some_and(|span| span > self.silence_limit)
     }
 
-    /// Whether the last list lacks a machine that it would have, were it still there:
-    /// one read well after it was last heard of.
-    fn is_unlisted(&self, machine: &Machine, last_heard: Time) -> bool {
+    /// Whether the last list lacks a machine that it would name if the machine still existed:
+    /// the list was read well after the machine was last seen and after it was first seen.
+    fn is_unlisted(&self, machine: &Machine, last_seen: Time) -> bool {
         self.last_list.is_some_and(|list| {
-            list > last_heard + self.list_lag
+            list > last_seen + self.max_list_age
                 && machine.last_listed.is_none_or(|listed| list > listed)
-                && machine.first_seen + self.list_lag < list
+                && machine.first_seen + self.max_list_age < list
         })
     }
 }
--- a/crates/controller/src/core/leader/placement_requests.rs
+++ b/crates/controller/src/core/leader/placement_requests.rs
@@ -1,5 +1,5 @@
-//! What waits for a place: the placement requests of one scheduling cycle, and why
-//! other jobs make none.
+//! The placement requests of one scheduling cycle, one for each job with waiting tasks, and
+//! the reason why a job with waiting tasks gets no request.
 
 use super::cluster_state::ClusterState;
 use super::job_objectives::JobObjectives;
@@ -13,27 +13,27 @@
 use crate::wire::users::JobShape;
 use std::collections::{BTreeMap, HashMap};
 
-/// Most tasks of one job that one cycle looks at.
-const MAX_TASKS_PER_CYCLE: usize = 512;
-/// How much longer a job that is no gang waits before it counts as aged.
-const SINGLE_PATIENCE: f64 = 10.0;
+/// Most tasks in the placement request of a job that is not a gang.
+const MAX_TASKS_PER_REQUEST: usize = 512;
+/// After how many times the patience of the policy a job that is not a gang counts as aged.
+const NON_GANG_PATIENCE_FACTOR: f64 = 10.0;
 
-/// What a request is computed from beside its job.
+/// What a request is computed from, besides the job.
 struct RequestInputs<'a> {
     at: Now,
     objectives: JobObjectives<'a>,
-    /// After how long a job has waited too long.
+    /// Waiting time after which a gang counts as aged, and any job as overdue.
     patience: TimeSpan,
-    /// How long a gang's first predicted start counts after it has passed. Then a new one
-    /// is promised: estimates were so wrong that machines would stand idle.
+    /// How long a gang's promised start stays valid after it has passed. After that a new
+    /// start is predicted: the estimates were so wrong that machines would stay idle.
     promise_slack: TimeSpan,
-    /// After how long beside reserved room a job may use some.
+    /// After how long a job that found only reserved room may use some of that room.
     held_back_limit: TimeSpan,
 }
 
 impl ClusterState {
-    /// The requests of all jobs that have waiting tasks and may be placed; the others
-    /// get the reason noted.
+    /// The requests of all open jobs with waiting tasks that may be placed. Any other open
+    /// job with waiting tasks gets the reason as `waiting_reason`.
     pub fn placement_requests(
         &mut self,
         at: Now,
@@ -52,12 +52,12 @@
         let waiting = self.jobs.iter_mut();
         for (id, job) in waiting.filter(|(_, job)| job.is_open() && !job.waiting.is_empty()) {
             job.notes.waiting_since.get_or_insert(at.time);
-            if let Some(obstacle) = obstacle(at.time, authority, id, job) {
-                job.notes.waiting_reason = obstacle;
+            if let Some(reason) = blocking_reason(at.time, authority, id, job) {
+                job.notes.waiting_reason = reason;
                 continue;
             }
             let Some(tasks_in_zones) = tasks_in_zones(&self.machines, job) else {
-                job.notes.waiting_reason = "the zone of one of its tasks is not known yet";
+                job.notes.waiting_reason = "the zone of one of the job's tasks is not known yet";
                 continue;
             };
             job.notes.waiting_reason = "no room";
@@ -66,21 +66,22 @@
         requests
     }
 
-    /// Marks the open jobs that lie within their team's guaranteed quota: together
-    /// with the team's earlier unfinished jobs they fit into it.
+    /// Marks the open jobs within their team's guaranteed quota: those that fit into the
+    /// quota together with all open jobs of the team that were accepted earlier.
     fn mark_within_guarantee(&mut self) {
         let mut open: Vec<&mut Job> = self.jobs.values_mut().filter(|j| j.is_open()).collect();
-        // Jobs come in the order of their ids, which decides among equals.
+        // The sort is stable and the jobs are ordered by id, so the id decides among jobs
+        // accepted at the same time.
         open.sort_by_key(|job| job.accepted_at);
-        let mut sums: HashMap<Team, Resources> = HashMap::new();
+        let mut needs_by_team: HashMap<Team, Resources> = HashMap::new();
         for job in open {
             let Some(share) = self.settings.teams.get(&job.spec.team) else {
                 continue;
             };
-            let sum = sums.entry(job.spec.team.clone()).or_default();
-            let whole = *sum + job.spec.needs().times(f64::from(job.spec.tasks));
-            job.notes.within_guarantee = share.guarantees(&whole);
-            *sum = whole;
+            let team_needs = needs_by_team.entry(job.spec.team.clone()).or_default();
+            let with_job = *team_needs + job.spec.needs().times(f64::from(job.spec.tasks));
+            job.notes.within_guarantee = share.guarantees(&with_job);
+            *team_needs = with_job;
         }
     }
 }
@@ -97,10 +98,10 @@
             let since = job.notes.waiting_since;
             since.is_some_and(|since| self.at.time.since(since) > span)
         };
-        let aging = if job.is_gang() {
+        let aged_after = if job.is_gang() {
             self.patience
         } else {
-            self.patience.scaled(SINGLE_PATIENCE)
+            self.patience.scaled(NON_GANG_PATIENCE_FACTOR)
         };
         PlacementRequest {
             job: id.clone(),
@@ -122,10 +123,11 @@
             spot: spec.spot,
             run_time: (spec.shape != JobShape::Service).then(|| TimeSpan::secs(spec.estimate_s)),
             start_by: self.objectives.start_by(self.at.time, self.at.wall, job),
-            aged: waited_longer_than(aging),
-            // The paper's gate has no end: beside a stream of urgent starts a cold
-            // fetch would wait for ever on machines that have room. And where all
-            // machines are quarantined, one of those is better than none.
+            aged: waited_longer_than(aged_after),
+            // The gate for cold images in the paper (see `scheduling_cycle`) has no time
+            // limit: during a stream of urgent starts a cold fetch would wait for ever,
+            // although machines have room. And where all machines are quarantined, a
+            // quarantined machine is better than none.
             overdue: waited_longer_than(self.patience)
                 && failpoints::enforced(SafetyCheck::AgedWorkSkipsPreferences),
             promised_start: job
@@ -141,34 +143,40 @@
     }
 }
 
-/// A gang's tasks are placed together, others a part at a time.
+/// The tasks of a job's next request: all waiting tasks of a gang, as a gang is placed whole;
+/// at most `MAX_TASKS_PER_REQUEST` of another job.
 fn tasks_to_place(job: &Job) -> Vec<u32> {
     if job.is_gang() {
         job.waiting.iter().collect()
     } else {
-        job.waiting.iter().take(MAX_TASKS_PER_CYCLE).collect()
+        job.waiting.iter().take(MAX_TASKS_PER_REQUEST).collect()
     }
 }
 
-/// Why a job's waiting tasks may not be placed now, for operators.
-fn obstacle(now: Time, authority: &LeaderAuthority, id: &JobId, job: &Job) -> Option<&'static str> {
+/// Why a job's waiting tasks may not be placed now, as shown to operators; `None` if they may.
+fn blocking_reason(
+    now: Time,
+    authority: &LeaderAuthority,
+    id: &JobId,
+    job: &Job,
+) -> Option<&'static str> {
     if job.unreadable {
-        return Some("a record of it cannot be read");
+        return Some("one of the job's records cannot be read");
     }
     if authority.is_reported_cancelled(id) {
-        return Some("it is cancelled, as a peer says");
+        return Some("a peer reports the job as cancelled");
     }
     if now < job.notes.not_before {
-        return Some("it failed lately");
+        return Some("the job waits for its retry delay");
     }
     if job.is_gang() && !job.assignments.is_empty() {
-        return Some("its last attempt is not gone yet");
+        return Some("tasks of the gang's last attempt may still be running");
     }
     None
 }
 
-/// How many of a job's tasks are in each zone. `None`: the zone of one of them is not
-/// known, and the job's rules about zones need it.
+/// How many of a job's assigned tasks are in each zone. `None`: the zone of one of these
+/// tasks is not known, and the job's placement rules (`one_zone`, `spread`) depend on it.
 fn tasks_in_zones(
     machines: &BTreeMap<MachineId, Machine>,
     job: &Job,
--- a/crates/controller/src/core/leader/preemption_search.rs
+++ b/crates/controller/src/core/leader/preemption_search.rs
@@ -1,5 +1,5 @@
-//! Room for urgent work that found none: which running tasks a cycle preempts. Only
-//! chooses them; the scheduler orders the stops.
+//! Preemption within a cycle: chooses running tasks to stop for requests that found no
+//! room. The scheduler orders the stops.
 
 use super::cluster_state::ClusterState;
 use super::cycle_inputs::row_index;
@@ -14,69 +14,73 @@
 use crate::wire::users::Priority;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds that stopping a task soon after its start weighs more.
-const FRESH_START_COST_S: f64 = 20.0;
-/// Seconds that stopping any task costs.
+/// Cost, in seconds of work, added for stopping a task soon after its start.
+const EARLY_STOP_COST_S: f64 = 20.0;
+/// Cost, in seconds of work, of stopping any task.
 const STOP_COST_S: f64 = 5.0;
-/// Most searches for room in one pass of a cycle.
-const MAX_SEARCHES: u32 = 64;
-/// Tasks that one search makes room for, unless they are a gang.
+/// Most searches for tasks to preempt in one pass of a cycle.
+const MAX_SEARCHES_PER_PASS: u32 = 64;
+/// Most tasks of a request that one search makes room for; a gang has no limit.
 const MAX_TASKS_PER_SEARCH: u32 = 16;
 
-/// Preempted tasks of one cycle, found while it makes room.
+/// The tasks that one cycle preempts, collected over its passes.
 #[derive(Debug, Default)]
 pub(super) struct PreemptionSearch {
-    /// All tasks that may be preempted, once something looks for them.
+    /// All tasks that may be preempted; `None` until the first search of the cycle.
     candidates: Option<Victims>,
-    /// Those that are.
+    /// Indices in `candidates` of the tasks to preempt.
     chosen: BTreeSet<usize>,
-    /// How much may be taken in all.
-    bounds: ReclaimLimits,
+    /// How much all preemptions of the cycle together may take from teams and classes.
+    limits: ReclaimLimits,
 }
 
-/// A search that found nothing. Until room is made, another request like it that is no
-/// smaller finds nothing either.
+/// A search that found nothing. Until another search succeeds, a similar request for as
+/// many tasks or more finds nothing either.
 struct FailedSearch {
+    /// Index of the request.
     request: usize,
+    /// The number of tasks that had to fit: all tasks of a gang, otherwise one.
     tasks: usize,
 }
 
 impl PreemptionSearch {
-    /// Within these bounds, nothing chosen yet.
-    pub fn new(bounds: ReclaimLimits) -> PreemptionSearch {
+    /// A search within these limits that has chosen no task yet.
+    pub fn new(limits: ReclaimLimits) -> PreemptionSearch {
         PreemptionSearch {
-            bounds,
+            limits,
             ..PreemptionSearch::default()
         }
     }
 
-    /// Chooses tasks to stop for requests of at least this priority that found no
-    /// room, and places those requests where they were; they are sent once the
-    /// preempted tasks have left.
+    /// Chooses tasks to stop for requests of at least `min_priority` that found no room,
+    /// and places the requests' tasks on the same machines. Those tasks are sent to the
+    /// machines only after the preempted tasks are gone.
     pub fn make_room(
         &mut self,
         cluster: &ClusterState,
         cycle: &mut SchedulingCycle<'_>,
         requests: &mut [PlacementRequest],
-        least: Priority,
+        min_priority: Priority,
     ) {
         let may_preempt = |request: &PlacementRequest| {
-            request.priority >= least
+            request.priority >= min_priority
                 && !request.tasks.is_empty()
                 && (request.priority > Priority::Low || request.within_guarantee)
         };
-        // They stand in the order of their ranks since the cycle's first part.
+        // The cycle's first part has sorted the requests by rank.
         let urgent: Vec<usize> = (0..requests.len())
             .filter(|&index| may_preempt(&requests[index]))
             .collect();
         let mut failed: Vec<FailedSearch> = Vec::new();
         let mut searches = 0;
         for index in urgent {
-            if is_hopeless(&failed, requests, index) || !is_within_quota(cycle, &requests[index]) {
+            if is_known_to_fail(&failed, requests, index)
+                || !is_within_quota(cycle, &requests[index])
+            {
                 continue;
             }
             searches += 1;
-            if searches > MAX_SEARCHES {
+            if searches > MAX_SEARCHES_PER_PASS {
                 return;
             }
             let request = &mut requests[index];
@@ -93,6 +97,8 @@
         }
     }
 
+    /// Finds the cheapest set of tasks whose stop makes room for a request; `None` if there
+    /// is no such set within the limits.
     fn search(
         &mut self,
         cluster: &ClusterState,
@@ -107,12 +113,13 @@
             request,
             candidates,
             &self.chosen,
-            &self.bounds,
+            &self.limits,
             MAX_TASKS_PER_SEARCH,
         )
     }
 
-    /// Frees the room of an eviction and places the request's tasks there.
+    /// Frees the resources of an eviction's victims in the cycle's rows, counts the victims
+    /// against the limits, and places the request's tasks.
     fn evict(
         &mut self,
         cycle: &mut SchedulingCycle<'_>,
@@ -127,7 +134,7 @@
             let victim = &candidates[index];
             cycle.rows[victim.row].free += victim.need;
             if !victim.gang || gangs.insert(&victim.job) {
-                self.bounds.take(&candidates.loss(index, request));
+                self.limits.take(&candidates.loss(index, request));
             }
         }
         self.chosen.extend(eviction.victims);
@@ -140,7 +147,7 @@
         }
     }
 
-    /// The tasks to stop, by job.
+    /// The numbers of the tasks to stop, by job.
     pub fn into_stops(self) -> BTreeMap<JobId, Vec<u32>> {
         let mut stops: BTreeMap<JobId, Vec<u32>> = BTreeMap::new();
         let Some(candidates) = self.candidates else {
@@ -155,15 +162,15 @@
     }
 }
 
-/// Whether an earlier search that failed shows that one for this request would too.
-fn is_hopeless(failed: &[FailedSearch], requests: &[PlacementRequest], index: usize) -> bool {
+/// Whether an earlier failed search shows that a search for this request would also fail.
+fn is_known_to_fail(failed: &[FailedSearch], requests: &[PlacementRequest], index: usize) -> bool {
     let request = &requests[index];
     failed.iter().any(|earlier| {
         request.tasks.len() >= earlier.tasks && request.is_like(&requests[earlier.request])
     })
 }
 
-/// Whether a request's team may use what it needs.
+/// Whether the quota of a request's team allows all of the request's tasks.
 fn is_within_quota(cycle: &SchedulingCycle<'_>, request: &PlacementRequest) -> bool {
     let needs = request.need.times(request.tasks.len() as f64);
     let team = cycle.teams.get(&request.team);
@@ -171,15 +178,16 @@
 }
 
 impl ClusterState {
-    /// The tasks that may be preempted, on these rows.
+    /// The tasks on these rows that may be preempted: of open jobs, sent to their machine,
+    /// and not being stopped already.
     fn preemption_candidates(&self, now: Time, rows: &[MachineRow]) -> Victims {
         let index = row_index(rows);
-        let settle = TimeSpan::secs(self.policy.settle_s);
+        let minimum_run = TimeSpan::secs(self.policy.settle_s);
         let mut candidates = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.is_open()) {
-            // A gang goes whole, so all of it must be within reach.
-            let is_reachable = |a: &Assignment| index.contains_key(&a.machine) && a.stop.is_none();
-            if job.is_gang() && !job.assignments.values().all(is_reachable) {
+            // A gang is only stopped whole, so all its tasks must be on these rows.
+            let may_stop = |a: &Assignment| index.contains_key(&a.machine) && a.stop.is_none();
+            if job.is_gang() && !job.assignments.values().all(may_stop) {
                 continue;
             }
             for (&task, assignment) in &job.assignments {
@@ -190,8 +198,8 @@
                     continue;
                 }
                 let share = job.spec.needs().share_of(&rows[row].capacity);
-                let settled = is_settled(now, assignment, settle);
-                let cost_s = self.preemption_cost_s(now, job, assignment, settled);
+                let past_minimum_run = is_past_minimum_run(now, assignment, minimum_run);
+                let cost_s = self.preemption_cost_s(now, job, assignment, past_minimum_run);
                 candidates.push(Victim {
                     job: id.clone(),
                     task,
@@ -203,32 +211,33 @@
                     gang: job.is_gang(),
                     row,
                     cost_machine_seconds: cost_s * share,
-                    past_minimum_run: settled,
+                    past_minimum_run,
                 });
             }
         }
         Victims::new(candidates, rows.len())
     }
 
-    /// What stopping a task costs, in seconds of its work.
+    /// The cost of stopping a task, in seconds of the task's work.
     fn preemption_cost_s(
         &self,
         now: Time,
         job: &Job,
         assignment: &Assignment,
-        is_settled: bool,
+        past_minimum_run: bool,
     ) -> f64 {
-        // A start that is stopped soon does not count for its users,
-        // if they have an objective about starting.
-        let fresh = if is_settled || !self.has_start_objective(job) {
+        // Where an objective bounds the time to start, a start that is soon stopped again
+        // does not meet the objective for the users.
+        let early_stop_cost_s = if past_minimum_run || !self.has_start_objective(job) {
             0.0
         } else {
-            FRESH_START_COST_S
+            EARLY_STOP_COST_S
         };
-        lost_seconds(now, job, assignment) + STOP_COST_S + fresh
+        lost_work_s(now, job, assignment) + STOP_COST_S + early_stop_cost_s
     }
 
-    /// Whether users have an objective about when this job starts.
+    /// Whether an objective bounds the time until this job starts: an objective of the job's
+    /// class, or the guaranteed quota.
     fn has_start_objective(&self, job: &Job) -> bool {
         let mut objectives = self.settings.objectives.iter();
         job.notes.within_guarantee
@@ -239,17 +248,19 @@
     }
 }
 
-/// Whether a task has been on its machine for longer than `settle`.
-fn is_settled(now: Time, assignment: &Assignment, settle: TimeSpan) -> bool {
+/// Whether a task was assigned to its machine longer than `minimum_run` ago and has arrived
+/// there.
+fn is_past_minimum_run(now: Time, assignment: &Assignment, minimum_run: TimeSpan) -> bool {
     let has_arrived = matches!(
         assignment.phase,
         AssignmentPhase::Seen(_) | AssignmentPhase::Inherited
     );
-    has_arrived && now.since(assignment.assigned_at) > settle
+    has_arrived && now.since(assignment.assigned_at) > minimum_run
 }
 
-/// Seconds of work that stopping a task loses: saving a checkpoint, or all that it ran.
-fn lost_seconds(now: Time, job: &Job, assignment: &Assignment) -> f64 {
+/// Seconds of work that are lost when a task stops: the time to save a checkpoint, or
+/// without checkpoints the whole run so far.
+fn lost_work_s(now: Time, job: &Job, assignment: &Assignment) -> f64 {
     if job.spec.checkpoint_s > 0.0 {
         return job.spec.save_s;
     }
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -1,5 +1,5 @@
-//! The scheduler: when cycles run, and what one cycle does, from the tables and what
-//! waits to starts and stops.
+//! The scheduler: decides when scheduling cycles run, and runs them. A cycle reads the
+//! cluster's tables and waiting tasks, assigns tasks to machines and orders preemptions.
 
 use super::arrival_recorder::ArrivalRecorder;
 use super::cluster_state::ClusterState;
@@ -22,32 +22,34 @@
 pub(in crate::core) struct Scheduler {
     /// When the next cycle is due.
     pub next_cycle: Time,
-    /// When the last one began.
+    /// When the last cycle began.
     pub last_cycle: Time,
-    /// Whether the last input ran a cycle.
+    /// Whether a cycle ran while the last input was handled.
     pub cycle_just_ran: bool,
-    /// Least time from one cycle to the next, by how long the last one took.
+    /// Least time from the start of a cycle to the start of the next, derived from the
+    /// duration of the last cycle; zero unless that cycle was long.
     pub minimum_gap: TimeSpan,
-    /// Cycles run.
+    /// Number of cycles that have run.
     pub cycles: u64,
-    /// When work was last preempted.
+    /// When a cycle last preempted a task; `None`: none has.
     pub last_preemption: Option<Time>,
 }
 
-/// Least time between two cycles.
-const CYCLE_GAP: TimeSpan = TimeSpan::millis(80);
-/// By how much each machine lengthens it: the more a cycle looks at, the rarer
-/// cycles have to be.
+/// Least time between the starts of two cycles, without machines.
+const MIN_CYCLE_GAP: TimeSpan = TimeSpan::millis(80);
+/// Added to `MIN_CYCLE_GAP` for each machine, in microseconds: a cycle over more machines
+/// takes longer, so cycles must run less often.
 const CYCLE_GAP_PER_MACHINE: TimeSpan = TimeSpan(150);
-/// A cycle that seems to have taken less may have been followed by nothing to do.
-const LONG_CYCLE: TimeSpan = TimeSpan::millis(80);
-/// From the beginning of a cycle to the next, in times of what it took.
-const GAP_PER_DURATION: f64 = 3.0;
-/// And at most this.
-const LONGEST_GAP: TimeSpan = TimeSpan::millis(4000);
+/// Only longer cycles set a minimum gap. A cycle's duration is measured until the next
+/// input, so a shorter one may be mostly idle time.
+const LONG_CYCLE_THRESHOLD: TimeSpan = TimeSpan::millis(80);
+/// Minimum gap after a long cycle, start to start, as a multiple of the cycle's duration.
+const GAP_TO_DURATION_RATIO: f64 = 3.0;
+/// Upper limit of the minimum gap after a long cycle.
+const MAX_CYCLE_GAP: TimeSpan = TimeSpan::millis(4000);
 
 impl Scheduler {
-    /// Its first cycle is due at once.
+    /// A scheduler whose first cycle is due immediately.
     pub fn new(now: Time) -> Scheduler {
         Scheduler {
             next_cycle: now,
@@ -59,25 +61,25 @@
         }
     }
 
-    /// Has the next cycle run soon, where there are so many machines.
+    /// Schedules the next cycle as early as the gap for this number of machines allows.
     pub fn request_cycle(&mut self, now: Time, machines: usize) {
-        let gap = CYCLE_GAP + TimeSpan(CYCLE_GAP_PER_MACHINE.0 * machines as u64);
+        let gap = MIN_CYCLE_GAP + TimeSpan(CYCLE_GAP_PER_MACHINE.0 * machines as u64);
         let gap = gap.max(self.minimum_gap);
         let earliest = now.max(self.last_cycle + gap);
         self.next_cycle = self.next_cycle.min(earliest);
     }
 
-    /// An input has come: the last cycle, if one ran since the one before, took
-    /// no longer than until now. What a cycle takes depends on the work that
-    /// waits and on the processor's share, so cycles leave most of the time to
-    /// everything else whatever they take.
+    /// Updates the minimum gap; called on each input. If the previous input ran a cycle,
+    /// the time since that cycle began is an upper bound of its duration. A duration
+    /// depends on the waiting work and on the share of the processor, so the gap is a
+    /// multiple of the measured duration: most of the time is left to other work.
     pub fn adjust_pace(&mut self, now: Time) {
         if !std::mem::take(&mut self.cycle_just_ran) {
             return;
         }
-        let took = now.since(self.last_cycle);
-        self.minimum_gap = if took > LONG_CYCLE {
-            took.scaled(GAP_PER_DURATION).min(LONGEST_GAP)
+        let duration = now.since(self.last_cycle);
+        self.minimum_gap = if duration > LONG_CYCLE_THRESHOLD {
+            duration.scaled(GAP_TO_DURATION_RATIO).min(MAX_CYCLE_GAP)
         } else {
             TimeSpan::ZERO
         };
@@ -89,14 +91,16 @@
         now >= self.next_cycle
     }
 
-    /// A cycle begins; the next one is due after the interval, if nothing asks for it.
+    /// Records that a cycle begins. The next cycle is due after `interval`, or earlier if
+    /// `request_cycle` is called.
     pub fn begin_cycle(&mut self, now: Time, interval: TimeSpan) {
         self.last_cycle = now;
         self.cycle_just_ran = true;
         self.next_cycle = now + interval;
     }
 
-    /// Runs one cycle; what it leaves is what capacity is planned from.
+    /// Runs one cycle: assigns waiting tasks to machines and orders preemptions. The
+    /// result is the input of capacity planning.
     pub fn run_cycle(
         &mut self,
         at: Now,
@@ -118,19 +122,19 @@
         };
         let estimates = cluster.fetch_estimates.clone();
         let mut cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
-        let mut bounds = preemption_bounds(at, cluster, arrivals, cycle.rows.len());
-        cycle.place_up_to_minimum_shares(&mut requests, &mut bounds.minimum_shares);
+        let mut limits = reclaim_limits(at, cluster, arrivals, cycle.rows.len());
+        cycle.place_up_to_minimum_shares(&mut requests, &mut limits.minimum_shares);
         cycle.place_warm_high_priority(&mut requests);
-        let mut preemption = PreemptionSearch::new(bounds);
+        let mut preemption = PreemptionSearch::new(limits);
         preemption.make_room(cluster, &mut cycle, &mut requests, Priority::High);
         cycle.place_remaining(&mut requests);
         preemption.make_room(cluster, &mut cycle, &mut requests, Priority::Low);
         let starts = std::mem::take(&mut cycle.starts);
         let reservations = std::mem::take(&mut cycle.reservations);
         let held_back = std::mem::take(&mut cycle.held_back);
-        note_reservations(at.time, cluster, &requests, &reservations);
-        note_held_back(at.time, cluster, &requests, &starts, &held_back);
-        place_starts(at.time, cluster, starts, &rows);
+        record_promised_starts(at.time, cluster, &requests, &reservations);
+        record_held_back(at.time, cluster, &requests, &starts, &held_back);
+        assign_starts(at.time, cluster, starts, &rows);
         self.preempt(at.time, cluster, preemption.into_stops());
         clear_waiting_notes(cluster);
         requests.retain(|request| !request.tasks.is_empty());
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Orders the preempted tasks to stop.
+    /// Orders the preempted tasks to stop; each may save a checkpoint first.
     fn preempt(&mut self, now: Time, cluster: &mut ClusterState, stops: BTreeMap<JobId, Vec<u32>>) {
         for (id, tasks) in stops {
             let Some(job) = cluster.jobs.get(&id) else {
@@ -148,25 +152,26 @@
             };
             let grace_s = job.spec.save_s;
             tracing::info!(job = %id, team = %job.spec.team, tasks = tasks.len(), "tasks preempted");
-            let why = "stopped for more urgent work";
+            let reason = "preempted for more urgent work";
             self.last_preemption = Some(now);
             let durability = StopDurability::StoredBeforeSent;
-            cluster.order_stops(now, &id, &tasks, grace_s, why, durability);
+            cluster.order_stops(now, &id, &tasks, grace_s, reason, durability);
         }
     }
 }
 
-/// What a cycle leaves.
+/// The outcome of a cycle, for capacity planning.
 #[derive(Debug)]
 pub(in crate::core) struct CycleResult {
-    /// Requests that found no room for all of their tasks.
+    /// Requests with tasks that were not placed; each holds only those tasks.
     pub unplaced: Vec<PlacementRequest>,
-    /// The machines as they are after it.
+    /// The machines, with the free resources that the cycle's starts leave.
     pub rows: Vec<MachineRow>,
 }
 
-/// How much may be taken from each team and class, where there are so many machines.
-fn preemption_bounds(
+/// The limits on what a cycle may preempt from each team and class. `machines`: the number
+/// of machines in the cycle, of which minimum shares are fractions.
+fn reclaim_limits(
     at: Now,
     cluster: &ClusterState,
     arrivals: &ArrivalRecorder,
@@ -180,8 +185,9 @@
     }
 }
 
-/// Keeps the first predicted start of each gang that machines are reserved for.
-fn note_reservations(
+/// Records the first predicted start of each gang with reserved machines. A later prediction
+/// replaces it only once it has expired.
+fn record_promised_starts(
     now: Time,
     cluster: &mut ClusterState,
     requests: &[PlacementRequest],
@@ -205,10 +211,10 @@
     }
 }
 
-/// Notes which jobs find only room that is reserved for others, and since when. The
-/// start of a task begins their wait anew; a cycle in which there is no room at all does
-/// not, or those who wait longest would begin again and again.
-fn note_held_back(
+/// Records which jobs found only room that is reserved for other jobs, and since when. The
+/// start of one of the job's tasks resets that time. A cycle without any room does not:
+/// otherwise the time of the jobs that wait longest would be reset repeatedly.
+fn record_held_back(
     now: Time,
     cluster: &mut ClusterState,
     requests: &[PlacementRequest],
@@ -230,8 +236,9 @@
     }
 }
 
-/// Puts tasks where the cycle has placed them; tasks of one job get the same attempt.
-fn place_starts(
+/// Assigns tasks to the machines that the cycle chose. All tasks of one job that start in
+/// the same cycle get the same attempt number.
+fn assign_starts(
     now: Time,
     cluster: &mut ClusterState,
     starts: Vec<StartDecision>,
@@ -239,10 +246,10 @@
 ) {
     let mut attempts: BTreeMap<JobId, Attempt> = BTreeMap::new();
     for start in starts {
-        let last = |job: &JobId| cluster.jobs.get(job).map_or(0, |job| job.attempt.0);
+        let last_attempt = |job: &JobId| cluster.jobs.get(job).map_or(0, |job| job.attempt.0);
         let attempt = attempts
             .entry(start.job.clone())
-            .or_insert_with(|| Attempt(last(&start.job) + 1));
+            .or_insert_with(|| Attempt(last_attempt(&start.job) + 1));
         let task = TaskId {
             job: start.job,
             index: start.task,
@@ -257,7 +264,7 @@
     }
 }
 
-/// Jobs whose tasks all have a place do not wait.
+/// Clears the notes about waiting of jobs without waiting tasks.
 fn clear_waiting_notes(cluster: &mut ClusterState) {
     let jobs = cluster.jobs.values_mut();
     for job in jobs.filter(|job| job.waiting.is_empty()) {
