--- a/crates/controller/src/core/autoscaler/cloud_proxy.rs
+++ b/crates/controller/src/core/autoscaler/cloud_proxy.rs
@@ -1,18 +1,18 @@
-//! Who calls the cloud for the leader. Holding leadership and reaching the cloud
-//! differ: a leader that alone does not reach the cloud has a peer call it. Intents
-//! make that safe: whoever carries one out, and however often, it is the same
-//! provision or termination. Nothing here sends a call.
+//! Chooses whether the leader calls the cloud directly or through a peer. The leader may lose
+//! its connection to the cloud while its peers still have theirs; a peer then forwards the
+//! leader's calls. Intents make that safe: an intent results in the same provision or
+//! termination, whichever controller requests it and however often. Makes no calls itself.
 
 use crate::types::{NodeId, Time, TimeSpan};
 
-/// Direct calls in a row without an answer before a peer is used.
+/// Unanswered direct calls in a row after which a peer is used.
 const MAX_DIRECT_FAILURES: u32 = 2;
-/// How long a peer is used before a direct call is tried again, at first.
+/// How long peers are used before the first retry of a direct call.
 const INITIAL_BACKOFF: TimeSpan = TimeSpan::millis(10_000);
-/// The longest such time. It doubles each time the direct call still fails.
+/// The longest time before such a retry. The time doubles with each retry that fails.
 const MAX_BACKOFF: TimeSpan = TimeSpan::millis(160_000);
-/// Direct calls that have worked for this many backoffs since the last one ended the
-/// backoff: the next failure is a new one.
+/// Once direct calls have worked for this many backoffs since the last backoff ended, the
+/// backoff returns to its initial value.
 const BACKOFFS_TO_RESET: u64 = 4;
 
 /// Chooses between direct calls and calls through a peer.
@@ -21,19 +21,19 @@
     peers: Vec<NodeId>,
     /// Index of the peer in use; `None`: calls are direct.
     peer: Option<usize>,
-    /// Direct calls in a row without an answer.
+    /// Unanswered direct calls in a row.
     failures: u32,
     backoff: TimeSpan,
-    /// When a direct call is tried again.
+    /// When a direct call is next tried while a peer is in use.
     retry_direct_at: Time,
-    /// When a call was last answered.
+    /// When a call was last answered, direct or through a peer; `None`: never.
     pub last_answered: Option<Time>,
-    /// How often the way of calling changed.
+    /// How often the choice changed between direct calls and peers, for operators.
     pub changes: u64,
 }
 
 impl CloudProxy {
-    /// Direct calls, with these peers to fall back on.
+    /// Starts with direct calls; `peers` are used, in this order, when those fail.
     pub fn new(peers: Vec<NodeId>) -> CloudProxy {
         CloudProxy {
             peers,
@@ -53,12 +53,12 @@
             .and_then(|index| self.peers.get(index))
     }
 
-    /// Records that a call was answered, whatever the answer. `by`: the peer that made
-    /// it; `None`: it was direct.
-    pub fn answered(&mut self, now: Time, by: Option<&NodeId>) {
+    /// Records that the cloud answered a call, whatever the answer. `via`: the peer that
+    /// forwarded the call; `None`: it was direct.
+    pub fn answered(&mut self, now: Time, via: Option<&NodeId>) {
         self.last_answered = Some(now);
         self.failures = 0;
-        if by.is_some() {
+        if via.is_some() {
             return;
         }
         let reset_after = TimeSpan(self.backoff.0 * BACKOFFS_TO_RESET);
@@ -69,15 +69,15 @@
         }
     }
 
-    /// Records that a call was not answered. `by`: as for [`CloudProxy::answered`].
-    pub fn unanswered(&mut self, now: Time, by: Option<&NodeId>) {
-        match by {
+    /// Records that a call was not answered. `via`: as for [`CloudProxy::answered`].
+    pub fn unanswered(&mut self, now: Time, via: Option<&NodeId>) {
+        match via {
             Some(_) => self.use_next_peer(),
             None => self.count_direct_failure(now),
         }
     }
 
-    /// Goes on to the next peer; after the last one to direct calls.
+    /// Switches to the next peer; after the last peer, to direct calls.
     fn use_next_peer(&mut self) {
         let next = self.peer.map_or(0, |index| index + 1);
         self.changes += 1;
@@ -89,9 +89,10 @@
         }
     }
 
+    /// Counts an unanswered direct call, and switches to a peer if direct calls are failing.
     fn count_direct_failure(&mut self, now: Time) {
         self.failures += 1;
-        // Once direct calls have failed, one more failure is enough.
+        // While a peer is in use, a single failed retry is enough.
         let has_failed_before = self.peer.is_some();
         let is_failing = self.failures >= MAX_DIRECT_FAILURES || has_failed_before;
         if self.peers.is_empty() || !is_failing {
--- a/crates/controller/src/core/autoscaler/intents.rs
+++ b/crates/controller/src/core/autoscaler/intents.rs
@@ -4,9 +4,9 @@
 //! Nothing here calls the cloud.
 //!
 //! A provision intent keeps its name until its answer is known and all its machines
-//! were seen; whoever repeats it gets the same machines, as requests are idempotent by
-//! name. A termination can't be taken back: whoever reads it starts nothing on its
-//! machines.
+//! were seen; repeating the request returns the same machines, as requests are idempotent
+//! by name. A termination can't be revoked: a leader that reads one starts nothing on the
+//! machines named in it.
 
 mod provisions;
 mod records;
@@ -24,31 +24,31 @@
 use std::collections::BTreeMap;
 use terminations::TerminationIntent;
 
-/// Where machines are provisioned. Pools are ordered by their fields in turn.
+/// A source of machines in the cloud. Pools are ordered by machine type, zone and `spot`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CapacityPool {
     /// The machine type.
     pub machine_type: MachineTypeName,
     /// The zone.
     pub zone: Zone,
-    /// Whether it is spot capacity, not on-demand capacity.
+    /// Whether machines are spot capacity; otherwise on-demand.
     pub spot: bool,
 }
 
-/// How long settled terminations are kept, beyond the lag of lists: an old list or
+/// How long confirmed terminations are kept, in addition to the lag of lists: an old list or
 /// heartbeat may still name their machines.
-const TERMINATION_KEPT: TimeSpan = TimeSpan::millis(60_000);
-/// After how many times the lag of lists a new machine is listed.
+const TERMINATION_RETENTION: TimeSpan = TimeSpan::millis(60_000);
+/// After how many times the lag of lists a new machine is certainly listed.
 const LISTED_AFTER_LAGS: u64 = 3;
 
-/// Numbers of what is not completed yet, for operators.
+/// Numbers of incomplete intents, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenIntents {
     /// Provisions without an answer.
     pub provisions: usize,
     /// Terminations that are not confirmed.
     pub terminations: usize,
-    /// Machines still to be terminated.
+    /// Machines to terminate that are not confirmed as gone.
     pub machines: usize,
 }
 
@@ -56,17 +56,17 @@
 #[derive(Clone, Debug)]
 pub struct Intents {
     token: FencingToken,
-    /// Number of the next intent.
+    /// The number in the next intent's name; starts at 1.
     next_number: u64,
     /// How long the cloud's lists lag behind.
     list_lag: TimeSpan,
-    /// Most bytes of one record.
+    /// Most bytes of one stored record.
     value_bytes: usize,
     provisions: BTreeMap<String, ProvisionIntent>,
     terminations: BTreeMap<String, TerminationIntent>,
-    /// Machines to be terminated, and since when they are gone; `None`: not yet.
+    /// Machines to be terminated, and when the cloud confirmed it; `None`: not yet.
     terminating: BTreeMap<MachineId, Option<Time>>,
-    /// Records to be written.
+    /// Records to write or delete. Also used for quarantine records and arrivals.
     pub pending_writes: PendingWrites,
 }
 
@@ -86,17 +86,17 @@
         }
     }
 
-    /// A name for a new intent. The token makes it unique among all leaders, so a late
-    /// request can never be taken for another one.
+    /// Creates the name of a new intent. The fencing token makes the name unique among all
+    /// leaders, so a late request can't be mistaken for another one.
     fn next_name(&mut self) -> String {
         let name = format!("{}-{}", self.token, self.next_number);
         self.next_number += 1;
         name
     }
 
-    /// Takes over a stored intent of an earlier leader, who may have requested it or
-    /// may do so yet. Returns the machines that are to be terminated. A record that
-    /// cannot be read is left where it is.
+    /// Loads a stored intent of an earlier leader, which may have requested it or may still do
+    /// so. Returns the machines that are to be terminated. A record that cannot be read is
+    /// neither used nor deleted.
     pub fn load(&mut self, key: &str, stored: &Value, wall: WallTime) -> Vec<MachineId> {
         match IntentKey::parse(key) {
             Some(IntentKey::Provision(name))
@@ -114,7 +114,8 @@
         }
     }
 
-    /// The record under `key` is stored: if it is an intent, it may be acted on.
+    /// Records that the value under `key` is stored. If the key is an intent's, the intent
+    /// may now be requested.
     pub fn mark_stored(&mut self, key: &str) {
         match IntentKey::parse(key) {
             Some(IntentKey::Provision(name)) => {
@@ -133,23 +134,26 @@
         }
     }
 
-    /// Settles intents that nobody needs any more. `is_seen`: whether a list or
-    /// heartbeat has shown a machine.
+    /// Removes intents that are complete, also from the key-value store. `is_seen`: whether a
+    /// list or heartbeat has shown a machine.
     pub fn settle_completed(&mut self, now: Time, is_seen: impl Fn(&MachineId) -> bool) {
         let listed_after = TimeSpan(self.list_lag.0 * LISTED_AFTER_LAGS);
         self.settle_provisions(now, listed_after, is_seen);
-        self.settle_terminations(now, listed_after + TERMINATION_KEPT);
+        self.settle_terminations(now, listed_after + TERMINATION_RETENTION);
     }
 
-    /// How much is not completed yet, for operators.
+    /// Counts the incomplete intents, for operators.
     pub fn open(&self) -> OpenIntents {
         let terminations = self.terminations.values();
         let unconfirmed = terminations.filter(|intent| intent.confirmed_at.is_none());
-        let remaining = self.terminating.values().filter(|gone| gone.is_none());
+        let unconfirmed_machines = self
+            .terminating
+            .values()
+            .filter(|confirmed_at| confirmed_at.is_none());
         OpenIntents {
             provisions: self.unfulfilled().count(),
             terminations: unconfirmed.count(),
-            machines: remaining.count(),
+            machines: unconfirmed_machines.count(),
         }
     }
 }
--- a/crates/controller/src/core/autoscaler/intents/provisions.rs
+++ b/crates/controller/src/core/autoscaler/intents/provisions.rs
@@ -1,5 +1,5 @@
-//! The part of [`Intents`] that provisions machines: from the decision until all machines
-//! of the answer were seen. Requests nothing itself.
+//! The part of [`Intents`] for provisions: from the decision until all provisioned machines
+//! were seen. Makes no requests itself.
 
 use super::records::{IntentKey, ProvisionRecord, to_value};
 use super::{CapacityPool, Intents};
@@ -13,28 +13,30 @@
 /// Most machines of one provision request.
 pub const MAX_MACHINES_PER_PROVISION: u32 = 50;
 
-/// Provision intents older than this are not repeated: what they brought is listed.
+/// Loaded provision intents older than this are not repeated: the cloud lists their machines
+/// by then.
 const PROVISION_STALE_AFTER: TimeSpan = TimeSpan::millis(120_000);
 
-/// The same as a multiple of the lag of lists, where that is longer.
+/// The same limit as a multiple of the lag of lists; the longer limit applies.
 const STALE_LIST_LAGS: u64 = 4;
 
-/// How far a provision intent has come.
+/// The stage of a provision intent.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ProvisionStage {
     /// Decided; not stored yet.
     Decided,
-    /// Stored; nobody can have requested it yet.
+    /// Stored; certainly not requested yet.
     Stored,
     /// Requested for the first time; no answer yet.
     Requested,
-    /// It may have been requested: only under its own name may it be repeated.
+    /// Possibly requested, by this leader or an earlier one: it may only be repeated under
+    /// the same name.
     Uncertain,
     /// Answered with machines.
     Fulfilled {
         /// When the answer came.
         at: Time,
-        /// Those of its machines that no list or heartbeat has shown yet.
+        /// The provisioned machines that no list or heartbeat has shown yet.
         unseen: BTreeSet<MachineId>,
     },
 }
@@ -51,7 +53,7 @@
         matches!(self.stage, ProvisionStage::Fulfilled { .. })
     }
 
-    /// Whether nobody can have requested it yet.
+    /// Whether it has certainly not been requested yet.
     fn is_unrequested(&self) -> bool {
         matches!(self.stage, ProvisionStage::Decided | ProvisionStage::Stored)
     }
@@ -68,15 +70,15 @@
 }
 
 impl Intents {
-    /// Takes over an earlier leader's intent to provision, which it may have requested;
-    /// one that is stale is deleted instead.
+    /// Loads an earlier leader's intent to provision, which that leader may have requested. A
+    /// stale intent is deleted instead.
     pub(super) fn load_provision(&mut self, key: &str, name: &str, stored: &Value, wall: WallTime) {
         let Ok(record) = ProvisionRecord::deserialize(stored) else {
             return;
         };
         let age = TimeSpan::millis(wall.0.saturating_sub(record.decided_at.0));
-        let certainly_listed = TimeSpan(self.list_lag.0 * STALE_LIST_LAGS);
-        if age > PROVISION_STALE_AFTER.max(certainly_listed) {
+        let listed_after = TimeSpan(self.list_lag.0 * STALE_LIST_LAGS);
+        if age > PROVISION_STALE_AFTER.max(listed_after) {
             self.pending_writes.delete(key.into());
             return;
         }
@@ -87,7 +89,8 @@
         self.provisions.insert(name.into(), intent);
     }
 
-    /// Decides to provision `count` machines, at most [`MAX_MACHINES_PER_PROVISION`].
+    /// Adds an intent to provision `count` machines, limited to 1 to
+    /// [`MAX_MACHINES_PER_PROVISION`], and queues its record.
     pub fn provision(&mut self, pool: CapacityPool, count: u32, wall: WallTime) {
         let name = self.next_name();
         let request = ProvisionRequest {
@@ -110,6 +113,7 @@
         self.provisions.insert(name, intent);
     }
 
+    /// Provision intents without an answer.
     pub(super) fn unfulfilled(&self) -> impl Iterator<Item = &ProvisionIntent> {
         self.provisions.values().filter(|i| !i.is_fulfilled())
     }
@@ -119,13 +123,13 @@
         self.unfulfilled().next().is_some()
     }
 
-    /// Whether more provisions may be decided: once all there are have been requested.
-    /// Calls to the cloud are scarce; what is needed meanwhile is grouped.
+    /// Whether more provisions may be decided: only once all existing ones have been requested.
+    /// Calls to the cloud are scarce, so the demand of the meantime is grouped.
     pub fn may_provision(&self) -> bool {
         !self.unfulfilled().any(ProvisionIntent::is_unrequested)
     }
 
-    /// A provision is being requested.
+    /// Records that a provision is being requested. An uncertain one stays uncertain.
     pub fn mark_provision_requested(&mut self, name: &str) {
         if let Some(intent) = self.provisions.get_mut(name)
             && intent.is_unrequested()
@@ -134,12 +138,12 @@
         }
     }
 
-    /// The provision requests whose answer is still to come.
+    /// The provision requests without an answer, requested or not.
     pub fn outstanding_provisions(&self) -> impl Iterator<Item = &ProvisionRequest> {
         self.unfulfilled().map(|intent| &intent.request)
     }
 
-    /// The next provision to request, those that may have been requested before first.
+    /// The next provision to request: first those that may have been requested before.
     pub fn next_provision(&self) -> Option<ProvisionRequest> {
         self.unfulfilled()
             .filter(|intent| intent.may_be_requested())
@@ -147,7 +151,7 @@
             .map(|intent| intent.request.clone())
     }
 
-    /// A provision was requested and the answer lost.
+    /// Records that a provision was requested and not answered.
     pub fn mark_provision_uncertain(&mut self, name: &str) {
         if let Some(intent) = self.provisions.get_mut(name) {
             intent.stage = ProvisionStage::Uncertain;
@@ -162,8 +166,8 @@
         }
     }
 
-    /// A provision was refused and not carried out. One that may have been requested
-    /// before keeps its name.
+    /// Removes a provision whose request was refused, and therefore not carried out. An
+    /// uncertain intent is kept: an earlier request of it may have been carried out.
     pub fn settle_refused_provision(&mut self, name: &str) {
         let intent = self.provisions.get(name);
         if intent.is_some_and(|intent| intent.stage != ProvisionStage::Uncertain) {
@@ -171,8 +175,8 @@
         }
     }
 
-    /// The cloud has no capacity for a provision. Settles it, and others of its pool
-    /// that nobody has requested.
+    /// Removes a provision for which the cloud has no capacity, and the other provisions of
+    /// the same pool that were not requested yet.
     pub fn settle_without_capacity(&mut self, name: &str) {
         let Some(refused) = self.provisions.get(name).map(|i| i.request.clone()) else {
             return;
@@ -189,8 +193,8 @@
         self.settle_provision(name);
     }
 
-    /// A provision was answered with these machines. Its name is kept until all of them
-    /// were seen, so that a successor can request them again.
+    /// Records that a provision was answered with these machines. The intent is kept until
+    /// all of them were seen, so that a successor can repeat the request.
     pub fn mark_fulfilled(&mut self, name: &str, machines: &[MachineId], now: Time) {
         if let Some(intent) = self.provisions.get_mut(name) {
             intent.stage = ProvisionStage::Fulfilled {
@@ -200,7 +204,8 @@
         }
     }
 
-    /// Settles provisions whose machines were all seen, or must be listed by now.
+    /// Removes fulfilled provisions whose machines were all seen or are to be terminated, or
+    /// that were answered longer than `listed_after` ago.
     pub(super) fn settle_provisions(
         &mut self,
         now: Time,
@@ -222,7 +227,7 @@
         }
     }
 
-    /// Machines provisioned that were not seen yet, for tests.
+    /// Provisioned machines that no list or heartbeat has shown yet, for tests.
     pub fn unseen_machines(&self) -> BTreeSet<MachineId> {
         let unseen = self
             .provisions
--- a/crates/controller/src/core/autoscaler/intents/records.rs
+++ b/crates/controller/src/core/autoscaler/intents/records.rs
@@ -1,4 +1,4 @@
-//! How intents are stored: their keys and values.
+//! The keys and values under which intents are stored.
 
 use crate::core::keys::LEADER_RECORDS;
 use crate::types::{MachineId, WallTime};
@@ -10,7 +10,7 @@
 /// The stored intent to provision machines.
 #[derive(Serialize, Deserialize)]
 pub(super) struct ProvisionRecord {
-    /// What the cloud is asked for.
+    /// The request to the cloud.
     #[serde(rename = "r")]
     pub(super) request: ProvisionRequest,
     /// When it was decided.
@@ -29,14 +29,14 @@
     pub(super) machines_by_reason: BTreeMap<String, Vec<MachineId>>,
 }
 
-/// Which intent a stored record is, with the intent's name.
+/// The key of a stored intent, with the intent's name.
 pub(super) enum IntentKey<'k> {
     Provision(&'k str),
     Termination(&'k str),
 }
 
 impl IntentKey<'_> {
-    /// Reads a key; `None` if it is not an intent's.
+    /// Parses a key; `None` if it is not the key of an intent.
     pub(super) fn parse(key: &str) -> Option<IntentKey<'_>> {
         match key.strip_prefix(LEADER_RECORDS)?.split_once('/')? {
             ("h", name) => Some(IntentKey::Provision(name)),
@@ -54,7 +54,8 @@
     }
 }
 
-/// A record as JSON. Ours have string keys only, so none can fail to convert.
+/// Converts a record to JSON. The conversion cannot fail, as the records' maps only have
+/// string keys.
 pub(super) fn to_value<T: Serialize>(record: &T) -> Value {
     serde_json::to_value(record).unwrap_or(Value::Null)
 }
--- a/crates/controller/src/core/autoscaler/intents/terminations.rs
+++ b/crates/controller/src/core/autoscaler/intents/terminations.rs
@@ -1,5 +1,5 @@
-//! The part of [`Intents`] that terminates machines: from the decision until nothing can
-//! contradict that they are gone. Requests nothing itself.
+//! The part of [`Intents`] for terminations: from the decision until no old list or heartbeat
+//! can name the terminated machines any more. Makes no requests itself.
 
 use super::Intents;
 use super::records::{IntentKey, TerminationRecord, to_value};
@@ -12,11 +12,11 @@
 /// Most machines named in one call to terminate.
 pub const MAX_MACHINES_PER_TERMINATION: usize = 100;
 
-/// Terminations decided and not yet requested that may exist at once where work waits
-/// for the proof that its machine is gone.
+/// Most decided and not yet requested terminations where work waits for the proof that its
+/// machine is gone.
 const MAX_UNREQUESTED_URGENT: usize = 4;
 
-/// The same where no work waits.
+/// Most decided and not yet requested terminations where no work waits.
 const MAX_UNREQUESTED: usize = 1;
 
 /// Bytes of a termination record besides its reasons and machines.
@@ -32,15 +32,17 @@
 #[derive(Clone, Debug)]
 pub(super) struct TerminationIntent {
     pub(super) machines: Vec<MachineId>,
+    /// Whether the record is stored, so that the termination may be requested.
     pub(super) stored: bool,
+    /// Whether a call to terminate some of the machines was made.
     requested: bool,
-    /// When all its machines were confirmed to be gone.
+    /// When all its machines were confirmed as gone; `None`: not yet.
     pub(super) confirmed_at: Option<Time>,
 }
 
 impl Intents {
-    /// Takes over an earlier leader's intent to terminate, which it may have requested.
-    /// Returns its machines.
+    /// Loads an earlier leader's intent to terminate, which that leader may have requested.
+    /// Returns the intent's machines.
     pub(super) fn load_termination(&mut self, name: &str, stored: &Value) -> Vec<MachineId> {
         let Ok(record) = TerminationRecord::deserialize(stored) else {
             return Vec::new();
@@ -60,27 +62,28 @@
         machines
     }
 
-    /// Whether one more termination may be decided: once all there are have been
-    /// requested. What is to go meanwhile is grouped, as calls and writes are scarce;
-    /// where work waits for the proof (`presses`) a few more may be decided.
-    pub fn may_terminate(&self, presses: bool) -> bool {
+    /// Whether one more termination may be decided: only once all existing ones have been
+    /// requested. Calls and writes are scarce, so machines to terminate meanwhile are
+    /// grouped. `is_urgent`: work waits for the proof that its machine is gone; then a few
+    /// more terminations may be decided.
+    pub fn may_terminate(&self, is_urgent: bool) -> bool {
         let unrequested = self.terminations.values().filter(|i| !i.requested);
-        let limit = match presses {
+        let limit = match is_urgent {
             true => MAX_UNREQUESTED_URGENT,
             false => MAX_UNREQUESTED,
         };
         unrequested.count() < limit
     }
 
-    /// The termination of these machines is being requested.
+    /// Records that the termination of these machines is being requested.
     pub fn mark_termination_requested(&mut self, machines: &[MachineId]) {
         for intent in self.terminations.values_mut() {
             intent.requested |= intent.machines.iter().any(|m| machines.contains(m));
         }
     }
 
-    /// Decides to terminate machines, each with the reason, as many as fit into one
-    /// record. There is no way back.
+    /// Adds an intent to terminate machines, each with its reason, and queues the intent's
+    /// record. Takes as many machines as fit into one record. The decision is final.
     pub fn terminate(
         &mut self,
         machines: impl Iterator<Item = (MachineId, &'static str)>,
@@ -97,8 +100,8 @@
             if chosen.len() >= MAX_MACHINES_PER_TERMINATION || bytes > self.value_bytes {
                 break;
             }
-            let of_reason = machines_by_reason.entry(reason.into()).or_default();
-            of_reason.push(machine.clone());
+            let with_same_reason = machines_by_reason.entry(reason.into()).or_default();
+            with_same_reason.push(machine.clone());
             self.terminating.insert(machine.clone(), None);
             chosen.push(machine);
         }
@@ -121,7 +124,8 @@
         self.terminations.insert(name, intent);
     }
 
-    /// The machines whose termination to request next.
+    /// The machines to name in the next call to terminate, at most
+    /// [`MAX_MACHINES_PER_TERMINATION`]; empty if there are none.
     pub fn next_termination(&self) -> Vec<MachineId> {
         let is_ready = |intent: &&TerminationIntent| {
             intent.confirmed_at.is_none()
@@ -137,7 +141,7 @@
             .collect()
     }
 
-    /// A termination was answered: these machines are gone.
+    /// Records that the cloud confirmed the termination of these machines.
     pub fn mark_terminated(&mut self, machines: &[MachineId], now: Time) {
         for machine in machines {
             self.terminating.insert(machine.clone(), Some(now));
@@ -151,20 +155,21 @@
         }
     }
 
-    /// Whether a machine is to be terminated or was, whoever decided it.
+    /// Whether a termination of a machine was decided, by this leader or an earlier one,
+    /// confirmed or not.
     pub fn is_terminating(&self, machine: &MachineId) -> bool {
         self.terminating.contains_key(machine)
     }
 
-    /// Whether a machine was terminated not long ago, so that a list or heartbeat that
-    /// names it is old.
+    /// Whether the termination of a machine was confirmed recently, so that a list or heartbeat
+    /// that names the machine is old.
     pub fn is_terminated(&self, machine: &MachineId) -> bool {
         matches!(self.terminating.get(machine), Some(Some(_)))
     }
 
-    /// Settles terminations that no list can contradict any more.
-    pub(super) fn settle_terminations(&mut self, now: Time, kept: TimeSpan) {
-        let is_old = |confirmed_at: Time| now.since(confirmed_at) > kept;
+    /// Removes terminations that were confirmed longer than `retention` ago.
+    pub(super) fn settle_terminations(&mut self, now: Time, retention: TimeSpan) {
+        let is_old = |confirmed_at: Time| now.since(confirmed_at) > retention;
         let settled: Vec<String> = self
             .terminations
             .iter()
--- a/crates/controller/src/core/autoscaler/mod.rs
+++ b/crates/controller/src/core/autoscaler/mod.rs
@@ -1,7 +1,7 @@
-//! Provisioning and terminating machines, as plain values: what the leader intends to
-//! do is stored in the key-value store before it is done, so that a successor completes
-//! it. Nothing here knows the leader: it is given what is known, and says what to write
-//! and what to request.
+//! State of provisioning and terminating machines. Each provision and termination is stored
+//! as an intent in the key-value store before it is requested, so that a successor completes
+//! it. These types make no calls and do not depend on the leader: their callers pass in the
+//! observations, and the types return what to write and what to request.
 
 pub mod cloud_proxy;
 pub mod intents;
--- a/crates/controller/src/core/autoscaler/state.rs
+++ b/crates/controller/src/core/autoscaler/state.rs
@@ -1,5 +1,5 @@
-//! The autoscaler's own state: what the cloud was asked and is to be asked. Its
-//! decisions are in the leader's `autoscaling` and `capacity_planning`.
+//! The autoscaler's state: which calls to the cloud were made and are due. The leader's
+//! `autoscaling` makes the calls; `capacity_planning` decides what to provision.
 
 use super::cloud_proxy::CloudProxy;
 use super::intents::{CapacityPool, Intents};
@@ -9,69 +9,70 @@
 use crate::wire::{backoff::Backoff, rate_limit::TokenBucket};
 use std::collections::BTreeMap;
 
-/// What a peer answers that certainly did not reach the cloud.
+/// Status that a peer answers if its call to the cloud was certainly not sent.
 pub(in crate::core) const BAD_GATEWAY: u16 = 502;
-/// What a peer answers that may have reached the cloud, and got no answer.
+/// Status that a peer answers if its call may have reached the cloud and got no answer.
 pub(in crate::core) const GATEWAY_TIMEOUT: u16 = 504;
-/// What a peer answers that knows a later fencing token than ours.
+/// Status that a peer answers if it has seen a later fencing token than ours.
 pub(in crate::core) const CONFLICT: u16 = 409;
 
-/// Share of the cloud's rate limit that the leader uses.
-const RATE_SHARE: f64 = 0.9;
+/// Fraction of the cloud's rate limit that the leader uses.
+const RATE_LIMIT_SHARE: f64 = 0.9;
 /// Least time between two reads of the machine list.
-const SHORTEST_LIST_INTERVAL: TimeSpan = TimeSpan::millis(2000);
+const MIN_LIST_INTERVAL: TimeSpan = TimeSpan::millis(2000);
 
-/// What the one call to the cloud in flight is about.
+/// A call to the cloud; at most one is in flight.
 #[derive(Clone, Debug)]
 pub enum CloudCall {
-    /// The machine types.
+    /// Read the machine types.
     Types,
-    /// A page of the machine list.
+    /// Read the next page of the machine list.
     List,
-    /// A request for machines.
+    /// Provision machines.
     ProvisionRequest(ProvisionRequest),
-    /// Machines to terminate.
+    /// Terminate these machines.
     Release(Vec<MachineId>),
 }
 
-/// The autoscaler's own state.
+/// The state of the autoscaler.
 #[derive(Debug)]
 pub struct Autoscaler {
-    /// Calls that may be made now.
+    /// Limits calls per second to a part of the cloud's rate limit.
     pub(in crate::core) rate_limit: TokenBucket,
-    /// Whether a call is out; there is only ever one.
+    /// Whether a call is in flight; no other is made meanwhile.
     pub(in crate::core) call_in_flight: bool,
-    /// No call before this time.
+    /// No call is made before this time: the end of the pause after a failed call.
     pub(in crate::core) not_before: Time,
-    /// Pause after calls that failed.
+    /// Computes the pause after a failed call.
     pub(in crate::core) backoff: Backoff,
-    /// What the cloud is to do, recorded ahead of asking for it.
+    /// Provisions and terminations, recorded before they are requested.
     pub intents: Intents,
-    /// Which node makes the calls.
+    /// Chooses whether calls are direct or go through a peer.
     pub cloud_proxy: CloudProxy,
-    /// Pools that had no capacity, and until when they are not asked again.
+    /// Pools that had no capacity, and until when nothing is provisioned from them.
     pub(in crate::core) paused_pools: BTreeMap<CapacityPool, Time>,
     /// When the machine list is next read.
     pub(in crate::core) list_due: Time,
-    /// Time between two reads of it.
+    /// Time between two reads of the machine list.
     pub(in crate::core) list_interval: TimeSpan,
-    /// The pages of a list read so far.
+    /// The machines on the pages read so far of a list that is not complete.
     pub(in crate::core) partial_list: Vec<ListedMachine>,
-    /// When the last whole list was read.
+    /// When the last complete list was read; `None`: none since this leader began.
     pub last_list: Option<Time>,
     /// When the machine types are next read.
     pub(in crate::core) types_due: Time,
-    /// Whether the last call terminated machines: other calls take turns with it.
+    /// Whether the last call was a termination; if so, another kind of call goes first.
     pub(in crate::core) last_call_terminated: bool,
-    /// When intents are next checked for being settled.
+    /// When completed intents are next removed.
     pub(in crate::core) next_settle: Time,
 }
 
 impl Autoscaler {
-    /// Nothing under way.
+    /// The state of a new leader with this fencing token, without calls or intents. The
+    /// machine list and types are due at `now`.
     pub fn new(settings: &Settings, token: FencingToken, now: Time) -> Autoscaler {
         let peers = settings.peers.iter().map(|p| p.node_id.clone()).collect();
-        let rate = settings.cloud_rps * RATE_SHARE;
+        let rate = settings.cloud_rps * RATE_LIMIT_SHARE;
         Autoscaler {
             rate_limit: TokenBucket::new(rate, rate.max(1.0)),
             call_in_flight: false,
@@ -81,7 +82,7 @@
             cloud_proxy: CloudProxy::new(peers),
             paused_pools: BTreeMap::new(),
             list_due: now,
-            list_interval: TimeSpan(settings.list_lag.0 / 2).max(SHORTEST_LIST_INTERVAL),
+            list_interval: TimeSpan(settings.list_lag.0 / 2).max(MIN_LIST_INTERVAL),
             partial_list: Vec::new(),
             last_list: None,
             types_due: now,
--- a/crates/controller/src/core/garbage_collection.rs
+++ b/crates/controller/src/core/garbage_collection.rs
@@ -1,7 +1,7 @@
-//! Garbage collection of keys whose job is gone. They are found when a leader loads,
-//! and deleted one small transaction at a time when nothing else is to be written. Each
-//! is deleted only if it is unchanged and its job's submission does not exist, so that
-//! nothing a live job needs is ever removed.
+//! Garbage collection of keys whose job no longer exists. A new leader finds them while it
+//! loads the records, and deletes them in small transactions while nothing else is to be
+//! written. A key is deleted only if its value is unchanged and its job's submission does not
+//! exist, so that no record of a live job is ever removed.
 
 use crate::core::failpoints::{self, SafetyCheck};
 use crate::core::keys;
@@ -12,18 +12,19 @@
 /// Most keys deleted in one transaction; each has two preconditions.
 const MAX_KEYS_PER_TRANSACTION: usize = 8;
 
-/// A key whose job is gone.
+/// A key whose job no longer exists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrphanedKey {
     key: String,
     /// The version at which it was found.
     version: Version,
-    /// The job that it belonged to.
+    /// The job that the key belongs to.
     job: JobId,
 }
 
 impl OrphanedKey {
-    /// What must hold to delete it: it is unchanged, and its job does not exist.
+    /// The preconditions of its deletion: the key is unchanged, and its job's submission does
+    /// not exist.
     fn preconditions(&self) -> Vec<Precondition> {
         if !failpoints::enforced(SafetyCheck::OrphansOnly) {
             return Vec::new();
@@ -44,12 +45,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct GarbageCollector {
     found: VecDeque<OrphanedKey>,
-    /// Keys deleted so far.
+    /// The number of keys deleted under this leader, for operators.
     pub deleted: u64,
 }
 
-/// The job that a key belongs to, if it is one that must not outlive its job.
-fn owner(key: &str) -> Option<JobId> {
+/// The job that a key belongs to; `None`: the key is of a kind that may outlive its job.
+fn owning_job(key: &str) -> Option<JobId> {
     if let Some((job, _)) = keys::parse_chunk_key(key) {
         return Some(job);
     }
@@ -60,15 +61,15 @@
 }
 
 impl GarbageCollector {
-    /// Checks a key that was read. `has_submission`: whether a job's submission was read
-    /// too, whether or not it could be understood.
+    /// Checks a key that was read, and remembers it if it is orphaned. `has_submission`:
+    /// whether a job's submission was read too, even if it could not be parsed.
     pub fn check_key(
         &mut self,
         key: &str,
         version: Version,
         has_submission: impl Fn(&JobId) -> bool,
     ) {
-        if let Some(job) = owner(key)
+        if let Some(job) = owning_job(key)
             && (!has_submission(&job) || !failpoints::enforced(SafetyCheck::OrphansOnly))
         {
             let key = key.into();
@@ -76,13 +77,13 @@
         }
     }
 
-    /// How many keys are left to delete.
+    /// The number of orphaned keys that are not deleted yet.
     pub fn remaining(&self) -> usize {
         self.found.len()
     }
 
-    /// Takes out the next keys to delete, at most `room`, each with its preconditions
-    /// and the deletion.
+    /// Removes and returns the next keys to delete, at most `room`, each with the preconditions
+    /// and the operation of its deletion. `room`: how many fit into the transaction.
     pub fn take_next(&mut self, room: usize) -> Vec<(OrphanedKey, Vec<Precondition>, Operation)> {
         let count = room.min(MAX_KEYS_PER_TRANSACTION).min(self.found.len());
         self.found
@@ -95,7 +96,7 @@
             .collect()
     }
 
-    /// Puts back a key that could not be deleted; it is tried again later.
+    /// Returns a key whose deletion failed to the end of the queue, to be retried.
     pub fn put_back(&mut self, orphan: OrphanedKey) {
         self.found.push_back(orphan);
     }
--- a/crates/controller/src/core/leader/arrival_recorder.rs
+++ b/crates/controller/src/core/leader/arrival_recorder.rs
@@ -1,5 +1,5 @@
-//! The recent arrivals of jobs per class: what reserve capacity and fair shares
-//! are computed from. Stored now and then, so that a successor starts with them.
+//! The recent arrivals of jobs per class, from which reserve capacity and minimum shares are
+//! computed. They are stored regularly, so that a successor starts with them.
 
 use crate::core::Now;
 use crate::core::job_records::Job;
@@ -9,37 +9,37 @@
 use crate::wire::cloud::MachineType;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time between two times at which the arrivals are stored.
+/// Time between two writes of the arrivals.
 const STORE_INTERVAL: TimeSpan = TimeSpan::millis(30_000);
-/// Arrivals kept per class.
+/// Most arrivals kept for one class; beyond that the oldest are dropped.
 const MAX_ARRIVALS_PER_CLASS: usize = 2048;
 
-/// A job's arrival, for what is to be expected.
+/// The arrival of a job, from which the expected load is computed.
 #[derive(Clone, Debug)]
 pub(in crate::core) struct Arrival {
-    /// When it was accepted.
+    /// When the job was accepted.
     pub at: WallTime,
-    /// The team that submitted it.
+    /// The team that submitted the job.
     pub team: Team,
-    /// Machines that its tasks fill.
+    /// The number of machines that the job's tasks fill, fractions included.
     pub machines: f64,
-    /// How long they should run, in seconds.
+    /// The estimated run time of a task, in seconds.
     pub run_s: f64,
 }
 
-/// Arrivals and when they are next stored.
+/// The arrivals of all classes, and when they are next stored.
 #[derive(Debug)]
 pub(in crate::core) struct ArrivalRecorder {
     /// The latest arrivals of each class, oldest first.
     pub by_class: BTreeMap<Class, VecDeque<Arrival>>,
-    /// When they are next stored.
+    /// When the arrivals are next stored.
     pub store_due: Time,
-    /// What was last stored.
+    /// The record as last stored or loaded; `Null`: none. An unchanged record is not written.
     pub stored: serde_json::Value,
 }
 
 impl ArrivalRecorder {
-    /// Without arrivals.
+    /// A recorder without arrivals; they are first stored at `now`.
     pub fn new(now: Time) -> ArrivalRecorder {
         ArrivalRecorder {
             by_class: BTreeMap::new(),
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Notes the arrival of a job, by how many machines of these types it fills.
+    /// Records the arrival of a job. `machine_types`: the job's size is counted in machines of
+    /// the type that takes most of the job's tasks.
     pub fn record(&mut self, job: &Job, machine_types: &BTreeMap<MachineTypeName, MachineType>) {
         let needs = job.spec.needs();
         let tasks_per_machine = machine_types
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The arrivals as they are stored, for fair shares over this window.
+    /// The arrivals in their stored form, for minimum shares over `window`.
     fn history(&self, window: TimeSpan) -> ArrivalHistory {
         let mut history = ArrivalHistory::new(window);
         for (class, arrivals) in &self.by_class {
@@ -81,7 +82,8 @@
         history
     }
 
-    /// Stores the arrivals now and then, in values of at most `value_bytes`.
+    /// Queues a write of the arrivals every `STORE_INTERVAL` if they have changed. `window`: the
+    /// time window of the minimum shares; `value_bytes`: most bytes of the record.
     pub fn store_if_due(
         &mut self,
         at: Now,
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Takes over the arrivals that an earlier leader stored, of jobs that are over
-    /// by now.
+    /// Adds the arrivals that an earlier leader stored and that the loaded jobs do not show:
+    /// those of jobs that have ended.
     pub fn load(&mut self, stored: serde_json::Value, window: TimeSpan) {
         match self.history(window).missing(&stored) {
             Some(missing) => {
@@ -112,24 +114,24 @@
             None => {
                 tracing::error!(
                     key = arrival_history::ARRIVAL_HISTORY_KEY,
-                    "stored arrivals cannot be read; minimum shares begin anew"
+                    "stored arrivals cannot be read; minimum shares start without them"
                 );
             }
         }
         self.stored = stored;
     }
 
-    /// Adds an arrival where it belongs in time.
+    /// Inserts an arrival of an earlier leader, in the order of time.
     fn insert(&mut self, recorded: MissingArrival) {
         let arrivals = self.by_class.entry(recorded.class).or_default();
-        let place = arrivals.partition_point(|arrival| arrival.at < recorded.at);
+        let position = arrivals.partition_point(|arrival| arrival.at < recorded.at);
         let arrival = Arrival {
             at: recorded.at,
             team: recorded.team,
             machines: recorded.machines,
             run_s: recorded.run_s,
         };
-        arrivals.insert(place, arrival);
+        arrivals.insert(position, arrival);
         if arrivals.len() > MAX_ARRIVALS_PER_CLASS {
             arrivals.pop_front();
         }
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -180,13 +180,13 @@
         successor.cluster.machines.is_empty(),
         "a stale list restored the machine"
     );
-    let Some(CloudCall::ProvisionRequest(request)) = successor
+    let Some(CloudCall::ProvisionRequest(provision)) = successor
         .autoscaler
         .next_call(Time(3), successor.cluster.machine_types.is_empty())
     else {
         panic!("the provision is not repeated")
     };
-    assert_eq!((request.request.as_str(), request.count), ("5-1", 3));
+    assert_eq!((provision.request.as_str(), provision.count), ("5-1", 3));
 }
 
 // Only status 200 proves that terminated machines are gone. A 400 was once taken as proof
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -1,5 +1,5 @@
-//! How many machines of which kind to have: provisions for what found no room in a
-//! cycle, and terminates idle machines that nothing needs. Makes no calls.
+//! Capacity planning: after each cycle, decides which machines to provision for requests that
+//! found no room, and which idle machines to terminate. Makes no calls.
 
 use super::arrival_recorder::{Arrival, ArrivalRecorder};
 use super::cluster_state::ClusterState;
@@ -15,35 +15,39 @@
 use crate::wire::cloud::{MachineType, ProvisionRequest};
 use std::collections::{BTreeMap, HashMap};
 
-/// Machines in each zone.
+/// The number of machines in each zone.
 type ZoneCounts = HashMap<Zone, u32>;
 
-/// Machines to provision, by pool.
-type Orders = BTreeMap<CapacityPool, f64>;
+/// Machines needed in each pool; a fraction where tasks do not fill a whole machine.
+type PoolDemand = BTreeMap<CapacityPool, f64>;
 
-/// What each machine in a zone adds to the price of further ones there: just enough
-/// to even out where new machines go.
+/// Added to the price of a machine for each machine in the same zone: only enough to spread
+/// new machines over zones of equal price.
 const CROWDING_COST: f64 = 1e-6;
-/// Arrivals that the reserve is computed from are no older than this, in milliseconds.
+/// The reserve is computed from arrivals of the last `RESERVE_WINDOW_MS` milliseconds.
 const RESERVE_WINDOW_MS: u64 = 240_000;
-/// And taken to be spread over at least this, in seconds.
-const SHORTEST_RESERVE_SPAN_S: f64 = 60.0;
-/// An objective about starting within so many boot times needs machines in reserve.
-const RESERVE_BOOT_TIMES: f64 = 2.0;
-/// Most tasks of a machine that are counted.
+/// Least time, in seconds, over which these arrivals are assumed to be spread.
+const MIN_RESERVE_SPAN_S: f64 = 60.0;
+/// An objective to start within fewer boot times than this needs reserve machines.
+const MAX_RESERVE_BOOT_TIMES: f64 = 2.0;
+/// Upper limit of the computed number of tasks on one machine.
 const MAX_TASKS_PER_MACHINE: u32 = 100_000;
-/// By how much idle machines are returned sooner when no job is open.
+/// Multiplies the idle time limit while no job is open.
 const QUIET_IDLE_FACTOR: f64 = 0.25;
-/// After how many idle times even a machine goes that waiting work could use.
-const WANTED_IDLE_FACTOR: f64 = 3.0;
-/// When every worker has had time to send a heartbeat: in intervals, and a margin.
-const FIRST_HEARTBEATS: f64 = 1.5;
+/// After how many times the idle limit a machine is terminated even if unplaced work could use
+/// it.
+const USABLE_IDLE_FACTOR: f64 = 3.0;
+/// Heartbeat intervals, and a margin, after which every agent has had time to send a new
+/// leader its first heartbeat.
+const FIRST_HEARTBEAT_INTERVALS: f64 = 1.5;
 const FIRST_HEARTBEAT_SLACK: TimeSpan = TimeSpan::millis(1000);
 
-/// Where to provision, and how many tasks a machine there takes.
+/// A pool to provision from for a request.
 struct PoolChoice {
+    /// Price of a machine per task, plus the crowding cost of the zone.
     cost: f64,
     pool: CapacityPool,
+    /// How many tasks of the request one machine takes.
     tasks_per_machine: u32,
 }
 
@@ -51,13 +55,14 @@
 struct IdleMachine {
     id: MachineId,
     price: f64,
-    /// Whether it has been idle for so long that it may go.
-    may_go: bool,
+    /// Whether it has been idle for long enough to be terminated.
+    may_terminate: bool,
 }
 
 impl Autoscaler {
-    /// After a cycle: provisions machines for what found no room, and terminates
-    /// idle ones that nothing needs. `leading_since` is when this leader began.
+    /// Called after each cycle: decides to provision machines for requests that found no room,
+    /// and marks idle machines that are not needed for termination. `leading_since`: when
+    /// this leader began to lead.
     pub(in crate::core) fn plan_capacity(
         &mut self,
         at: Now,
@@ -66,94 +71,97 @@
         leading_since: Time,
         cycle: &CycleResult,
     ) {
-        let mut coming = self.coming_machines(at.time, cluster);
-        let may_boot = cluster.policy.most_booting as u32;
-        let room = may_boot.saturating_sub(coming.len() as u32);
+        let mut pending = self.pending_machines(at.time, cluster);
+        let max_pending = cluster.policy.most_booting as u32;
+        let max_new_machines = max_pending.saturating_sub(pending.len() as u32);
         let mut teams = cluster.team_use();
-        let unplaced = unplaced_beyond(at.time, cluster, &cycle.unplaced, &mut coming, &mut teams);
+        let unplaced =
+            remaining_unplaced(at.time, cluster, &cycle.unplaced, &mut pending, &mut teams);
         self.paused_pools.retain(|_, until| *until > at.time);
-        if self.intents.may_provision() && self.knows_fleet(at.time, cluster, leading_since) {
+        if self.intents.may_provision() && self.has_fleet_view(at.time, cluster, leading_since) {
             let zones = cluster.machines_per_zone();
-            let mut orders = self.orders_for(cluster, &unplaced, &teams, &zones);
-            let idle = idle_rows(&cycle.rows) + coming.iter().filter(|r| is_empty(r)).count();
-            let reserve = cluster.reserve_machines(at.wall, arrivals) as usize;
+            let mut demand = self.demand_by_pool(cluster, &unplaced, &teams, &zones);
+            let idle =
+                count_idle_rows(&cycle.rows) + pending.iter().filter(|r| is_empty(r)).count();
+            let reserve = cluster.reserve_machine_count(at.wall, arrivals) as usize;
             if idle < reserve
                 && let Some(pool) = self.cheapest_pool(cluster, &zones)
             {
-                *orders.entry(pool).or_default() += (reserve - idle) as f64;
+                *demand.entry(pool).or_default() += (reserve - idle) as f64;
             }
-            self.provision(at.wall, orders, room);
+            self.provision(at.wall, demand, max_new_machines);
         }
-        cluster.return_idle_machines(at, arrivals, &unplaced, &cycle.rows);
+        cluster.terminate_idle_machines(at, arrivals, &unplaced, &cycle.rows);
     }
 
-    /// The machines that are booting or asked for, as rows.
-    fn coming_machines(&self, now: Time, cluster: &ClusterState) -> Vec<MachineRow> {
+    /// The machines that are booting or requested, as rows.
+    fn pending_machines(&self, now: Time, cluster: &ClusterState) -> Vec<MachineRow> {
         let booting = cluster.machines.iter().filter(|(_, machine)| {
             machine.last_heartbeat.is_none()
                 && machine.lifecycle == MachineLifecycle::InService
                 && !machine.listed_as_failed()
         });
         let booting = booting.filter_map(|(id, machine)| cluster.machine_row(now, id, machine));
-        let asked_for = self.intents.outstanding_provisions();
-        let asked_for = asked_for.flat_map(|request| cluster.expected_machines(now, request));
-        booting.chain(asked_for).collect()
+        let requested = self.intents.outstanding_provisions();
+        let requested = requested.flat_map(|request| cluster.expected_machines(now, request));
+        booting.chain(requested).collect()
     }
 
-    /// Whether a new leader can tell what is missing from what it has not heard
-    /// of yet: once it has a whole list, or every worker has had time to send a
-    /// heartbeat.
-    fn knows_fleet(&self, now: Time, cluster: &ClusterState, leading_since: Time) -> bool {
+    /// Whether the leader's tables name all machines: once a complete list was read, or every
+    /// agent has had time to send a heartbeat. Before that, a new leader cannot distinguish
+    /// missing machines from machines that it has not seen yet.
+    fn has_fleet_view(&self, now: Time, cluster: &ClusterState, leading_since: Time) -> bool {
         let interval = cluster.settings.workers.report;
-        let heartbeats = interval.scaled(FIRST_HEARTBEATS) + FIRST_HEARTBEAT_SLACK;
-        self.last_list.is_some() || now.since(leading_since) > heartbeats
+        let first_heartbeats = interval.scaled(FIRST_HEARTBEAT_INTERVALS) + FIRST_HEARTBEAT_SLACK;
+        self.last_list.is_some() || now.since(leading_since) > first_heartbeats
     }
 
-    /// The machines that requests need, by the pool that is cheapest for each.
-    fn orders_for(
+    /// The machines that the requests need, each from the pool that is cheapest for it.
+    /// Requests beyond their team's quota are left out.
+    fn demand_by_pool(
         &self,
         cluster: &ClusterState,
         unplaced: &[PlacementRequest],
         teams: &BTreeMap<Team, TeamUse>,
         zones: &ZoneCounts,
-    ) -> Orders {
-        let mut orders = Orders::new();
+    ) -> PoolDemand {
+        let mut demand = PoolDemand::new();
         for request in unplaced {
-            let at_once = if request.gang {
+            let least_tasks = if request.gang {
                 request.tasks.len() as f64
             } else {
                 1.0
             };
             let is_within_quota = teams.get(&request.team).is_some_and(|team| {
-                let used = team.used + request.need.times(at_once);
+                let used = team.used + request.need.times(least_tasks);
                 team.share.allows(&used)
             });
             if !is_within_quota {
                 continue;
             }
-            if let Some(choice) = self.pool_for(cluster, request, zones) {
+            if let Some(choice) = self.cheapest_pool_for(cluster, request, zones) {
                 let machines = request.tasks.len() as f64 / f64::from(choice.tasks_per_machine);
-                *orders.entry(choice.pool).or_default() += machines;
+                *demand.entry(choice.pool).or_default() += machines;
             }
         }
-        orders
+        demand
     }
 
-    /// Writes down what is to be provisioned, at most `room` machines.
-    fn provision(&mut self, wall: WallTime, orders: Orders, mut room: u32) {
-        for (pool, machines) in orders {
-            let mut left = (machines.ceil() as u32).min(room);
-            room -= left;
-            while left > 0 {
-                let count = left.min(MAX_MACHINES_PER_PROVISION);
-                left -= count;
+    /// Records provision intents for the demand, for at most `max_new_machines` machines.
+    fn provision(&mut self, wall: WallTime, demand: PoolDemand, mut max_new_machines: u32) {
+        for (pool, machines) in demand {
+            let mut remaining = (machines.ceil() as u32).min(max_new_machines);
+            max_new_machines -= remaining;
+            while remaining > 0 {
+                let count = remaining.min(MAX_MACHINES_PER_PROVISION);
+                remaining -= count;
                 self.intents.provision(pool.clone(), count, wall);
             }
         }
     }
 
-    /// Where to provision for a request: the cheapest per task that is not paused.
-    fn pool_for(
+    /// The pool with the lowest price per task that a request may use and that is not paused.
+    fn cheapest_pool_for(
         &self,
         cluster: &ClusterState,
         request: &PlacementRequest,
@@ -169,7 +177,7 @@
                 continue;
             }
             for zone in &machine_type.zones {
-                if !may_use_zone(request, zone) {
+                if !allows_zone(request, zone) {
                     continue;
                 }
                 for spot in [true, false] {
@@ -196,7 +204,7 @@
         best
     }
 
-    /// The cheapest pool at all that is not paused.
+    /// The pool with the lowest price per machine that is not paused.
     fn cheapest_pool(&self, cluster: &ClusterState, zones: &ZoneCounts) -> Option<CapacityPool> {
         let mut best: Option<(f64, CapacityPool)> = None;
         for machine_type in cluster.machine_types.values() {
@@ -222,8 +230,8 @@
 }
 
 impl ClusterState {
-    /// The machines that a provision request will bring, as rows: what they will take
-    /// needs no further ones.
+    /// The machines that a provision request will add, as rows, so that work which fits on
+    /// them is not provisioned for again.
     fn expected_machines(&self, now: Time, request: &ProvisionRequest) -> Vec<MachineRow> {
         let Some(machine_type) = self.machine_types.get(&request.kind) else {
             return Vec::new();
@@ -245,6 +253,7 @@
         (0..request.count).map(row).collect()
     }
 
+    /// The number of machines in each zone; a machine without a known zone is not counted.
     fn machines_per_zone(&self) -> ZoneCounts {
         let mut zones = ZoneCounts::new();
         let machines = self.machines.values();
@@ -259,15 +268,16 @@
         zones
     }
 
-    /// How many idle machines to keep for classes whose starts are wanted
-    /// sooner than a machine boots.
-    fn reserve_machines(&self, wall: WallTime, arrivals: &ArrivalRecorder) -> u32 {
+    /// How many idle machines to keep for classes with an objective that bounds the time to
+    /// start to less than new machines need: the machines for the work that arrives during a
+    /// boot, times the policy's `reserve`, but at least the largest recent job's.
+    fn reserve_machine_count(&self, wall: WallTime, arrivals: &ArrivalRecorder) -> u32 {
         let types = self.machine_types.values();
         let boot_s = types.map(|t| t.boot_s).fold(0.0, f64::max);
         let mut machines = 0.0;
         let mut largest: f64 = 0.0;
         for (class, arrivals) in &arrivals.by_class {
-            if !self.starts_before_boot(class, boot_s) {
+            if !self.needs_reserve(class, boot_s) {
                 continue;
             }
             let age_ms = |arrival: &Arrival| wall.0.saturating_sub(arrival.at.0);
@@ -278,7 +288,7 @@
             let oldest = recent.iter().map(|arrival| arrival.at.0).min();
             let span_s = oldest.map_or(1.0, |oldest| {
                 let age_s = wall.0.saturating_sub(oldest) as f64 / 1000.0;
-                age_s.max(SHORTEST_RESERVE_SPAN_S)
+                age_s.max(MIN_RESERVE_SPAN_S)
             });
             let sum: f64 = recent.iter().map(|arrival| arrival.machines).sum();
             machines += sum / span_s * boot_s;
@@ -291,21 +301,21 @@
             .ceil() as u32
     }
 
-    /// Whether a class has an objective about starting that new machines are too slow for.
-    fn starts_before_boot(&self, class: &Class, boot_s: f64) -> bool {
+    /// Whether a class has an objective to start in less time than new machines need to boot.
+    fn needs_reserve(&self, class: &Class, boot_s: f64) -> bool {
         self.settings.objectives.iter().any(|objective| {
             let within = objective.within;
             objective.kind == ObjectiveKind::Wait
                 && objective.class.as_ref() == Some(class)
-                && within.is_some_and(|within| within.as_secs() < boot_s * RESERVE_BOOT_TIMES)
+                && within.is_some_and(|within| within.as_secs() < boot_s * MAX_RESERVE_BOOT_TIMES)
         })
     }
 
-    /// Terminates machines that have been idle for long and that nothing waiting
-    /// could use. What waits for several machines at once may never get them
-    /// while idle ones elsewhere use up the cloud's room, so even a machine
-    /// that it could use goes in the end.
-    fn return_idle_machines(
+    /// Marks machines for termination that have been idle for long and that no unplaced request
+    /// could use, the most expensive first, beyond the reserve. A machine that a request could
+    /// use is also terminated, only later: a request for several machines at the same time may
+    /// never get them while idle machines elsewhere use up the cloud's capacity.
+    fn terminate_idle_machines(
         &mut self,
         at: Now,
         arrivals: &ArrivalRecorder,
@@ -313,11 +323,11 @@
         rows: &[MachineRow],
     ) {
         let mut idle = self.idle_machines(at.time, unplaced, rows);
-        let reserve = self.reserve_machines(at.wall, arrivals) as usize;
-        let spare = idle.len().saturating_sub(reserve);
+        let reserve = self.reserve_machine_count(at.wall, arrivals) as usize;
+        let surplus = idle.len().saturating_sub(reserve);
         idle.sort_by(|a, b| b.price.total_cmp(&a.price).then(a.id.cmp(&b.id)));
-        let may_go = idle.into_iter().filter(|machine| machine.may_go);
-        for IdleMachine { id, .. } in may_go.take(spare) {
+        let candidates = idle.into_iter().filter(|machine| machine.may_terminate);
+        for IdleMachine { id, .. } in candidates.take(surplus) {
             if let Some(machine) = self.machines.get_mut(&id) {
                 tracing::info!(machine = %id, "idle machine terminated");
                 machine.mark_for_termination("idle");
@@ -325,17 +335,18 @@
         }
     }
 
-    /// The idle machines of these rows. What is quarantined goes by its own rule.
+    /// The idle machines of these rows, without quarantined ones: `fleet_health` decides about
+    /// those. Sets `idle_since` of machines that have just become idle.
     fn idle_machines(
         &mut self,
         now: Time,
         unplaced: &[PlacementRequest],
         rows: &[MachineRow],
     ) -> Vec<IdleMachine> {
-        // With no job left at all there is little to be ready for.
+        // While no job is open, idle machines are less likely to be needed.
         let is_quiet = self.jobs.values().all(|job| !job.is_open());
-        let factor = if is_quiet { QUIET_IDLE_FACTOR } else { 1.0 };
-        let idle_limit = TimeSpan::secs(self.policy.idle_s).scaled(factor);
+        let idle_factor = if is_quiet { QUIET_IDLE_FACTOR } else { 1.0 };
+        let idle_limit = TimeSpan::secs(self.policy.idle_s).scaled(idle_factor);
         let mut idle = Vec::new();
         for row in rows.iter().filter(|row| !row.quarantined) {
             let Some(machine) = self.machines.get_mut(&row.id) else {
@@ -345,61 +356,66 @@
                 continue;
             }
             let idle_for = now.since(*machine.idle_since.get_or_insert(now));
-            let is_wanted = || {
+            let is_usable = || {
                 let mut requests = unplaced.iter();
                 requests.any(|request| request.allows(row) && request.need.fits(&row.capacity))
             };
-            let is_overdue = idle_for >= idle_limit.scaled(WANTED_IDLE_FACTOR);
-            let may_go = idle_for >= idle_limit && (is_overdue || !is_wanted());
+            let is_overdue = idle_for >= idle_limit.scaled(USABLE_IDLE_FACTOR);
+            let may_terminate = idle_for >= idle_limit && (is_overdue || !is_usable());
             let machine_type = self.machine_types.get(&row.machine_type);
             idle.push(IdleMachine {
                 id: row.id.clone(),
                 price: machine_type.map_or(0.0, |t| price_of(t, row.spot)),
-                may_go,
+                may_terminate,
             });
         }
         idle
     }
 }
 
-/// The requests that have waited for long enough, without what the machines on their
-/// way will take; what teams will use then is noted.
-fn unplaced_beyond(
+/// The requests that have waited for long enough, without the tasks that fit on pending
+/// machines. Adds the usage of those tasks to `teams`.
+fn remaining_unplaced(
     now: Time,
     cluster: &ClusterState,
     unplaced: &[PlacementRequest],
-    coming: &mut [MachineRow],
+    pending: &mut [MachineRow],
     teams: &mut BTreeMap<Team, TeamUse>,
 ) -> Vec<PlacementRequest> {
     let provision_after = TimeSpan::secs(cluster.policy.rent_after_s);
-    let has_waited = |request: &&PlacementRequest| {
+    let has_waited_enough = |request: &&PlacementRequest| {
         let job = cluster.jobs.get(&request.job);
         let since = job.and_then(|job| job.notes.waiting_since);
         since.is_some_and(|since| now.since(since) >= provision_after)
     };
-    let mut left: Vec<PlacementRequest> = unplaced.iter().filter(has_waited).cloned().collect();
+    let mut remaining: Vec<PlacementRequest> =
+        unplaced.iter().filter(has_waited_enough).cloned().collect();
     let estimates = cluster.fetch_estimates.clone();
     let parameters = CycleParameters {
         now,
         max_fetch_skew: TimeSpan::secs(1e6),
         backfill_margin: cluster.policy.backfill_margin,
     };
-    SchedulingCycle::new(parameters, coming, teams, &estimates).run(&mut left);
-    left.retain(|request| !request.tasks.is_empty());
-    left
+    SchedulingCycle::new(parameters, pending, teams, &estimates).run(&mut remaining);
+    remaining.retain(|request| !request.tasks.is_empty());
+    remaining
 }
 
-/// Whether a request's rules allow machines in a zone.
-fn may_use_zone(request: &PlacementRequest, zone: &Zone) -> bool {
+/// Whether a request's placement rules allow machines in a zone.
+fn allows_zone(request: &PlacementRequest, zone: &Zone) -> bool {
     let mut in_zones = request.tasks_in_zones.iter();
-    let taken = in_zones.find(|(_, count)| **count > 0);
-    let is_elsewhere = taken.is_some_and(|(taken, _)| taken != zone);
-    request.zone.as_ref().is_none_or(|wanted| wanted == zone)
+    let occupied = in_zones.find(|(_, count)| **count > 0);
+    let is_elsewhere = occupied.is_some_and(|(occupied, _)| occupied != zone);
+    request
+        .zone
+        .as_ref()
+        .is_none_or(|required| required == zone)
         && !(request.one_zone && is_elsewhere)
         && request.zone_room(zone) > 0
 }
 
-fn idle_rows(rows: &[MachineRow]) -> usize {
+/// The number of machines without tasks, except quarantined ones.
+fn count_idle_rows(rows: &[MachineRow]) -> usize {
     let usable = rows.iter().filter(|row| !row.quarantined);
     usable.filter(|row| is_empty(row)).count()
 }
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -1,5 +1,5 @@
-//! What operators may ask of the leader: its duties, quotas, machines and jobs as JSON
-//! for `/inspect`. Reads only. The keys are part of the interface and stay as they are.
+//! The leader's part of `/inspect`: its duties, quotas, machines and jobs as JSON for operators.
+//! Changes nothing. The JSON keys are part of the external interface and must not change.
 
 use super::arrival_recorder::ArrivalRecorder;
 use super::cluster_state::ClusterState;
@@ -18,10 +18,10 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Machines, and jobs, that one answer to an operator shows.
+/// Most machines, and most jobs, in one answer to an operator.
 const MAX_SHOWN: usize = 200;
 
-/// What one zone holds.
+/// Totals over the machines of one zone.
 #[derive(Default)]
 struct ZoneTotals {
     machines: usize,
@@ -30,9 +30,9 @@
     tasks: usize,
 }
 
-/// The parts of the leader that operators may look at, at one moment.
+/// The parts of the leader that an inspection reads, at one moment.
 pub(super) struct Inspection<'a> {
-    /// The moment.
+    /// The time of the inspection.
     pub at: Now,
     /// The leader's fencing token.
     pub token: FencingToken,
@@ -42,21 +42,21 @@
     pub authority: &'a LeaderAuthority,
     /// Jobs and machines.
     pub cluster: &'a ClusterState,
-    /// Which cycles ran.
+    /// Number and times of the scheduling cycles.
     pub scheduler: &'a Scheduler,
-    /// What was written.
+    /// The transactions written, and the garbage collection.
     pub writer: &'a TransactionWriter,
-    /// What the cloud is to do.
+    /// The open provisions and terminations.
     pub autoscaler: &'a Autoscaler,
-    /// Machines that failed.
+    /// The machines that are quarantined or drained.
     pub quarantine: &'a Quarantine,
-    /// Which classes there are.
+    /// Recent arrivals; their classes are the classes shown.
     pub arrivals: &'a ArrivalRecorder,
 }
 
 impl Inspection<'_> {
-    /// Everything, of machines and jobs whose names begin like this; of each at most
-    /// `MAX_SHOWN`, after the totals.
+    /// The whole answer: totals, and the machines and the jobs whose names begin with the
+    /// prefixes, at most `MAX_SHOWN` of each.
     pub fn report(&self, machine_prefix: &str, job_prefix: &str) -> Value {
         let cluster = self.cluster;
         let machines = cluster.machines.iter();
@@ -90,7 +90,8 @@
         time.map(|time| self.at.time.since(time).as_secs())
     }
 
-    /// What only one node does at a time, since when and how far.
+    /// The duties that only one controller has at a time, with their last progress and open
+    /// work.
     fn duties(&self) -> Value {
         let scheduler = self.scheduler;
         let last_cycle = Some(scheduler.last_cycle).filter(|_| scheduler.cycles > 0);
@@ -98,9 +99,13 @@
         let last_commit = self.writer.pipeline.last_committed;
         json!([
             self.duty("placing", last_cycle, json!({})),
-            self.duty("renting", last_call, self.renting()),
-            self.duty("reclaiming", scheduler.last_preemption, self.reclaiming()),
-            self.duty("cleaning", last_commit, self.cleaning()),
+            self.duty("renting", last_call, self.open_provisioning()),
+            self.duty(
+                "reclaiming",
+                scheduler.last_preemption,
+                self.open_preemption()
+            ),
+            self.duty("cleaning", last_commit, self.open_cleanup()),
         ])
     }
 
@@ -111,19 +116,21 @@
         })
     }
 
-    fn renting(&self) -> Value {
+    /// The open work of provisioning and terminating machines.
+    fn open_provisioning(&self) -> Value {
         let proxy = &self.autoscaler.cloud_proxy;
         let open = self.autoscaler.intents.open();
-        let by = proxy.peer(self.at.time);
+        let via = proxy.peer(self.at.time);
         json!({
             "hires": open.provisions, "releases": open.terminations,
             "machines_going": open.machines,
-            "by": by.map_or("itself", |node| node.as_str()),
+            "by": via.map_or("itself", |node| node.as_str()),
             "hands_changed": proxy.changes,
         })
     }
 
-    fn reclaiming(&self) -> Value {
+    /// The open work of preemption and quarantine.
+    fn open_preemption(&self) -> Value {
         let jobs = self.cluster.jobs.values();
         let assignments = jobs.flat_map(|job| job.assignments.values());
         json!({
@@ -132,7 +139,8 @@
         })
     }
 
-    fn cleaning(&self) -> Value {
+    /// The open work of garbage collection and of small records.
+    fn open_cleanup(&self) -> Value {
         let collector = &self.writer.garbage_collector;
         let pending_writes = &self.autoscaler.intents.pending_writes;
         json!({
@@ -143,13 +151,13 @@
         })
     }
 
-    /// What teams hold of their quotas, and how teams and classes are served.
+    /// Quota usage of teams, and service levels of teams and classes.
     fn shares(&self) -> Value {
         let cluster = self.cluster;
         let services = cluster.service_levels(self.at.wall, self.arrivals);
         let machines = cluster.machine_rows(self.at.time).len() as f64;
         let (share, window) = (cluster.policy.floor_share, cluster.policy.floor_window_s);
-        let floors = MinimumShares::new(&services, machines, share, window);
+        let minimum_shares = MinimumShares::new(&services, machines, share, window);
         let served = |group: &ShareGroup| services.get(group).map_or(1.0, |s| s.share());
         let usage = cluster.quota_usage();
         let teams: Vec<Value> = usage
@@ -160,9 +168,9 @@
                     "team": team,
                     "guaranteed": {"cpus": held.share.cpus, "gpus": held.share.gpus},
                     "limit": {"cpus": held.share.cpus_max, "gpus": held.share.gpus_max},
-                    "used": units(held.used), "stopping": units(held.stopping),
-                    "lent": units(held.beyond_guarantee()),
-                    "served": served(&group), "floor_machines": floors.of(&group),
+                    "used": quota_json(held.used), "stopping": quota_json(held.stopping),
+                    "lent": quota_json(held.beyond_guarantee()),
+                    "served": served(&group), "floor_machines": minimum_shares.of(&group),
                 })
             })
             .collect();
@@ -174,7 +182,7 @@
                 let group = ShareGroup::Class(class.clone());
                 json!({
                     "class": class, "served": served(&group),
-                    "floor_machines": floors.of(&group),
+                    "floor_machines": minimum_shares.of(&group),
                 })
             })
             .collect();
@@ -221,15 +229,15 @@
         })
     }
 
-    /// Totals over all machines, shown or not.
+    /// Totals by zone over all machines, including those beyond `MAX_SHOWN`.
     fn zones(&self) -> Vec<Value> {
-        let silence = self.cluster.max_silence();
+        let max_silence = self.cluster.max_silence();
         let mut zones: BTreeMap<&str, ZoneTotals> = BTreeMap::new();
         for machine in self.cluster.machines.values() {
             let zone = machine.zone.as_ref().map_or("", Zone::as_str);
             let totals = zones.entry(zone).or_default();
             totals.machines += 1;
-            totals.schedulable += usize::from(machine.is_schedulable(self.at.time, silence));
+            totals.schedulable += usize::from(machine.is_schedulable(self.at.time, max_silence));
             totals.spot += usize::from(machine.spot);
             totals.tasks += machine.tasks.len();
         }
@@ -243,7 +251,8 @@
     }
 }
 
-fn units(held: QuotaUnits) -> Value {
-    let whole = |thousandths: i64| thousandths as f64 / 1000.0;
-    json!({"cpus": whole(held.cpus), "gpus": whole(held.gpus)})
+/// Quota units as CPUs and GPUs.
+fn quota_json(held: QuotaUnits) -> Value {
+    let from_thousandths = |thousandths: i64| thousandths as f64 / 1000.0;
+    json!({"cpus": from_thousandths(held.cpus), "gpus": from_thousandths(held.gpus)})
 }
--- a/crates/controller/src/core/leader/preemption_search.rs
+++ b/crates/controller/src/core/leader/preemption_search.rs
@@ -198,8 +198,8 @@
                     continue;
                 }
                 let share = job.spec.needs().share_of(&rows[row].capacity);
-                let past_minimum_run = is_past_minimum_run(now, assignment, minimum_run);
-                let cost_s = self.preemption_cost_s(now, job, assignment, past_minimum_run);
+                let past_minimum = is_past_minimum_run(now, assignment, minimum_run);
+                let cost_s = self.preemption_cost_s(now, job, assignment, past_minimum);
                 candidates.push(Victim {
                     job: id.clone(),
                     task,
@@ -211,7 +211,7 @@
                     gang: job.is_gang(),
                     row,
                     cost_machine_seconds: cost_s * share,
-                    past_minimum_run,
+                    past_minimum_run: past_minimum,
                 });
             }
         }
@@ -224,11 +224,11 @@
         now: Time,
         job: &Job,
         assignment: &Assignment,
-        past_minimum_run: bool,
+        past_minimum: bool,
     ) -> f64 {
         // Where an objective bounds the time to start, a start that is soon stopped again
         // does not meet the objective for the users.
-        let early_stop_cost_s = if past_minimum_run || !self.has_start_objective(job) {
+        let early_stop_cost_s = if past_minimum || !self.has_start_objective(job) {
             0.0
         } else {
             EARLY_STOP_COST_S
--- a/crates/controller/src/core/leader/service_levels.rs
+++ b/crates/controller/src/core/leader/service_levels.rs
@@ -1,4 +1,5 @@
-//! How classes and teams are served: what fair minimum shares are computed from.
+//! Service levels of classes and teams: the work that arrived, is overdue and is running, from
+//! which minimum shares are computed.
 
 use super::arrival_recorder::{Arrival, ArrivalRecorder};
 use super::cluster_state::ClusterState;
@@ -7,7 +8,8 @@
 use crate::types::{Class, Resources, Team, TimeSpan, WallTime};
 use std::collections::BTreeMap;
 
-/// How each pair of a class and a team is served. They are few, jobs are many.
+/// The service level of each pair of a class and a team. A list without index is enough: there
+/// are few pairs and many jobs.
 #[derive(Default)]
 struct PairServices<'a>(Vec<PairService<'a>>);
 
@@ -18,9 +20,10 @@
 }
 
 impl<'a> PairServices<'a> {
+    /// The service level of a pair, inserted if missing.
     fn entry(&mut self, class: &'a Class, team: &'a Team) -> &mut Service {
-        let same = |pair: &PairService<'_>| pair.class == class && pair.team == team;
-        let index = self.0.iter().position(same).unwrap_or_else(|| {
+        let is_pair = |pair: &PairService<'_>| pair.class == class && pair.team == team;
+        let index = self.0.iter().position(is_pair).unwrap_or_else(|| {
             let service = Service::default();
             self.0.push(PairService {
                 class,
@@ -32,7 +35,7 @@
         &mut self.0[index].service
     }
 
-    /// Summed up by class and by team.
+    /// The sums for each class and for each team.
     fn by_group(self) -> BTreeMap<ShareGroup, Service> {
         let mut groups: BTreeMap<ShareGroup, Service> = BTreeMap::new();
         for pair in self.0 {
@@ -45,8 +48,9 @@
 }
 
 impl ClusterState {
-    /// How classes and teams are served, by the work that came of late and the
-    /// work that has waited too long for it. Empty where nothing has.
+    /// The service levels of classes and teams, from the work that arrived within the window of
+    /// the minimum shares and the work that is overdue. Empty while no work is overdue, and
+    /// where the policy sets no minimum share.
     pub fn service_levels(
         &self,
         wall: WallTime,
@@ -61,7 +65,7 @@
         let Some(largest) = self.largest_machine() else {
             return BTreeMap::new();
         };
-        // On most days nothing waits for so long.
+        // Usually no work is overdue, and the sums are not needed.
         if self.policy.floor_share <= 0.0 || !self.jobs.values().any(is_overdue) {
             return BTreeMap::new();
         }
@@ -80,7 +84,7 @@
         pairs.by_group()
     }
 
-    /// The most that any machine type has, of each resource.
+    /// The largest amount of each resource among all machine types; `None`: no type is known.
     fn largest_machine(&self) -> Option<Resources> {
         let types = self.machine_types.values();
         types
@@ -89,14 +93,15 @@
     }
 }
 
-/// Adds what an open job uses, and what it waits for if it has waited too long.
+/// Adds the machines that an open job uses, and its waiting work if the job is overdue. Tasks
+/// that are being stopped are not counted.
 fn add_job(service: &mut Service, job: &Job, machine: &Resources, is_overdue: bool) {
-    let each = job.spec.needs().share_of(machine);
+    let machines_per_task = job.spec.needs().share_of(machine);
     let assignments = job.assignments.values();
-    let staying = assignments.filter(|a| a.stop.is_none()).count();
-    service.used += staying as f64 * each;
+    let remaining = assignments.filter(|a| a.stop.is_none()).count();
+    service.used += remaining as f64 * machines_per_task;
     if is_overdue {
-        service.overdue += f64::from(job.waiting.len()) * each * job.spec.estimate_s;
+        service.overdue += f64::from(job.waiting.len()) * machines_per_task * job.spec.estimate_s;
         service.priority = service.priority.max(Some(job.spec.priority));
     }
 }
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -1,5 +1,5 @@
-//! What the leader tells its peers, for a successor to start with: task counts of
-//! jobs, images on machines, fetch times. Only what changed since the last heartbeat.
+//! The status that the leader sends its peers, so that a successor starts with it: task counts
+//! of jobs, images on machines, fetch times. Only changes since the last call are sent.
 
 use super::cluster_state::ClusterState;
 use crate::core::assignment::AssignmentPhase;
@@ -8,21 +8,21 @@
 use crate::wire::workers::TaskState;
 use std::collections::BTreeMap;
 
-/// Fetch times sent to peers at once.
-const MAX_FETCH_TIMES: usize = 200;
-/// Machines whose images are sent to peers at once.
-const MAX_CACHES: usize = 100;
+/// Most fetch times returned by one call.
+const MAX_FETCH_TIMES_PER_CALL: usize = 200;
+/// Most machines whose images are returned by one call.
+const MAX_CACHES_PER_CALL: usize = 100;
 
-/// How many of a job's tasks are done, and how many run.
+/// The numbers of done and of running tasks of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Done tasks.
+    /// The number of done tasks.
     pub done: u32,
-    /// Running tasks.
+    /// The number of tasks that their machine reports as running.
     pub running: u32,
 }
 
-/// What was last broadcast to the peers, so that only changes are sent.
+/// The status that was last sent to the peers, so that only changes are sent.
 #[derive(Debug, Default)]
 pub(in crate::core) struct StatusBroadcaster {
     /// Task counts of jobs.
@@ -34,16 +34,16 @@
 }
 
 impl StatusBroadcaster {
-    /// Counts of done and running tasks that changed since the last call, at most
-    /// `most`.
+    /// Jobs whose numbers of done and of running tasks changed since the last call, with both
+    /// numbers; at most `max_jobs` jobs.
     pub fn changed_counts(
         &mut self,
         cluster: &ClusterState,
-        most: usize,
+        max_jobs: usize,
     ) -> Vec<(JobId, u32, u32)> {
         let mut changed = Vec::new();
         for id in cluster.jobs.keys() {
-            if changed.len() >= most {
+            if changed.len() >= max_jobs {
                 break;
             }
             let Some(counts) = cluster.task_counts(id) else {
@@ -57,7 +57,8 @@
         changed
     }
 
-    /// Images of machines, with sizes in GB, where they changed since the last call.
+    /// Machines whose images changed since the last call, with all their images and the sizes
+    /// in GB.
     pub fn changed_caches(
         &mut self,
         cluster: &ClusterState,
@@ -66,7 +67,7 @@
             .retain(|id, _| cluster.machines.contains_key(id));
         let mut changed = Vec::new();
         for (id, machine) in &cluster.machines {
-            if changed.len() >= MAX_CACHES {
+            if changed.len() >= MAX_CACHES_PER_CALL {
                 break;
             }
             let images = machine.cache.images();
@@ -79,34 +80,34 @@
         changed
     }
 
-    /// Fetch times, in milliseconds, that changed since the last call.
+    /// Images whose fetch time changed since the last call, with that time in milliseconds.
     pub fn changed_fetch_times(&mut self, cluster: &ClusterState) -> Vec<(Image, u64)> {
         let sent = &mut self.sent_fetch_times;
         let changed = cluster.fetch_estimates.all().filter_map(|(image, took)| {
             let took_ms = took.as_millis();
-            let is_new = sent.get(image) != Some(&took_ms);
-            is_new.then(|| (image.clone(), took_ms))
+            let is_changed = sent.get(image) != Some(&took_ms);
+            is_changed.then(|| (image.clone(), took_ms))
         });
-        let changed: Vec<(Image, u64)> = changed.take(MAX_FETCH_TIMES).collect();
+        let changed: Vec<(Image, u64)> = changed.take(MAX_FETCH_TIMES_PER_CALL).collect();
         sent.extend(changed.iter().cloned());
         changed
     }
 
-    /// A peer missed what was sent: everything is sent once more.
+    /// Has everything sent again, after a peer missed a message.
     pub fn resend_everything(&mut self) {
         self.sent_counts.clear();
         self.sent_caches.clear();
         self.sent_fetch_times.clear();
     }
 
-    /// A job is deleted.
+    /// Removes a deleted job.
     pub fn forget_job(&mut self, id: &JobId) {
         self.sent_counts.remove(id);
     }
 }
 
 impl ClusterState {
-    /// Task counts of a job.
+    /// Task counts of a job; `None` if the leader has no such job.
     pub fn task_counts(&self, id: &JobId) -> Option<TaskCounts> {
         let job = self.jobs.get(id)?;
         let running = AssignmentPhase::Seen(TaskState::Running);
@@ -118,14 +119,14 @@
         })
     }
 
-    /// Takes over what the last leader sent of a machine's images.
+    /// Adds the images of a machine that the previous leader sent, with their sizes in GB.
     pub fn inherit_cache(&mut self, now: Time, id: &MachineId, images: &[(Image, f64)]) {
         let machine = self
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(now));
         for (image, gb) in images {
-            // What is known of it since is newer.
+            // An entry that this leader already has is newer.
             if machine.cache.remaining(image, now).is_none() {
                 machine.cache.record_fetched(image, *gb, now, f64::INFINITY);
             }
