--- a/crates/controller/src/core/autoscaler/state.rs
+++ b/crates/controller/src/core/autoscaler/state.rs
@@ -29,9 +29,9 @@
     /// Read the next page of the machine list.
     List,
     /// Provision machines.
-    ProvisionRequest(ProvisionRequest),
+    Provision(ProvisionRequest),
     /// Terminate these machines.
-    Release(Vec<MachineId>),
+    Terminate(Vec<MachineId>),
 }
 
 /// The state of the autoscaler.
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -150,12 +150,12 @@
                     last_machine.map_or(String::new(), |machine| format!("since={}&", machine.id));
                 get(format!("/machines?{since}most=500"))
             }
-            CloudCall::ProvisionRequest(request) => {
+            CloudCall::Provision(request) => {
                 tracing::info!(kind = %request.kind, zone = %request.zone, spot = request.spot, count = request.count, "provisioning machines");
                 self.intents.mark_provision_requested(&request.request);
                 post("/machines", wire::encode(request))
             }
-            CloudCall::Release(machines) => {
+            CloudCall::Terminate(machines) => {
                 self.intents.mark_termination_requested(machines);
                 let machines = machines.clone();
                 let body = wire::encode(&MachineNames { machines });
@@ -202,16 +202,16 @@
         } else {
             self.termination_call().or_else(|| self.other_call(now))
         };
-        self.last_call_terminated = matches!(call, Some(CloudCall::Release(_)));
+        self.last_call_terminated = matches!(call, Some(CloudCall::Terminate(_)));
         call
     }
 
     fn termination_call(&self) -> Option<CloudCall> {
         let machines = self.intents.next_termination();
-        (!machines.is_empty()).then_some(CloudCall::Release(machines))
+        (!machines.is_empty()).then_some(CloudCall::Terminate(machines))
     }
 
-    /// The next call that terminates no machine. A provision goes ahead of a list that is due,
+    /// The next call that terminates no machine. A provision precedes a list that is due,
     /// unless the list is a whole interval late.
     fn other_call(&self, now: Time) -> Option<CloudCall> {
         let is_list_late = now >= self.list_due + self.list_interval;
@@ -219,7 +219,7 @@
             return Some(CloudCall::List);
         }
         if let Some(request) = self.intents.next_provision() {
-            return Some(CloudCall::ProvisionRequest(request));
+            return Some(CloudCall::Provision(request));
         }
         if now >= self.list_due {
             return Some(CloudCall::List);
@@ -255,13 +255,13 @@
         match call {
             CloudCall::Types => self.apply_types(effects, context.cluster, &body),
             CloudCall::List => self.apply_list_page(now, context, &body),
-            CloudCall::ProvisionRequest(request) if is_accepted => {
+            CloudCall::Provision(request) if is_accepted => {
                 self.apply_provisioned(now, context.cluster, &request, &body);
             }
-            CloudCall::ProvisionRequest(request) => {
+            CloudCall::Provision(request) => {
                 self.apply_no_capacity(now, context.cluster, request);
             }
-            CloudCall::Release(machines) => self.apply_terminated(now, context, machines),
+            CloudCall::Terminate(machines) => self.apply_terminated(now, context, machines),
         }
         LeadershipOutcome::Continue
     }
@@ -291,7 +291,7 @@
             200 => CloudAnswer::Accepted(body),
             503 if is_no_capacity(&body) => CloudAnswer::NoCapacity(body),
             // Only 200 proves that terminated machines are gone.
-            400 if !matches!(call, CloudCall::Release(_)) => CloudAnswer::Malformed(body),
+            400 if !matches!(call, CloudCall::Terminate(_)) => CloudAnswer::Malformed(body),
             _ => CloudAnswer::Refused,
         }
     }
@@ -301,7 +301,7 @@
         let jitter = effects.jitter();
         let pause = self.backoff.failed(MIN_BACKOFF, MAX_BACKOFF, jitter);
         self.not_before = effects.now.time + pause;
-        if let CloudCall::ProvisionRequest(request) = call {
+        if let CloudCall::Provision(request) = call {
             // A refused request was not carried out. A request without an answer may have
             // been, or may yet be: it may only be repeated under the same name.
             match answer {
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -34,7 +34,7 @@
         list(&["host-1", "host-2"]),
     );
     assert_eq!(leader.cluster.machines.len(), 2);
-    let termination = CloudCall::Release(vec!["host-1".into()]);
+    let termination = CloudCall::Terminate(vec!["host-1".into()]);
     leader.handle_cloud_reply(
         &mut effects_at(2.0),
         termination,
@@ -85,7 +85,7 @@
                 .autoscaler
                 .next_call(Time(1), leader.cluster.machine_types.is_empty())
             {
-                Some(CloudCall::Release(names)) => {
+                Some(CloudCall::Terminate(names)) => {
                     leader.autoscaler.intents.mark_termination_requested(&names);
                     leader.autoscaler.intents.mark_terminated(&names, Time(1));
                     names
@@ -93,7 +93,7 @@
                         .for_each(|m| drop(leader.cluster.machines.remove(m)));
                     "release"
                 }
-                Some(CloudCall::ProvisionRequest(r)) => {
+                Some(CloudCall::Provision(r)) => {
                     leader
                         .autoscaler
                         .intents
@@ -158,7 +158,7 @@
             .lifecycle,
         MachineLifecycle::Terminating
     );
-    let Some(CloudCall::Release(names)) = successor
+    let Some(CloudCall::Terminate(names)) = successor
         .autoscaler
         .next_call(Time(2), successor.cluster.machine_types.is_empty())
     else {
@@ -166,7 +166,7 @@
     };
     successor.handle_cloud_reply(
         &mut effects_at(2.0),
-        CloudCall::Release(names),
+        CloudCall::Terminate(names),
         None,
         Reply::Answer(200, Vec::new()),
     );
@@ -180,7 +180,7 @@
         successor.cluster.machines.is_empty(),
         "a stale list restored the machine"
     );
-    let Some(CloudCall::ProvisionRequest(provision)) = successor
+    let Some(CloudCall::Provision(provision)) = successor
         .autoscaler
         .next_call(Time(3), successor.cluster.machine_types.is_empty())
     else {
@@ -200,7 +200,7 @@
             .cluster
             .register_machine(Time(0), &id, &leader.autoscaler.intents)
             .mark_for_termination("idle");
-        let call = CloudCall::Release(vec![id.clone()]);
+        let call = CloudCall::Terminate(vec![id.clone()]);
         let reply = Reply::Answer(status, Vec::new());
         leader.handle_cloud_reply(&mut effects_at(2.0), call, via.map(NodeId::from), reply);
         assert!(
--- a/crates/controller/src/core/leader/cluster_state.rs
+++ b/crates/controller/src/core/leader/cluster_state.rs
@@ -134,8 +134,9 @@
             .map_or(0.0, |machine_type| machine_type.cache_gb)
     }
 
-    /// Expected remaining time of a task on its machine, from its estimate and, before it
-    /// runs, the estimated image fetch. Zero for a task that exceeds its estimate.
+    /// Expected remaining time of a task on its machine: the rest of its estimate and, while
+    /// the image is being fetched, the estimated fetch time. Zero for a task that exceeds its
+    /// estimate.
     pub fn remaining_time(&self, now: Time, job: &Job, assignment: &Assignment) -> TimeSpan {
         let run = TimeSpan::secs(job.spec.estimate_s);
         if let Some(started) = assignment.running_since {
--- a/crates/controller/src/core/leader/job_objectives.rs
+++ b/crates/controller/src/core/leader/job_objectives.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 /// Added to a job's order for each missed objective, in milliseconds: larger than any
-/// acceptance time, so that the job goes behind all jobs that have missed fewer objectives.
+/// acceptance time, so that the job is placed after all jobs that have missed fewer objectives.
 const MISSED_PENALTY_MS: i64 = 1 << 48;
 /// Seconds after acceptance within which a job should finish that has neither an objective
 /// nor a deadline.
@@ -19,7 +19,8 @@
     by_class: HashMap<&'a Class, Vec<&'a Objective>>,
     /// Times within which work inside a guaranteed quota should start.
     guarantees: Vec<TimeSpan>,
-    /// Seconds that a job goes later for each second in which it would use the whole fleet.
+    /// Seconds by which a job is placed later for each second in which it would use the whole
+    /// fleet.
     small_first: f64,
     fleet: Resources,
 }
@@ -54,13 +55,13 @@
         objectives.into_iter().flatten().copied()
     }
 
-    /// The sort key among jobs of the same rank: the job with the smallest value goes first.
+    /// The sort key among jobs of the same rank: the job with the smallest value is placed first.
     /// Each objective for a job's class gives a time by which its tasks should start, and the
-    /// job whose next such time is the earliest goes first. A job that has missed an objective
-    /// goes behind the jobs that have missed none: at peak load, work that is late anyway
-    /// must not make other work late too. A large job goes later, in proportion to the share
-    /// of the fleet that it would use: when not all jobs can be on time, more small jobs than
-    /// large ones can.
+    /// job whose next such time is the earliest is placed first. A job that has missed an
+    /// objective is placed after the jobs that have missed none: at peak load, work that is late
+    /// anyway must not make other work late too. A large job is placed later, in proportion to
+    /// the share of the fleet that it would use: when not all jobs can be on time, more small
+    /// jobs than large ones can.
     pub fn order(&self, wall: WallTime, job: &Job) -> i64 {
         let age = wall.0 as i64 - job.accepted_at.0 as i64;
         let due_times = self.due_times(job);
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -165,7 +165,7 @@
 pub(in crate::core) struct CycleResult {
     /// Requests with tasks that were not placed; each holds only those tasks.
     pub unplaced: Vec<PlacementRequest>,
-    /// The machines, with the free resources that the cycle's starts leave.
+    /// The machines, with the free resources that the cycle's starts and preemptions leave.
     pub rows: Vec<MachineRow>,
 }
 
