--- a/crates/controller/src/core/election/claim.rs
+++ b/crates/controller/src/core/election/claim.rs
@@ -1,8 +1,8 @@
-//! Claiming the leader's key: a lease is requested, then one transaction writes
-//! the key under it if nobody else did meanwhile. Never writes without comparing
-//! the key's version and the active format version.
+//! Claims of the leader's key: a lease is requested, then one transaction writes the
+//! key bound to that lease, provided that no other controller wrote the key meanwhile.
+//! Each write compares the key's version and the active format version.
 
-use super::{Election, ElectionOutcome, ElectionState, PendingCall, RESTART_PAUSE};
+use super::{Election, ElectionOutcome, ElectionState, PendingCall, RESTART_DELAY};
 use crate::core::effects::Effects;
 use crate::core::format_version::FENCED;
 use crate::core::format_version::member_versions;
@@ -17,12 +17,12 @@
 use rand::RngExt;
 
 impl Election {
-    /// Requests a lease, to claim the key at this version.
+    /// Requests a lease for a claim that replaces the key at this version.
     pub(super) fn request_lease(&mut self, effects: &mut Effects, version: Version) {
         let request = LeaseGrantRequest {
             ttl_ms: self.lease_ttl.as_millis(),
         };
-        self.is_calling = true;
+        self.has_call_in_flight = true;
         let call = effects.call(
             Target::Store,
             "POST",
@@ -30,11 +30,11 @@
             wire::encode(&request),
             super::CALL_TIMEOUT,
         );
-        self.pending_calls.add(call, PendingCall::NewLease);
+        self.pending_calls.add(call, PendingCall::GrantLease);
         self.state = ElectionState::Leasing(version);
     }
 
-    pub(super) fn handle_lease(&mut self, effects: &mut Effects, reply: &Reply) {
+    pub(super) fn handle_lease_grant(&mut self, effects: &mut Effects, reply: &Reply) {
         let version = match (self.state, &self.leader) {
             (ElectionState::Leasing(version), _) => version,
             (ElectionState::Activating, Some((_, token))) => Version(token.0),
@@ -52,7 +52,7 @@
         self.commit(effects, &txn, PendingCall::Claim { lease });
     }
 
-    /// The transaction that writes the leader's key under this lease, if the key
+    /// The transaction that writes the leader's key bound to this lease, if the key
     /// still has this version.
     fn claim_transaction(&mut self, version: Version, lease: u64) -> Transaction {
         let holder_key = self.holder_key();
@@ -117,22 +117,23 @@
                 }
                 None => self.state = ElectionState::Unknown,
             },
-            // It may have been applied, or may yet be: the nonce shows which.
-            Reply::Lost => self.read_keys(effects, PendingCall::ClaimRead { lease }),
+            // The claim may have been applied, or may be applied later: the nonce in
+            // the stored record shows whether it was.
+            Reply::Lost => self.read_keys(effects, PendingCall::ReadAfterClaim { lease }),
             _ => {
                 self.revoke_lease(effects, lease);
                 if self.claims_as_leader {
                     self.resume_leading();
                 } else {
                     self.state = ElectionState::Unknown;
-                    self.not_before = effects.now.time + RESTART_PAUSE;
+                    self.not_before = effects.now.time + RESTART_DELAY;
                 }
             }
         }
         ElectionOutcome::None
     }
 
-    /// The key was read after a claim whose answer was lost.
+    /// Handles the read of the key after a claim whose reply was lost.
     pub(super) fn handle_claim_read(
         &mut self,
         effects: &mut Effects,
@@ -145,8 +146,8 @@
                 return self.become_leader(effects, FencingToken(entry.version.0), lease);
             }
         }
-        // If the claim is still applied later, the key will name this controller
-        // while it does not lead, which a later read resolves.
+        // If the claim is applied later than this read, the key names this controller
+        // while it does not lead; a later read of the key resolves that.
         self.revoke_lease(effects, lease);
         if self.claims_as_leader {
             self.resume_leading();
--- a/crates/controller/src/core/election/leader_key.rs
+++ b/crates/controller/src/core/election/leader_key.rs
@@ -1,5 +1,5 @@
-//! Following the leader's key: the first read, the watch, and the registration of
-//! this controller's member record, which stands next to it.
+//! Reading and watching the leader's key, and registering this controller's member
+//! record, which is stored under the same prefix.
 
 use super::{CALL_TIMEOUT, Election, ElectionState, PendingCall};
 use crate::core::effects::Effects;
@@ -13,15 +13,17 @@
     EntryPage, Transaction, TransactionResponse, WatchEvent, WatchResponse,
 };
 
-/// How long the key-value store holds a watch without changes open.
+/// How long the key-value store holds a watch open while there are no changes.
 const WATCH_HOLD: TimeSpan = TimeSpan::millis(2000);
 
-/// How many keys are read at once; there are a few for each controller.
-const PAGE_SIZE: u32 = 1000;
+/// Maximum number of keys in one read. Each controller stores only a few keys below
+/// the prefix, so one page holds all of them.
+const MAX_KEYS_PER_READ: u32 = 1000;
 
-/// The leader's key as it was read or watched.
+/// The leader's key as read or watched.
 struct LeaderKey {
-    /// None if the record names nobody.
+    /// `None` if the value is not a leader record, as with the tombstone under the
+    /// legacy key.
     record: Option<LeaderRecord>,
     version: Version,
 }
@@ -32,11 +34,12 @@
         self.read_keys(effects, PendingCall::ReadLeader { sent });
     }
 
-    /// Reads the leader's key and the member records beside it.
+    /// Reads the leader's key together with the format versions and member records,
+    /// which are stored under the same prefix.
     pub(super) fn read_keys(&mut self, effects: &mut Effects, pending: PendingCall) {
         let prefix = member_versions::PREFIX;
-        let path = format!("/keys?starts={prefix}&most={PAGE_SIZE}");
-        self.is_calling = true;
+        let path = format!("/keys?starts={prefix}&most={MAX_KEYS_PER_READ}");
+        self.has_call_in_flight = true;
         let call = effects.call(Target::Store, "GET", path, Vec::new(), CALL_TIMEOUT);
         self.pending_calls.add(call, pending);
     }
@@ -54,17 +57,22 @@
             WATCH_HOLD.as_millis()
         );
         let timeout = WATCH_HOLD + CALL_TIMEOUT;
-        self.is_calling = true;
+        self.has_call_in_flight = true;
         let call = effects.call(Target::Store, "GET", path, Vec::new(), timeout);
         self.pending_calls
             .add(call, PendingCall::WatchLeader { sent });
     }
 
-    pub(super) fn commit(&mut self, effects: &mut Effects, txn: &Transaction, what: PendingCall) {
-        self.is_calling = true;
+    pub(super) fn commit(
+        &mut self,
+        effects: &mut Effects,
+        txn: &Transaction,
+        pending: PendingCall,
+    ) {
+        self.has_call_in_flight = true;
         let body = wire::encode(txn);
         let call = effects.call(Target::Store, "POST", "/commit".into(), body, CALL_TIMEOUT);
-        self.pending_calls.add(call, what);
+        self.pending_calls.add(call, pending);
     }
 
     pub(super) fn handle_leader_read(&mut self, effects: &mut Effects, sent: Time, reply: &Reply) {
@@ -93,13 +101,16 @@
                 if let Some(response) = wire::decode::<TransactionResponse>(body) {
                     self.member_versions.registered(response.revision);
                 }
-                // An empty store has one change more now. Otherwise the watch goes on
-                // from what was read: what others changed since was not seen yet.
+                // The registration advanced the revision of an empty store, so whether
+                // the store is empty is read again. Otherwise the watch continues from
+                // the revision that was read: changes by other controllers since then
+                // were not received yet.
                 if self.store_is_empty {
                     self.state = ElectionState::Unknown;
                 }
             }
-            // Something else was stored meanwhile, or this was after all.
+            // A compared key changed meanwhile, or this record was stored although the
+            // reply was lost: a read shows which.
             _ => self.restart_with_backoff(effects),
         }
     }
@@ -111,7 +122,7 @@
             return;
         }
         let Some(changes) = reply.decode_success::<WatchResponse>() else {
-            // A watch that was lost may have missed a change.
+            // A change may have been lost together with the reply to the watch.
             return self.restart_with_backoff(effects);
         };
         self.record_contact(sent);
@@ -119,7 +130,7 @@
         for event in &changes.events {
             self.member_versions.apply(event);
         }
-        // Read only now: an activation among the changes moves the leader's key.
+        // Must follow the loop above: an activation among the events changes the key.
         let holder_key = self.holder_key();
         let mut events = changes.events.into_iter();
         let Some(last) = events.rfind(|event| concerns_key(event, holder_key)) else {
@@ -132,7 +143,8 @@
         self.apply_leader_key(effects, leader_key);
     }
 
-    /// Follows the holder of the key, or finds that there is none.
+    /// Updates the leader and the state after the leader's key was read or has changed;
+    /// `None`: the key does not exist.
     fn apply_leader_key(&mut self, effects: &Effects, leader_key: Option<LeaderKey>) {
         let Some(LeaderKey { record, version }) = leader_key else {
             self.leader = None;
@@ -140,12 +152,12 @@
             return;
         };
         self.revision = self.revision.max(version);
-        // If the key names this very controller while it does not lead, it is left
-        // from an earlier life, or from a claim whose answer was lost. Nobody else
-        // can act on it, so it is claimed anew.
-        let is_own = record.as_ref().is_some_and(|r| r.node_id == self.node_id);
+        // If the key names this controller while it does not lead, an earlier process
+        // of this controller wrote it, or a claim whose reply was lost. No other
+        // process can act on that key, so this controller claims it again.
+        let names_this_node = record.as_ref().is_some_and(|r| r.node_id == self.node_id);
         self.leader = record.map(|r| (r.node_id, FencingToken(version.0)));
-        if is_own {
+        if names_this_node {
             self.state = ElectionState::Vacant(version);
             return;
         }
--- a/crates/controller/src/core/election/state.rs
+++ b/crates/controller/src/core/election/state.rs
@@ -1,31 +1,32 @@
-//! The states of an election, as one controller sees it.
+//! The states of the election state machine of one controller.
 
 use crate::types::Version;
 use std::fmt;
 
-/// What a controller knows of the leader's key, and what it is about to do.
+/// What a controller has read of the leader's key, and how far its own claim is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionState {
-    /// It has not read the key yet.
+    /// The controller has not read the key yet.
     Unknown,
     /// Another controller holds the key, at this version.
     Following(Version),
-    /// Nobody holds the key, or an earlier life of this controller does; a claim
-    /// compares this version.
+    /// This controller may claim the key. A claim compares the key's version with this
+    /// one: 0 if the key does not exist; otherwise an earlier process of this controller
+    /// wrote the key, or its holder is to be replaced.
     Vacant(Version),
-    /// It has requested a lease, to claim the key at this version.
+    /// The controller has requested a lease, to claim the key at this version.
     Leasing(Version),
-    /// It has claimed the key under this lease.
+    /// The controller has sent a claim that binds the key to this lease.
     Claiming(u64),
-    /// It leads.
+    /// The controller leads.
     Leading,
-    /// It leads, and has requested a lease to claim the key anew, which activates
-    /// the first fenced format version.
+    /// The controller leads, and has requested a lease for a second claim, which
+    /// activates the first fenced format version.
     Activating,
 }
 
 impl fmt::Display for ElectionState {
-    /// The text in `/inspect`, which stays whatever the variants are called.
+    /// The text in `/inspect`. It stays the same if a variant is renamed.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ElectionState::Unknown => f.write_str("Unknown"),
--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -27,88 +27,93 @@
     Reply::Answer(200, wire::encode(&page))
 }
 
-/// The last call made, and what its answer is for.
-fn called(e: &mut Election, effects: &mut Effects) -> (Call, PendingCall) {
+/// The last call made, and its purpose. Takes all outputs.
+fn take_last_call(election: &mut Election, effects: &mut Effects) -> (Call, PendingCall) {
     let mut calls = effects.take_outputs().into_iter().filter_map(|o| match o {
         Output::Call(c) => Some(c),
         _ => None,
     });
     let call = calls.next_back().expect("a call");
-    let what = e.pending_calls.take(call.id).expect("waited for");
-    (call, what)
+    let pending = election
+        .pending_calls
+        .take(call.id)
+        .expect("a pending call");
+    (call, pending)
 }
 
-/// A leader before levels whose commit that raises the level is out: what it
-/// wrote, by key.
-fn rising(effects: &mut Effects) -> (Election, PendingCall, BTreeMap<String, Value>) {
+/// A leader at the unversioned format whose transaction that activates the first
+/// fenced version is in flight; also the pending call and the values written, by key.
+fn leader_with_activation_in_flight(
+    effects: &mut Effects,
+) -> (Election, PendingCall, BTreeMap<String, Value>) {
     let registry = MemberVersions::new(
         "a".into(),
         Some(SupportedVersions::SUPPORTED),
         BTreeMap::new(),
         1,
     );
-    let mut e = Election::new("a".into(), TimeSpan::secs(3.0), registry, FormatVersion(9));
-    e.tick(effects);
-    let (_, what) = called(&mut e, effects);
-    // Something else was stored before: this store is not a new one.
-    e.handle_reply(effects, what, page(Vec::new(), 9));
-    e.tick(effects);
-    let (call, what) = called(&mut e, effects);
+    let mut election = Election::new("a".into(), TimeSpan::secs(3.0), registry, FormatVersion(9));
+    election.tick(effects);
+    let (_, pending) = take_last_call(&mut election, effects);
+    // Revision 9 without keys: something was stored before, so the store is not empty.
+    election.handle_reply(effects, pending, page(Vec::new(), 9));
+    election.tick(effects);
+    let (call, pending) = take_last_call(&mut election, effects);
     assert_eq!(
         call.path, "/commit",
-        "it says what it serves before all else"
+        "the member record is registered before any claim"
     );
     let stored = TransactionResponse {
         revision: Version(10),
         failed: Vec::new(),
     };
-    e.handle_reply(effects, what, Reply::Answer(200, wire::encode(&stored)));
+    election.handle_reply(effects, pending, Reply::Answer(200, wire::encode(&stored)));
     for (path, answer) in [
         ("/leases", wire::encode(&LeaseGrant { lease: 7 })),
         ("/commit", wire::encode(&stored)),
     ] {
-        e.tick(effects);
-        let (call, what) = called(&mut e, effects);
+        election.tick(effects);
+        let (call, pending) = take_last_call(&mut election, effects);
         assert_eq!(call.path, path);
-        e.handle_reply(effects, what, Reply::Answer(200, answer));
+        election.handle_reply(effects, pending, Reply::Answer(200, answer));
     }
     assert_eq!(
-        (e.state, e.holder_key()),
+        (election.state, election.holder_key()),
         (ElectionState::Leading, member_versions::LEGACY_LEADER_KEY)
     );
-    let activation = e
+    let activation = election
         .member_versions
         .next_activation(effects.now.time, &[], FormatVersion(9))
-        .expect("alone");
-    e.activate_as_leader(effects, FencingToken(10), activation);
-    let (_, what) = called(&mut e, effects);
-    e.handle_reply(
+        .expect("no peer blocks the activation");
+    election.activate_as_leader(effects, FencingToken(10), activation);
+    let (_, pending) = take_last_call(&mut election, effects);
+    election.handle_reply(
         effects,
-        what,
+        pending,
         Reply::Answer(200, wire::encode(&LeaseGrant { lease: 8 })),
     );
-    let (call, what) = called(&mut e, effects);
+    let (call, pending) = take_last_call(&mut election, effects);
     let txn: Transaction = wire::decode(&call.body).expect("a transaction");
-    let holds =
+    let compares_legacy_key =
         |c: &Precondition| c.key == member_versions::LEGACY_LEADER_KEY && c.version == Version(10);
-    assert!(txn.conditions.iter().any(holds));
+    assert!(txn.conditions.iter().any(compares_legacy_key));
     let written = txn.ops.into_iter().filter_map(|op| match op {
         Operation::Put { key, value, .. } => Some((key, value)),
         Operation::Delete { .. } => None,
     });
-    (e, what, written.collect())
+    (election, pending, written.collect())
 }
 
-// The rise was committed and its answer lost: a leader that took it for failed
-// would go on under a key that leads nowhere, one that took it for done would
-// act on a token that nobody has.
+// The reply to the activation is lost. A leader that assumes that it failed would
+// continue under a key that is only a tombstone by then; a leader that assumes that it
+// was applied would act on a token that no controller compares_legacy_key.
 #[test]
 fn lost_reply_to_activation_is_resolved_by_a_read() {
     for applied in [true, false] {
         let mut effects = effects_at(5.0);
-        let (mut e, what, written) = rising(&mut effects);
-        e.handle_reply(&mut effects, what, Reply::Lost);
-        let (_, what) = called(&mut e, &mut effects);
+        let (mut election, pending, written) = leader_with_activation_in_flight(&mut effects);
+        election.handle_reply(&mut effects, pending, Reply::Lost);
+        let (_, pending) = take_last_call(&mut election, &mut effects);
         let keys = match applied {
             true => written.into_iter().map(|(k, v)| entry(&k, v, 11)).collect(),
             false => vec![entry(
@@ -117,8 +122,8 @@
                 10,
             )],
         };
-        let outcome = e.handle_reply(&mut effects, what, page(keys, 11));
-        assert_eq!(e.state, ElectionState::Leading);
+        let outcome = election.handle_reply(&mut effects, pending, page(keys, 11));
+        assert_eq!(election.state, ElectionState::Leading);
         if applied {
             assert_eq!(
                 outcome,
@@ -128,13 +133,19 @@
                 }
             );
             assert_eq!(
-                (e.member_versions.active_version(), e.holder_key()),
+                (
+                    election.member_versions.active_version(),
+                    election.holder_key()
+                ),
                 (FENCED, member_versions::LEADER_KEY)
             );
         } else {
             assert_eq!(outcome, ElectionOutcome::None);
             assert_eq!(
-                (e.member_versions.active_version(), e.holder_key()),
+                (
+                    election.member_versions.active_version(),
+                    election.holder_key()
+                ),
                 (UNVERSIONED, member_versions::LEGACY_LEADER_KEY)
             );
         }
@@ -144,16 +155,16 @@
 #[test]
 fn refused_activation_leaves_leader_unchanged() {
     let mut effects = effects_at(5.0);
-    let (mut e, what, _) = rising(&mut effects);
+    let (mut election, pending, _) = leader_with_activation_in_flight(&mut effects);
     let refused = TransactionResponse::default();
-    let outcome = e.handle_reply(
+    let outcome = election.handle_reply(
         &mut effects,
-        what,
+        pending,
         Reply::Answer(409, wire::encode(&refused)),
     );
     assert_eq!(
-        (outcome, e.state),
+        (outcome, election.state),
         (ElectionOutcome::None, ElectionState::Leading)
     );
-    assert_eq!(e.member_versions.active_version(), UNVERSIONED);
+    assert_eq!(election.member_versions.active_version(), UNVERSIONED);
 }
--- a/crates/controller/src/core/failure_detector/agent_migrations.rs
+++ b/crates/controller/src/core/failure_detector/agent_migrations.rs
@@ -1,37 +1,39 @@
-//! Agents that recently sent their heartbeats here instead of to the leader. They
-//! tell a leader that is gone from one whose port merely refuses connections.
+//! Agents that recently sent their heartbeats to this controller instead of to the
+//! leader. Their number distinguishes a leader that has stopped from a leader whose port
+//! merely refuses connections.
 
 use crate::types::{MachineId, Time, TimeSpan};
 use std::collections::BTreeMap;
 
-/// A refused connection says nothing alone: a controller without free sockets
-/// refuses, and so does a packet filter. But agents that leave a leader did not
-/// reach it either: this many of them, at all controllers that confirm a suspicion
-/// together, tell the two apart.
+/// Migrated agents that confirm a suspicion after a refused connection, counted at all
+/// controllers that confirm the suspicion together. A refused connection alone proves
+/// nothing: a controller without free sockets refuses connections, and so does a packet
+/// filter. An agent migrates only if it did not reach the leader either.
 pub(super) const MIGRATIONS_TO_CONFIRM: u32 = 3;
 
-/// An agent counts for this long after its last heartbeat here.
-const RECENT: TimeSpan = TimeSpan::millis(1500);
+/// An agent counts as migrated for this long after its last heartbeat here.
+const MIGRATION_WINDOW: TimeSpan = TimeSpan::millis(1500);
 
-/// When each agent that left the leader last sent a heartbeat here.
+/// When each migrated agent last sent a heartbeat to this controller.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AgentMigrations {
     last_seen: BTreeMap<MachineId, Time>,
 }
 
 impl AgentMigrations {
-    /// Records a heartbeat of an agent that follows the leader.
+    /// Records a heartbeat of an agent whose leader is the observed one.
     pub(super) fn record(&mut self, now: Time, machine: &MachineId) {
         let is_full = self.last_seen.len() >= MIGRATIONS_TO_CONFIRM as usize;
         if is_full && !self.last_seen.contains_key(machine) {
-            self.last_seen.retain(|_, seen| now.since(*seen) <= RECENT);
+            self.last_seen
+                .retain(|_, seen| now.since(*seen) <= MIGRATION_WINDOW);
         }
         self.last_seen.insert(machine.clone(), now);
     }
 
     /// How many agents migrated recently, up to [`MIGRATIONS_TO_CONFIRM`].
     pub(super) fn recent(&self, now: Time) -> u32 {
-        let is_recent = |seen: &&Time| now.since(**seen) <= RECENT;
+        let is_recent = |seen: &&Time| now.since(**seen) <= MIGRATION_WINDOW;
         let recent = self.last_seen.values().filter(is_recent).count();
         recent.min(MIGRATIONS_TO_CONFIRM as usize) as u32
     }
--- a/crates/controller/src/core/failure_detector/detector.rs
+++ b/crates/controller/src/core/failure_detector/detector.rs
@@ -1,12 +1,12 @@
-//! The failure detector of a follower: what it knows of the leader, and when that
-//! is enough to replace it.
+//! The failure detector of a follower: its observations of the leader, and the decision
+//! when they suffice to replace the leader.
 //!
-//! The leader's heartbeats are the signs of life; each says how long ago the
-//! key-value store last answered the leader. A suspicion is investigated before it
-//! is acted on: the leader is probed directly, the peers are asked whether they
-//! confirm it, and the store is asked for the key. Replacing a leader is only ever
-//! a transaction that compares the key's version, so nothing here has to be right
-//! for safety; it has to be right so that nobody is replaced needlessly.
+//! Each heartbeat of the leader says how long ago the key-value store last answered the
+//! leader. A suspicion is investigated before it leads to a replacement: the leader is
+//! probed directly, the peers are queried whether they confirm the suspicion, and the
+//! leader's key is read from the store. A replacement is always a transaction that
+//! compares the key's version, so safety does not depend on this module; a wrong
+//! decision here only replaces a leader needlessly.
 
 use super::accrual::Accrual;
 use super::agent_migrations::AgentMigrations;
@@ -17,64 +17,68 @@
 
 /// Time between the leader's heartbeats.
 pub const HEARTBEAT_PERIOD: TimeSpan = TimeSpan::millis(250);
-/// How long each call of an investigation may take.
+/// Timeout of each call of an investigation.
 pub const PROBE_TIMEOUT: TimeSpan = TimeSpan::millis(400);
 
-/// A peer that is asked confirms a suspicion from this share of the phi threshold
-/// on: it may have received a heartbeat a moment later.
+/// A queried peer confirms a suspicion from this share of the phi threshold on: the
+/// peer may have received its last heartbeat a moment later than the querying controller.
 const CONFIRMING_SHARE: f64 = 0.6;
-/// However regular the heartbeats are, a shorter silence is not suspicious.
+/// Minimum silence that is suspicious, however regular the heartbeats are.
 const MIN_SILENCE: TimeSpan = TimeSpan::millis(500);
-/// A leader that the store has not answered for this long may have lost it: of its
-/// renewals, four a second, one or two are lost now and then.
-const STORE_SILENCE: TimeSpan = TimeSpan::millis(1600);
-/// A detector whose own ticks are further apart than this was itself stopped.
+/// Minimum time without an answer of the store after which the leader may have lost
+/// contact with it. The leader renews its lease four times a second, and one or two
+/// renewals are lost now and then.
+const STORE_SILENCE_THRESHOLD: TimeSpan = TimeSpan::millis(1600);
+/// A longer gap between two ticks of the detector means that the detector's process
+/// was stopped.
 const MAX_TICK_GAP: TimeSpan = TimeSpan::millis(300);
-/// After such a stop it suspects nobody for this long.
+/// After such a stop the detector suspects no leader for this long.
 const SETTLING_TIME: TimeSpan = TimeSpan::millis(1000);
-/// Pause after a replacement; it doubles with each one, so that two controllers
-/// that suspect one another do not pass the key to and fro.
-const FIRST_REPLACEMENT_PAUSE: TimeSpan = TimeSpan::millis(5_000);
+/// Initial pause after a replacement. The pause doubles with each replacement, so that
+/// two controllers that suspect each other do not keep replacing each other.
+const INITIAL_REPLACEMENT_PAUSE: TimeSpan = TimeSpan::millis(5_000);
 const MAX_REPLACEMENT_PAUSE: TimeSpan = TimeSpan::millis(160_000);
-/// After this long without a replacement the pauses start over.
+/// After this long without a replacement the pause returns to its initial value.
 const REPLACEMENT_PAUSE_RESET: TimeSpan = TimeSpan::millis(600_000);
-/// After the leader answered a probe it is not suspected for this long.
-const PAUSE_AFTER_ANSWER: TimeSpan = TimeSpan::millis(1000);
+/// The leader is not suspected for this long after it answered a probe.
+const PAUSE_AFTER_ANSWERED_PROBE: TimeSpan = TimeSpan::millis(1000);
 
-/// What a controller knows of the leader, if that is another one.
+/// The failure detector of one controller. It observes the leader while another
+/// controller leads.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
-    /// Controllers that must confirm a suspicion, this one among them.
+    /// Number of controllers that must confirm a suspicion, including this one.
     quorum: usize,
-    /// The phi from which on a silence is suspicious; 0: none is.
+    /// The phi from which on a silence is suspicious; 0 disables all suspicion.
     phi_threshold: f64,
     leader: Option<(NodeId, FencingToken)>,
     heartbeats: Accrual,
-    /// How long the store had not answered the leader, as of its last heartbeat.
+    /// How long the store had not answered the leader, as of the last heartbeat.
     store_silence: TimeSpan,
-    /// How late the leader's own work was, as of its last heartbeat.
+    /// How late the leader's state machine ran, as of the last heartbeat.
     leader_lag: TimeSpan,
     last_heartbeat: Time,
     last_tick: Option<Time>,
-    /// When this controller last came back from a stop.
-    steady_since: Time,
+    /// When this controller last resumed after its process was stopped.
+    resumed_at: Time,
     investigation: Option<Investigation>,
-    /// Agents that left the leader since its last heartbeat.
+    /// Agents that migrated to this controller since the leader's last heartbeat.
     agent_migrations: AgentMigrations,
+    /// The pause after the next replacement.
     replacement_pause: TimeSpan,
-    /// Nobody is suspected before this.
+    /// No leader is suspected before this time.
     not_before: Time,
     last_replacement: Option<Time>,
-    /// Investigations that led to a replacement.
+    /// Number of investigations that led to a replacement.
     pub replacements: u64,
-    /// Suspicions that were refuted.
+    /// Number of suspicions that were refuted.
     pub refutations: u64,
 }
 
 impl FailureDetector {
-    /// A detector among this many controllers. A silence is suspicious from
-    /// `phi_threshold` on; 0: none is. With two controllers there is nobody to
-    /// confirm a suspicion, and only the leader's lease decides.
+    /// A detector in a cluster of this many controllers. A silence is suspicious from
+    /// `phi_threshold` on; 0 disables all suspicion. With two controllers no peer could
+    /// confirm a suspicion, so a leader is replaced only once its lease has expired.
     pub fn new(controllers: usize, phi_threshold: f64) -> FailureDetector {
         let peers = controllers.saturating_sub(1);
         FailureDetector {
@@ -86,10 +90,10 @@
             leader_lag: TimeSpan::ZERO,
             last_heartbeat: Time(0),
             last_tick: None,
-            steady_since: Time(0),
+            resumed_at: Time(0),
             investigation: None,
             agent_migrations: AgentMigrations::default(),
-            replacement_pause: FIRST_REPLACEMENT_PAUSE,
+            replacement_pause: INITIAL_REPLACEMENT_PAUSE,
             not_before: Time(0),
             last_replacement: None,
             replacements: 0,
@@ -97,8 +101,8 @@
         }
     }
 
-    /// Sets the leader to observe; none while this controller leads, or while none is
-    /// known.
+    /// Sets the leader to observe; `None` while this controller leads or no leader is
+    /// known. Another leader or token discards all observations.
     pub fn observe(&mut self, leader: Option<&(NodeId, FencingToken)>) {
         if self.leader.as_ref() == leader {
             return;
@@ -111,33 +115,33 @@
         self.agent_migrations.clear();
     }
 
-    /// Advances this controller's own time. One that was stopped received nothing,
-    /// and what still waits for it unread may be what it misses: it suspects nobody
-    /// until it has caught up.
+    /// Records that the state machine of this controller runs at `now`. A process that
+    /// was stopped received nothing, and the heartbeats that it misses may still be
+    /// unread in its sockets: it suspects no leader until it has caught up.
     pub fn tick(&mut self, now: Time) {
         let gap = self
             .last_tick
             .map_or(TimeSpan::ZERO, |last| now.since(last));
         self.last_tick = Some(now);
         if gap > MAX_TICK_GAP {
-            self.steady_since = now;
+            self.resumed_at = now;
             self.heartbeats.exclude_until(now);
             self.last_heartbeat = now;
             self.investigation = None;
         }
         let since_replacement = self.last_replacement.map(|last| now.since(last));
         if since_replacement.is_some_and(|elapsed| elapsed > REPLACEMENT_PAUSE_RESET) {
-            self.replacement_pause = FIRST_REPLACEMENT_PAUSE;
+            self.replacement_pause = INITIAL_REPLACEMENT_PAUSE;
         }
     }
 
-    /// What is to be done now. `rank`: how many controllers would be better
+    /// The action to take now. `rank` is the number of controllers that would be better
     /// successors than this one.
     pub fn next_action(&mut self, now: Time, rank: u32) -> Action {
         let Some((_, token)) = self.leader else {
             return Action::None;
         };
-        if !self.is_steady(now) || now < self.not_before {
+        if !self.is_settled(now) || now < self.not_before {
             return Action::None;
         }
         let Some(suspicion) = self.suspicion(now, self.phi_threshold) else {
@@ -162,8 +166,8 @@
         Action::None
     }
 
-    /// Whether this controller confirms a peer's suspicion of the holder of a token.
-    /// `store_reachable`: the store has recently answered this controller.
+    /// Whether this controller confirms a peer's suspicion of the holder of `token`.
+    /// `store_reachable` says whether the store has recently answered this controller.
     pub fn confirms(
         &self,
         now: Time,
@@ -172,11 +176,11 @@
         store_reachable: bool,
     ) -> bool {
         let own = self.suspicion(now, self.phi_threshold * CONFIRMING_SHARE);
-        let agrees = match suspicion {
+        let own_suspicion_agrees = match suspicion {
             Suspicion::Silent => own == Some(Suspicion::Silent),
             Suspicion::StoreUnreachable => own.is_some() && store_reachable,
         };
-        self.is_leader_token(token) && self.is_steady(now) && agrees
+        self.is_leader_token(token) && self.is_settled(now) && own_suspicion_agrees
     }
 
     fn suspicion(&self, now: Time, phi: f64) -> Option<Suspicion> {
@@ -187,14 +191,15 @@
         if silence >= MIN_SILENCE && self.heartbeats.phi(now) >= phi {
             return Some(Suspicion::Silent);
         }
-        // What the leader said is as old as its last heartbeat.
+        // The reported silence of the store is as old as the leader's last heartbeat.
         let store_silence = self.store_silence + now.since(self.last_heartbeat);
-        let was_reported = self.store_silence >= STORE_SILENCE;
-        (was_reported && store_silence >= STORE_SILENCE).then_some(Suspicion::StoreUnreachable)
+        let was_reported = self.store_silence >= STORE_SILENCE_THRESHOLD;
+        (was_reported && store_silence >= STORE_SILENCE_THRESHOLD)
+            .then_some(Suspicion::StoreUnreachable)
     }
 
-    fn is_steady(&self, now: Time) -> bool {
-        now.since(self.steady_since) >= SETTLING_TIME && self.last_tick.is_some()
+    fn is_settled(&self, now: Time) -> bool {
+        now.since(self.resumed_at) >= SETTLING_TIME && self.last_tick.is_some()
     }
 
     fn is_leader_token(&self, token: FencingToken) -> bool {
@@ -216,18 +221,20 @@
     }
 }
 
-/// Observations that the detector is fed with.
+/// The observations on which the detector decides.
 impl FailureDetector {
-    /// Records a heartbeat of the leader.
+    /// Records a heartbeat of the leader. Ignores heartbeats of any other controller or
+    /// token.
     pub fn record_heartbeat(&mut self, now: Time, heartbeat: &LeaderHeartbeat) {
-        let is_of_leader = |(node_id, token): &(NodeId, FencingToken)| {
+        let is_from_leader = |(node_id, token): &(NodeId, FencingToken)| {
             *node_id == heartbeat.node_id && *token == heartbeat.token
         };
-        if !self.leader.as_ref().is_some_and(is_of_leader) {
+        if !self.leader.as_ref().is_some_and(is_from_leader) {
             return;
         }
         if self.last_tick.is_some_and(|t| now.since(t) > MAX_TICK_GAP) {
-            // It waited here unread: the interval says nothing of the leader.
+            // The heartbeat was unread while this process was stopped, so the interval
+            // since the previous one is not the leader's.
             self.heartbeats.exclude_until(now);
         }
         self.heartbeats.record_heartbeat(now);
@@ -241,14 +248,16 @@
         }
     }
 
-    /// Records that an agent that follows the leader's token sent its heartbeat here.
+    /// Records that an agent whose leader holds `token` sent a heartbeat to this
+    /// controller.
     pub fn record_agent_migration(&mut self, now: Time, token: FencingToken, machine: &MachineId) {
         if self.is_leader_token(token) {
             self.agent_migrations.record(now, machine);
         }
     }
 
-    /// How many agents migrated here recently, as far as that matters.
+    /// How many agents migrated here recently, up to the number that confirms a
+    /// suspicion.
     pub fn recent_agent_migrations(&self, now: Time) -> u32 {
         self.agent_migrations.recent(now)
     }
@@ -265,9 +274,9 @@
             return investigation.record_failed_probe(outcome);
         }
         if investigation.suspicion == Suspicion::Silent {
-            // Only its heartbeats are lost.
+            // The leader is alive; only its heartbeats are lost.
             self.heartbeats.exclude_until(now);
-            self.not_before = self.not_before.max(now + PAUSE_AFTER_ANSWER);
+            self.not_before = self.not_before.max(now + PAUSE_AFTER_ANSWERED_PROBE);
             self.refute();
         }
     }
@@ -298,7 +307,7 @@
 }
 
 impl FailureDetector {
-    /// What it knows, for operators.
+    /// The detector's observations and decisions, for `/inspect`.
     pub fn inspect(&self, now: Time) -> serde_json::Value {
         let investigation = self.investigation.as_ref();
         serde_json::json!({
--- a/crates/controller/src/core/failure_detector/investigation.rs
+++ b/crates/controller/src/core/failure_detector/investigation.rs
@@ -1,5 +1,5 @@
 //! The investigation of a suspected leader: the evidence collected so far, and
-//! whether it suffices to replace the leader. Never sends anything.
+//! whether it suffices to replace the leader. This module sends nothing.
 
 use super::agent_migrations::MIGRATIONS_TO_CONFIRM;
 use super::suspicion::{ProbeOutcome, Suspicion};
@@ -7,22 +7,22 @@
 use std::collections::BTreeMap;
 
 /// Time between two probes in the same investigation.
-const PROBE_AGAIN: TimeSpan = TimeSpan::millis(200);
-/// The same while connections to the leader are refused, which costs it no time
-/// but says little.
-const PROBE_AGAIN_AFTER_REFUSAL: TimeSpan = TimeSpan::millis(600);
-/// Each successor leaves this much time to every better one before it, so that
-/// they do not claim the key at once.
+const PROBE_INTERVAL: TimeSpan = TimeSpan::millis(200);
+/// The same while connections to the leader are refused. A refusal costs the leader no
+/// time, but is weak evidence.
+const PROBE_INTERVAL_AFTER_REFUSAL: TimeSpan = TimeSpan::millis(600);
+/// Delay of a claim for each controller that is a better successor, so that several
+/// controllers do not claim the key at the same time.
 const DELAY_PER_RANK: TimeSpan = TimeSpan::millis(150);
 
-/// The last direct probe of the leader.
+/// The outcome of the last direct probe of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeEvidence {
-    /// Not probed yet.
+    /// No probe has ended yet.
     None,
-    /// It did not answer.
+    /// The leader did not answer in time.
     TimedOut,
-    /// It refused the connection.
+    /// The leader refused the connection.
     Refused,
 }
 
@@ -32,16 +32,17 @@
     pub(super) suspicion: Suspicion,
     last_probe: Time,
     probe: ProbeEvidence,
-    /// Whether the key-value store answered this controller since.
+    /// Whether the key-value store has answered this controller since the suspicion
+    /// arose.
     store_reachable: bool,
-    /// Peers that confirm the suspicion, and how many agents migrated to each.
+    /// Peers that confirm the suspicion, and how many agents migrated to each of them.
     confirming_peers: BTreeMap<NodeId, u32>,
-    /// Since when the evidence suffices.
+    /// Since when the evidence suffices; `None`: it does not suffice.
     confirmed_since: Option<Time>,
 }
 
 impl Investigation {
-    /// An investigation whose first probe is sent now.
+    /// An investigation whose first probe is sent at `now`.
     pub(super) fn new(suspicion: Suspicion, now: Time) -> Investigation {
         Investigation {
             suspicion,
@@ -53,13 +54,14 @@
         }
     }
 
-    /// Controllers that confirm the suspicion, this one among them.
+    /// Number of controllers that confirm the suspicion, including this one.
     pub(super) fn confirmations(&self) -> usize {
         self.confirming_peers.len() + 1
     }
 
-    /// Whether the leader is to be replaced by this controller now: the evidence
-    /// suffices, and has for as long as better successors may take.
+    /// Whether this controller is to replace the leader now: the evidence suffices, and
+    /// has sufficed for as long as better successors may need for their claims. `rank`
+    /// is the number of better successors.
     pub(super) fn is_concluded(
         &mut self,
         now: Time,
@@ -67,18 +69,17 @@
         own_migrations: u32,
         rank: u32,
     ) -> bool {
-        let suffices = self.is_leader_unreachable(own_migrations)
+        let evidence_suffices = self.is_leader_unreachable(own_migrations)
             && self.store_reachable
             && self.confirmations() >= quorum;
-        if !suffices {
+        if !evidence_suffices {
             return false;
         }
         let confirmed_since = *self.confirmed_since.get_or_insert(now);
         now.since(confirmed_since) >= TimeSpan(DELAY_PER_RANK.0 * u64::from(rank))
     }
 
-    /// Whether what is known of the leader besides its heartbeats confirms the
-    /// suspicion.
+    /// Whether evidence other than missing heartbeats confirms the suspicion.
     fn is_leader_unreachable(&self, own_migrations: u32) -> bool {
         if self.suspicion == Suspicion::StoreUnreachable {
             return true;
@@ -93,20 +94,20 @@
         }
     }
 
-    /// Whether the next probe is due; if so it counts as sent.
+    /// Whether the next probe is due. If it is, it is recorded as sent at `now`.
     pub(super) fn start_probe_if_due(&mut self, now: Time) -> bool {
-        let pause = match self.probe {
-            ProbeEvidence::Refused => PROBE_AGAIN_AFTER_REFUSAL,
-            ProbeEvidence::None | ProbeEvidence::TimedOut => PROBE_AGAIN,
+        let interval = match self.probe {
+            ProbeEvidence::Refused => PROBE_INTERVAL_AFTER_REFUSAL,
+            ProbeEvidence::None | ProbeEvidence::TimedOut => PROBE_INTERVAL,
         };
-        let is_due = now.since(self.last_probe) >= pause;
+        let is_due = now.since(self.last_probe) >= interval;
         if is_due {
             self.last_probe = now;
         }
         is_due
     }
 
-    /// Records a probe that the leader did not answer.
+    /// Records a probe that the leader did not answer. Ignores an answered one.
     pub(super) fn record_failed_probe(&mut self, outcome: ProbeOutcome) {
         self.probe = match outcome {
             ProbeOutcome::Answered => return,
@@ -115,7 +116,8 @@
         };
     }
 
-    /// Records a peer that confirms the suspicion, or does not.
+    /// Records whether a peer confirms the suspicion, and how many agents migrated to
+    /// that peer. A peer that does not confirm restarts the delay by rank.
     pub(super) fn record_peer(&mut self, peer: NodeId, confirms: bool, migrations: u32) {
         if confirms {
             let counted = migrations.min(MIGRATIONS_TO_CONFIRM);
--- a/crates/controller/src/core/failure_detector/mod.rs
+++ b/crates/controller/src/core/failure_detector/mod.rs
@@ -1,6 +1,6 @@
-//! How a controller notices that the leader has failed: a phi accrual failure
-//! detector, and an investigation before the leader is replaced. Observations and
-//! time go in, actions come out; nothing here sends anything.
+//! Detection of a failed leader: a phi accrual failure detector, and an investigation
+//! before the leader is replaced. The inputs are observations and the time, the outputs
+//! are actions; this module sends nothing.
 
 pub mod accrual;
 mod agent_migrations;
--- a/crates/controller/src/core/failure_detector/suspicion.rs
+++ b/crates/controller/src/core/failure_detector/suspicion.rs
@@ -1,20 +1,20 @@
-//! The plain types of the failure detector: what the leader is suspected of, what
-//! a probe of it shows, and what is to be done. Nothing here decides anything.
+//! The data types of the failure detector: the kind of suspicion, the outcome of a
+//! probe of the leader, and the action to take.
 
 use crate::types::FencingToken;
 use std::fmt;
 
-/// What the leader is suspected of.
+/// The failure that the leader is suspected of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// Its heartbeats do not arrive.
+    /// The leader's heartbeats do not arrive.
     Silent,
-    /// The key-value store does not answer it.
+    /// The key-value store does not answer the leader.
     StoreUnreachable,
 }
 
 impl fmt::Display for Suspicion {
-    /// The text in `/inspect`, which stays whatever the variants are called.
+    /// The text in `/inspect`. It stays the same if a variant is renamed.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Suspicion::Silent => "Silent",
@@ -26,7 +26,7 @@
 /// How a direct probe of the leader ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// It answered.
+    /// The leader answered.
     Answered,
     /// The connection was refused, which alone proves nothing.
     ConnectionRefused,
@@ -34,13 +34,13 @@
     TimedOut,
 }
 
-/// What is to be done about the leader.
+/// The action that the failure detector requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Action {
-    /// Nothing.
+    /// No action.
     None,
-    /// Probe the leader, and ask the peers and the key-value store.
+    /// Probe the leader, and query the peers and the key-value store.
     Investigate(Suspicion),
     /// Claim the leader's key from the holder of this token.
     ReplaceLeader(FencingToken, Suspicion),
--- a/crates/controller/src/core/leader_authority/tests.rs
+++ b/crates/controller/src/core/leader_authority/tests.rs
@@ -6,12 +6,12 @@
 }
 
 fn times(lease_s: f64, cancel_s: f64) -> WorkerTimes {
-    let any = TimeSpan::secs(1.0);
+    let unrelated = TimeSpan::secs(1.0);
     WorkerTimes {
-        report: any,
+        report: unrelated,
         lease: TimeSpan::secs(lease_s),
-        gang_wait: any,
-        gang_peer: any,
+        gang_wait: unrelated,
+        gang_peer: unrelated,
         cancel: TimeSpan::secs(cancel_s),
     }
 }
@@ -29,19 +29,23 @@
     for (lease, cancel) in [(10.0, 40.0), (44.0, 69.0), (22.0, 52.0), (22.0, 25.0)] {
         let bounds = AuthorityBounds::new(&times(lease, cancel));
         assert_eq!(bounds.cancel_overrun(), TimeSpan::ZERO, "{lease} {cancel}");
-        let gone = bounds.hold().as_secs() + lease * 1.0005;
-        assert!(gone < cancel - 1.5, "{lease} {cancel}: {gone}");
-        // An answer to a read that is held for its longest is still in time.
+        let tasks_ended_s = bounds.hold().as_secs() + lease * 1.0005;
+        assert!(
+            tasks_ended_s < cancel - 1.5,
+            "{lease} {cancel}: {tasks_ended_s}"
+        );
+        // The answer to a read that is held open for the maximum time is still in time.
         assert!(
             bounds.watch() < bounds.hold().scaled(0.5) && bounds.watch() >= TimeSpan::millis(100)
         );
-        // What an older leader kept alive is gone before it is presumed to be.
-        assert!(bounds.earlier_leader_window().as_secs() > gone + 1.5);
+        // Tasks that an earlier leader kept alive have ended before they are presumed
+        // to have ended.
+        assert!(bounds.earlier_leader_window().as_secs() > tasks_ended_s + 1.5);
     }
 }
 
-// With H of a second and a watch held for one, contact was never young enough:
-// every lease ran out with the state service well.
+// With H of one second and a watch held for one second, contact was never recent
+// enough: every lease expired although the key-value store was healthy.
 #[test]
 fn short_hold_shortens_watch() {
     let bounds = AuthorityBounds::new(&times(22.0, 25.0));
@@ -62,13 +66,16 @@
     }
 }
 
-// Settings that leave no time: by how much the promise is missed is reported.
+// For settings that leave no time, the bounds report by how much `cancel` is exceeded.
 #[test]
 fn reports_overrun_when_cancel_is_too_short() {
     for cancel in [10.0, 20.0, 24.4] {
         let bounds = AuthorityBounds::new(&times(22.0, cancel));
-        let over = bounds.cancel_overrun().as_secs();
-        assert!(over > 0.0 && over + cancel < 22.0 * 1.001 + 3.6, "{over}");
+        let overrun = bounds.cancel_overrun().as_secs();
+        assert!(
+            overrun > 0.0 && overrun + cancel < 22.0 * 1.001 + 3.6,
+            "{overrun}"
+        );
         assert!(bounds.watch() <= TimeSpan::millis(500) && bounds.hold() == TimeSpan::millis(1500));
     }
 }
@@ -79,19 +86,19 @@
     assert!(!authority.may_answer(at(0.1)) && !authority.may_start(at(0.1)));
     authority.record_load_page(at(0.0));
     authority.record_load_page(at(30.0));
-    // Neither a page nor, before the load is over, a read of changes.
+    // Neither a page nor, before the load is complete, a read of changes counts.
     authority.record_read(at(30.0));
     assert!(!authority.may_answer(at(30.0)));
     authority.record_load_complete(at(60.0));
     assert_eq!(
         authority.last_contact(),
         at(0.0),
-        "as old as the first page"
+        "contact is as old as the first page"
     );
     assert!(!authority.may_answer(at(60.0)));
     authority.record_read(at(60.5));
     assert!(authority.may_answer(at(60.6)));
-    // Answers come in any order.
+    // Answers arrive in any order.
     authority.record_read(at(59.0));
     assert_eq!(authority.last_contact(), at(60.5));
 }
@@ -105,15 +112,15 @@
     disable_check(&[SafetyCheck::BoundedHold]);
     let unbounded = authority.may_answer(late);
     disable_check(&[]);
-    assert!(unbounded, "the check was not missed");
+    assert!(unbounded, "disabling the check made no difference");
     assert!(authority.may_start(at(3.9)) && !authority.may_start(at(4.1)));
-    // Without contact changes are wanted at once.
+    // Without recent contact the read of changes must return immediately.
     assert_eq!(authority.watch(at(1.0)), TimeSpan::millis(1000));
     assert_eq!(authority.watch(at(5.0)), TimeSpan::ZERO);
 }
 
-// A peer's report stops a job's tasks; were it taken for proof, or never checked
-// again, a wrong report would lose the job.
+// A peer's report stops a job's tasks. If the report counted as proof, or were never
+// checked against the store, a wrong report would lose the job.
 #[test]
 fn peer_report_stops_tasks_until_next_read() {
     let mut authority = loaded();
@@ -123,13 +130,13 @@
     );
     assert!(
         !authority.record_peer_cancellation(at(3.0), &id),
-        "told again"
+        "a repeated report is not new"
     );
-    assert_eq!(authority.last_contact(), at(0.0), "it is no contact");
+    assert_eq!(authority.last_contact(), at(0.0), "a report is no contact");
     authority.record_read(at(2.0));
     assert!(
         authority.take_outdated_reports().is_empty(),
-        "sent no later than it was told"
+        "the read was not sent after the report"
     );
     authority.record_read(at(2.1));
     assert_eq!(authority.take_outdated_reports(), ["wk-1".into()]);
