--- a/crates/controller/src/core/format_version/chunk_progress.rs
+++ b/crates/controller/src/core/format_version/chunk_progress.rs
@@ -1,12 +1,12 @@
-//! The record of a chunk of tasks, in the form of every level.
+//! The record of a chunk of tasks, in the form of every format version.
 //!
 //! | form | value |
 //! | --- | --- |
-//! | before | `{"n": highest attempt, "d": [[from, to], ..] done, "p": [[task, attempt, machine, epoch], ..], "x": [[from, to], ..] being stopped}` |
-//! | by machine, since level 2 | `{"n": .., "d": [from, to, from, to, ..], "m": [[machine, epoch, n - attempt, [task, task - the one before, ..]], ..], "x": [from, to, ..]}` |
+//! | by task, up to version 1 | `{"n": highest attempt, "d": [[from, to], ..] done, "p": [[task, attempt, machine, epoch], ..], "x": [[from, to], ..] being stopped}` |
+//! | by machine, from version 2 on | `{"n": .., "d": [from, to, from, to, ..], "m": [[machine, epoch, n - attempt, [task, task - previous task, ..]], ..], "x": [from, to, ..]}` |
 //!
-//! Neither reads as the other. A record with more in it is of a later level, and is
-//! refused: what it says would be lost when it is written again.
+//! Neither form can be read as the other. A record with further fields has the form of
+//! a later version and is rejected: those fields would be lost when it is rewritten.
 
 use super::{FormatVersion, WITH_HISTORY};
 use crate::types::{AgentEpoch, Attempt, MachineId};
@@ -14,40 +14,40 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Ranges `[from, to)` of tasks.
-pub type Spans = Vec<(u32, u32)>;
+/// Half-open ranges `[from, to)` of task numbers, ascending.
+pub type TaskRanges = Vec<(u32, u32)>;
 
-/// Where a task is: its number, attempt, machine and session.
-pub type Place = (u32, Attempt, MachineId, AgentEpoch);
+/// An assigned task: its number, attempt, machine and agent epoch.
+pub type StoredAssignment = (u32, Attempt, MachineId, AgentEpoch);
 
-/// What a record says.
+/// The contents of a chunk's record.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ChunkProgress {
-    /// The highest attempt.
+    /// The highest attempt of any task in the chunk.
     pub attempt: Attempt,
     /// Tasks that are done.
-    pub done: Spans,
-    /// Where tasks are, in the order of their numbers.
-    pub assignments: Vec<Place>,
-    /// Tasks that are being stopped with time to save.
-    pub stops: Spans,
+    pub done: TaskRanges,
+    /// Tasks that are assigned to a machine, in the order of their numbers.
+    pub assignments: Vec<StoredAssignment>,
+    /// Tasks that are being stopped with time for a checkpoint.
+    pub stops: TaskRanges,
 }
 
 /// Why a record cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("in no form up to level {newest}: {why}", newest = super::SupportedVersions::SUPPORTED.high)]
+#[error("not in the form of any level up to {newest}: {why}", newest = super::SupportedVersions::SUPPORTED.high)]
 pub struct UnreadableRecord {
     why: String,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Before {
+struct ByTaskEncoding {
     n: u64,
-    d: Spans,
+    d: TaskRanges,
     p: Vec<(u32, u64, MachineId, u64)>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    x: Spans,
+    x: TaskRanges,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -61,49 +61,52 @@
     x: Vec<u32>,
 }
 
-fn flat(spans: &Spans) -> Vec<u32> {
-    spans.iter().flat_map(|&(a, b)| [a, b]).collect()
+fn flatten_ranges(ranges: &TaskRanges) -> Vec<u32> {
+    ranges.iter().flat_map(|&(a, b)| [a, b]).collect()
 }
 
-fn pairs(flat: &[u32]) -> Result<Spans, UnreadableRecord> {
+fn parse_ranges(flat: &[u32]) -> Result<TaskRanges, UnreadableRecord> {
     let (pairs, rest) = flat.as_chunks::<2>();
-    let good = rest.is_empty() && pairs.iter().all(|[a, b]| a < b);
+    let is_valid = rest.is_empty() && pairs.iter().all(|[a, b]| a < b);
     let why = || "fields d, x: not pairs of task numbers".to_string();
-    good.then(|| pairs.iter().map(|&[a, b]| (a, b)).collect())
+    is_valid
+        .then(|| pairs.iter().map(|&[a, b]| (a, b)).collect())
         .ok_or_else(|| UnreadableRecord { why: why() })
 }
 
 impl ChunkProgress {
-    /// Refuses what no controller ever wrote of a job of so many tasks: such a record
-    /// proves nothing, and says as little as one that cannot be read.
+    /// Rejects a record that no controller can have written for a job of this many
+    /// tasks: such a record proves nothing and is treated as unreadable.
     ///
     /// # Errors
-    /// It names tasks that the job does not have, attempts that were never given, or a
-    /// session that no worker has.
+    /// The record names a task that the job does not have, an attempt that was never
+    /// assigned, or an agent epoch that no agent has.
     pub fn check(&self, tasks: u32) -> Result<(), UnreadableRecord> {
-        let spans = self.done.iter().chain(&self.stops);
-        let beyond = spans.map(|(_, b)| *b).any(|b| b > tasks);
-        let task = |p: &Place| p.0 >= tasks;
-        let attempt = |p: &Place| p.1 == Attempt(0) || p.1 > self.attempt;
+        let ranges = self.done.iter().chain(&self.stops);
+        let range_exceeds_tasks = ranges.map(|(_, b)| *b).any(|b| b > tasks);
+        let task_exceeds_tasks = |p: &StoredAssignment| p.0 >= tasks;
+        let attempt_is_invalid = |p: &StoredAssignment| p.1 == Attempt(0) || p.1 > self.attempt;
         let why = match () {
-            () if beyond || self.assignments.iter().any(task) => {
+            () if range_exceeds_tasks || self.assignments.iter().any(task_exceeds_tasks) => {
                 "a task that the job does not have"
             }
-            () if self.assignments.iter().any(attempt) => "an attempt that was never given",
-            () if self.assignments.iter().any(|p| p.3 == AgentEpoch(0)) => "a session of 0",
+            () if self.assignments.iter().any(attempt_is_invalid) => {
+                "an attempt that was never assigned"
+            }
+            () if self.assignments.iter().any(|p| p.3 == AgentEpoch(0)) => "an agent epoch of 0",
             () => return Ok(()),
         };
         let why = why.to_string();
         Err(UnreadableRecord { why })
     }
 
-    /// The record as it is to be stored while this level is in force.
-    pub fn write(&self, level: FormatVersion) -> Value {
-        let value = if level >= WITH_HISTORY {
+    /// The record in the form to be stored while this format version is active.
+    pub fn write(&self, version: FormatVersion) -> Value {
+        let value = if version >= WITH_HISTORY {
             serde_json::to_value(self.by_machine())
         } else {
-            let place = |(i, a, m, s): &Place| (*i, a.0, m.clone(), s.0);
-            serde_json::to_value(Before {
+            let place = |(i, a, m, e): &StoredAssignment| (*i, a.0, m.clone(), e.0);
+            serde_json::to_value(ByTaskEncoding {
                 n: self.attempt.0,
                 d: self.done.clone(),
                 p: self.assignments.iter().map(place).collect(),
@@ -119,30 +122,31 @@
             let tasks = machines.entry((machine, *epoch, *attempt)).or_default();
             tasks.push(*task);
         }
-        let one = |((machine, epoch, attempt), mut tasks): ((&MachineId, _, Attempt), Vec<u32>)| {
-            for i in (1..tasks.len()).rev() {
-                tasks[i] -= tasks[i - 1];
-            }
-            let epoch: AgentEpoch = epoch;
-            let back = self.attempt.0.saturating_sub(attempt.0);
-            (machine.clone(), epoch.0, back, tasks)
-        };
+        let encode =
+            |((machine, epoch, attempt), mut tasks): ((&MachineId, _, Attempt), Vec<u32>)| {
+                for i in (1..tasks.len()).rev() {
+                    tasks[i] -= tasks[i - 1];
+                }
+                let epoch: AgentEpoch = epoch;
+                let attempts_back = self.attempt.0.saturating_sub(attempt.0);
+                (machine.clone(), epoch.0, attempts_back, tasks)
+            };
         ByMachineEncoding {
             n: self.attempt.0,
-            d: flat(&self.done),
-            m: machines.into_iter().map(one).collect(),
-            x: flat(&self.stops),
+            d: flatten_ranges(&self.done),
+            m: machines.into_iter().map(encode).collect(),
+            x: flatten_ranges(&self.stops),
         }
     }
 
-    /// Reads a record in any form.
+    /// Reads a record in any form that this build supports.
     ///
     /// # Errors
-    /// It has none of them, or says more than they do.
+    /// The record has none of these forms, or has further fields.
     pub fn read(stored: &Value) -> Result<ChunkProgress, UnreadableRecord> {
         if stored.get("p").is_some() {
-            let v = Before::deserialize(stored).map_err(unreadable)?;
-            let place = |(i, a, m, s)| (i, Attempt(a), m, AgentEpoch(s));
+            let v = ByTaskEncoding::deserialize(stored).map_err(unreadable)?;
+            let place = |(i, a, m, e)| (i, Attempt(a), m, AgentEpoch(e));
             return Ok(ChunkProgress {
                 attempt: Attempt(v.n),
                 done: v.d,
@@ -152,8 +156,8 @@
         }
         let v = ByMachineEncoding::deserialize(stored).map_err(unreadable)?;
         let mut assignments = Vec::new();
-        for (machine, epoch, back, tasks) in v.m {
-            let attempt = v.n.checked_sub(back).map(Attempt);
+        for (machine, epoch, attempts_back, tasks) in v.m {
+            let attempt = v.n.checked_sub(attempts_back).map(Attempt);
             let attempt = attempt.ok_or_else(|| UnreadableRecord {
                 why: "field m: an attempt below 0".into(),
             })?;
@@ -169,15 +173,15 @@
         assignments.sort_by_key(|p| p.0);
         Ok(ChunkProgress {
             attempt: Attempt(v.n),
-            done: pairs(&v.d)?,
+            done: parse_ranges(&v.d)?,
             assignments,
-            stops: pairs(&v.x)?,
+            stops: parse_ranges(&v.x)?,
         })
     }
 
-    /// Whether a record has the form that this level writes.
-    pub fn is_of(stored: &Value, level: FormatVersion) -> bool {
-        stored.get("m").is_some() == (level >= WITH_HISTORY)
+    /// Whether a stored record has the form that this format version writes.
+    pub fn is_of(stored: &Value, version: FormatVersion) -> bool {
+        stored.get("m").is_some() == (version >= WITH_HISTORY)
     }
 }
 
--- a/crates/controller/src/core/format_version/chunk_progress/tests.rs
+++ b/crates/controller/src/core/format_version/chunk_progress/tests.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// A record of each level as it was first stored; a later change must go on
-/// reading them.
+/// A record of each format version as it was first stored. Later builds must still read
+/// all of them.
 const GOLDEN: [(FormatVersion, &str); 3] = [
     (
         UNVERSIONED,
@@ -39,25 +39,25 @@
     assert_eq!(
         GOLDEN.len(),
         super::super::KNOWN_VERSIONS.len(),
-        "a sample of each level"
+        "a sample of each format version"
     );
-    for (level, text) in GOLDEN {
+    for (version, text) in GOLDEN {
         let stored: Value = serde_json::from_str(text).unwrap();
         assert_eq!(
             ChunkProgress::read(&stored).as_ref(),
             Ok(&sample()),
-            "{level}"
+            "{version}"
         );
-        assert_eq!(sample().write(level), stored, "{level}");
-        assert!(ChunkProgress::is_of(&stored, level), "{level}");
+        assert_eq!(sample().write(version), stored, "{version}");
+        assert!(ChunkProgress::is_of(&stored, version), "{version}");
     }
-    // What an older build wrote without stops.
+    // A record that an older build wrote without stops.
     let old = serde_json::json!({"n": 1, "d": [], "p": []});
     assert!(ChunkProgress::read(&old).is_ok());
 }
 
-// A record that is damaged, or says more than this build knows, must not be
-// taken for an empty one: its tasks would be run a second time.
+// A record that is damaged, or has fields that this build does not know, must not be
+// read as an empty one: its tasks would run a second time.
 #[test]
 fn rejects_damaged_or_future_forms() {
     for text in [
@@ -72,11 +72,15 @@
     ] {
         let stored: Value = serde_json::from_str(text).unwrap();
         let e = ChunkProgress::read(&stored).expect_err(text);
-        assert!(e.to_string().starts_with("in no form up to level"), "{e}");
+        assert!(
+            e.to_string()
+                .starts_with("not in the form of any level up to"),
+            "{e}"
+        );
     }
 }
 
-fn spans() -> impl Strategy<Value = Spans> {
+fn task_ranges() -> impl Strategy<Value = TaskRanges> {
     let steps = proptest::collection::vec((1u32..5, 1u32..5), 0..6);
     steps.prop_map(|steps| {
         let mut at = 0;
@@ -91,10 +95,10 @@
 
 fn progress() -> impl Strategy<Value = ChunkProgress> {
     let assignments = proptest::collection::btree_map(0u32..64, (0u64..9, 0u8..5, 1u64..3), 0..64);
-    (spans(), assignments, spans()).prop_map(|(done, assignments, stops)| {
-        let place = |(i, (a, m, s))| {
+    (task_ranges(), assignments, task_ranges()).prop_map(|(done, assignments, stops)| {
+        let place = |(i, (a, m, e))| {
             let machine = format!("host-{m:06}").as_str().into();
-            (i, Attempt(a), machine, AgentEpoch(s))
+            (i, Attempt(a), machine, AgentEpoch(e))
         };
         ChunkProgress {
             attempt: Attempt(9),
--- a/crates/controller/src/core/format_version/member_versions.rs
+++ b/crates/controller/src/core/format_version/member_versions.rs
@@ -1,15 +1,15 @@
-//! What a controller knows of the active format version and of the versions that
-//! the controllers support, and what follows from it: whether it may serve, and
-//! what it must register first. Never sends anything.
+//! One controller's view of the active format version and of the versions that each
+//! controller supports. From this view follows whether this controller may serve, and
+//! which record it must register first. This module sends nothing.
 //!
 //! | key | value | lifetime |
 //! | --- | --- | --- |
 //! | `w/leader/level` | the active format version | permanent |
 //! | `w/leader/done` | the version up to which all stored records were rewritten | permanent |
-//! | `w/leader/at/NODE` | supported versions, build and policy of a controller | until its next life |
+//! | `w/leader/at/NODE` | supported versions, build and policy of a controller | until its next process registers |
 //!
-//! They stand below the leader's key, so the watch that follows it brings their
-//! changes: nothing more is read for them.
+//! These keys share the prefix of the leader's key, so the watch of the leader's key
+//! also receives their changes, and no further read is needed.
 
 mod activation;
 mod inspect;
@@ -36,16 +36,16 @@
 /// Why a controller does not serve.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotServing {
-    /// The active format version was not read yet.
+    /// The active format version has not been read yet.
     #[error("the level in force is not known yet")]
     VersionUnknown,
     /// This controller's member record is not stored yet.
-    #[error("this node's levels are not stored yet")]
+    #[error("this controller's levels are not stored yet")]
     Unregistered,
     /// The active format version is not among those that this build supports.
     #[error("level {0} is in force and this build serves {low} to {high}: start a newer one", low = .1.low, high = .1.high)]
     UnsupportedVersion(FormatVersion, SupportedVersions),
-    /// The active format version cannot be read.
+    /// The record of the active format version cannot be decoded.
     #[error(
         "{ACTIVE_VERSION_KEY}: field level: not a level; nothing is changed until it can be read"
     )]
@@ -55,8 +55,9 @@
 /// A controller's member record as stored.
 #[derive(Clone, Debug)]
 struct StoredMember {
-    /// None if it cannot be read.
+    /// `None` if the value cannot be decoded.
     record: Option<MemberRecord>,
+    /// The version of the record's key in the store.
     version: Version,
 }
 
@@ -64,16 +65,19 @@
 #[derive(Clone, Debug)]
 pub struct MemberVersions {
     node_id: NodeId,
-    /// None: behaves as builds before [`FENCED`], which know no format versions.
+    /// `None`: this controller behaves like builds before [`FENCED`], which have no
+    /// format versions.
     supported: Option<SupportedVersions>,
-    /// The member record that this controller is to store.
+    /// The member record that this process is to store.
     own_record: Option<MemberRecord>,
+    /// Whether all keys below [`PREFIX`] have been read.
     is_loaded: bool,
-    /// Whether the active version was ever read well.
+    /// Whether the active version was ever decoded, or its key found absent.
     was_readable: bool,
+    /// Whether the active version cannot be decoded and never could.
     is_unreadable: bool,
     active: FormatVersion,
-    /// The version of the active version's key in the store; 0: there is none.
+    /// The version of the active version's key in the store; 0: the key does not exist.
     active_key_version: Version,
     /// The version up to which all stored records were rewritten.
     rewritten: FormatVersion,
@@ -82,9 +86,10 @@
 }
 
 impl MemberVersions {
-    /// Nothing is known yet. `supported`: `None` for a controller that behaves as
-    /// builds did that knew no format versions; `life` identifies this process among
-    /// those that ran under the same name.
+    /// The state of a process that has not read any key yet. `supported` is `None` for a
+    /// controller that behaves like builds without format versions; `policy` lists where
+    /// the policy differs from the default; `life` identifies this process among those
+    /// that have run under the same node id.
     pub fn new(
         node_id: NodeId,
         supported: Option<SupportedVersions>,
@@ -112,7 +117,8 @@
         }
     }
 
-    /// Loads all keys that begin with [`PREFIX`], as read at once.
+    /// Replaces this view by the result of one read of all keys that begin with
+    /// [`PREFIX`].
     pub fn load(&mut self, entries: &[Entry]) {
         self.active_key_version = Version(0);
         self.is_unreadable = false;
@@ -124,7 +130,7 @@
         self.is_loaded = true;
     }
 
-    /// Applies a change that a watch brought.
+    /// Applies a change received from a watch. Ignores keys of no concern here.
     pub fn apply(&mut self, event: &WatchEvent) {
         if let Some(key) = &event.put {
             self.apply_key(key, Some(&event.value), event.version);
@@ -147,7 +153,7 @@
     fn apply_active_version(&mut self, stored: Option<&Value>, version: Version) {
         self.active_key_version = stored.map_or(Version(0), |_| version);
         match stored.and_then(decode_version) {
-            // It never decreases, whatever a late change says.
+            // The active version never decreases; a late change may be older than it.
             Some(active) if active >= self.active => {
                 if self.is_loaded && active > self.active {
                     tracing::info!(version = %active, name = active.name(), "format version active");
@@ -162,7 +168,7 @@
                     field = "level",
                     "active format version unreadable; repair the key by hand"
                 );
-                // A controller that knew the version goes on by it.
+                // A controller that has read the version before keeps using it.
                 self.is_unreadable = !self.was_readable;
             }
         }
@@ -184,7 +190,8 @@
         self.members.insert(node_id.into(), member);
     }
 
-    /// The active format version.
+    /// The active format version; [`UNVERSIONED`] for a controller that behaves like
+    /// builds without format versions.
     pub fn active_version(&self) -> FormatVersion {
         if self.supported.is_none() {
             return UNVERSIONED;
@@ -206,8 +213,8 @@
         }
     }
 
-    /// The version of the active version's key, which every write compares whose
-    /// form depends on the active version.
+    /// The version of the active version's key. Every write whose form depends on the
+    /// active version compares it. `None`: writes need not compare it.
     pub fn fence(&self) -> Option<Version> {
         let compares = self.supported.is_some()
             && failpoints::enforced(SafetyCheck::WritesCompareFormatVersion);
@@ -218,10 +225,10 @@
         self.fence().map(fence).into_iter().collect()
     }
 
-    /// Whether this controller may serve.
+    /// Whether this controller may answer requests and lead.
     ///
     /// # Errors
-    /// Why it may not.
+    /// Why the controller may not.
     pub fn check_serving(&self) -> Result<(), NotServing> {
         let (Some(supported), Some(own_record)) = (self.supported, &self.own_record) else {
             return Ok(());
@@ -244,8 +251,8 @@
     }
 
     /// Whether this controller's record is stored. An activation compares each stored
-    /// record: a controller that has not stored yet what it is now could be passed
-    /// over.
+    /// record, so an activation could overlook a controller whose present process has not
+    /// stored its record yet.
     fn is_registered(&self, own_record: &MemberRecord) -> bool {
         let stored = self.members.get(&self.node_id);
         let stored = stored.and_then(|member| member.record.as_ref());
@@ -279,7 +286,7 @@
         })
     }
 
-    /// Notes that its registration was stored, at this version.
+    /// Records that this controller's registration was stored, at this version of its key.
     pub fn registered(&mut self, version: Version) {
         let member = StoredMember {
             record: self.own_record.clone(),
@@ -288,7 +295,8 @@
         self.members.insert(self.node_id.clone(), member);
     }
 
-    /// What this controller says of its build in peer heartbeats.
+    /// The description of this build that the controller's heartbeats to peers carry;
+    /// `None` if it behaves like builds without format versions.
     pub fn own_build(&self) -> Option<BuildInfo> {
         let record = self.own_record.as_ref()?;
         Some(BuildInfo {
@@ -299,14 +307,15 @@
         })
     }
 
-    /// Records what a peer said of its build; `None`: it knows no format versions.
+    /// Records the build that a peer's heartbeat reports; `None`: the peer's build has no
+    /// format versions.
     pub fn record_peer_build(&mut self, now: Time, peer: &NodeId, build: Option<BuildInfo>) {
         self.peer_builds.record(now, peer, build);
     }
 
-    /// Whether nothing but member records was ever stored: then there is nothing
-    /// that a build without format versions could misread. `keys` is the number of
-    /// keys below [`PREFIX`] at this revision.
+    /// Whether nothing but member records was ever stored. The store then holds no record
+    /// that a build without format versions could misread. `keys` is the number of keys
+    /// below [`PREFIX`] at this revision.
     pub fn store_is_empty(&self, revision: Version, keys: usize) -> bool {
         self.supported.is_some_and(|s| s.has(FENCED))
             && self.active_key_version == Version(0)
@@ -314,8 +323,8 @@
             && self.members.len() == keys
     }
 
-    /// The operations that begin an empty store at [`FENCED`], beside the claim of the
-    /// leader's key.
+    /// The operations that initialise an empty store at [`FENCED`], in the same
+    /// transaction as the claim of the leader's key.
     pub fn initial_operations(&self) -> Vec<Operation> {
         vec![
             put(LEGACY_LEADER_KEY.into(), legacy_leader_tombstone()),
@@ -324,10 +333,10 @@
         ]
     }
 
-    /// Notes that this controller's own transaction activated a format version, at
-    /// this version of its key.
+    /// Records that a transaction of this controller activated a format version.
+    /// `key_version` is the new version of the active version's key.
     pub fn activated(&mut self, active: FormatVersion, key_version: Version) {
-        tracing::info!(version = %active, name = active.name(), "format version activated by this node");
+        tracing::info!(version = %active, name = active.name(), "format version activated by this controller");
         self.active = active;
         self.active_key_version = key_version;
         if active == FENCED {
@@ -336,7 +345,7 @@
     }
 
     /// The transaction that records that all stored records have the form of the
-    /// active version, if that is not recorded yet.
+    /// active version; `None` if the store says so already.
     pub fn rewrite_completion(&self) -> Option<Transaction> {
         if self.supported.is_none() || self.rewritten >= self.active {
             return None;
@@ -347,8 +356,8 @@
         })
     }
 
-    /// A controller whose stored policy differs from this one's, and where that
-    /// policy differs from the default.
+    /// The first controller whose stored policy differs from this controller's, and the
+    /// settings in which that policy differs from the default.
     pub fn differing_policy(&self) -> Option<(&NodeId, &BTreeMap<String, f64>)> {
         let own = &self.own_record.as_ref()?.policy;
         let mut policies = self
--- a/crates/controller/src/core/format_version/member_versions/activation.rs
+++ b/crates/controller/src/core/format_version/member_versions/activation.rs
@@ -1,5 +1,5 @@
-//! The rule by which the next format version is activated: every controller has run
-//! a build that supports it for a while, and all stored records were rewritten.
+//! The conditions for activating the next format version: every controller has run a
+//! build that supports it for a while, and all stored records were rewritten.
 
 use super::MemberVersions;
 use super::records::{ACTIVE_VERSION_KEY, REWRITTEN_VERSION_KEY, member_key, put_version};
@@ -8,8 +8,8 @@
 use crate::types::{NodeId, Time, TimeSpan, Version};
 use crate::wire::kvstore::{Operation, Precondition};
 
-/// How long every controller must have run a build with the next version: long
-/// enough to tell a rollout from a process that is restarted over and over.
+/// How long every controller must have run a build that supports the next version: long
+/// enough to distinguish a completed rollout from a process in a restart loop.
 pub const MIN_PRESENCE: TimeSpan = TimeSpan::millis(10_000);
 
 /// The activation of a format version, for the leader to commit.
@@ -17,17 +17,17 @@
 pub struct Activation {
     /// The version to activate.
     pub to: FormatVersion,
-    /// What the transaction compares; the leader adds the condition that it leads.
+    /// The transaction's preconditions; the leader adds the comparison of its own key.
     pub conditions: Vec<Precondition>,
-    /// What the transaction writes.
+    /// The transaction's writes.
     pub ops: Vec<Operation>,
 }
 
-/// Why no format version can be activated now. Operators see the text.
+/// Why no format version can be activated now. `/inspect` shows the text.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ActivationBlocked {
-    /// This controller behaves as builds without format versions.
-    #[error("this node knows no levels")]
+    /// This controller behaves like builds without format versions.
+    #[error("this controller does not support levels")]
     Unversioned,
     /// This build does not support a newer version than the active one.
     #[error("level {0} is the newest of this build")]
@@ -36,7 +36,7 @@
     #[error("the policy holds it at {0} (highest_level)")]
     HeldByPolicy(FormatVersion),
     /// Stored records are still being rewritten for the active version.
-    #[error("stored records get the form of level {0}")]
+    #[error("stored records are being rewritten in the form of level {0}")]
     RewriteUnfinished(FormatVersion),
     /// A controller's member record is absent or unreadable.
     #[error("{0} has not said which levels it serves")]
@@ -46,29 +46,30 @@
     MemberOutdated {
         /// The controller.
         member: NodeId,
-        /// Its build.
+        /// The build that it registered.
         build: String,
-        /// The newest version that it supports.
+        /// The newest version that the build supports.
         high: FormatVersion,
     },
-    /// A peer's heartbeats are absent, or come from an older build.
-    #[error("{0} is not heard of, or runs an older build")]
-    PeerNotHeard(NodeId),
-    /// A peer runs its build not long enough yet.
+    /// A peer's heartbeats are absent, or report a build without the next version.
+    #[error("no recent heartbeat from {0}, or it runs an older build")]
+    PeerSilentOrOutdated(NodeId),
+    /// A peer has not run its build for long enough yet.
     #[error("{peer} must be there for {seconds_left} s more")]
     PeerTooRecent {
         /// The peer.
         peer: NodeId,
-        /// Whole seconds left.
+        /// Remaining time of the required presence, in whole seconds.
         seconds_left: f64,
     },
 }
 
 impl MemberVersions {
-    /// The activation of the next format version, if all controllers support it.
+    /// The activation of the next format version, if all controllers support it. `peers`
+    /// are all controllers except this one.
     ///
     /// # Errors
-    /// What it waits for.
+    /// The first condition that is not met.
     pub fn next_activation(
         &self,
         now: Time,
@@ -100,7 +101,8 @@
         })
     }
 
-    /// The next version, if this build and the policy allow it.
+    /// The next version, if this build, the policy and the rewrite of stored records
+    /// allow it.
     fn next_version(&self, max_version: FormatVersion) -> Result<FormatVersion, ActivationBlocked> {
         let supported = self.supported.ok_or(ActivationBlocked::Unversioned)?;
         let next = self.active.next();
@@ -118,8 +120,8 @@
         Ok(next)
     }
 
-    /// The version of a controller's member record, if that supports the next
-    /// format version.
+    /// The store's version of a controller's member record, if that record supports the
+    /// next format version.
     fn check_member(
         &self,
         node_id: &NodeId,
@@ -140,7 +142,7 @@
         Ok(version)
     }
 
-    /// Whether a peer has said for long enough that it runs a build with the next
+    /// Whether a peer has reported for long enough that it runs a build with the next
     /// version.
     fn check_peer_presence(
         &self,
@@ -152,7 +154,7 @@
             known.build.high >= next.0 && known.build.low <= next.0 && known.is_fresh(now)
         });
         let Some(known) = known else {
-            return Err(ActivationBlocked::PeerNotHeard(peer.clone()));
+            return Err(ActivationBlocked::PeerSilentOrOutdated(peer.clone()));
         };
         let presence = now.since(known.since);
         if presence < MIN_PRESENCE {
--- a/crates/controller/src/core/format_version/member_versions/inspect.rs
+++ b/crates/controller/src/core/format_version/member_versions/inspect.rs
@@ -1,4 +1,4 @@
-//! What operators see of the format versions.
+//! The state of the format versions that `/inspect` shows.
 
 use super::MemberVersions;
 use crate::core::format_version::FormatVersion;
@@ -6,7 +6,8 @@
 use serde_json::Value;
 
 impl MemberVersions {
-    /// The builds that the controllers run, and what the next activation waits for.
+    /// The active version, the build of each controller, and what blocks the next
+    /// activation.
     pub fn inspect(&self, now: Time, peers: &[NodeId], max_version: FormatVersion) -> Value {
         let controllers = peers.iter().chain([&self.node_id]);
         let nodes: Vec<Value> = controllers
@@ -31,14 +32,14 @@
     fn inspect_member(&self, now: Time, node_id: &NodeId) -> Value {
         let member = self.members.get(node_id);
         let record = member.and_then(|m| m.record.as_ref());
-        let heard = self.peer_builds.get(node_id);
+        let peer_build = self.peer_builds.get(node_id);
         serde_json::json!({
             "node": node_id,
             "build": record.map(|r| &r.build),
             "levels": record.map(|r| [r.levels.low, r.levels.high]),
             "policy": record.map(|r| &r.policy),
-            "there_s": heard.map(|h| now.since(h.since).as_secs()),
-            "says": heard.map(|h| [h.build.low, h.build.high]),
+            "there_s": peer_build.map(|h| now.since(h.since).as_secs()),
+            "says": peer_build.map(|h| [h.build.low, h.build.high]),
         })
     }
 }
--- a/crates/controller/src/core/format_version/member_versions/peer_builds.rs
+++ b/crates/controller/src/core/format_version/member_versions/peer_builds.rs
@@ -1,29 +1,29 @@
-//! The builds that peers said they run in their heartbeats, and since when.
+//! The builds that peers report in their heartbeats, and since when.
 
 use crate::types::{NodeId, Time, TimeSpan};
 use crate::wire::peers::BuildInfo;
 use std::collections::BTreeMap;
 
-/// What a peer has not repeated for this long does not count.
-const FRESH: TimeSpan = TimeSpan::millis(3500);
+/// A reported build counts for this long after the peer's last report.
+const REPORT_TTL: TimeSpan = TimeSpan::millis(3500);
 
-/// The build of one life of a peer's process.
+/// The build that one process of a peer reports.
 #[derive(Clone, Debug)]
 pub(super) struct PeerBuild {
     pub(super) build: BuildInfo,
-    /// Since when the peer has said so without a break.
+    /// Since when the peer has reported this build without interruption.
     pub(super) since: Time,
-    last_heard: Time,
+    last_reported: Time,
 }
 
 impl PeerBuild {
-    /// Whether the peer said so recently.
+    /// Whether the last report is recent enough to count.
     pub(super) fn is_fresh(&self, now: Time) -> bool {
-        now.since(self.last_heard) < FRESH
+        now.since(self.last_reported) < REPORT_TTL
     }
 }
 
-/// What each peer said last.
+/// The build that each peer reported last.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerBuilds(BTreeMap<NodeId, PeerBuild>);
 
@@ -32,8 +32,8 @@
         self.0.get(peer)
     }
 
-    /// Records what a peer said; `None`: it knows no format versions. Another build, or
-    /// another life of the same, starts over.
+    /// Records a peer's report; `None`: the peer's build has no format versions. Another
+    /// build, or another process of the same build, restarts the time of presence.
     pub(super) fn record(&mut self, now: Time, peer: &NodeId, build: Option<BuildInfo>) {
         let Some(build) = build else {
             self.0.remove(peer);
@@ -43,13 +43,13 @@
             && known.build == build
             && known.is_fresh(now)
         {
-            known.last_heard = now;
+            known.last_reported = now;
             return;
         }
         let first = PeerBuild {
             build,
             since: now,
-            last_heard: now,
+            last_reported: now,
         };
         self.0.insert(peer.clone(), first);
     }
--- a/crates/controller/src/core/format_version/member_versions/records.rs
+++ b/crates/controller/src/core/format_version/member_versions/records.rs
@@ -1,4 +1,4 @@
-//! The stored records of format versions, and the keys they stand under.
+//! The stored records of format versions, and their keys.
 
 use crate::core::format_version::{FENCED, FormatVersion, SupportedVersions};
 use crate::types::{NodeId, Version};
@@ -9,7 +9,7 @@
 
 /// The prefix of all of these keys.
 pub const PREFIX: &str = "w/leader";
-/// The leader's key before [`FENCED`]; since then a tombstone stands there.
+/// The leader's key before [`FENCED`]; it holds a tombstone from then on.
 pub const LEGACY_LEADER_KEY: &str = "w/leader";
 /// The leader's key from [`FENCED`] on.
 pub const LEADER_KEY: &str = "w/leader/holder";
@@ -19,7 +19,8 @@
 pub const REWRITTEN_VERSION_KEY: &str = "w/leader/done";
 pub(super) const MEMBER_PREFIX: &str = "w/leader/at/";
 
-/// The build of this program.
+/// The build of this program: `PEBBLEFOLD_BUILD` at compile time, else the package
+/// version.
 pub const BUILD: &str = match option_env!("PEBBLEFOLD_BUILD") {
     Some(build) => build,
     None => env!("CARGO_PKG_VERSION"),
@@ -32,19 +33,20 @@
     version: FormatVersion,
 }
 
-/// What a controller stored about itself.
+/// The record that a controller stores about its own build.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The format versions that it supports.
+    /// The format versions that the build supports.
     pub levels: SupportedVersions,
-    /// Its build.
+    /// The build, as in [`BUILD`].
     pub build: String,
-    /// Where its policy differs from the default.
+    /// The settings in which the controller's policy differs from the default.
     #[serde(default)]
     pub policy: BTreeMap<String, f64>,
-    /// Identifies this life of its process. Each life stores a record of its own: one
-    /// that took an equal record of an earlier life for its own could have it
-    /// overwritten by what that life sent last, and be passed over by an activation.
+    /// Identifies one process among those that run under the same node id. Each process
+    /// stores a new record. A process that accepted an equal record of an earlier process
+    /// could lose that record to a late write of the earlier process, and an activation
+    /// could then overlook it.
     #[serde(default)]
     pub life: u64,
 }
@@ -54,18 +56,18 @@
     format!("{MEMBER_PREFIX}{node_id}")
 }
 
-/// A record as it is stored.
+/// A record as a stored value.
 pub(super) fn to_value<T: Serialize>(record: &T) -> Value {
     serde_json::to_value(record).unwrap_or(Value::Null)
 }
 
-/// The version in a stored record, if it can be read.
+/// The version in a stored record; `None` if the record cannot be decoded.
 pub(super) fn decode_version(value: &Value) -> Option<FormatVersion> {
     let record = VersionRecord::deserialize(value).ok()?;
     Some(record.version)
 }
 
-/// Writes a permanent key.
+/// The operation that writes a permanent key.
 pub(super) fn put(key: String, value: Value) -> Operation {
     Operation::Put {
         key,
@@ -74,7 +76,7 @@
     }
 }
 
-/// Writes a version record.
+/// The operation that writes a version record.
 pub(super) fn put_version(key: &str, version: FormatVersion) -> Operation {
     put(key.into(), to_value(&VersionRecord { version }))
 }
@@ -88,8 +90,8 @@
     }
 }
 
-/// What stands under [`LEGACY_LEADER_KEY`] from [`FENCED`] on. Builds without format
-/// versions find a key that names nobody, and follow it for ever.
+/// The value of [`LEGACY_LEADER_KEY`] from [`FENCED`] on. It names no leader, and is
+/// permanent, so builds without format versions follow it forever and never claim.
 pub fn legacy_leader_tombstone() -> Value {
     serde_json::json!({ "since": FENCED, "see": LEADER_KEY })
 }
--- a/crates/controller/src/core/format_version/member_versions/tests.rs
+++ b/crates/controller/src/core/format_version/member_versions/tests.rs
@@ -15,11 +15,12 @@
 }
 
 fn member(node_id: &str, high: u32, version: u64) -> Entry {
-    let said = serde_json::json!({"levels": {"low": 0, "high": high}, "build": "b", "life": 1});
-    entry(&format!("{MEMBER_PREFIX}{node_id}"), said, version)
+    let record = serde_json::json!({"levels": {"low": 0, "high": high}, "build": "b", "life": 1});
+    entry(&format!("{MEMBER_PREFIX}{node_id}"), record, version)
 }
 
-/// Node a among three, all of which serve two levels, at level 1.
+/// Controller a among three that all support versions 0 to 2; version 1 is active.
+/// Each of `extra` replaces the entry with the same key.
 fn registry(extra: Vec<Entry>) -> MemberVersions {
     let mut r = MemberVersions::new("a".into(), Some(TWO), BTreeMap::new(), 1);
     let mut all = vec![
@@ -49,11 +50,15 @@
     })
 }
 
-/// What is waited for after all have said so for some seconds, but that one says
-/// this at the tenth.
-fn waits(mut r: MemberVersions, secs: u32, tenth: Option<BuildInfo>) -> Option<String> {
+/// What blocks the activation after both peers have reported version 2 for some seconds,
+/// except that peer c reports `tenth` at second 10.
+fn activation_blocker(
+    mut r: MemberVersions,
+    secs: u32,
+    tenth: Option<BuildInfo>,
+) -> Option<String> {
     for s in 0..secs {
-        let say = |l| {
+        let reported_build = |l| {
             if l == "c" && s == 10 {
                 tenth.clone()
             } else {
@@ -61,7 +66,7 @@
             }
         };
         for l in ["b", "c"] {
-            r.record_peer_build(at(f64::from(s)), &l.into(), say(l));
+            r.record_peer_build(at(f64::from(s)), &l.into(), reported_build(l));
         }
     }
     let peers = ["b".into(), "c".into()];
@@ -73,14 +78,14 @@
 #[test]
 fn activates_once_all_members_are_present_and_names_blockers() {
     let good = || registry(Vec::new());
-    assert_eq!(waits(good(), 12, build_info(2, 1)), None);
-    let text = |r, secs, said| waits(r, secs, said).unwrap_or_default();
+    assert_eq!(activation_blocker(good(), 12, build_info(2, 1)), None);
+    let text = |r, secs, tenth| activation_blocker(r, secs, tenth).unwrap_or_default();
     assert!(text(good(), 5, build_info(2, 1)).starts_with("b must be there for 5 s more"));
-    // A life that ended, or a build rolled back, begins the time anew.
+    // A restarted process, or a build rolled back, restarts the required presence.
     assert!(text(good(), 15, build_info(2, 9)).starts_with("c must be there"));
     assert!(text(good(), 15, build_info(1, 1)).starts_with("c must be there"));
     assert!(text(good(), 15, None).starts_with("c must be there"));
-    assert!(text(good(), 11, None).starts_with("c is not heard of"));
+    assert!(text(good(), 11, None).starts_with("no recent heartbeat from c"));
     let older = registry(vec![member("c", 1, 9)]);
     assert!(text(older, 15, build_info(2, 1)).starts_with("c runs b (up to 1)"));
     let rewriting = vec![
@@ -92,7 +97,7 @@
         low: FormatVersion(0),
         high: FormatVersion(3),
     });
-    assert!(text(r, 15, build_info(2, 1)).starts_with("stored records get"));
+    assert!(text(r, 15, build_info(2, 1)).starts_with("stored records are being rewritten"));
     let peers = ["b".into(), "c".into()];
     let held = good()
         .next_activation(at(0.0), &peers, FormatVersion(1))
@@ -101,8 +106,8 @@
     assert!(held.contains("highest_level"), "{held}");
 }
 
-// A key that is damaged must neither be taken for an absent one, nor stop nodes
-// that know better.
+// A damaged key must neither count as absent, nor stop controllers that have read the
+// version before.
 #[test]
 fn unreadable_keys_are_reported_and_version_never_decreases() {
     let bad = || entry(ACTIVE_VERSION_KEY, serde_json::json!({"level": "two"}), 9);
@@ -122,7 +127,7 @@
         (running.check_serving(), running.active_version()),
         (Ok(()), FormatVersion(1))
     );
-    // It falls neither by a late word nor by a key that is gone.
+    // Neither a late change nor a deleted key decreases the version.
     let mut r = registry(Vec::new());
     let change = |put: Option<&str>, level: u32| WatchEvent {
         put: put.map(String::from),
@@ -140,7 +145,7 @@
     let odd = registry(vec![entry(&format!("{MEMBER_PREFIX}c"), Value::Null, 9)]);
     assert_eq!(odd.check_serving(), Ok(()));
     assert!(
-        waits(odd, 15, build_info(2, 1))
+        activation_blocker(odd, 15, build_info(2, 1))
             .unwrap()
             .starts_with("c has not said")
     );
@@ -149,9 +154,9 @@
 #[test]
 fn reports_member_with_differing_policy() {
     assert_eq!(registry(Vec::new()).differing_policy(), None);
-    let mut said = member("c", 2, 4);
-    said.value["policy"] = serde_json::json!({"doubt": 0.0});
-    let r = registry(vec![said]);
+    let mut record = member("c", 2, 4);
+    record.value["policy"] = serde_json::json!({"doubt": 0.0});
+    let r = registry(vec![record]);
     let (node_id, policy) = r.differing_policy().unwrap();
     assert_eq!((node_id.as_str(), policy["doubt"]), ("c", 0.0));
     assert_eq!(
@@ -160,7 +165,8 @@
     );
 }
 
-// It woke up after the rise with an older build's eyes.
+// A process of an older build resumes after the activation of a version that the build
+// does not support.
 #[test]
 fn refuses_to_serve_unsupported_active_version() {
     let r = registry(vec![entry(
@@ -173,7 +179,7 @@
         why,
         "level 7 is in force and this build serves 0 to 2: start a newer one"
     );
-    assert!(r.registration().is_none(), "it writes nothing either");
+    assert!(r.registration().is_none(), "it writes no member record");
     let shown = r.inspect(at(1.0), &["b".into()], FormatVersion(9));
     assert_eq!(shown["serves"], format!("no: {why}"));
 }
@@ -186,7 +192,7 @@
     assert!(r.store_is_empty(Version(2), 2));
     assert!(
         !r.store_is_empty(Version(3), 2),
-        "something was written and is gone"
+        "a key was written and deleted"
     );
     r.load(&[
         member("b", 2, 1),
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 
-// Every record but a chunk's (`progress`) has one form in all levels so far, as it
-// was first stored. A change of one is a new level, or stored work is lost.
+// Every record except a chunk's (`chunk_progress`) has had one form in all format
+// versions so far, the one in which it was first stored. A changed form without a new
+// format version would lose stored work.
 #[test]
 fn reads_every_record_in_its_first_stored_form() {
     use crate::core::autoscaler::intents::{Intents, OpenIntents};
@@ -58,12 +59,13 @@
     );
 }
 
-// A level left out, or two with one number, would be skipped by a rise.
+// An activation would skip a version that is missing from the table or has the number
+// of another one.
 #[test]
 fn version_table_lists_each_version_once() {
     for (i, step) in KNOWN_VERSIONS.iter().enumerate() {
         assert_eq!(step.version, FormatVersion(i as u32));
-        assert!(!step.since.is_empty() && !step.older.is_empty());
+        assert!(!step.changes.is_empty() && !step.older_form_readers.is_empty());
     }
     assert_eq!(FormatVersion(99).name(), "not known to this build");
 }
--- a/crates/controller/src/core/lease_keep_alive.rs
+++ b/crates/controller/src/core/lease_keep_alive.rs
@@ -1,28 +1,28 @@
-//! The renewal of the leader's lease, which goes on beside the state machine
-//! however busy that is. Never renews anything itself: the driver does.
+//! The parameters of the renewal of the leader's lease. The driver makes the renewals
+//! concurrently with the state machine, so that a busy state machine does not delay them.
 
 use crate::types::{FencingToken, NodeId, Time, TimeSpan};
 use crate::wire::peers::LeaderHeartbeat;
 
-/// A renewal may take this many times the renewal period ...
+/// Timeout of a renewal, in renewal periods.
 const TIMEOUT_PERIODS: f64 = 1.6;
 
-/// ... but always this long, so that a short period leaves time for a slow answer.
+/// Minimum timeout of a renewal, so that a short period leaves time for a slow answer.
 const MIN_TIMEOUT: TimeSpan = TimeSpan::millis(500);
 
-/// Pause after a renewal without an answer: sooner than the next regular one, as
-/// the lease keeps running down.
+/// Pause after a renewal without an answer. It is shorter than the regular period, since
+/// the lease expires unless it is renewed.
 const RETRY_PAUSE: TimeSpan = TimeSpan::millis(150);
 
-/// A lease to be renewed beside all other work, however much there is of it, as
-/// long as the state machine extends `until` from time to time.
+/// A lease that the driver renews, however busy the state machine is, as long as the
+/// state machine extends `until` from time to time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseKeepAlive {
-    /// The lease's id in the key-value store.
+    /// The id of the lease in the key-value store.
     pub lease: u64,
     /// Time between renewals.
     pub period: TimeSpan,
-    /// When renewals end unless this is extended.
+    /// When renewals end, unless the state machine sends a later time before.
     pub until: Time,
     /// The fencing token held under the lease; leader heartbeats carry it.
     pub token: FencingToken,
@@ -34,10 +34,10 @@
         format!("/leases/{}/touch", self.lease)
     }
 
-    /// The heartbeat that shows a peer that the leader is alive.
+    /// The leader's heartbeat to a peer.
     ///
-    /// `store_silence` is the time since the key-value store last renewed the
-    /// lease, `core_lag` the time since the state machine last ran.
+    /// `store_silence` is the time since the key-value store last answered a renewal of
+    /// the lease, `core_lag` the time since the state machine last ran.
     pub fn leader_heartbeat(
         &self,
         node_id: &NodeId,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// How long one renewal may take.
+    /// The timeout of one renewal.
     pub fn timeout(&self) -> TimeSpan {
         self.period.scaled(TIMEOUT_PERIODS).max(MIN_TIMEOUT)
     }
 
-    /// The pause before the next renewal, after one that was answered or was not.
+    /// The pause before the next renewal; `answered` says whether the last one was.
     pub fn pause(&self, answered: bool) -> TimeSpan {
         if answered { self.period } else { RETRY_PAUSE }
     }
