--- a/crates/controller/src/core/assignment.rs
+++ b/crates/controller/src/core/assignment.rs
@@ -1,43 +1,46 @@
-//! Where a task may be. An assignment stands from the moment it is decided until there
-//! is proof that the task is not on its machine. What counts as proof is decided here;
-//! nothing here changes an assignment.
+//! The machine on which a task may be. An assignment exists from the decision to start
+//! the task until there is proof that the task is not on the machine. This module decides
+//! what counts as proof; it changes no assignment.
 
 use super::failpoints::{self, SafetyCheck};
 use crate::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence, MachineId, Time};
 use crate::wire::workers::{ReportedTask, TaskState};
 use std::fmt;
 
-/// A stop that was ordered.
+/// A stop of a task that the leader has decided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stop {
-    /// Time the task gets to save its work (checkpoint), in seconds.
+    /// Time that the task gets for a checkpoint, in seconds.
     pub grace_s: f64,
-    /// When it was ordered.
+    /// When the stop was decided.
     pub at: Time,
-    /// The change of its chunk that records it, if it is sent only once that is
-    /// stored: a successor then knows what was stopped, and for what.
+    /// The number of the change of the task's chunk that records the stop; the stop is
+    /// sent only once that change is stored, so that a successor reads which tasks were
+    /// stopped, and for which work. `None`: the stop is sent without being stored.
     pub change: Option<u64>,
 }
 
-/// How far a start has come.
+/// The delivery state of the start of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AssignmentPhase {
-    /// Not sent by us, and nobody else can: it was decided in this leader's term.
+    /// The start has not been sent. It was decided in this leader's term, so no other
+    /// leader can send it.
     Unsent,
-    /// Sent in the answer to this heartbeat. Whether it arrived shows in the next
-    /// heartbeat: an agent has one heartbeat in flight and drops late answers.
+    /// The start was sent in the answer to this heartbeat. The next heartbeat shows
+    /// whether it arrived: an agent has one heartbeat in flight and drops late answers.
     Sent(HeartbeatSequence),
-    /// Stored by an earlier leader, which may or may not have sent it.
+    /// The start was stored by an earlier leader, which may or may not have sent it.
     Inherited,
-    /// Stored by an earlier leader and proved not to be there: its room is
-    /// kept until the rest of its gang is known about.
+    /// The start was stored by an earlier leader, and the task is proved to be absent
+    /// from the machine. The machine's resources remain reserved until the state of the
+    /// rest of the gang is known.
     Reserved,
-    /// Seen in a heartbeat.
+    /// The task was listed in a heartbeat, in this state.
     Seen(TaskState),
 }
 
 impl fmt::Display for AssignmentPhase {
-    /// The spelling that `/inspect` has always shown, whatever the types are called.
+    /// The text in `/inspect`. It stays the same if a type or variant is renamed.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AssignmentPhase::Unsent => f.write_str("Unsent"),
@@ -52,34 +55,35 @@
 /// A task's assignment to a machine.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    /// The machine.
+    /// The machine on which the task is or may be.
     pub machine: MachineId,
-    /// The epoch of its agent that the start is meant for.
+    /// The agent epoch for which the start is valid.
     pub epoch: AgentEpoch,
-    /// The attempt.
+    /// The task's attempt.
     pub attempt: Attempt,
-    /// The change of its chunk that records it.
+    /// The number of the change of the task's chunk that records this assignment; 0 if an
+    /// earlier leader stored it.
     pub change: u64,
-    /// How far the start has come.
+    /// The delivery state of the start.
     pub phase: AssignmentPhase,
-    /// When it was decided.
+    /// When the assignment was decided, or read from an earlier leader's record.
     pub assigned_at: Time,
-    /// Since when the task runs.
+    /// Since when the task runs; `None`: no heartbeat has shown it running.
     pub running_since: Option<Time>,
-    /// Since when the machine fetches the image for it; `None`: it need not.
+    /// Since when the machine fetches the image for the task; `None`: the image is cached.
     pub fetching_since: Option<Time>,
-    /// A stop, if ordered.
+    /// The stop of the task, if one was decided.
     pub stop: Option<Stop>,
 }
 
-/// What a heartbeat says about an assignment to its machine.
+/// What a heartbeat proves about an assignment to its machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PresenceProof {
     /// The task is on the machine, or may be.
     Present,
-    /// The start did not arrive and never will; it may be sent again.
+    /// The start did not arrive and never will. The leader may send it again.
     Undelivered,
-    /// The task is not on the machine, and nothing can bring it there.
+    /// The task is not on the machine, and no command in flight can start it there.
     Absent,
 }
 
@@ -99,22 +103,24 @@
         }
     }
 
-    /// Whether the start was never sent, so that dropping the assignment is
-    /// proof enough of absence.
+    /// Whether the start was never sent. Dropping such an assignment needs no further
+    /// proof of absence.
     pub fn is_unsent(&self) -> bool {
         self.phase == AssignmentPhase::Unsent
     }
 
-    /// Judges a heartbeat that is newer than all before it from this machine. `token`
-    /// is the fencing token it carries, `listed` the task in it, if it is listed.
+    /// Evaluates a heartbeat that is newer than every earlier one from this machine.
+    /// `epoch`, `sequence` and `token` are those of the heartbeat, `our_token` is this
+    /// leader's fencing token, `listed` is the task's entry in the heartbeat, if any.
     ///
-    /// - A higher agent epoch: the agent has killed and forgotten everything.
-    /// - Listed: present (the caller looks at its state).
-    /// - Not listed, in a heartbeat that carries our token: starts of older
-    ///   leaders can no longer be executed, and ours is settled if this heartbeat
-    ///   was made after its answer.
+    /// - A higher agent epoch: the agent has killed all tasks and discarded all commands
+    ///   of the earlier epoch.
+    /// - Listed: present (the caller handles the reported state).
+    /// - Not listed, in a heartbeat that carries this leader's token: starts of older
+    ///   leaders can no longer be executed, and this leader's start is settled if the
+    ///   heartbeat was made after the answer that carried the start.
     /// - Not listed, with an older token: nothing is proved, since an older
-    ///   leader's start may still be on its way.
+    ///   leader's start may still be in flight.
     pub fn check_presence(
         &self,
         epoch: AgentEpoch,
--- a/crates/controller/src/core/assignment/tests.rs
+++ b/crates/controller/src/core/assignment/tests.rs
@@ -17,8 +17,8 @@
     )
 }
 
-// A report proves absence only under the conditions named at `check_presence`;
-// each line here is a way to run a task twice if it were weakened.
+// A heartbeat proves absence only under the conditions that `check_presence` names. Each
+// case here would run a task twice if its condition were weakened.
 #[test]
 fn absence_needs_newer_epoch_or_our_token() {
     use AssignmentPhase::*;
@@ -26,19 +26,19 @@
     assert_eq!(
         check_unlisted(Inherited, 2, 9, 6),
         Present,
-        "an older leader's start may be on its way"
+        "an older leader's start may be in flight"
     );
     assert_eq!(check_unlisted(Inherited, 2, 9, 7), Absent);
     assert_eq!(
         check_unlisted(Inherited, 3, 1, 6),
         Absent,
-        "a new session has forgotten everything"
+        "an agent in a new epoch has discarded all tasks"
     );
     assert_eq!(check_unlisted(Unsent, 2, 9, 7), Present);
     assert_eq!(
         check_unlisted(Sent(HeartbeatSequence(9)), 2, 9, 7),
         Present,
-        "this report was made before the answer"
+        "this heartbeat was made before the answer"
     );
     assert_eq!(
         check_unlisted(Sent(HeartbeatSequence(9)), 2, 10, 7),
--- a/crates/controller/src/core/effects.rs
+++ b/crates/controller/src/core/effects.rs
@@ -1,6 +1,6 @@
-//! What the parts of a controller need in order to act: outputs are collected
-//! here, calls get their ids, and shared rate limits are kept. Each part keeps what
-//! it waits for in a [`PendingCalls`] of its own, so nothing here knows the parts.
+//! The shared means of a controller's modules to act: collected outputs, ids of calls,
+//! and shared rate limits. Each module keeps the calls whose replies it awaits in a
+//! [`PendingCalls`], so this module does not depend on any of them.
 
 mod pending_calls;
 mod response_times;
@@ -20,57 +20,59 @@
 use response_times::ResponseTimes;
 use std::net::SocketAddrV4;
 
-/// The share of the key-value store's request rate that users may cause, at all
-/// controllers together.
+/// The share of the key-value store's request rate that users' requests may cause, at
+/// all controllers together.
 const USER_CALL_SHARE: f64 = 0.75;
-/// The share of its write rate that users may cause.
+/// The share of the store's write rate that users' requests may cause.
 const USER_WRITE_SHARE: f64 = 0.6;
-/// Least such writes a second at each controller.
-const MIN_USER_WRITES: f64 = 4.0;
-/// The share of its request rate that the leader's commits may take.
+/// Minimum rate limit of writes that users' requests cause, at each controller.
+const MIN_USER_WRITES_PER_S: f64 = 4.0;
+/// The share of the store's request rate that the leader's commits may take.
 const LEADER_CALL_SHARE: f64 = 0.12;
-/// Least such commits a second.
-const MIN_LEADER_CALLS: f64 = 2.0;
-/// A transaction may have this many preconditions for each operation it may have.
+/// Minimum rate limit of the leader's commits.
+const MIN_LEADER_CALLS_PER_S: f64 = 2.0;
+/// Maximum preconditions of a transaction for each operation that it may have.
 const CONDITIONS_PER_OPERATION: usize = 4;
-/// How long an agent may take to answer commands that are pushed to it.
+/// Timeout of commands pushed to an agent.
 const COMMANDS_TIMEOUT: TimeSpan = TimeSpan::millis(4000);
 
-/// Collects outputs, gives calls their ids, and keeps the rate limits that the
-/// parts share.
+/// Collects outputs, assigns ids to calls, and holds the rate limits that the modules of
+/// a controller share.
 #[derive(Debug)]
 pub struct Effects {
-    /// The time of the input at hand.
+    /// The time of the input being processed.
     pub now: Now,
-    /// Random numbers.
+    /// The source of all random numbers, seeded so that runs can be repeated.
     pub rng: StdRng,
-    /// Rate limit of calls to the key-value store that users cause.
+    /// Rate limit of calls to the key-value store that users' requests cause.
     pub user_calls: TokenBucket,
-    /// Preconditions that one transaction may have.
+    /// Maximum number of preconditions of one transaction.
     pub max_conditions: usize,
-    /// Rate limit of writes to the key-value store that users cause.
+    /// Rate limit of writes to the key-value store that users' requests cause.
     pub user_writes: TokenBucket,
     /// Rate limit of the leader's commits.
     pub leader_calls: TokenBucket,
-    /// The version of the active format version's key, which writes compare whose form
-    /// depends on it.
+    /// The version of the active format version's key. Writes whose form depends on the
+    /// active format version compare it; `None`: they need not.
     pub version_fence: Option<Version>,
-    /// Machine types that the cloud has just listed.
+    /// Machine types that the cloud listed while the present input was processed, for
+    /// other modules.
     pub listed_machine_types: Option<MachineTypes>,
     outputs: Vec<Output>,
-    next_call: u64,
+    next_call_id: u64,
     response_times: ResponseTimes,
 }
 
 impl Effects {
-    /// Effects without outputs, and with full rate limits.
+    /// Effects without outputs, and with full token buckets.
     pub(crate) fn new(settings: &Settings, seed: u64) -> Effects {
         let limits = settings.state_limits;
         let controllers = f64::from(settings.size);
         let per_controller = |rate: f64, share: f64| (rate * share / controllers).max(1.0);
         let user_calls = per_controller(limits.rps, USER_CALL_SHARE);
-        let user_writes = per_controller(limits.write_rps, USER_WRITE_SHARE).max(MIN_USER_WRITES);
-        let leader_calls = (limits.rps * LEADER_CALL_SHARE).max(MIN_LEADER_CALLS);
+        let user_writes =
+            per_controller(limits.write_rps, USER_WRITE_SHARE).max(MIN_USER_WRITES_PER_S);
+        let leader_calls = (limits.rps * LEADER_CALL_SHARE).max(MIN_LEADER_CALLS_PER_S);
         Effects {
             now: Now {
                 time: Time(0),
@@ -84,7 +86,7 @@
             version_fence: None,
             listed_machine_types: None,
             outputs: Vec::new(),
-            next_call: 1,
+            next_call_id: 1,
             response_times: ResponseTimes::default(),
         }
     }
@@ -94,12 +96,12 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// A random number in 0..1.
+    /// A random number from 0 up to but not including 1.
     pub fn jitter(&mut self) -> f64 {
         self.rng.random()
     }
 
-    /// Has a lease kept alive.
+    /// Outputs a lease that the driver is to keep alive, in place of any earlier one.
     pub fn keep_lease_alive(&mut self, keep_alive: LeaseKeepAlive) {
         self.outputs.push(Output::LeaseKeepAlive(keep_alive));
     }
@@ -107,7 +109,7 @@
 
 /// Calls.
 impl Effects {
-    /// Makes a call. Whoever wants the reply notes the id in its [`PendingCalls`].
+    /// Outputs a call. A caller that needs the reply adds the id to its [`PendingCalls`].
     pub fn call(
         &mut self,
         target: Target,
@@ -116,8 +118,8 @@
         body: Vec<u8>,
         timeout: TimeSpan,
     ) -> CallId {
-        let id = CallId(self.next_call);
-        self.next_call += 1;
+        let id = CallId(self.next_call_id);
+        self.next_call_id += 1;
         self.outputs.push(Output::Call(Call {
             id,
             target,
@@ -129,7 +131,7 @@
         id
     }
 
-    /// Pushes commands to an agent; nobody waits for the answer.
+    /// Outputs commands to an agent. The reply is ignored.
     pub fn push_commands(
         &mut self,
         addr: SocketAddrV4,
@@ -149,15 +151,16 @@
 
 /// Requests and their answers.
 impl Effects {
-    /// Notes when a request arrived; false if too many wait already.
+    /// Records that a request arrived now. False if too many requests wait already; the
+    /// request is not recorded then.
     #[must_use]
     pub fn start_request(&mut self, request: RequestId, kind: RequestKind) -> bool {
         self.response_times.start(self.now.time, request, kind)
     }
 
-    /// Forgets requests whose connection was closed.
+    /// Drops waiting requests that are so old that their connection must be closed.
     pub fn forget_abandoned_requests(&mut self) {
-        self.response_times.forget_abandoned(self.now.time);
+        self.response_times.drop_abandoned(self.now.time);
     }
 
     /// Response times of users' requests and agents' heartbeats, as quantiles in
@@ -172,7 +175,7 @@
         self.outputs.push(Output::Answer(request, answer));
     }
 
-    /// Answers 200 with a body.
+    /// Answers with status 200 and a body.
     pub fn answer_body(&mut self, request: RequestId, body: Vec<u8>) {
         let answer = Answer {
             status: 200,
@@ -182,7 +185,7 @@
         self.answer(request, answer);
     }
 
-    /// Answers with a status alone.
+    /// Answers with a status and an empty body.
     pub fn answer_status(&mut self, request: RequestId, status: u16) {
         let answer = Answer {
             status,
@@ -191,7 +194,7 @@
         self.answer(request, answer);
     }
 
-    /// Answers with a status and when to come back, in seconds.
+    /// Answers with a status and the delay after which the caller is to retry.
     pub fn answer_later(&mut self, request: RequestId, status: u16, seconds: u32) {
         let answer = Answer {
             status,
--- a/crates/controller/src/core/effects/pending_calls.rs
+++ b/crates/controller/src/core/effects/pending_calls.rs
@@ -1,10 +1,10 @@
-//! The calls that a part waits for.
+//! The calls whose replies a module of the controller awaits.
 
 use crate::core::CallId;
 use std::collections::HashMap;
 
-/// The calls that a part waits for, each with what its reply is for. A reply that
-/// no part waits for is void: a part that is gone takes its calls along.
+/// The calls whose replies a module awaits, each with its purpose. A reply that no
+/// module awaits is ignored: a module that is dropped abandons its calls.
 #[derive(Debug)]
 pub struct PendingCalls<T>(HashMap<CallId, T>);
 
@@ -15,12 +15,12 @@
 }
 
 impl<T> PendingCalls<T> {
-    /// Notes what a call's reply is for.
+    /// Adds a call whose reply is awaited for this purpose.
     pub fn add(&mut self, call: CallId, purpose: T) {
         self.0.insert(call, purpose);
     }
 
-    /// What a reply is for, if this part waits for it; given once.
+    /// Removes a call and returns its purpose; `None` if no reply to it is awaited.
     pub fn take(&mut self, call: CallId) -> Option<T> {
         self.0.remove(&call)
     }
--- a/crates/controller/src/core/effects/response_times.rs
+++ b/crates/controller/src/core/effects/response_times.rs
@@ -1,5 +1,5 @@
-//! How long users' requests and agents' heartbeats take to be answered, and how
-//! many wait at once.
+//! Response times of users' requests and agents' heartbeats, and the number of requests
+//! that wait for an answer.
 
 use crate::core::RequestId;
 use crate::types::{Time, TimeSpan};
@@ -7,13 +7,14 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// Most requests that may wait at once; further ones are asked to come back.
-const MAX_WAITING: usize = 600;
-/// How long a request is remembered whose connection may have been closed.
-const WAITING_KEPT: TimeSpan = TimeSpan::millis(30_000);
-/// The longest time that histograms tell apart, in milliseconds.
-const MAX_MS: u64 = 60_000;
-/// Their precision, in significant decimal digits.
+/// Maximum number of requests that wait for an answer. The callers of further requests
+/// are told to retry later.
+const MAX_WAITING_REQUESTS: usize = 600;
+/// A waiting request older than this is dropped, since its connection was closed.
+const MAX_WAITING_TIME: TimeSpan = TimeSpan::millis(30_000);
+/// Upper bound of the histograms, in milliseconds; longer times count as this.
+const MAX_RECORDED_MS: u64 = 60_000;
+/// The precision of the histograms, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// The kinds of requests whose response times are measured.
@@ -30,7 +31,7 @@
 }
 
 impl fmt::Display for RequestKind {
-    /// The text in `/inspect`, which stays whatever the variants are called.
+    /// The text in `/inspect`. It stays the same if a variant is renamed.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             RequestKind::Submit => "submit",
@@ -41,26 +42,26 @@
     }
 }
 
-/// A request that waits for its answer.
+/// A request that waits for an answer.
 #[derive(Clone, Copy, Debug)]
 struct WaitingRequest {
     kind: RequestKind,
     since: Time,
 }
 
-/// Requests that wait, and the times of those that were answered.
+/// The waiting requests, and the response times of the answered ones.
 #[derive(Debug, Default)]
 pub(super) struct ResponseTimes {
     waiting: HashMap<RequestId, WaitingRequest>,
-    milliseconds: BTreeMap<RequestKind, Histogram<u64>>,
+    histograms_ms: BTreeMap<RequestKind, Histogram<u64>>,
 }
 
 impl ResponseTimes {
-    /// Notes when a request arrived; false if too many wait already. Heartbeats are
-    /// always taken: an agent that is not answered loses its lease.
+    /// Records that a request arrived at `now`; false if too many wait already.
+    /// Heartbeats are always accepted: an agent without an answer loses its lease.
     #[must_use]
     pub(super) fn start(&mut self, now: Time, request: RequestId, kind: RequestKind) -> bool {
-        if self.waiting.len() >= MAX_WAITING && kind != RequestKind::Heartbeat {
+        if self.waiting.len() >= MAX_WAITING_REQUESTS && kind != RequestKind::Heartbeat {
             return false;
         }
         self.waiting
@@ -68,28 +69,29 @@
         true
     }
 
-    /// Measures a request that is answered now, if its kind is measured.
+    /// Records the response time of a request that is answered at `now`. Ignores requests
+    /// whose arrival was not recorded.
     pub(super) fn finish(&mut self, now: Time, request: RequestId) {
         let Some(waiting) = self.waiting.remove(&request) else {
             return;
         };
         let ms = now.since(waiting.since).as_millis();
-        let histogram = self.milliseconds.entry(waiting.kind).or_insert_with(|| {
-            Histogram::new_with_bounds(1, MAX_MS, SIGNIFICANT_DIGITS)
+        let histogram = self.histograms_ms.entry(waiting.kind).or_insert_with(|| {
+            Histogram::new_with_bounds(1, MAX_RECORDED_MS, SIGNIFICANT_DIGITS)
                 .expect("fixed bounds are valid")
         });
         histogram.saturating_record(ms.max(1));
     }
 
-    /// Forgets requests whose connection was closed.
-    pub(super) fn forget_abandoned(&mut self, now: Time) {
+    /// Drops waiting requests that are so old that their connection must be closed.
+    pub(super) fn drop_abandoned(&mut self, now: Time) {
         self.waiting
-            .retain(|_, waiting| now.since(waiting.since) < WAITING_KEPT);
+            .retain(|_, waiting| now.since(waiting.since) < MAX_WAITING_TIME);
     }
 
-    /// Quantiles by kind, in milliseconds.
+    /// Quantiles of the response times by kind, in milliseconds.
     pub(super) fn quantiles(&self) -> serde_json::Map<String, serde_json::Value> {
-        let kinds = self.milliseconds.iter();
+        let kinds = self.histograms_ms.iter();
         kinds
             .map(|(kind, histogram)| (kind.to_string(), quantiles_of(histogram)))
             .collect()
--- a/crates/controller/src/core/failpoints.rs
+++ b/crates/controller/src/core/failpoints.rs
@@ -1,110 +1,110 @@
-//! Safety checks that tests can switch off one by one, to see that the checker of the
-//! rules notices. Without the feature `failpoints`, which no daemon is built with, all
-//! of them are always enforced.
+//! Safety checks that tests can disable one by one, to verify that the checker of the
+//! rules detects the violation. Without the feature `failpoints`, with which no daemon is
+//! built, all checks are always enforced.
 
-/// A safety check. Each says what goes wrong without it.
+/// A safety check. Each variant states the fault that the check prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SafetyCheck {
-    /// A start is sent only once it is stored. Otherwise a successor would not know of
-    /// the task and start it a second time.
+    /// A start is sent only once it is stored. Otherwise a successor would find no record
+    /// of the task and start it a second time.
     WriteAhead,
-    /// The tasks of a silent machine are given up only once its lease has expired.
-    /// Until then the agent may still run them.
+    /// The tasks of a silent machine are abandoned only once the machine's lease has
+    /// expired. Until then the agent may still run them.
     LeaseExpiryBeforeGivingUp,
     /// Without contact to the key-value store, heartbeats are answered only for a
     /// bounded time. Otherwise cancelled tasks would be kept alive.
     BoundedHold,
-    /// The cloud is asked only for what is stored as an intent. Otherwise machines
-    /// could be provisioned of which no successor knows.
+    /// A request to the cloud is sent only once it is stored as an intent. Otherwise
+    /// machines could be provisioned of which no successor has a record.
     IntentBeforeAct,
-    /// A successor repeats its predecessors' provision requests under their names.
-    /// Under new names the same machines would be provisioned twice.
+    /// A successor repeats the provision requests of earlier leaders under their original
+    /// names. Under new names the same machines would be provisioned twice.
     ProvisionsAreRepeated,
-    /// A successor starts nothing on machines that a predecessor decided to terminate:
-    /// they may go at any time.
+    /// A successor starts no task on a machine that an earlier leader decided to
+    /// terminate: the cloud may remove that machine at any time.
     TerminationsAreFinal,
     /// A preemption is stored before it is sent, so that a successor completes it and
     /// does not preempt other tasks for the same work.
     StopsAreStored,
-    /// All reclaims for guaranteed quotas together take no more than a team uses beyond
-    /// its own guarantee.
+    /// All reclaims for guaranteed quotas together take no more from a team than the team
+    /// uses beyond its guaranteed quota.
     ReclaimsAreBounded,
-    /// A key is garbage-collected only while its job's submission does not exist.
-    /// Otherwise records of a live job would be lost.
+    /// A key is garbage-collected only while the submission of its job does not exist.
+    /// Otherwise records of an open job would be lost.
     OrphansOnly,
-    /// A job's outcome is deleted only together with its submission. A submission
-    /// without an outcome looks like an open job and would run again.
+    /// The outcome of a job is deleted only together with the job's submission. A
+    /// submission without an outcome reads as an open job and would run again.
     OutcomeOutlivesSubmission,
-    /// A start is stored only while its job's header is as it was accepted, so that no
-    /// task starts after the job was done or cancelled.
+    /// A start is stored only while the job's header is unchanged since the job was
+    /// accepted, so that no task starts after the job was done or cancelled.
     StartsNeedAnOpenJob,
-    /// The age of what a new leader knows counts from the first read of its load: what
-    /// changed since may not be in the pages read later.
+    /// The age of a new leader's knowledge counts from the first read of its load: later
+    /// changes may be missing from the pages read afterwards.
     LoadIsAsOldAsItsFirstRead,
-    /// A write whose format depends on the format version in force has that version as
-    /// a precondition. Otherwise a late write could use a format no longer in force.
+    /// A write whose format depends on the active format version has that version as
+    /// a precondition. Otherwise a late write could use a format no longer active.
     WritesCompareFormatVersion,
-    /// A node stores which format versions it supports before it does anything else, so
-    /// that no version is activated that it cannot read.
+    /// A controller stores which format versions it supports before it does anything
+    /// else, so that no version is activated that the controller cannot read.
     RegisterBeforeActing,
-    /// Each process of a node stores that anew: an older build may have been started
-    /// since the last time.
+    /// Each process of a controller stores the supported format versions again: the
+    /// process may run an older build than the previous one.
     EachProcessRegisters,
-    /// Activating a format version has what every node stored about itself as a
-    /// precondition, so that none changes its build meanwhile.
+    /// The activation of a format version has every controller's member record as a
+    /// precondition, so that no controller changes its build meanwhile.
     ActivationComparesMembers,
-    /// A job with a record that cannot be read is neither run nor written: what the
-    /// record says would be lost, and its tasks may run.
+    /// A job with an unreadable record is neither run nor written: the contents of the
+    /// record would be lost, and its tasks may already run.
     UnreadableIsLeftAlone,
-    /// What a silent machine was assigned by an earlier leader is kept for as long as
-    /// that leader may have answered it, and for a lease after that.
+    /// The assignments by earlier leaders to a silent machine remain in force for as long
+    /// as such a leader may have answered the machine, and for a lease after that.
     EarlierLeadersAnswersCount,
-    /// A heartbeat proves a task's absence only if it carries our own fencing token.
-    /// Otherwise a start of an older leader may still be on its way.
+    /// A heartbeat proves a task's absence only if it carries this leader's fencing
+    /// token. Otherwise a start of an older leader may still be in flight.
     AbsenceNeedsOurToken,
-    /// A heartbeat older than one that was processed proves nothing.
+    /// A heartbeat older than one that was already processed proves nothing.
     NewestHeartbeatCounts,
-    /// A task's result is stored before its agent may forget it. Otherwise a failover
+    /// A task's result is stored before its agent may discard it. Otherwise a failover
     /// would lose the result and run the task again.
     DoneBeforeClear,
     /// A record is overwritten only in the version that was last read or written
     /// (compare-and-swap), so that a late write replaces no newer record.
     RecordsCompareVersions,
-    /// An answer that is not final rests on a read sent after the question arrived.
-    /// Otherwise users could read a state older than one they saw before.
+    /// An answer that is not final is based on a read sent after the request arrived.
+    /// Otherwise users could read an older state than in an earlier answer.
     AnswersAreFresh,
-    /// A submission whose job exists already is answered from what is stored of it, not
-    /// from what the caller sent.
+    /// A submission whose job already exists is answered from the job's stored record,
+    /// not from the contents of the request.
     ConflictIsRead,
-    /// A transaction without an answer counts as neither committed nor refused, until
-    /// its writer has found out which.
+    /// A transaction without an answer counts as neither committed nor rejected until
+    /// its writer has read which of the two applies.
     LostIsUnknown,
     /// A team's quota usage includes the tasks of ended jobs that may still be on
     /// machines.
     EndedJobsCountForQuota,
-    /// A new leader follows changes from the first page of its load on. Otherwise it
-    /// would miss changes made while it loads.
+    /// A new leader watches changes from the revision of the first page of its load on.
+    /// Otherwise it would miss changes made during the load.
     FollowsFromTheFirstPage,
-    /// Of a job's completion and its cancellation only one is committed.
+    /// Only one of a job's completion and its cancellation is committed.
     OneOutcomeIsCommitted,
     /// A rule that only makes work wait for a better machine no longer applies to work
-    /// that has waited for long. Otherwise it could wait for ever.
+    /// that has waited for long. Otherwise the work could wait forever.
     AgedWorkSkipsPreferences,
-    /// Tasks that may still be on machines restrict the zones of their job's other
-    /// tasks, so that a job bound to one zone is never in two.
+    /// Tasks that may still be on machines restrict the zones of the other tasks of their
+    /// job, so that a job bound to one zone is never in two.
     AssignmentsBindZones,
-    /// The next format version is activated only once everything stored has the format
-    /// of the present one, so that formats older than that are never met.
+    /// The next format version is activated only once all stored records have the format
+    /// of the active one, so that no build encounters formats older than the active one.
     RewrittenBeforeActivation,
 }
 
 #[cfg(any(test, feature = "failpoints"))]
 thread_local! {
-    /// The checks that are switched off, one bit for each variant.
+    /// The disabled checks, one bit for each variant.
     static DISABLED: std::cell::Cell<u64> = const { std::cell::Cell::new(0) };
 }
 
-/// Switches these checks off on this thread, and all others on.
+/// Disables these checks on this thread, and enables all others.
 #[cfg(any(test, feature = "failpoints"))]
 pub fn disable_check(checks: &[SafetyCheck]) {
     let bits = checks
@@ -113,13 +113,13 @@
     DISABLED.set(bits);
 }
 
-/// Whether a check is enforced.
+/// Whether a check is enforced on this thread.
 #[cfg(any(test, feature = "failpoints"))]
 pub fn enforced(check: SafetyCheck) -> bool {
     DISABLED.get() & (1 << check as u64) == 0
 }
 
-/// Whether a check is enforced: always.
+/// Whether a check is enforced: always true in this build.
 #[cfg(not(any(test, feature = "failpoints")))]
 pub const fn enforced(_: SafetyCheck) -> bool {
     true
--- a/crates/controller/src/core/inputs.rs
+++ b/crates/controller/src/core/inputs.rs
@@ -1,12 +1,11 @@
-//! What goes into the state machine: an input, the time it arrives at, and the
-//! identifiers that tie requests and replies to what was asked. Never decides
-//! anything.
+//! The inputs of the state machine: an input, the time at which it arrives, and the
+//! identifiers that match answers to requests and replies to calls.
 
 use crate::types::{Time, TimeSpan, WallTime};
 use crate::wire;
 use serde::de::DeserializeOwned;
 
-/// The moment at which an input arrives, on both clocks.
+/// The time at which an input arrives, on both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
     /// The monotonic clock.
@@ -35,33 +34,35 @@
 /// One input of the state machine.
 #[derive(Debug)]
 pub enum Input {
-    /// Time has passed.
+    /// The periodic tick of the driver.
     Tick,
     /// A request arrived.
     Request(RequestId, Listener, crate::http::Request),
     /// A call was answered or failed.
     Reply(CallId, Reply),
-    /// A lease that was to be kept alive has expired.
+    /// The lease with this id, which the driver was to keep alive, has expired.
     LeaseExpired(u64),
-    /// The calibration workload, a fixed piece of work, took this long here.
+    /// The calibration workload, a fixed amount of work, took this long on this machine.
     Calibration(TimeSpan),
-    /// The process is to shut down: leadership is transferred first.
+    /// The process is to shut down. A leader transfers leadership first.
     Shutdown,
 }
 
 /// How a call ended.
 #[derive(Debug)]
 pub enum Reply {
-    /// It was answered with this HTTP status and body.
+    /// The call was answered with this HTTP status and body.
     Answer(u16, Vec<u8>),
-    /// It certainly never reached the other side.
+    /// The call certainly never reached the other side.
     NotSent,
-    /// Its outcome is unknown: it may have been carried out, or may yet be.
+    /// The outcome is unknown: the other side may have executed the call, or may execute
+    /// it later.
     Lost,
 }
 
 impl Reply {
-    /// The message in a reply with status 200, if there is one.
+    /// The decoded body of an answer with status 200; `None` for any other reply, or if
+    /// the body cannot be decoded.
     pub fn decode_success<T: DeserializeOwned>(&self) -> Option<T> {
         match self {
             Reply::Answer(200, body) => wire::decode(body),
--- a/crates/controller/src/core/keys.rs
+++ b/crates/controller/src/core/keys.rs
@@ -1,34 +1,35 @@
-//! The keys under which records are stored in the key-value store. Their values:
-//! `job_records`, `format_version`, `autoscaler::intents`, `quarantine`, `quota`.
+//! The keys under which records are stored in the key-value store. The values are defined
+//! in `job_records`, `format_version`, `autoscaler::intents`, `quarantine` and `quota`.
 //!
 //! | key | value | kept |
 //! | --- | --- | --- |
-//! | `w/leader`, `w/leader/...` | who leads, bound to a lease, its version is the fencing token; format versions: `format_version/member_versions.rs` | |
-//! | `job/REF` | the job's header: stage and task count; done and cancel compare its version | for ever |
-//! | `w/j/REF`, `w/p/REF/N` | when accepted, and the submission in parts | until nothing of the job can run |
-//! | `w/x/REF` | how the job ended | likewise |
-//! | `r/REF/C` | tasks of chunk C: highest attempt, done ranges, assignments | likewise |
-//! | `types` | the machine types last read from the cloud | |
-//! | `d/h/NAME`, `d/x/NAME` | an intent to provision, to terminate: possibly requested | until settled |
-//! | `d/m/MACHINE` | why a machine is in quarantine or drained | while it exists |
+//! | `w/leader`, `w/leader/...` | the leader, bound to a lease, the key's version is the fencing token; format versions: `format_version/member_versions.rs` | the leader's key as long as its lease |
+//! | `job/REF` | the job's header: stage and task count; done and cancel compare its version | forever |
+//! | `w/j/REF`, `w/p/REF/N` | time of acceptance, and the submission in parts | until no task of the job can run |
+//! | `w/x/REF` | how the job ended | until no task of the job can run |
+//! | `r/REF/C` | tasks of chunk C: highest attempt, done ranges, assignments | until no task of the job can run |
+//! | `types` | the machine types last read from the cloud | overwritten |
+//! | `d/h/NAME`, `d/x/NAME` | an intent to provision or to terminate, which may already have been requested | until settled |
+//! | `d/m/MACHINE` | why a machine is in quarantine or drained | while the machine exists |
 //! | `d/f` | recent arrivals by class and team | overwritten |
 //!
-//! Everything below `w/` is watched by the leader.
+//! The leader watches all keys below `w/`.
 
 use super::format_version::member_versions;
 use crate::types::JobId;
 
-/// Prefix of what the leader watches.
+/// Prefix of the keys that the leader watches.
 pub const WATCHED: &str = "w/";
-/// Prefix of what a leader intends to do, and what it remembers for a successor.
+/// Prefix of the records that a leader stores for its successors: intents, quarantines
+/// and the arrival history.
 pub const LEADER_RECORDS: &str = "d/";
 /// Prefix of the records of chunks of tasks.
 pub const PROGRESS_RECORDS: &str = "r/";
-/// The machine types.
+/// The key of the machine types last read from the cloud.
 pub const MACHINE_TYPES: &str = "types";
 /// Prefix of submissions.
 pub const SUBMISSIONS: &str = "w/j/";
-/// Prefix of the further parts of long submissions.
+/// Prefix of the second and further parts of long submissions.
 pub const SUBMISSION_PARTS: &str = "w/p/";
 /// Prefix of the outcomes of jobs that still have records.
 pub const JOB_OUTCOMES: &str = "w/x/";
@@ -48,33 +49,32 @@
     format!("{JOB_OUTCOMES}{id}")
 }
 
-/// The key of a further part of a submission.
+/// The key of the second or a further part of a submission.
 pub fn submission_part_key(id: &JobId, part: u32) -> String {
     format!("{SUBMISSION_PARTS}{id}/{part}")
 }
 
-/// The key of a chunk of tasks.
+/// The key of the record of a chunk of tasks.
 pub fn chunk_key(id: &JobId, chunk: u32) -> String {
     format!("{PROGRESS_RECORDS}{id}/{chunk}")
 }
 
-/// What a watched key is about.
+/// The subject of a watched key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Watched {
-    /// The leader's key, the format version in force, or the formats that a node
-    /// supports.
+    /// The leader's key, the active format version, or a controller's member record.
     Leadership,
-    /// A submission.
+    /// The submission of a job.
     Job(JobId),
-    /// A further part of a submission, with its number.
+    /// A further part of a submission, with the part's number.
     Part(JobId, u32),
-    /// A job's outcome.
+    /// The outcome of a job.
     JobOutcome(JobId),
-    /// Something else.
+    /// A key of none of these forms.
     Other,
 }
 
-/// Parses a key below `w/`.
+/// Parses a key below [`WATCHED`].
 pub fn parse_watched_key(key: &str) -> Watched {
     if key.starts_with(member_versions::PREFIX) {
         return Watched::Leadership;
@@ -93,7 +93,7 @@
     Some(Watched::Part(id.into(), part.parse().ok()?))
 }
 
-/// Parses the key of a chunk of tasks into its job and its number.
+/// Parses the key of a chunk's record into the job and the chunk's number.
 pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
     let (id, chunk) = key.strip_prefix(PROGRESS_RECORDS)?.rsplit_once('/')?;
     Some((id.into(), chunk.parse().ok()?))
--- a/crates/controller/src/core/machine.rs
+++ b/crates/controller/src/core/machine.rs
@@ -1,5 +1,5 @@
-//! A machine as the leader knows it: what its heartbeats, the cloud's lists and the
-//! placements say of it. Decides nothing.
+//! The leader's record of a machine, from the machine's heartbeats, the cloud's lists of
+//! machines and the assignments of tasks. This module makes no decisions.
 
 use super::delivery::DeliveryMonitor;
 use super::placement_tables::ImageCache;
@@ -10,76 +10,79 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// Whether a machine stays.
+/// Whether the leader keeps, drains or terminates a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineLifecycle {
-    /// It gets work.
+    /// The machine receives new tasks.
     InService,
-    /// It gets no new work; it goes when empty.
+    /// The machine receives no new tasks, and is terminated once it has none.
     Draining,
-    /// The cloud is, or is to be, asked to terminate it, whatever is on it.
+    /// The leader has requested, or is to request, that the cloud terminates the machine,
+    /// whatever tasks are on it.
     Terminating,
 }
 
-/// A machine.
+/// The leader's state of one machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Where direct commands are sent.
+    /// The agent's address, to which direct commands are sent; `None`: unknown.
     pub address: Option<SocketAddrV4>,
-    /// Its type, once known.
+    /// The machine's type, once known.
     pub machine_type: Option<MachineTypeName>,
-    /// Its zone, once known.
+    /// The machine's zone, once known.
     pub zone: Option<Zone>,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// The agent epoch of its newest heartbeat.
+    /// The agent epoch of the newest heartbeat.
     pub epoch: AgentEpoch,
-    /// The number of its newest heartbeat.
+    /// The sequence number of the newest heartbeat.
     pub sequence: HeartbeatSequence,
-    /// When its last heartbeat came.
+    /// When the last heartbeat arrived; `None`: none has arrived at this leader.
     pub last_heartbeat: Option<Time>,
-    /// When we last answered a heartbeat with 200, which renews its lease.
+    /// When this leader last answered a heartbeat with 200, which renews the agent's
+    /// lease; `None`: never.
     pub last_answer: Option<Time>,
-    /// Whether its newest heartbeat carried our fencing token.
+    /// Whether the newest heartbeat carried this leader's fencing token.
     pub has_our_token: bool,
-    /// When the first heartbeat with our token came.
+    /// When the first heartbeat with this leader's token arrived.
     pub our_token_since: Option<Time>,
-    /// Whether it receives the answers to its heartbeats.
+    /// Whether the agent receives the answers to its heartbeats.
     pub delivery: DeliveryMonitor,
-    /// What tasks take that run there without being recorded there.
+    /// Resources of tasks that run on the machine without an assignment to it.
     pub unrecorded_usage: Resources,
-    /// When the cloud takes it, if it has given notice.
+    /// When the cloud terminates the machine, if it has announced that.
     pub termination_notice_at: Option<Time>,
-    /// Its state in the cloud's list, and its age there.
+    /// The machine's state and age in the cloud's last list that contained it.
     pub listed: Option<(MachineStage, TimeSpan)>,
-    /// When a list last showed it.
+    /// When a list of the cloud last contained the machine.
     pub last_listed: Option<Time>,
-    /// When this leader first heard of it.
+    /// When this leader first received any information about the machine.
     pub first_seen: Time,
-    /// Whether its lease has expired and its tasks were written off.
+    /// Whether the agent's lease has expired and the machine's tasks were abandoned.
     pub presumed_dead: bool,
-    /// Whether it stays.
+    /// Whether the machine is in service, draining or to be terminated.
     pub lifecycle: MachineLifecycle,
-    /// Why it is to be terminated; empty if it is not.
+    /// Why the machine is to be terminated; empty if it is not.
     pub termination_reason: &'static str,
-    /// The images that it should hold.
+    /// The images that the machine is expected to hold.
     pub cache: ImageCache,
-    /// It is quarantined, and gets no work before this time.
+    /// Until when the machine is quarantined and receives no tasks, unless no other
+    /// machine fits; `None`: it is not quarantined.
     pub quarantined_until: Option<Time>,
-    /// When high-priority work was last placed here.
+    /// When a high-priority task was last assigned to the machine.
     pub last_high_priority: Option<Time>,
-    /// Since when it has nothing to do.
+    /// Since when the machine has been found without tasks; `None`: it has tasks.
     pub idle_since: Option<Time>,
-    /// Jobs that failed here, and when each last did.
+    /// Jobs that failed on the machine, and when each last did.
     pub failed_jobs: BTreeMap<JobId, Time>,
-    /// Tasks placed here.
+    /// Tasks assigned to the machine.
     pub tasks: BTreeSet<TaskId>,
-    /// What the tasks placed here take together.
+    /// Total resources of the tasks assigned to the machine.
     pub allocated: Resources,
 }
 
 impl Machine {
-    /// One that was just heard of.
+    /// A machine about which the leader received the first information at `now`.
     pub fn new(now: Time) -> Machine {
         Machine {
             address: None,
@@ -111,48 +114,49 @@
         }
     }
 
-    /// It is to be terminated; the first reason stays.
+    /// Marks the machine for termination. The first reason given remains.
     pub fn mark_for_termination(&mut self, why: &'static str) {
         if self.lifecycle != MachineLifecycle::Terminating {
             (self.lifecycle, self.termination_reason) = (MachineLifecycle::Terminating, why);
         }
     }
 
-    /// Notes a task placed here.
+    /// Adds a task that is assigned to this machine.
     pub fn assign(&mut self, task: TaskId, needs: Resources) {
         if self.tasks.insert(task) {
             self.allocated += needs;
         }
     }
 
-    /// Notes that a task is not here any more.
+    /// Removes a task that is no longer assigned to this machine.
     pub fn release(&mut self, task: &TaskId, needs: Resources) {
         if self.tasks.remove(task) {
             self.allocated -= needs;
         }
         if self.tasks.is_empty() {
-            // What rounding leaves must not add up.
+            // Resets the sum, so that rounding errors do not accumulate.
             self.allocated = Resources::default();
         }
     }
 
-    /// Whether the cloud's list shows it as failed.
+    /// Whether the cloud's list shows the machine as failed.
     pub fn listed_as_failed(&self) -> bool {
         matches!(self.listed, Some((MachineStage::Failed, _)))
     }
 
-    /// Whether it is quarantined.
+    /// Whether the machine is quarantined.
     pub fn is_quarantined(&self, now: Time) -> bool {
         self.quarantined_until.is_some_and(|t| now < t)
     }
 
-    /// Whether new work may go here.
+    /// Whether new tasks may be assigned to the machine. `silence` is the time without a
+    /// heartbeat after which a machine is no longer healthy.
     pub fn is_schedulable(&self, now: Time, silence: TimeSpan) -> bool {
         self.is_healthy(now, silence) && !self.is_quarantined(now)
     }
 
-    /// Whether new work may go here if there is nothing better: it is healthy now, even if
-    /// quarantined for what it was before.
+    /// Whether new tasks may be assigned to the machine if no other machine fits: the
+    /// machine is healthy now, even if it is quarantined for earlier failures.
     pub fn is_healthy(&self, now: Time, silence: TimeSpan) -> bool {
         self.has_our_token
             && self.delivery.answers_arrive()
--- a/crates/controller/src/core/mod.rs
+++ b/crates/controller/src/core/mod.rs
@@ -1,10 +1,10 @@
-//! The controller as a state machine: inputs and the time they arrive at go in,
-//! calls, answers and lease renewals come out. Nothing here does I/O or reads a
+//! The controller as a state machine: its inputs are events with their arrival times,
+//! its outputs are calls, answers and lease renewals. No module here does I/O or reads a
 //! clock; `crate::driver` does both.
 //!
 //! | subject | modules |
 //! | --- | --- |
-//! | what goes in and comes out | [`inputs`], [`outputs`], [`lease_keep_alive`], [`effects`] |
+//! | inputs and outputs | [`inputs`], [`outputs`], [`lease_keep_alive`], [`effects`] |
 //! | one controller and its peers | [`node`], [`election`], [`failure_detector`], [`self_health`], [`cache_hints`], [`leader_announcement`] |
 //! | formats shared by several builds | [`format_version`] |
 //! | users' requests | [`job_api`], [`read_coalescing`] |
@@ -12,7 +12,7 @@
 //! | scheduling decisions | [`scheduling_cycle`], [`preemption`], [`quota`], [`placement_tables`] |
 //! | the cloud | [`autoscaler`] |
 //! | stored records | [`job_records`], [`keys`] |
-//! | safety checks that tests switch off | [`failpoints`] |
+//! | safety checks that tests can disable | [`failpoints`] |
 
 pub mod assignment;
 pub mod autoscaler;
--- a/crates/controller/src/core/outputs.rs
+++ b/crates/controller/src/core/outputs.rs
@@ -1,12 +1,12 @@
-//! What comes out of the state machine: calls to make, answers to send, and the
-//! lease to keep alive. Never does I/O itself.
+//! The outputs of the state machine: calls to make, answers to send, and the lease to
+//! keep alive. The driver executes them; this module does no I/O.
 
 use super::inputs::{CallId, RequestId};
 use super::lease_keep_alive::LeaseKeepAlive;
 use crate::types::TimeSpan;
 use std::net::SocketAddrV4;
 
-/// The service a call goes to.
+/// The destination of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Target {
     /// The key-value store.
@@ -17,20 +17,20 @@
     Host(SocketAddrV4),
 }
 
-/// A call to make.
+/// An HTTP call to make.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Identifies its reply.
+    /// The id that the reply carries.
     pub id: CallId,
-    /// The service it goes to.
+    /// The destination.
     pub target: Target,
     /// The HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub path: String,
-    /// The body.
+    /// The body of the HTTP request; may be empty.
     pub body: Vec<u8>,
-    /// How long to wait for the reply.
+    /// How long the driver waits for the reply.
     pub timeout: TimeSpan,
 }
 
@@ -39,9 +39,9 @@
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The `Retry-After` header, in seconds.
+    /// The `Retry-After` header, in seconds; `None`: the answer has no such header.
     pub retry_after: Option<u32>,
-    /// The body.
+    /// The body of the HTTP response; may be empty.
     pub body: Vec<u8>,
 }
 
@@ -52,6 +52,6 @@
     Answer(RequestId, Answer),
     /// Make a call.
     Call(Call),
-    /// Keep a lease of the key-value store alive, in place of any before it.
+    /// Keep a lease of the key-value store alive, in place of any earlier one.
     LeaseKeepAlive(LeaseKeepAlive),
 }
--- a/crates/controller/src/core/pending_writes.rs
+++ b/crates/controller/src/core/pending_writes.rs
@@ -1,33 +1,35 @@
-//! Small records that wait to be written. They are added to the leader's transactions,
-//! which only the holder of the fencing token can commit. Nothing here writes them.
+//! Small records whose writes are pending. The leader adds them to its transactions,
+//! which only the holder of the fencing token can commit. This module writes nothing to
+//! the store.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changes to records that are not stored yet, at most one for each key.
+/// Changes of records that are not stored yet, at most one for each key.
 #[derive(Clone, Debug, Default)]
 pub struct PendingWrites {
     puts: BTreeMap<String, Value>,
     deletes: BTreeSet<String>,
-    /// Changes taken out to be written, for operators.
+    /// Number of changes taken out for a transaction so far, including any that were put
+    /// back later. `/inspect` shows it.
     pub written: u64,
 }
 
 impl PendingWrites {
-    /// A record is to be stored. Replaces an earlier change of its key.
+    /// Adds a record to store. Replaces an earlier change of the same key.
     pub fn put(&mut self, key: String, value: Value) {
         self.deletes.remove(&key);
         self.puts.insert(key, value);
     }
 
-    /// A record is to be deleted. Replaces an earlier change of its key.
+    /// Adds a record to delete. Replaces an earlier change of the same key.
     pub fn delete(&mut self, key: String) {
         self.puts.remove(&key);
         self.deletes.insert(key);
     }
 
-    /// Takes out at most `limit` records to store. They go before deletions, as
-    /// actions wait for them.
+    /// Takes out at most `limit` records to store. The caller takes them before the
+    /// deletions, since actions wait until these records are stored.
     pub fn take_puts(&mut self, limit: usize) -> Vec<(String, Value)> {
         let keys: Vec<String> = self.puts.keys().take(limit).cloned().collect();
         self.written += keys.len() as u64;
@@ -36,7 +38,7 @@
             .collect()
     }
 
-    /// Takes out at most `limit` keys to delete. Nothing waits for them.
+    /// Takes out at most `limit` keys to delete. No action waits for a deletion.
     pub fn take_deletes(&mut self, limit: usize) -> Vec<String> {
         let keys: Vec<String> = self.deletes.iter().take(limit).cloned().collect();
         self.written += keys.len() as u64;
@@ -46,7 +48,7 @@
         keys
     }
 
-    /// Puts back a change that was taken out and not written; `value` is `None` for a
+    /// Restores a change that was taken out and not committed; `value` is `None` for a
     /// deletion. A later change of the same key takes precedence.
     pub fn put_back(&mut self, key: String, value: Option<Value>) {
         if self.puts.contains_key(&key) || self.deletes.contains(&key) {
@@ -62,12 +64,12 @@
         }
     }
 
-    /// How many changes wait.
+    /// The number of pending changes.
     pub fn len(&self) -> usize {
         self.puts.len() + self.deletes.len()
     }
 
-    /// Whether no change waits.
+    /// Whether no change is pending.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
