--- a/crates/controller/src/core/effects.rs
+++ b/crates/controller/src/core/effects.rs
@@ -55,8 +55,8 @@
     /// The version of the active format version's key. Writes whose form depends on the
     /// active format version compare it; `None`: they need not.
     pub version_fence: Option<Version>,
-    /// Machine types that the cloud listed while the present input was processed, for
-    /// other modules.
+    /// Machine types that the leader has just read from the cloud; `node` takes them and
+    /// stores them.
     pub listed_machine_types: Option<MachineTypes>,
     outputs: Vec<Output>,
     next_call_id: u64,
@@ -151,14 +151,14 @@
 
 /// Requests and their answers.
 impl Effects {
-    /// Records that a request arrived now. False if too many requests wait already; the
-    /// request is not recorded then.
+    /// Records that a request arrived now. False, without recording the request, if too
+    /// many requests wait already.
     #[must_use]
     pub fn start_request(&mut self, request: RequestId, kind: RequestKind) -> bool {
         self.response_times.start(self.now.time, request, kind)
     }
 
-    /// Drops waiting requests that are so old that their connection must be closed.
+    /// Drops waiting requests so old that their connection is presumed closed.
     pub fn forget_abandoned_requests(&mut self) {
         self.response_times.drop_abandoned(self.now.time);
     }
--- a/crates/controller/src/core/effects/response_times.rs
+++ b/crates/controller/src/core/effects/response_times.rs
@@ -10,7 +10,7 @@
 /// Maximum number of requests that wait for an answer. The callers of further requests
 /// are told to retry later.
 const MAX_WAITING_REQUESTS: usize = 600;
-/// A waiting request older than this is dropped, since its connection was closed.
+/// A waiting request older than this is dropped: its connection may have been closed.
 const MAX_WAITING_TIME: TimeSpan = TimeSpan::millis(30_000);
 /// Upper bound of the histograms, in milliseconds; longer times count as this.
 const MAX_RECORDED_MS: u64 = 60_000;
@@ -83,7 +83,7 @@
         histogram.saturating_record(ms.max(1));
     }
 
-    /// Drops waiting requests that are so old that their connection must be closed.
+    /// Drops waiting requests so old that their connection is presumed closed.
     pub(super) fn drop_abandoned(&mut self, now: Time) {
         self.waiting
             .retain(|_, waiting| now.since(waiting.since) < MAX_WAITING_TIME);
--- a/crates/controller/src/core/election.rs
+++ b/crates/controller/src/core/election.rs
@@ -65,8 +65,9 @@
     keep_alive_due: Time,
     /// The highest format version that the policy allows.
     max_version: FormatVersion,
-    /// Whether the store holds nothing but member records. No controller has led yet
-    /// then, and the first claim activates the first fenced format version.
+    /// Whether the store holds nothing but member records and the policy allows the first
+    /// fenced format version. No controller has led yet then, and the first claim also
+    /// activates that version.
     store_is_empty: bool,
     /// The activation of a format version that the next claim carries.
     activation: Option<Activation>,
@@ -90,7 +91,7 @@
         /// When the request was sent.
         sent: Time,
     },
-    /// Grant of a lease, to which the leader's key is to be bound.
+    /// Request for a lease to which the leader's key is to be bound.
     GrantLease,
     /// Write of this controller's member record.
     Register,
--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -106,7 +106,7 @@
 
 // The reply to the activation is lost. A leader that assumes that it failed would
 // continue under a key that is only a tombstone by then; a leader that assumes that it
-// was applied would act on a token that no controller compares_legacy_key.
+// was applied would act on a token that no controller holds.
 #[test]
 fn lost_reply_to_activation_is_resolved_by_a_read() {
     for applied in [true, false] {
--- a/crates/controller/src/core/format_version/member_versions.rs
+++ b/crates/controller/src/core/format_version/member_versions.rs
@@ -130,7 +130,7 @@
         self.is_loaded = true;
     }
 
-    /// Applies a change received from a watch. Ignores keys of no concern here.
+    /// Applies a change received from a watch. Ignores other keys, such as the leader's.
     pub fn apply(&mut self, event: &WatchEvent) {
         if let Some(key) = &event.put {
             self.apply_key(key, Some(&event.value), event.version);
@@ -345,7 +345,7 @@
     }
 
     /// The transaction that records that all stored records have the form of the
-    /// active version; `None` if the store says so already.
+    /// active version; `None` if that is already recorded.
     pub fn rewrite_completion(&self) -> Option<Transaction> {
         if self.supported.is_none() || self.rewritten >= self.active {
             return None;
--- a/crates/controller/src/core/self_health.rs
+++ b/crates/controller/src/core/self_health.rs
@@ -11,7 +11,8 @@
 const LATE_TICK_GAP: TimeSpan = TimeSpan::millis(500);
 /// The window over which the share of late time is measured.
 const WINDOW: TimeSpan = TimeSpan::millis(20_000);
-/// A leader transfers leadership if the share of late time in a window exceeds this.
+/// A leader transfers leadership if the share of late time in a window exceeds this and
+/// the leader has led for the minimum tenure.
 const MAX_LATE_SHARE: f64 = 0.5;
 /// Minimum time of leadership before the first transfer, and its growth factor with each
 /// transfer.
