--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -1,7 +1,8 @@
-//! What is on the machine, as a state machine: commands, descriptions, images and
-//! ends of processes go in; records and effects come out, in an order that is to be
-//! kept. A record stands before every effect that must not happen unless it would
-//! survive, and before every report that must not be told.
+//! The task attempts on one machine, as a state machine without input or output.
+//! Controllers' commands, job descriptions, fetched images and the exits of processes are
+//! its inputs; its outputs are the states for the next heartbeat and a list of effects,
+//! which the caller performs in their order. A record precedes every effect and every
+//! heartbeat that may only happen once the record would survive a loss of power.
 
 use crate::shim::Exit;
 use pebblefold_wire::types::{AgentEpoch, Attempt, FencingToken, Resources, Time, TimeSpan};
@@ -11,123 +12,135 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A task and an attempt.
+/// Identifies one attempt of one task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Key {
-    /// The task, as `wk-000412/3`.
+pub struct AttemptKey {
+    /// The task: job and index, as `wk-000412/3`.
     pub task: String,
-    /// The attempt.
+    /// The attempt's number, set by the controllers.
     pub attempt: u64,
 }
 
-impl Key {
-    /// The job that the task belongs to.
+impl AttemptKey {
+    /// The job that the task belongs to: all before the last `/`.
     pub fn job(&self) -> &str {
         self.task.rsplit_once('/').map_or(&self.task, |(j, _)| j)
     }
 }
 
-/// What survives of an attempt.
+/// The part of an attempt that the journal keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its state, as reported.
+    /// The state, as heartbeats report it.
     pub state: TaskState,
-    /// Why it ended.
+    /// Why the attempt ended; `None` before it has ended.
     pub why: Option<StopReason>,
-    /// Whether its progress was saved.
+    /// Whether the attempt left a checkpoint when it was stopped; `None` unless it was
+    /// stopped by a command.
     pub saved: Option<bool>,
 }
 
-/// What was found of an attempt when the agent was started again.
+/// What a restarted agent finds of an attempt in the journal. The driver also uses it for
+/// the state of an attempt that it started itself.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Found {
-    /// Nothing was begun.
-    Nothing,
-    /// It runs.
-    Runs,
-    /// It ended so.
+pub enum RecoveredState {
+    /// No shim has claimed the attempt's directory.
+    NotStarted,
+    /// The attempt's shim is running.
+    Alive,
+    /// The shim has written this exit.
     Ended(Exit),
-    /// It was begun, and nothing of it is left: nobody knows how far it came.
+    /// The attempt was started, and neither a running shim nor an exit was found: how far
+    /// the command came is unknown.
     Lost,
 }
 
-/// What is to be done, in this order.
+/// An action for the driver. Effects are performed in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write this down; what follows waits until it would survive power loss.
-    Record(Key, Record),
-    /// Strike it out, likewise.
-    Strike(Key),
-    /// Write down the highest token seen, likewise.
+    /// Writes an attempt's record. Later effects wait until the write would survive a loss
+    /// of power; the same holds for the next three variants.
+    Record(AttemptKey, Record),
+    /// Deletes an attempt's record.
+    DeleteRecord(AttemptKey),
+    /// Writes the highest fencing token received.
     Token(FencingToken),
-    /// Write down the session, likewise.
+    /// Writes the agent epoch.
     Epoch(AgentEpoch),
-    /// Fetch a job's description.
-    Describe(String),
-    /// Fetch an image for an attempt.
-    Fetch(Key, Rc<Submission>),
-    /// Nobody waits for it any more.
-    GiveUp(Key),
-    /// Tell the other tasks of its gang that it is here.
-    Meet(Key, Rc<Submission>),
-    /// Begin its command.
-    Spawn(Key, Rc<Submission>),
-    /// Let it save and end; 0 s: end it at once.
-    Stop(Key, f64),
-    /// Remove its directory.
-    Remove(Key),
+    /// Reads a job's description and passes it to [`Attempts::job_loaded`].
+    LoadJob(String),
+    /// Fetches the image of an attempt and calls [`Attempts::image_fetched`].
+    FetchImage(AttemptKey, Rc<Submission>),
+    /// Cancels an image fetch or a wait for the gang.
+    CancelStart(AttemptKey),
+    /// Marks the task as present to the other tasks of its gang, and waits for them.
+    JoinGang(AttemptKey, Rc<Submission>),
+    /// Starts the attempt's command.
+    Spawn(AttemptKey, Rc<Submission>),
+    /// Stops the command. The number is the time in seconds that it has to write a
+    /// checkpoint and exit; 0: it is killed immediately.
+    Stop(AttemptKey, f64),
+    /// Removes the attempt's directory, once the attempt's processes are proven to have
+    /// ended.
+    Remove(AttemptKey),
 }
 
 impl Effect {
-    /// Whether it begins something for an attempt, or says that it goes on.
-    fn begins_something(&self) -> bool {
+    /// Whether the effect starts work for an attempt, or records that the attempt
+    /// continues. Such effects are dropped when the lease has expired.
+    fn starts_work(&self) -> bool {
         match self {
             Effect::Record(..)
-            | Effect::Describe(_)
-            | Effect::Fetch(..)
-            | Effect::Meet(..)
+            | Effect::LoadJob(_)
+            | Effect::FetchImage(..)
+            | Effect::JoinGang(..)
             | Effect::Spawn(..) => true,
-            Effect::Strike(_)
+            Effect::DeleteRecord(_)
             | Effect::Token(_)
             | Effect::Epoch(_)
-            | Effect::GiveUp(_)
+            | Effect::CancelStart(_)
             | Effect::Stop(..)
             | Effect::Remove(_) => false,
         }
     }
 }
 
-/// Times that attempts go by.
+/// Time limits of attempts.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
-    /// How long a gang's tasks wait for one another.
+pub struct Timeouts {
+    /// How long a gang's task waits for the other tasks before it ends with
+    /// [`StopReason::Alone`].
     pub gang_wait: TimeSpan,
 }
 
 #[derive(Clone, Debug)]
-struct One {
+struct TrackedAttempt {
     record: Record,
+    /// `None` until the job's description was read, and for the running attempts that a
+    /// restarted agent found.
     job: Option<Rc<Submission>>,
+    /// Start of the wait for the gang, while the state is waiting.
     since: Time,
-    /// It was told to stop.
+    /// A command has stopped the attempt.
     stopped: bool,
-    /// A task of its gang is gone.
-    broken: bool,
+    /// Another task of the gang is gone, and this attempt is being killed for it.
+    peer_is_lost: bool,
 }
 
-/// Everything on the machine.
+/// All task attempts on a machine.
 #[derive(Debug)]
 pub struct Attempts {
-    has: Resources,
-    times: Times,
-    all: BTreeMap<Key, One>,
-    asked: BTreeSet<String>,
+    capacity: Resources,
+    timeouts: Timeouts,
+    attempts: BTreeMap<AttemptKey, TrackedAttempt>,
+    /// Jobs whose description was requested and hasn't arrived.
+    requested_jobs: BTreeSet<String>,
     draining: bool,
     changed: bool,
-    out: Vec<Effect>,
+    effects: Vec<Effect>,
 }
 
-fn fetching() -> Record {
+fn fetching_record() -> Record {
     Record {
         state: TaskState::Fetching,
         why: None,
@@ -136,97 +149,98 @@
 }
 
 impl Attempts {
-    /// A machine that has so much, with nothing on it.
-    pub fn new(has: Resources, times: Times) -> Attempts {
+    /// No attempts yet, on a machine of this capacity.
+    pub fn new(capacity: Resources, timeouts: Timeouts) -> Attempts {
         Attempts {
-            has,
-            times,
-            all: BTreeMap::new(),
-            asked: BTreeSet::new(),
+            capacity,
+            timeouts,
+            attempts: BTreeMap::new(),
+            requested_jobs: BTreeSet::new(),
             draining: false,
             changed: false,
-            out: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
-    /// What is to be done since the last call.
-    pub fn take(&mut self) -> Vec<Effect> {
-        std::mem::take(&mut self.out)
+    /// The effects since the last call, in the order in which they have to be performed.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
     }
 
-    /// Whether something changed that is worth a report, since the last call.
-    pub fn changed(&mut self) -> bool {
+    /// Whether anything that heartbeats report has changed since the last call.
+    pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// All of it, for a report.
-    pub fn reported(&self) -> Vec<ReportedTask> {
-        let one = |(key, o): (&Key, &One)| ReportedTask {
+    /// Every attempt, as a heartbeat lists it.
+    pub fn reported_tasks(&self) -> Vec<ReportedTask> {
+        let reported_task = |(key, entry): (&AttemptKey, &TrackedAttempt)| ReportedTask {
             task: key.task.clone(),
             attempt: Attempt(key.attempt),
-            state: o.record.state,
-            why: o.record.why,
-            saved: o.record.saved,
+            state: entry.record.state,
+            why: entry.record.why,
+            saved: entry.record.saved,
         };
-        self.all.iter().map(one).collect()
+        self.attempts.iter().map(reported_task).collect()
     }
 
-    /// Whether nothing is left that has not ended.
-    pub fn quiet(&self) -> bool {
-        self.all
+    /// Whether every attempt has ended.
+    pub fn all_exited(&self) -> bool {
+        self.attempts
             .values()
-            .all(|o| o.record.state == TaskState::Exited)
+            .all(|entry| entry.record.state == TaskState::Exited)
     }
 
-    /// Goes on with what the journal holds after the agent was started again, on
-    /// the same start of the machine and within the lease.
-    pub fn restored(&mut self, now: Time, kept: Vec<(Key, Record, Found)>) {
-        for (key, record, found) in kept {
-            let one = One {
+    /// Resumes the journal's attempts after a restart of the agent, within the same boot
+    /// and the same lease.
+    pub fn restored(&mut self, now: Time, journaled: Vec<(AttemptKey, Record, RecoveredState)>) {
+        for (key, record, found) in journaled {
+            let tracked = TrackedAttempt {
                 record,
                 job: None,
                 since: now,
                 stopped: record.state == TaskState::Saving,
-                broken: false,
+                peer_is_lost: false,
             };
-            self.all.insert(key.clone(), one);
+            self.attempts.insert(key.clone(), tracked);
             if record.state == TaskState::Exited {
                 continue;
             }
             match found {
-                // Its record is older than what it did: the directory is right.
-                Found::Ended(exit) => self.exited(&key, &exit),
-                Found::Runs => {
+                // The record is older than the exit that the shim wrote: the exit counts.
+                RecoveredState::Ended(exit) => self.exited(&key, &exit),
+                RecoveredState::Alive => {
                     let state = match record.state {
                         TaskState::Saving => TaskState::Saving,
                         _ => TaskState::Running,
                     };
-                    self.set(&key, Record { state, ..record });
+                    self.set_record(&key, Record { state, ..record });
                 }
-                Found::Lost => self.end(&key, StopReason::Error, None),
-                // A task of a gang may have been started by its peers' word, which
-                // is not heard again: the whole attempt begins anew elsewhere.
-                Found::Nothing if record.state == TaskState::Waiting => {
+                RecoveredState::Lost => self.end(&key, StopReason::Error, None),
+                // The gang's other tasks saw this one as present and may have started, and
+                // nothing records whether they did: the attempt ends, and the controllers
+                // start the whole gang again as a new attempt.
+                RecoveredState::NotStarted if record.state == TaskState::Waiting => {
                     self.end(&key, StopReason::Peers, None);
                 }
-                Found::Nothing => {
-                    if let Some(o) = self.all.get_mut(&key) {
-                        o.record = fetching();
+                RecoveredState::NotStarted => {
+                    if let Some(entry) = self.attempts.get_mut(&key) {
+                        entry.record = fetching_record();
                     }
-                    self.describe(&key);
+                    self.request_job(&key);
                 }
             }
         }
     }
 
-    /// No new work from now on; what is here goes on.
+    /// Refuses all new attempts from now on; attempts that the machine has continue.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// A command of the controllers.
-    pub fn command(&mut self, now: Time, c: &Command) {
-        match c {
+    /// Executes one command of the controllers.
+    pub fn command(&mut self, now: Time, command: &Command) {
+        match command {
             Command::Start { task, attempt } => self.start(now, task, attempt.0),
             Command::Stop {
                 task,
@@ -234,62 +248,66 @@
                 grace_s,
             } => {
                 let (task, attempt) = (task.clone(), attempt.0);
-                self.stop(&Key { task, attempt }, *grace_s);
+                self.stop(&AttemptKey { task, attempt }, *grace_s);
             }
             Command::Forget { task, attempt } => {
                 let (task, attempt) = (task.clone(), attempt.0);
-                self.forget(&Key { task, attempt });
+                self.forget(&AttemptKey { task, attempt });
             }
         }
     }
 
     fn start(&mut self, now: Time, task: &str, attempt: u64) {
-        let key = Key {
+        let key = AttemptKey {
             task: task.into(),
             attempt,
         };
-        // In any state, refused and ended included.
-        if self.all.contains_key(&key) {
+        // A repeated start changes nothing, whatever the attempt's state, refused and ended
+        // included.
+        if self.attempts.contains_key(&key) {
             return;
         }
-        let live = |o: &One| o.record.state != TaskState::Exited;
-        let busy = self.all.iter().any(|(k, o)| k.task == task && live(o));
-        let one = One {
-            record: fetching(),
+        let is_live = |entry: &TrackedAttempt| entry.record.state != TaskState::Exited;
+        let is_busy = self
+            .attempts
+            .iter()
+            .any(|(k, entry)| k.task == task && is_live(entry));
+        let tracked = TrackedAttempt {
+            record: fetching_record(),
             job: None,
             since: now,
             stopped: false,
-            broken: false,
+            peer_is_lost: false,
         };
-        self.all.insert(key.clone(), one);
-        if busy {
+        self.attempts.insert(key.clone(), tracked);
+        if is_busy {
             return self.end(&key, StopReason::Busy, None);
         }
         if self.draining {
             return self.end(&key, StopReason::NoRoom, None);
         }
-        self.set(&key, fetching());
-        self.describe(&key);
+        self.set_record(&key, fetching_record());
+        self.request_job(&key);
     }
 
-    fn describe(&mut self, key: &Key) {
-        if self.asked.insert(key.job().into()) {
-            self.out.push(Effect::Describe(key.job().into()));
+    fn request_job(&mut self, key: &AttemptKey) {
+        if self.requested_jobs.insert(key.job().into()) {
+            self.effects.push(Effect::LoadJob(key.job().into()));
         }
     }
 
-    /// A job's description, or that there is none.
-    pub fn described(&mut self, job: &str, found: Option<Rc<Submission>>) {
-        self.asked.remove(job);
-        let waiting: Vec<Key> = self
-            .all
+    /// Handles the description of a job; `None`: no readable description exists.
+    pub fn job_loaded(&mut self, job: &str, found: Option<Rc<Submission>>) {
+        self.requested_jobs.remove(job);
+        let pending: Vec<AttemptKey> = self
+            .attempts
             .iter()
-            .filter(|(k, o)| {
-                k.job() == job && o.job.is_none() && o.record.state == TaskState::Fetching
+            .filter(|(k, entry)| {
+                k.job() == job && entry.job.is_none() && entry.record.state == TaskState::Fetching
             })
             .map(|(k, _)| k.clone())
             .collect();
-        for key in waiting {
+        for key in pending {
             let Some(spec) = &found else {
                 self.end(&key, StopReason::Unknown, None);
                 continue;
@@ -300,105 +318,108 @@
                 continue;
             }
             let mut used = spec.needs();
-            for o in self.all.values() {
-                if o.record.state != TaskState::Exited
-                    && let Some(j) = &o.job
+            for entry in self.attempts.values() {
+                if entry.record.state != TaskState::Exited
+                    && let Some(j) = &entry.job
                 {
                     used += j.needs();
                 }
             }
-            if !used.fits(&self.has) {
+            if !used.fits(&self.capacity) {
                 self.end(&key, StopReason::NoRoom, None);
                 continue;
             }
-            if let Some(o) = self.all.get_mut(&key) {
-                o.job = Some(Rc::clone(spec));
-                self.out.push(Effect::Fetch(key, Rc::clone(spec)));
+            if let Some(entry) = self.attempts.get_mut(&key) {
+                entry.job = Some(Rc::clone(spec));
+                self.effects.push(Effect::FetchImage(key, Rc::clone(spec)));
             }
         }
     }
 
-    /// An attempt's image is here, or cannot be had.
-    pub fn imaged(&mut self, now: Time, key: &Key, here: bool) {
-        let Some(o) = self.all.get_mut(key) else {
+    /// Handles the end of an image fetch; `fetched` is false if the image cannot be had.
+    pub fn image_fetched(&mut self, now: Time, key: &AttemptKey, fetched: bool) {
+        let Some(entry) = self.attempts.get_mut(key) else {
             return;
         };
-        if o.record.state != TaskState::Fetching {
+        if entry.record.state != TaskState::Fetching {
             return;
         }
-        let Some(job) = o.job.clone() else { return };
-        if !here {
+        let Some(job) = entry.job.clone() else { return };
+        if !fetched {
             return self.end(key, StopReason::Error, None);
         }
-        o.since = now;
+        entry.since = now;
         if job.shape == JobShape::Gang && job.tasks > 1 {
-            self.set(
+            self.set_record(
                 key,
                 Record {
                     state: TaskState::Waiting,
-                    ..fetching()
+                    ..fetching_record()
                 },
             );
-            self.out.push(Effect::Meet(key.clone(), job));
+            self.effects.push(Effect::JoinGang(key.clone(), job));
         } else {
             self.run(key, job);
         }
     }
 
-    fn run(&mut self, key: &Key, job: Rc<Submission>) {
-        // That it may run stands on disk before it does: whoever finds neither a
-        // result nor its processes knows that it is not "not begun".
-        self.set(
+    fn run(&mut self, key: &AttemptKey, job: Rc<Submission>) {
+        // The journal says "running" before the command starts: a restarted agent that
+        // finds neither an exit nor processes then doesn't take the attempt for one that
+        // was never started.
+        self.set_record(
             key,
             Record {
                 state: TaskState::Running,
-                ..fetching()
+                ..fetching_record()
             },
         );
-        self.out.push(Effect::Spawn(key.clone(), job));
+        self.effects.push(Effect::Spawn(key.clone(), job));
     }
 
-    /// Every task of its gang's attempt is here.
-    pub fn met(&mut self, key: &Key) {
-        if let Some(o) = self.all.get(key)
-            && o.record.state == TaskState::Waiting
-            && let Some(job) = o.job.clone()
+    /// Starts an attempt for which every task of the gang is present.
+    pub fn gang_complete(&mut self, key: &AttemptKey) {
+        if let Some(entry) = self.attempts.get(key)
+            && entry.record.state == TaskState::Waiting
+            && let Some(job) = entry.job.clone()
         {
             self.run(key, job);
         }
     }
 
-    /// Another task of its gang is gone.
-    pub fn peer_lost(&mut self, key: &Key) {
-        let Some(o) = self.all.get_mut(key) else {
+    /// Kills an attempt of whose gang another task is gone.
+    pub fn peer_lost(&mut self, key: &AttemptKey) {
+        let Some(entry) = self.attempts.get_mut(key) else {
             return;
         };
-        if matches!(o.record.state, TaskState::Running | TaskState::Saving) && !o.broken {
-            o.broken = true;
-            self.out.push(Effect::Stop(key.clone(), 0.0));
+        if matches!(entry.record.state, TaskState::Running | TaskState::Saving)
+            && !entry.peer_is_lost
+        {
+            entry.peer_is_lost = true;
+            self.effects.push(Effect::Stop(key.clone(), 0.0));
         }
     }
 
-    fn stop(&mut self, key: &Key, grace_s: f64) {
-        let Some(o) = self.all.get_mut(key) else {
+    fn stop(&mut self, key: &AttemptKey, grace_s: f64) {
+        let Some(entry) = self.attempts.get_mut(key) else {
             return;
         };
-        let saves = o
+        let can_checkpoint = entry
             .job
             .as_ref()
             .is_some_and(|j| j.checkpoint_s > 0.0 && grace_s >= j.save_s);
-        match o.record.state {
+        match entry.record.state {
             TaskState::Exited => {}
             TaskState::Fetching | TaskState::Waiting => {
-                self.out.push(Effect::GiveUp(key.clone()));
+                self.effects.push(Effect::CancelStart(key.clone()));
                 self.end(key, StopReason::Stopped, Some(false));
             }
             TaskState::Running => {
-                o.stopped = true;
-                let grace = if saves { grace_s } else { 0.0 };
-                if saves {
-                    let record = o.record;
-                    self.set(
+                entry.stopped = true;
+                let grace = if can_checkpoint { grace_s } else { 0.0 };
+                if can_checkpoint {
+                    let record = entry.record;
+                    self.set_record(
                         key,
                         Record {
                             state: TaskState::Saving,
@@ -406,109 +427,116 @@
                         },
                     );
                 }
-                self.out.push(Effect::Stop(key.clone(), grace));
+                self.effects.push(Effect::Stop(key.clone(), grace));
             }
-            // A second one that leaves no time ends it.
+            // A second stop without grace kills the task.
             TaskState::Saving if grace_s <= 0.0 => {
-                self.out.push(Effect::Stop(key.clone(), 0.0));
+                self.effects.push(Effect::Stop(key.clone(), 0.0));
             }
             TaskState::Saving => {}
         }
     }
 
-    fn forget(&mut self, key: &Key) {
+    fn forget(&mut self, key: &AttemptKey) {
         if self
-            .all
+            .attempts
             .get(key)
-            .is_some_and(|o| o.record.state == TaskState::Exited)
+            .is_some_and(|entry| entry.record.state == TaskState::Exited)
         {
-            self.all.remove(key);
+            self.attempts.remove(key);
             self.changed = true;
-            // Struck out before the next report leaves it out: power lost in
-            // between only tells of it once more.
-            self.out.push(Effect::Strike(key.clone()));
-            self.out.push(Effect::Remove(key.clone()));
+            // The record is deleted before the next heartbeat omits the attempt: a loss of
+            // power in between only reports the attempt once more.
+            self.effects.push(Effect::DeleteRecord(key.clone()));
+            self.effects.push(Effect::Remove(key.clone()));
         }
     }
 
-    /// Its processes are gone, and this is its result; `saved`: it had saved when
-    /// it was stopped.
-    pub fn exited(&mut self, key: &Key, exit: &Exit) {
-        let Some(o) = self.all.get(key) else { return };
-        if o.record.state == TaskState::Exited {
+    /// Handles an attempt's exit, once all its processes are gone.
+    pub fn exited(&mut self, key: &AttemptKey, exit: &Exit) {
+        let Some(entry) = self.attempts.get(key) else {
+            return;
+        };
+        if entry.record.state == TaskState::Exited {
             return;
         }
-        let (stopped, broken) = (o.stopped || exit.stopped, o.broken);
+        let (stopped, peer_is_lost) = (entry.stopped || exit.stopped, entry.peer_is_lost);
         match exit.code {
-            // Many programs end with 0 when they are told to stop: complete is
-            // only what ended before anybody told it to.
+            // Many programs exit with 0 on SIGTERM: an attempt counts as completed only if
+            // it exited before it was stopped.
             0 if !exit.stopped => self.end(key, StopReason::Done, None),
-            _ if broken => self.end(key, StopReason::Peers, None),
-            // By the tasks' contract a stop that has saved ends with this code.
-            code if stopped => self.end(key, StopReason::Stopped, Some(code == SAVED)),
+            _ if peer_is_lost => self.end(key, StopReason::Peers, None),
+            // By contract, a stopped task that has written its checkpoint exits with this
+            // code.
+            code if stopped => self.end(
+                key,
+                StopReason::Stopped,
+                Some(code == CHECKPOINTED_EXIT_CODE),
+            ),
             _ => self.end(key, StopReason::Error, None),
         }
     }
 
-    /// Lets time pass.
+    /// Ends attempts that have waited too long for their gang.
     pub fn advance(&mut self, now: Time) {
-        let alone: Vec<Key> = self
-            .all
+        let timed_out: Vec<AttemptKey> = self
+            .attempts
             .iter()
-            .filter(|(_, o)| {
-                o.record.state == TaskState::Waiting && now.since(o.since) > self.times.gang_wait
+            .filter(|(_, entry)| {
+                entry.record.state == TaskState::Waiting
+                    && now.since(entry.since) > self.timeouts.gang_wait
             })
             .map(|(k, _)| k.clone())
             .collect();
-        for key in alone {
-            self.out.push(Effect::GiveUp(key.clone()));
+        for key in timed_out {
+            self.effects.push(Effect::CancelStart(key.clone()));
             self.end(&key, StopReason::Alone, None);
         }
     }
 
-    /// The lease is over: everything ends and is forgotten, results included, and
-    /// this epoch begins.
+    /// Ends and forgets every attempt, results included, as the lease has expired, and
+    /// begins this epoch.
     ///
-    /// First all processes are gone, then one write strikes all attempts out and
-    /// notes the epoch. An agent that is killed in between finds either the old epoch
-    /// with its attempts, whose lease is over, or the new one with none: attempts of
-    /// an epoch that is over are never found under a lease that lasts.
-    pub fn lease_over(&mut self, epoch: AgentEpoch) {
-        self.out.retain(|effect| !effect.begins_something());
-        let ended = std::mem::take(&mut self.all);
-        for (key, one) in &ended {
-            if one.record.state != TaskState::Exited {
-                self.out.push(Effect::GiveUp(key.clone()));
-                self.out.push(Effect::Stop(key.clone(), 0.0));
+    /// All processes are ended first; then one write deletes all records and stores the
+    /// epoch. An agent that is killed in between finds either the old epoch with its
+    /// attempts, whose lease has expired, or the new epoch with no attempts: attempts of an
+    /// epoch that has ended are never found under a valid lease.
+    pub fn lease_expired(&mut self, epoch: AgentEpoch) {
+        self.effects.retain(|effect| !effect.starts_work());
+        let forgotten = std::mem::take(&mut self.attempts);
+        for (key, tracked) in &forgotten {
+            if tracked.record.state != TaskState::Exited {
+                self.effects.push(Effect::CancelStart(key.clone()));
+                self.effects.push(Effect::Stop(key.clone(), 0.0));
             }
         }
-        let removed = ended.keys().cloned().map(Effect::Remove);
-        self.out.extend(removed);
-        let struck = ended.keys().cloned().map(Effect::Strike);
-        self.out.extend(struck);
-        self.out.push(Effect::Epoch(epoch));
-        self.asked.clear();
+        let removed = forgotten.keys().cloned().map(Effect::Remove);
+        self.effects.extend(removed);
+        let deleted = forgotten.keys().cloned().map(Effect::DeleteRecord);
+        self.effects.extend(deleted);
+        self.effects.push(Effect::Epoch(epoch));
+        self.requested_jobs.clear();
     }
 
-    fn set(&mut self, key: &Key, record: Record) {
-        if let Some(o) = self.all.get_mut(key) {
-            o.record = record;
+    fn set_record(&mut self, key: &AttemptKey, record: Record) {
+        if let Some(entry) = self.attempts.get_mut(key) {
+            entry.record = record;
             self.changed = true;
-            self.out.push(Effect::Record(key.clone(), record));
+            self.effects.push(Effect::Record(key.clone(), record));
         }
     }
 
-    fn end(&mut self, key: &Key, why: StopReason, saved: Option<bool>) {
-        self.set(
+    fn end(&mut self, key: &AttemptKey, reason: StopReason, saved: Option<bool>) {
+        self.set_record(
             key,
             Record {
                 state: TaskState::Exited,
-                why: Some(why),
+                why: Some(reason),
                 saved,
             },
         );
     }
 }
 
-/// The exit code of a task that was asked to stop and has saved.
-pub const SAVED: i32 = 75;
+/// The exit code of a task that was stopped and has written its checkpoint.
+pub const CHECKPOINTED_EXIT_CODE: i32 = 75;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,18 +1,19 @@
 #![doc = include_str!("../README.md")]
 //! # Contents
 //!
-//! - [`link`]: reports, tokens, sessions and leases, as a state machine.
-//! - [`attempts`]: what is on the machine, as a state machine: commands and what
-//!   became of processes go in, records and effects come out.
-//! - [`journal`]: what must survive power loss, in an embedded store.
-//! - [`shim`]: one task's processes, and its result, whatever becomes of the agent.
+//! - [`link`]: heartbeats, fencing tokens, agent epochs and the lease, as a state machine.
+//! - [`attempts`]: the task attempts on the machine, as a state machine: commands and exits
+//!   of processes are its inputs, records and effects its outputs.
+//! - [`worker`]: these two together, a machine's whole side of the protocol.
+//! - [`journal`]: the state that must survive a loss of power, in an embedded database.
+//! - [`resume`]: whether a starting agent resumes the epoch that it finds on disk.
+//! - [`shim`]: the processes and the exit of one attempt, whatever becomes of the agent.
 //! - [`process`]: processes by id and start time, and the proof that they are gone.
-//! - [`worker`]: the two together, a machine's whole side of the protocol.
-//! - [`resume`]: whether an agent that starts goes on with the epoch that it finds.
-//! - [`store`]: results, saves and gangs' meetings, outside the machine.
-//! - [`settings`], [`driver`]: what an operator says; sockets, clock and files.
+//! - [`store`]: results, checkpoints and gangs' presence, in a directory that machines share.
+//! - [`settings`]: the agent's settings file.
+//! - [`driver`]: the agent's process, with its sockets, clock and files.
 //!
-//! [`link`], [`attempts`], [`worker`] and [`resume`] touch neither clock, file nor process.
+//! [`link`], [`attempts`], [`worker`] and [`resume`] use no clock, file or process.
 
 pub mod attempts;
 pub mod driver;
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -1,81 +1,84 @@
-//! A worker's side of its talk with the controllers, as a state machine: heartbeats
-//! at their pace and on change, one in flight, the rotation among controllers and
-//! its pauses, fencing tokens, epochs, and the lease by the steady clock. Agents and
-//! the simulated workers run this same code.
+//! An agent's connection to the controllers, as a state machine: heartbeats at an interval
+//! and on change, at most one in flight; the rotation among controllers with its delays;
+//! fencing tokens; agent epochs; and the lease by the steady clock. Agents and the
+//! simulated workers run this same code.
 //!
-//! Whatever acts in an epoch asks here, with the time of that instant, and an epoch
-//! whose lease is over acts no more: it begins no heartbeat, no answer renews it and
-//! no command counts in it. That holds whatever was looked at earlier in the same
-//! step, as a process may stand still between any two of its instructions. Only
-//! [`Link::renewed`] leads out of it, into the next epoch.
+//! Everything that acts in an epoch checks the lease here, with the time of that instant.
+//! An epoch whose lease has expired allows nothing more: it sends no heartbeat, no response
+//! renews the lease and no command counts. That holds whatever was checked earlier in the
+//! same step, as a process may be stopped between any two of its instructions. Only
+//! [`Link::renewed`] leads out of such an epoch, into the next one.
 
 use pebblefold_wire::types::{AgentEpoch, FencingToken, HeartbeatSequence, Time, TimeSpan};
 use rand::{Rng, RngExt};
 
-/// Least time between two reports, whatever changes.
-const LEAST_BETWEEN: TimeSpan = TimeSpan::millis(500);
-/// How long a worker waits for an answer.
+/// Minimum time between two heartbeats, whatever changes.
+const MIN_HEARTBEAT_INTERVAL: TimeSpan = TimeSpan::millis(500);
+/// How long an agent waits for the response to a heartbeat.
 pub const PATIENCE: TimeSpan = TimeSpan::millis(4000);
-/// How long it waits before it tries the next node.
-const NEXT_NODE: TimeSpan = TimeSpan::millis(1000);
+/// Delay before the next controller is tried.
+const NEXT_CONTROLLER_DELAY: TimeSpan = TimeSpan::millis(1000);
 
-/// The times that a deployment gives its workers.
+/// The times that a deployment configures for its agents.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Between reports.
+    /// Interval between heartbeats; each one is 0.75 to 1.25 times as long, at random.
     pub report: TimeSpan,
-    /// The lease.
+    /// Duration of the lease.
     pub lease: TimeSpan,
 }
 
-/// What a worker that is started again knows from before.
+/// The state that a link starts with, after a restart of its agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkState {
-    /// Its epoch.
+    /// The agent epoch.
     pub epoch: AgentEpoch,
-    /// The highest token that it has seen.
+    /// The highest fencing token received.
     pub token: FencingToken,
-    /// From when its lease counts.
-    pub leased: Time,
-    /// No message of this epoch has had a greater number.
+    /// The instant from which the lease is counted.
+    pub lease_start: Time,
+    /// No message of this epoch has had a greater sequence number.
     pub sequence: HeartbeatSequence,
 }
 
-/// The talk with the controllers.
+/// The connection to the controllers.
 #[derive(Debug)]
 pub struct Link {
     pace: Pace,
     epoch: u64,
     sequence: u64,
     token: u64,
-    /// When the last answered report was sent, or the session began.
-    leased: Time,
-    token_counted: Option<Time>,
-    node: usize,
-    nodes: usize,
-    /// The report in flight: its ticket and when it was sent.
-    flight: Option<(u64, Time)>,
-    next: Time,
-    last: Option<Time>,
+    /// When the last answered heartbeat was sent, or the epoch began.
+    lease_start: Time,
+    /// When a higher token last caused an early heartbeat: at most once in half a lease.
+    last_early_heartbeat: Option<Time>,
+    /// Index of the controller that heartbeats are sent to.
+    controller: usize,
+    controller_count: usize,
+    /// The heartbeat in flight: its request id and when it was sent.
+    in_flight: Option<(u64, Time)>,
+    next_due: Time,
+    last_sent: Option<Time>,
     changed: bool,
 }
 
 impl Link {
-    /// A new worker's link to so many controllers, beginning at any of them.
-    pub fn new(pace: Pace, nodes: usize, now: Time, rng: &mut impl Rng) -> Link {
+    /// The link of a new agent, to this number of controllers. The first one is chosen at
+    /// random.
+    pub fn new(pace: Pace, controller_count: usize, now: Time, rng: &mut impl Rng) -> Link {
         let state = LinkState {
             epoch: AgentEpoch(1),
             token: FencingToken(0),
-            leased: now,
+            lease_start: now,
             sequence: HeartbeatSequence(0),
         };
-        Link::resumed(pace, nodes, now, state, rng)
+        Link::resumed(pace, controller_count, now, state, rng)
     }
 
-    /// The link of a worker that was started again.
+    /// The link of a restarted agent.
     pub fn resumed(
         pace: Pace,
-        nodes: usize,
+        controller_count: usize,
         now: Time,
         state: LinkState,
         rng: &mut impl Rng,
@@ -85,150 +88,157 @@
             epoch: state.epoch.0,
             sequence: state.sequence.0,
             token: state.token.0,
-            leased: state.leased,
-            token_counted: None,
-            node: rng.random_range(0..nodes.max(1)),
-            nodes: nodes.max(1),
-            flight: None,
-            next: now,
-            last: None,
+            lease_start: state.lease_start,
+            last_early_heartbeat: None,
+            controller: rng.random_range(0..controller_count.max(1)),
+            controller_count: controller_count.max(1),
+            in_flight: None,
+            next_due: now,
+            last_sent: None,
             changed: false,
         }
     }
 
-    /// The session.
+    /// The agent epoch; the first is 1.
     pub fn epoch(&self) -> AgentEpoch {
         AgentEpoch(self.epoch)
     }
 
-    /// The highest token seen.
+    /// The highest fencing token received.
     pub fn token(&self) -> FencingToken {
         FencingToken(self.token)
     }
 
-    /// The number of the next message.
+    /// Increments the sequence number and returns the new one, for the next message.
     pub fn count(&mut self) -> HeartbeatSequence {
         self.sequence += 1;
         HeartbeatSequence(self.sequence)
     }
 
-    /// The controller that is reported to.
+    /// The index of the controller that heartbeats are sent to.
     pub fn node(&self) -> usize {
-        self.node
+        self.controller
     }
 
-    /// Notes that something changed that is worth a report.
+    /// Notes a change that heartbeats report, so that the next one is sent early.
     pub fn touch(&mut self) {
         self.changed = true;
     }
 
-    /// Whether nothing is to be said before the next report is due.
+    /// Whether nothing has to be sent before the next regular heartbeat is due.
     pub fn idles(&self, now: Time) -> bool {
-        self.flight.is_none() && !self.changed && now < self.next
+        self.in_flight.is_none() && !self.changed && now < self.next_due
     }
 
-    /// When the lease is over unless it is renewed.
+    /// When the lease expires, unless it is renewed.
     pub fn until(&self) -> Time {
-        self.leased + self.pace.lease
+        self.lease_start + self.pace.lease
     }
 
-    /// Whether the lease is over.
+    /// Whether the lease has expired.
     pub fn expired(&self, now: Time) -> bool {
-        now.since(self.leased) > self.pace.lease
+        now.since(self.lease_start) > self.pace.lease
     }
 
-    /// Begins a heartbeat under this ticket, if one is due. None is while the lease is
-    /// over: the next one is that of the next epoch.
-    pub fn due(&mut self, now: Time, ticket: u64, rng: &mut impl Rng) -> bool {
+    /// Begins a heartbeat under this request id if one is due; true if it did. Nothing is
+    /// due while the lease is expired: the next heartbeat is the next epoch's.
+    pub fn due(&mut self, now: Time, request_id: u64, rng: &mut impl Rng) -> bool {
         if self.expired(now) {
             return false;
         }
-        if let Some((_, sent)) = self.flight {
+        if let Some((_, sent)) = self.in_flight {
             if now.since(sent) < PATIENCE {
                 return false;
             }
-            self.try_next(now);
+            self.try_next_controller(now);
         }
-        let rested = self.last.is_none_or(|t| now.since(t) >= LEAST_BETWEEN);
-        let soon = self.next.since(now) < self.pace.report.scaled(1.25);
-        if now < self.next && !(self.changed && rested && soon) {
+        let interval_passed = self
+            .last_sent
+            .is_none_or(|t| now.since(t) >= MIN_HEARTBEAT_INTERVAL);
+        let due_soon = self.next_due.since(now) < self.pace.report.scaled(1.25);
+        if now < self.next_due && !(self.changed && interval_passed && due_soon) {
             return false;
         }
         self.changed = false;
-        self.last = Some(now);
-        self.next = now + self.pace.report.scaled(rng.random_range(0.75..1.25));
-        self.flight = Some((ticket, now));
+        self.last_sent = Some(now);
+        self.next_due = now + self.pace.report.scaled(rng.random_range(0.75..1.25));
+        self.in_flight = Some((request_id, now));
         true
     }
 
-    fn try_next(&mut self, now: Time) {
-        self.flight = None;
-        self.node = (self.node + 1) % self.nodes;
-        self.next = now + NEXT_NODE;
+    fn try_next_controller(&mut self, now: Time) {
+        self.in_flight = None;
+        self.controller = (self.controller + 1) % self.controller_count;
+        self.next_due = now + NEXT_CONTROLLER_DELAY;
         self.changed = false;
     }
 
-    /// Whether this ticket's report is the one in flight.
-    pub fn awaits(&self, ticket: u64) -> bool {
-        self.flight.is_some_and(|(t, _)| t == ticket)
+    /// Whether the heartbeat in flight has this request id.
+    pub fn awaits(&self, request_id: u64) -> bool {
+        self.in_flight.is_some_and(|(t, _)| t == request_id)
     }
 
-    /// An answer to the heartbeat in flight; true if it counts: its commands are to
-    /// be executed, and the lease is renewed. One that is handled after the lease was
-    /// over does not, however early it was sent.
+    /// Handles the response to the heartbeat in flight; true if it counts: then the lease
+    /// is renewed from the instant of sending, and the caller executes the response's
+    /// commands. A response that is handled after the lease has expired doesn't count,
+    /// however early it was sent.
     pub fn answered(&mut self, now: Time, token: FencingToken) -> bool {
-        let Some((_, sent)) = self.flight.take() else {
+        let Some((_, sent)) = self.in_flight.take() else {
             return false;
         };
         if token.0 < self.token || self.expired(now) {
             return false;
         }
-        self.see_token(now, token.0);
-        self.leased = sent;
+        self.raise_token(now, token.0);
+        self.lease_start = sent;
         true
     }
 
-    fn see_token(&mut self, now: Time, token: u64) {
+    fn raise_token(&mut self, now: Time, token: u64) {
         if token > self.token {
             self.token = token;
             let half = self.pace.lease.scaled(0.5);
-            if self.token_counted.is_none_or(|t| now.since(t) > half) {
-                self.token_counted = Some(now);
+            if self
+                .last_early_heartbeat
+                .is_none_or(|t| now.since(t) > half)
+            {
+                self.last_early_heartbeat = Some(now);
                 self.changed = true;
             }
         }
     }
 
-    /// It is told to report to another node, or the node cannot help.
+    /// Handles a response that redirects to another controller; `None`: the controller
+    /// cannot help or didn't respond, and the next one is tried.
     pub fn sent_away(&mut self, now: Time, to: Option<usize>, rng: &mut impl Rng) {
         match to {
-            Some(n) if n != self.node && n < self.nodes => {
-                self.flight = None;
-                self.node = n;
-                self.next = now + TimeSpan::millis(rng.random_range(0..500));
+            Some(n) if n != self.controller && n < self.controller_count => {
+                self.in_flight = None;
+                self.controller = n;
+                self.next_due = now + TimeSpan::millis(rng.random_range(0..500));
             }
-            _ => self.try_next(now),
+            _ => self.try_next_controller(now),
         }
     }
 
     /// Whether direct commands count, by their token, their epoch and the lease.
     pub fn takes(&mut self, now: Time, token: FencingToken, epoch: AgentEpoch) -> bool {
-        let ok = token.0 >= self.token && epoch.0 == self.epoch && !self.expired(now);
-        if ok {
-            self.see_token(now, token.0);
+        let accepted = token.0 >= self.token && epoch.0 == self.epoch && !self.expired(now);
+        if accepted {
+            self.raise_token(now, token.0);
         }
-        ok
+        accepted
     }
 
-    /// Begins the next session if the lease is over; true if it did: everything
-    /// on the machine has to be killed and forgotten.
+    /// Begins the next epoch if the lease has expired; true if it did: then the caller has
+    /// to kill and forget everything on the machine.
     pub fn renewed(&mut self, now: Time) -> bool {
         if !self.expired(now) {
             return false;
         }
         self.epoch += 1;
-        self.leased = now;
-        self.flight = None;
+        self.lease_start = now;
+        self.in_flight = None;
         self.changed = true;
         true
     }
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent's program. What it does is in the library.
+//! The agent's program; the library does the work.
 
 use clap::{Parser, Subcommand};
 use pebblefold_agent::driver;
@@ -6,22 +6,22 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The worker that runs real tasks on a machine.
+/// Runs tasks on a machine and reports them to the controllers.
 #[derive(Parser)]
 #[command(name = "pebblefold-agent", version)]
 struct Args {
     #[command(subcommand)]
-    verb: Verb,
+    action: Action,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Serves as the worker of a machine until it is killed.
+enum Action {
+    /// Runs the agent of a machine until it is killed.
     Serve {
-        /// Settings (TOML).
+        /// Settings file (TOML).
         settings: PathBuf,
     },
-    /// Runs one attempt; the agent starts these.
+    /// Runs one attempt; the agent starts these processes.
     #[command(hide = true)]
     Shim {
         /// The attempt's directory.
@@ -29,7 +29,7 @@
     },
 }
 
-/// Exit status for settings that cannot be used.
+/// Exit status for unusable settings.
 const BAD_INPUT: u8 = 2;
 
 fn fail(status: u8, e: impl std::fmt::Display) -> ExitCode {
@@ -38,12 +38,12 @@
 }
 
 fn main() -> ExitCode {
-    match Args::parse().verb {
-        Verb::Shim { dir } => match pebblefold_agent::shim::run(&dir) {
+    match Args::parse().action {
+        Action::Shim { dir } => match pebblefold_agent::shim::run(&dir) {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => fail(1, format!("{}: {e}", dir.display())),
         },
-        Verb::Serve { settings } => {
+        Action::Serve { settings } => {
             tracing_subscriber::fmt()
                 .with_writer(std::io::stderr)
                 .with_target(false)
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -1,5 +1,5 @@
-//! Processes of this machine: told apart by id *and* start time, as ids are used
-//! again; found with all their descendants; ended, with the proof that they are.
+//! Processes of this machine: identified by id *and* start time, as ids are reused; found
+//! with all their descendants; killed, with the proof that they are gone.
 
 use nix::errno::Errno;
 use nix::sys::signal::{Signal, kill};
@@ -10,30 +10,31 @@
 use std::io::Error;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at processes that are being ended.
-const LOOK: Duration = Duration::from_millis(2);
+/// Pause before processes that were killed are looked up again.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A process, for good: no other one has both.
+/// Identifies a process for good: no other process of the same boot has the same id and
+/// start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Process {
-    /// Its id.
+    /// The process id.
     pub id: i32,
-    /// When it started, in clock ticks since the machine did.
+    /// When the process started, in clock ticks since the boot.
     pub start: u64,
 }
 
-/// What the kernel says of a process.
+/// The fields of `/proc/ID/stat` that are used here.
 #[derive(Clone, Copy, Debug)]
 struct Stat {
     parent: i32,
     start: u64,
-    /// Dead, and only waited for.
+    /// The process has ended and only awaits its parent's wait call.
     zombie: bool,
 }
 
 fn stat(id: i32) -> Option<Stat> {
     let text = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-    // The name stands in brackets and may hold anything, brackets too.
+    // The process name stands in parentheses and may hold any character, parentheses too.
     let rest = &text[text.rfind(')')? + 2..];
     let fields: Vec<&str> = rest.split_whitespace().collect();
     Some(Stat {
@@ -43,16 +44,16 @@
     })
 }
 
-fn all() -> BTreeMap<i32, Stat> {
+fn all_processes() -> BTreeMap<i32, Stat> {
     let entries = fs::read_dir("/proc").into_iter().flatten().flatten();
     let ids = entries.filter_map(|e| e.file_name().to_str()?.parse().ok());
     ids.filter_map(|id: i32| Some((id, stat(id)?))).collect()
 }
 
-/// Tells this start of the machine from every other.
+/// The id of the current boot.
 ///
 /// # Errors
-/// The kernel does not say.
+/// The kernel doesn't provide the id.
 pub fn boot_id() -> Result<String, Error> {
     let text = fs::read_to_string("/proc/sys/kernel/random/boot_id")?;
     Ok(text.trim().into())
@@ -65,17 +66,18 @@
         Some(Process { id, start })
     }
 
-    /// Whether it runs: another process that was given its id is not it.
-    pub fn runs(&self) -> bool {
+    /// Whether the process still runs. A process that reuses its id doesn't count, and
+    /// neither does a zombie.
+    pub fn is_running(&self) -> bool {
         stat(self.id).is_some_and(|s| s.start == self.start && !s.zombie)
     }
 
-    /// Sends a signal, if it is still this process.
+    /// Sends a signal, if the process still runs.
     ///
     /// # Errors
-    /// It is not allowed.
+    /// The signal isn't permitted.
     pub fn signal(&self, signal: Signal) -> Result<(), Error> {
-        if !self.runs() {
+        if !self.is_running() {
             return Ok(());
         }
         match kill(Pid::from_raw(self.id), signal) {
@@ -85,51 +87,52 @@
     }
 }
 
-/// Everything below a process, in sessions of their own or not: whoever is its
-/// subreaper keeps what forked twice.
-pub fn below(id: i32) -> Vec<Process> {
-    let all = all();
-    let mut tree: BTreeSet<i32> = BTreeSet::from([id]);
+/// All running descendants of a process, whatever session they are in. Descendants whose
+/// parents have ended are included if the process is their subreaper.
+pub fn descendants(id: i32) -> Vec<Process> {
+    let processes = all_processes();
+    let mut ids_below: BTreeSet<i32> = BTreeSet::from([id]);
     loop {
-        let more: Vec<i32> = all
+        let new_ids: Vec<i32> = processes
             .iter()
-            .filter(|(i, s)| tree.contains(&s.parent) && !tree.contains(i))
+            .filter(|(i, s)| ids_below.contains(&s.parent) && !ids_below.contains(i))
             .map(|(i, _)| *i)
             .collect();
-        if more.is_empty() {
+        if new_ids.is_empty() {
             break;
         }
-        tree.extend(more);
+        ids_below.extend(new_ids);
     }
-    tree.remove(&id);
-    let live = tree.into_iter().filter(|i| !all[i].zombie);
+    ids_below.remove(&id);
+    let live = ids_below.into_iter().filter(|i| !processes[i].zombie);
     live.map(|i| Process {
         id: i,
-        start: all[&i].start,
+        start: processes[&i].start,
     })
     .collect()
 }
 
-/// Processes whose environment carries `NAME=value`: what is found so is ours,
-/// whoever its parent has become.
-pub fn marked(name: &str, value: &str) -> Vec<Process> {
-    let wanted = format!("{name}={value}");
-    let ids = all().into_iter().filter(|(_, s)| !s.zombie);
-    let ours = ids.filter(|(id, _)| {
+/// Processes whose environment contains `NAME=value`, whatever their parents are now.
+pub fn find_marked(name: &str, value: &str) -> Vec<Process> {
+    let entry = format!("{name}={value}");
+    let ids = all_processes().into_iter().filter(|(_, s)| !s.zombie);
+    let matching = ids.filter(|(id, _)| {
         let environ = fs::read(format!("/proc/{id}/environ")).unwrap_or_default();
-        environ.split(|b| *b == 0).any(|e| e == wanted.as_bytes())
+        environ.split(|b| *b == 0).any(|e| e == entry.as_bytes())
     });
-    ours.map(|(id, s)| Process { id, start: s.start }).collect()
+    matching
+        .map(|(id, s)| Process { id, start: s.start })
+        .collect()
 }
 
-/// Ends all that `find` finds, until it finds nothing: what keeps forking is
-/// stopped first, so that it cannot outrun its end. False if something was still
-/// there when the time was over.
+/// Kills everything that `find` returns, until it returns nothing. All processes are
+/// stopped before the first is killed, so that one that keeps forking cannot escape. False
+/// if some still existed after `timeout`.
 ///
 /// # Errors
-/// A signal is not allowed.
-pub fn end_all(find: impl Fn() -> Vec<Process>, within: Duration) -> Result<bool, Error> {
-    let until = Instant::now() + within;
+/// A signal isn't permitted.
+pub fn kill_all(find: impl Fn() -> Vec<Process>, timeout: Duration) -> Result<bool, Error> {
+    let deadline = Instant::now() + timeout;
     loop {
         let found = find();
         if found.is_empty() {
@@ -138,13 +141,13 @@
         for p in &found {
             p.signal(Signal::SIGSTOP)?;
         }
-        // What was forked before its parent stood still.
+        // The second lookup returns what was forked before its parent was stopped.
         for p in found.into_iter().chain(find()) {
             p.signal(Signal::SIGKILL)?;
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Ok(false);
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/agent/src/resume.rs
+++ b/crates/agent/src/resume.rs
@@ -1,33 +1,33 @@
-//! Whether an agent that starts goes on with the epoch that it finds on disk. It only
-//! decides: it reads no file, ends no process and writes nothing.
+//! Decides whether a starting agent resumes the epoch that it finds on disk. This module
+//! only decides: it reads no file, ends no process and writes nothing.
 //!
-//! Time counts by `CLOCK_BOOTTIME` ([`crate::shim::steady_us`]): it never goes back
-//! within a start of the machine, and counts on while the machine sleeps.
+//! Times are of `CLOCK_BOOTTIME` ([`crate::shim::boottime_us`]): within a boot this clock
+//! never goes back, and it advances while the machine sleeps.
 
-use crate::journal::Kept;
+use crate::journal::JournalContents;
 use crate::link::{LinkState, Pace};
 use crate::shim::Lease;
 use pebblefold_wire::types::{AgentEpoch, HeartbeatSequence, Time};
 
-/// Why a stored lease is not gone on with. Whatever the reason, everything of the last
-/// epoch is ended and the next epoch begins.
+/// Why a stored lease isn't resumed. Whatever the reason, everything of the last epoch is
+/// ended and the next epoch begins.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseRefusal {
-    /// Nothing ran here before.
+    /// No agent has run in this directory before.
     #[error("the journal holds no epoch: the directory is new")]
     FirstStart,
-    /// The lease's file is missing, torn or of another form.
+    /// The lease file is missing, torn or of another format.
     #[error("the stored lease cannot be read: {0}")]
     Unreadable(String),
-    /// The machine was started again since.
+    /// The machine has been rebooted since the lease was written.
     #[error("the stored lease is of boot {lease}, this is boot {machine}")]
     OtherBoot {
-        /// The boot that the lease is bound to.
+        /// The id of the boot that the lease was written in.
         lease: String,
-        /// The machine's.
+        /// The id of the current boot.
         machine: String,
     },
-    /// It belongs to another epoch than the journal's.
+    /// The lease's epoch isn't the journal's.
     #[error("the stored lease is of epoch {lease}, the journal is at epoch {journal}")]
     OtherEpoch {
         /// The lease's epoch.
@@ -35,61 +35,62 @@
         /// The journal's epoch.
         journal: u64,
     },
-    /// It is over, or will be before anything could rely on it.
+    /// The lease has expired, or is too close to its end to be relied on.
     #[error("the stored lease ended at {until_us} us, now is {now_us} us since the boot")]
     Expired {
-        /// When it ended, in microseconds since the boot.
+        /// When the lease ends, in microseconds since the boot.
         until_us: u64,
-        /// Now, likewise.
+        /// The current time, in microseconds since the boot.
         now_us: u64,
     },
-    /// It claims more than a whole lease from now on.
-    #[error("the stored lease ends at {until_us} us, a whole lease from now at {most_us} us")]
+    /// The lease ends later than a whole lease from now, which no agent writes.
+    #[error("the stored lease ends at {until_us} us, a whole lease from now at {max_us} us")]
     TooLong {
-        /// When it says it ends, in microseconds since the boot.
+        /// When the lease ends, in microseconds since the boot.
         until_us: u64,
-        /// The latest that it could be, likewise.
-        most_us: u64,
+        /// The latest possible end of a lease, in microseconds since the boot.
+        max_us: u64,
     },
 }
 
 /// How an agent starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Start {
-    /// What its link starts with.
+pub struct StartDecision {
+    /// The state that the agent's link starts with.
     pub link: LinkState,
-    /// Why the last epoch ends; `None`: it goes on, and so do its attempts.
+    /// Why the last epoch ends; `None`: the epoch and its attempts are resumed.
     pub refusal: Option<LeaseRefusal>,
 }
 
-/// Decides how an agent starts, from its journal and its stored lease (or why that
-/// cannot be read).
-pub fn start(
-    kept: &Kept,
+/// Decides how an agent starts, from its journal and its stored lease, or the reason why
+/// the lease cannot be read.
+pub fn decide_start(
+    contents: &JournalContents,
     lease: Result<Lease, String>,
     boot: &str,
     now: Time,
     pace: Pace,
-) -> Start {
-    match usable_lease(kept, lease, boot, now, pace) {
-        Ok((epoch, until_us)) => Start {
+) -> StartDecision {
+    match usable_lease(contents, lease, boot, now, pace) {
+        Ok((epoch, until_us)) => StartDecision {
             link: LinkState {
                 epoch,
-                token: kept.token,
-                // The same epoch goes on, and not for longer.
-                leased: Time(until_us.saturating_sub(pace.lease.0)),
-                // Heartbeats of this epoch were numbered before, and the controllers
-                // pass over older ones. A message takes longer than a microsecond, so
-                // none had a number as great as this.
+                token: contents.token,
+                // The lease is resumed with its remaining time, and not extended.
+                lease_start: Time(until_us.saturating_sub(pace.lease.0)),
+                // Earlier heartbeats of this epoch were numbered, and the controllers
+                // ignore a number that isn't higher than the last. Numbers rise by one a
+                // message, and a message takes longer than a microsecond: none had a number
+                // as great as the microseconds since the boot.
                 sequence: HeartbeatSequence(now.0),
             },
             refusal: None,
         },
-        Err(refusal) => Start {
+        Err(refusal) => StartDecision {
             link: LinkState {
-                epoch: AgentEpoch(kept.epoch.map_or(1, |last| last.0 + 1)),
-                token: kept.token,
-                leased: now,
+                epoch: AgentEpoch(contents.epoch.map_or(1, |last| last.0 + 1)),
+                token: contents.token,
+                lease_start: now,
                 sequence: HeartbeatSequence(0),
             },
             refusal: Some(refusal),
@@ -97,15 +98,15 @@
     }
 }
 
-/// The epoch that goes on, and until when its lease lasts.
+/// The epoch to resume, and when its lease ends, in microseconds since the boot.
 fn usable_lease(
-    kept: &Kept,
+    contents: &JournalContents,
     lease: Result<Lease, String>,
     boot: &str,
     now: Time,
     pace: Pace,
 ) -> Result<(AgentEpoch, u64), LeaseRefusal> {
-    let epoch = kept.epoch.ok_or(LeaseRefusal::FirstStart)?;
+    let epoch = contents.epoch.ok_or(LeaseRefusal::FirstStart)?;
     let lease = lease.map_err(LeaseRefusal::Unreadable)?;
     if lease.boot != boot {
         return Err(LeaseRefusal::OtherBoot {
@@ -120,13 +121,13 @@
         });
     }
     let until_us = lease.until_us;
-    if lease.over(boot, epoch.0, now.0) {
+    if lease.is_unusable(boot, epoch.0, now.0) {
         let now_us = now.0;
         return Err(LeaseRefusal::Expired { until_us, now_us });
     }
-    let most_us = (now + pace.lease).0;
-    if until_us > most_us {
-        return Err(LeaseRefusal::TooLong { until_us, most_us });
+    let max_us = (now + pace.lease).0;
+    if until_us > max_us {
+        return Err(LeaseRefusal::TooLong { until_us, max_us });
     }
     Ok((epoch, until_us))
 }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an agent is told by its operator: one TOML file, checked whole.
+//! The settings of an agent: one TOML file, validated as a whole.
 
 use crate::worker::Machine;
 use pebblefold_wire::types::{NodeId, Resources};
@@ -12,17 +12,17 @@
     /// The file cannot be read.
     #[error("{0}: {1}")]
     Read(PathBuf, std::io::Error),
-    /// It is not of this form; the text names line and field.
+    /// The file isn't TOML of this form; the text names line and field.
     #[error("{0}: {1}")]
-    Form(PathBuf, Box<toml::de::Error>),
-    /// A value makes no sense.
+    Parse(PathBuf, Box<toml::de::Error>),
+    /// A value is out of its range.
     #[error("{file}: {field}: {reason}")]
-    Value {
-        /// The file.
+    InvalidValue {
+        /// The settings file.
         file: PathBuf,
-        /// The field.
+        /// The field, with its section.
         field: &'static str,
-        /// What would be right.
+        /// Which values are valid.
         reason: String,
     },
 }
@@ -31,59 +31,59 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineSettings {
-    /// Its name.
+    /// The machine's id.
     pub id: String,
-    /// Where it listens for direct commands.
+    /// The address that the agent listens on for direct commands.
     pub addr: SocketAddrV4,
-    /// Its type.
+    /// The machine type.
     pub kind: String,
-    /// Its zone.
+    /// The zone that the machine is in.
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(default)]
     pub spot: bool,
-    /// Processors that tasks may take.
+    /// Processors that tasks may use.
     pub cpus: f64,
-    /// Graphics processors that tasks may take.
+    /// GPUs that tasks may use.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory in GB that tasks may take.
+    /// Memory that tasks may use, in GB.
     pub memory_gb: f64,
 }
 
-/// A controller.
+/// One of the controllers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Controller {
-    /// Its name, as others say it.
+    /// The controller's id, as the other controllers refer to it.
     pub label: String,
-    /// Its users' and workers' interface.
+    /// The address of the controller's HTTP interface, for users and agents.
     pub addr: SocketAddrV4,
 }
 
-/// Times, in seconds, as the controllers have them.
+/// Times in seconds; the same as in the controllers' settings.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimeSettings {
-    /// Between reports.
+    /// Interval between heartbeats.
     pub report_s: f64,
-    /// The lease.
+    /// Duration of the lease; at least twice the interval.
     pub lease_s: f64,
     /// How long a gang's tasks wait for one another.
     pub gang_wait_s: f64,
-    /// How soon they notice a missing one.
+    /// How long a gang's task may be silent before the others count it as lost.
     pub gang_peer_s: f64,
 }
 
-/// Limits of every task.
+/// Limits for every task.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TaskLimits {
-    /// Megabytes of output that are kept of a task.
+    /// How much of a task's output is kept, in MiB.
     pub output_mb: u64,
-    /// Open files of one process; none: as the agent's own.
+    /// Maximum number of open files of one process; `None`: the agent's own limit.
     pub files: Option<u64>,
-    /// Whether a process may hold no more memory than its task asks for.
+    /// Whether the memory that a task requests limits each of its processes.
     pub memory: bool,
 }
 
@@ -97,29 +97,30 @@
     }
 }
 
-/// An agent's settings.
+/// All settings of an agent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Its own directory: journal, tasks, lease.
+    /// The agent's directory, for journal, attempts and lease.
     pub dir: PathBuf,
-    /// Where users put jobs: `jobs/ID`, and their commands, `commands/ID`.
+    /// The directory with the users' jobs: descriptions in `jobs/ID`, commands in
+    /// `commands/ID`.
     pub jobs: PathBuf,
-    /// What stands outside the machine: results, saves, gangs.
+    /// The directory that all machines share: results, checkpoints and gangs' presence.
     pub store: PathBuf,
-    /// The machine.
+    /// The machine that the agent runs on.
     pub machine: MachineSettings,
-    /// The controllers.
+    /// The controllers that the agent may send heartbeats to.
     pub controllers: Vec<Controller>,
-    /// Times.
+    /// Intervals and time limits.
     pub times: TimeSettings,
-    /// Limits of tasks.
+    /// Limits for every task.
     #[serde(default)]
     pub limits: TaskLimits,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads a settings file and validates it.
     ///
     /// # Errors
     /// See [`SettingsError`].
@@ -127,9 +128,9 @@
         let text =
             std::fs::read_to_string(file).map_err(|e| SettingsError::Read(file.into(), e))?;
         let s: Settings =
-            toml::from_str(&text).map_err(|e| SettingsError::Form(file.into(), Box::new(e)))?;
-        let wrong = |field, reason: &str| {
-            Err(SettingsError::Value {
+            toml::from_str(&text).map_err(|e| SettingsError::Parse(file.into(), Box::new(e)))?;
+        let invalid = |field, reason: &str| {
+            Err(SettingsError::InvalidValue {
                 file: file.into(),
                 field,
                 reason: reason.into(),
@@ -139,7 +140,7 @@
         let amount = |a: f64| a.is_finite() && (0.0..=1e6).contains(&a);
         let t = s.times;
         if s.controllers.is_empty() {
-            return wrong("controllers", "at least one is wanted");
+            return invalid("controllers", "at least one controller is required");
         }
         for (field, v) in [
             ("times.report_s", t.report_s),
@@ -148,32 +149,32 @@
             ("times.gang_peer_s", t.gang_peer_s),
         ] {
             if !seconds(v) {
-                return wrong(field, "has to be 0.1 to 86400 seconds");
+                return invalid(field, "must be 0.1 to 86400 seconds");
             }
         }
         if t.lease_s < 2.0 * t.report_s {
-            return wrong("times.lease_s", "has to be at least twice report_s");
+            return invalid("times.lease_s", "must be at least twice report_s");
         }
         let m = &s.machine;
         if m.id.is_empty() {
-            return wrong("machine.id", "a name is wanted");
+            return invalid("machine.id", "a name is required");
         }
         if ![m.cpus, m.gpus, m.memory_gb].into_iter().all(amount) {
-            return wrong("machine", "cpus, gpus and memory_gb have to be 0 or more");
+            return invalid("machine", "cpus, gpus and memory_gb must be 0 to 1000000");
         }
         Ok(s)
     }
 
-    /// The machine as reports name it.
+    /// The machine as heartbeats describe it.
     pub fn machine(&self) -> Machine {
         let m = &self.machine;
         Machine {
             id: m.id.as_str().into(),
             addr: m.addr.to_string(),
-            kind: m.kind.as_str().into(),
+            machine_type: m.kind.as_str().into(),
             zone: m.zone.as_str().into(),
             spot: m.spot,
-            has: Resources {
+            capacity: Resources {
                 cpus: m.cpus,
                 gpus: m.gpus,
                 memory_gb: m.memory_gb,
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Names of the controllers, in order.
-    pub fn labels(&self) -> Vec<NodeId> {
+    /// The controllers' ids, in the order of the settings.
+    pub fn controller_ids(&self) -> Vec<NodeId> {
         self.controllers
             .iter()
             .map(|c| c.label.as_str().into())
--- a/crates/agent/src/shim.rs
+++ b/crates/agent/src/shim.rs
@@ -1,13 +1,13 @@
-//! One task's processes. A shim is a small process of its own between the agent
-//! and the task: it lives on when the agent ends, gathers everything that the task
-//! forks, and writes the result to disk before anybody hears of it.
+//! The processes of one task attempt. A shim is a small process between the agent and the
+//! task: it keeps running when the agent ends, adopts everything that the task forks, and
+//! writes the exit to disk before anything reports it.
 //!
-//! Its directory holds, in this order: `shim.json`, made by exclusive creation
-//! before anything runs, so that a command is begun at most once in a directory;
-//! `out.0`, `out.1`, ... the output, in pieces of bounded size, the oldest given
-//! up; `exit.json`, written whole and synced when everything is gone.
+//! Its directory holds, in this order: `shim.json`, created exclusively before anything
+//! runs, so that a command is started at most once in a directory; `out.0`, `out.1`, ...
+//! with the output, in files of bounded size of which the oldest are removed; `exit.json`,
+//! written atomically and synced when all processes are gone.
 
-use crate::process::{Process, below, end_all};
+use crate::process::{Process, descendants, kill_all};
 use nix::sys::prctl;
 use nix::sys::resource::{Resource, setrlimit};
 use nix::sys::signal::{SigSet, Signal};
@@ -22,36 +22,36 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What the shim is to do.
-pub const PLAN: &str = "plan.json";
-/// That it was begun, and by which process.
-pub const BEGUN: &str = "shim.json";
-/// How it ended.
-pub const EXIT: &str = "exit.json";
-/// That it is to save and end: written by the agent.
-pub const STOP: &str = "stop.json";
-/// The variable by which a task's processes are known.
-pub const MARK: &str = "PEBBLEFOLD_ATTEMPT";
+/// The file with the shim's [`Plan`], written by the agent.
+pub const PLAN_FILE: &str = "plan.json";
+/// The file that says that the attempt was started, and by which shim: [`ShimInfo`].
+pub const SHIM_FILE: &str = "shim.json";
+/// The file that says how the attempt ended: [`Exit`].
+pub const EXIT_FILE: &str = "exit.json";
+/// The file with a [`StopRequest`], written by the agent.
+pub const STOP_FILE: &str = "stop.json";
+/// The environment variable that marks a task's processes. Its value is [`Plan::attempt`].
+pub const MARKER_VARIABLE: &str = "PEBBLEFOLD_ATTEMPT";
 
-/// How often the shim looks at its task.
-const LOOK: Duration = Duration::from_millis(10);
-/// How long what is killed may take to be gone before the shim says so.
-const GONE: Duration = Duration::from_secs(30);
-/// Pieces of output that are kept.
-const PIECES: u64 = 4;
+/// Interval at which the shim checks its task, the stop request and the lease.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long killed processes may take to be gone before the exit says that they aren't.
+const KILL_TIMEOUT: Duration = Duration::from_secs(30);
+/// How many files of output are kept.
+const MAX_OUTPUT_FILES: u64 = 4;
 
 /// Limits of one task.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of one process's memory.
+    /// Maximum address space of one process, in bytes.
     pub memory: Option<u64>,
-    /// Bytes of one file.
+    /// Maximum size of one file, in bytes.
     pub file: Option<u64>,
-    /// Open files of one process.
+    /// Maximum number of open files of one process.
     pub files: Option<u64>,
-    /// Bytes of output that are kept.
+    /// How much of the output is kept, in bytes.
     pub output: u64,
-    /// Seconds it may take.
+    /// Maximum run time, in seconds.
     pub time_s: Option<f64>,
 }
 
@@ -67,47 +67,47 @@
     }
 }
 
-/// What a shim is to run.
+/// What a shim runs: the content of `plan.json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Names the attempt, for good.
+    /// Identifies the attempt; the value of [`MARKER_VARIABLE`].
     pub attempt: String,
     /// The program and its arguments.
     pub argv: Vec<String>,
-    /// The whole environment, but for [`MARK`].
+    /// The whole environment, except for [`MARKER_VARIABLE`].
     pub env: BTreeMap<String, String>,
-    /// Where it runs.
+    /// The working directory.
     pub dir: PathBuf,
-    /// Its limits.
+    /// The task's limits.
     pub limits: Limits,
-    /// The file that says how long the machine's lease lasts: when it is over the
-    /// task ends, whatever became of the agent.
+    /// The file with the machine's [`Lease`]: when the lease has expired the shim kills the
+    /// task, whatever became of the agent. `None`: the task has no lease.
     #[serde(default)]
     pub lease: Option<PathBuf>,
-    /// The session that it belongs to.
+    /// The agent epoch that the attempt belongs to.
     #[serde(default)]
     #[serde(rename = "session")]
     pub epoch: u64,
 }
 
-/// How long a machine's lease lasts.
+/// The lease of a machine: the content of `lease.json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The start of the machine that the time counts from.
+    /// The id of the boot that `until_us` counts from.
     pub boot: String,
-    /// The session that it is the lease of.
+    /// The agent epoch that the lease belongs to.
     #[serde(rename = "session")]
     pub epoch: u64,
-    /// Until when, in microseconds of the steady clock.
+    /// When the lease expires, in microseconds of the steady clock.
     pub until_us: u64,
 }
 
-/// How much earlier than the lease a task begins to be ended: the controllers
-/// count it as gone when the lease is over, so it has to be by then.
-const AHEAD_US: u64 = 250_000;
+/// How long before the lease expires a task is killed: the controllers count the task as
+/// gone from the expiry on, so it has to be gone by then.
+const KILL_MARGIN_US: u64 = 250_000;
 
-/// Microseconds of the steady clock since the machine started, sleep included.
-pub fn steady_us() -> u64 {
+/// Microseconds of the steady clock since the machine booted, sleep included.
+pub fn boottime_us() -> u64 {
     let t = nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME);
     t.map_or(0, |t| {
         t.tv_sec() as u64 * 1_000_000 + t.tv_nsec() as u64 / 1000
@@ -115,46 +115,48 @@
 }
 
 impl Lease {
-    /// Whether it is over, or of another start of the machine or session: what the
-    /// next session has is no lease for the tasks of the one before.
-    pub fn over(&self, boot: &str, epoch: u64, now_us: u64) -> bool {
-        self.boot != boot || self.epoch != epoch || now_us + AHEAD_US >= self.until_us
+    /// Whether a task of this epoch may no longer rely on the lease: it has expired, or
+    /// belongs to another boot or epoch. The lease of the next epoch doesn't cover the
+    /// tasks of the last one.
+    pub fn is_unusable(&self, boot: &str, epoch: u64, now_us: u64) -> bool {
+        self.boot != boot || self.epoch != epoch || now_us + KILL_MARGIN_US >= self.until_us
     }
 }
 
-/// Who runs it.
+/// The process that runs the attempt: the content of `shim.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Begun {
-    /// The shim.
+pub struct ShimInfo {
+    /// The shim's process.
     pub shim: Process,
 }
 
-/// A request to stop.
+/// A request to stop: the content of `stop.json`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stop {
-    /// Seconds from now until it is killed; 0: at once.
+pub struct StopRequest {
+    /// Seconds from now until the task is killed; 0: immediately.
     pub grace_s: f64,
 }
 
-/// How a task ended.
+/// How an attempt ended: the content of `exit.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Exit {
-    /// Its exit code; 128 and the signal's number if a signal ended it.
+    /// The exit code; 128 plus the signal's number if a signal ended the task.
     pub code: i32,
-    /// Whether it was asked to stop before it ended.
+    /// Whether a stop was requested before the task ended.
     pub stopped: bool,
-    /// Whether it took longer than it may.
+    /// Whether the task was killed because it exceeded its maximum run time.
     pub too_long: bool,
-    /// Whether it was ended because the machine's lease was over.
+    /// Whether the task was killed, or not started, because the machine's lease had
+    /// expired.
     #[serde(default)]
     pub lease_over: bool,
-    /// Whether everything that it forked is proven to be gone.
+    /// Whether everything that the task forked is proven to be gone.
     pub gone: bool,
-    /// Why it was not started, if so.
+    /// Why the task was not started; `None` if it was.
     pub not_started: Option<String>,
-    /// When it began and ended, in milliseconds since 1970 by this machine's clock.
+    /// When the shim began, in milliseconds since 1970 by this machine's clock.
     pub began_ms: u64,
-    /// Likewise.
+    /// When the attempt ended, in milliseconds since 1970 by this machine's clock.
     pub ended_ms: u64,
 }
 
@@ -163,53 +165,54 @@
     since.map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Writes a file whole: beside its place, synced, then renamed, and the directory
-/// synced, so that it outlives a loss of power once this returns.
+/// Writes a file atomically: to a temporary name, synced, then renamed, and the directory
+/// synced. The file survives a loss of power once this returns.
 ///
 /// # Errors
-/// It cannot be written.
-pub fn write_whole(path: &Path, bytes: &[u8]) -> Result<(), Error> {
-    let beside = path.with_extension("part");
-    let mut f = File::create(&beside)?;
+/// The file cannot be written.
+pub fn write_atomically(path: &Path, bytes: &[u8]) -> Result<(), Error> {
+    let temporary = path.with_extension("part");
+    let mut f = File::create(&temporary)?;
     f.write_all(bytes)?;
     f.sync_all()?;
-    fs::rename(&beside, path)?;
+    fs::rename(&temporary, path)?;
     if let Some(dir) = path.parent() {
         File::open(dir)?.sync_all()?;
     }
     Ok(())
 }
 
-/// Reads a file of JSON that was written whole.
+/// Reads a JSON file that was written atomically.
 ///
 /// # Errors
-/// It is not there, or no JSON of this form.
-pub fn read<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, Error> {
+/// The file doesn't exist, or isn't JSON of this type.
+pub fn read_json<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, Error> {
     serde_json::from_slice(&fs::read(path)?).map_err(Error::from)
 }
 
-/// Takes a directory for this shim; an error if another one has it.
-fn begin(dir: &Path) -> Result<(), Error> {
+/// Claims a directory for this shim; fails if another shim has it.
+fn claim_directory(dir: &Path) -> Result<(), Error> {
     let id = std::process::id() as i32;
-    let shim = Process::of(id).ok_or_else(|| Error::other("this process is not seen"))?;
+    let shim =
+        Process::of(id).ok_or_else(|| Error::other("this process is not listed in /proc"))?;
     let mut f = OpenOptions::new()
         .write(true)
         .create_new(true)
-        .open(dir.join(BEGUN))?;
-    f.write_all(&serde_json::to_vec(&Begun { shim })?)?;
+        .open(dir.join(SHIM_FILE))?;
+    f.write_all(&serde_json::to_vec(&ShimInfo { shim })?)?;
     f.sync_all()?;
     File::open(dir)?.sync_all()
 }
 
-fn limit(l: &Limits) -> Result<(), Error> {
-    for (resource, most) in [
-        (Resource::RLIMIT_AS, l.memory),
-        (Resource::RLIMIT_FSIZE, l.file),
-        (Resource::RLIMIT_NOFILE, l.files),
+fn set_limits(limits: &Limits) -> Result<(), Error> {
+    for (resource, limit) in [
+        (Resource::RLIMIT_AS, limits.memory),
+        (Resource::RLIMIT_FSIZE, limits.file),
+        (Resource::RLIMIT_NOFILE, limits.files),
         (Resource::RLIMIT_CORE, Some(0)),
     ] {
-        if let Some(m) = most {
-            setrlimit(resource, m, m)?;
+        if let Some(value) = limit {
+            setrlimit(resource, value, value)?;
         }
     }
     Ok(())
@@ -228,15 +231,15 @@
         .current_dir(&plan.dir)
         .env_clear()
         .envs(&plan.env)
-        .env(MARK, &plan.attempt)
+        .env(MARKER_VARIABLE, &plan.attempt)
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
         .process_group(0);
-    // SAFETY: between fork and exec only calls that may be made there: limits are
-    // set, signals let through, standard error joined to standard output.
+    // SAFETY: between fork and exec, only calls are made that are allowed there: limits are
+    // set, signals are unblocked, and standard error is joined to standard output.
     unsafe {
         command.pre_exec(move || {
-            limit(&limits)?;
+            set_limits(&limits)?;
             SigSet::all().thread_unblock()?;
             nix::unistd::dup2_stderr(std::io::stdout())?;
             Ok(())
@@ -245,82 +248,86 @@
     command.spawn()
 }
 
-/// Output in pieces of bounded size.
-struct Output {
+/// A task's output, in files of bounded size of which the newest are kept.
+struct RotatingOutput {
     dir: PathBuf,
-    each: u64,
-    piece: u64,
+    max_file_bytes: u64,
+    file_index: u64,
+    /// `None` before the first byte, and while the current file cannot be created.
     file: Option<File>,
-    written: u64,
+    /// Bytes of the current file, dropped ones included.
+    file_bytes: u64,
 }
 
-impl Output {
-    fn new(dir: &Path, most: u64) -> Output {
-        Output {
+impl RotatingOutput {
+    fn new(dir: &Path, max_bytes: u64) -> RotatingOutput {
+        RotatingOutput {
             dir: dir.into(),
-            each: (most / PIECES).max(1),
-            piece: 0,
+            max_file_bytes: (max_bytes / MAX_OUTPUT_FILES).max(1),
+            file_index: 0,
             file: None,
-            written: 0,
+            file_bytes: 0,
         }
     }
 
-    /// Output that cannot be kept is given up, never the task: a full disk is no
-    /// failure of it.
+    /// Output that cannot be written is dropped, and the task continues: a full disk
+    /// doesn't make it fail.
     fn write(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            if self.file.is_none() || self.written >= self.each {
+            if self.file.is_none() || self.file_bytes >= self.max_file_bytes {
                 if self.file.is_some() {
-                    self.piece += 1;
+                    self.file_index += 1;
                 }
-                if self.piece >= PIECES {
-                    let old = self.dir.join(format!("out.{}", self.piece - PIECES));
+                if self.file_index >= MAX_OUTPUT_FILES {
+                    let old = self
+                        .dir
+                        .join(format!("out.{}", self.file_index - MAX_OUTPUT_FILES));
                     let _ = fs::remove_file(old);
                 }
-                self.file = File::create(self.dir.join(format!("out.{}", self.piece))).ok();
-                self.written = 0;
+                self.file = File::create(self.dir.join(format!("out.{}", self.file_index))).ok();
+                self.file_bytes = 0;
             }
-            let room = (self.each - self.written).min(bytes.len() as u64) as usize;
+            let chunk = (self.max_file_bytes - self.file_bytes).min(bytes.len() as u64) as usize;
             if let Some(f) = &mut self.file {
-                let _ = f.write_all(&bytes[..room]);
+                let _ = f.write_all(&bytes[..chunk]);
             }
-            self.written += room as u64;
-            bytes = &bytes[room..];
+            self.file_bytes += chunk as u64;
+            bytes = &bytes[chunk..];
         }
     }
 }
 
-/// Runs the plan of a directory to its end, as the only thing this process does.
+/// Runs a directory's plan to its end. The process does nothing else.
 ///
 /// # Errors
-/// The plan cannot be read, another shim has the directory, or the result cannot
-/// be written.
+/// The plan cannot be read, another shim has claimed the directory, or the exit cannot be
+/// written.
 pub fn run(dir: &Path) -> Result<(), Error> {
-    let plan: Plan = read(&dir.join(PLAN))?;
-    begin(dir)?;
-    // What the task forks stays ours, in whatever session it is.
+    let plan: Plan = read_json(&dir.join(PLAN_FILE))?;
+    claim_directory(dir)?;
+    // Whatever the task forks stays a descendant of the shim, in whatever session it is.
     prctl::set_child_subreaper(true)?;
-    // Whoever ends the agent's group does not end us.
+    // Killing the agent's process group doesn't kill the shim.
     nix::unistd::setsid().ok();
     let began_ms = now_ms();
     let lease = LeaseFile::of(&plan)?;
-    let mut exit = if lease.lasts() {
+    let mut exit = if lease.is_valid() {
         match spawn(&plan) {
             Ok(child) => watch(dir, &plan, &lease, child)?,
             Err(e) => not_started(e.to_string()),
         }
     } else {
-        // The agent may have stood still since it decided to begin this.
+        // The agent may have been stopped since it decided to start this attempt.
         Exit {
             lease_over: true,
             ..not_started("the machine's lease is over".into())
         }
     };
     (exit.began_ms, exit.ended_ms) = (began_ms, now_ms());
-    write_whole(&dir.join(EXIT), &serde_json::to_vec(&exit)?)
+    write_atomically(&dir.join(EXIT_FILE), &serde_json::to_vec(&exit)?)
 }
 
-/// The end of a task that never ran.
+/// The exit of a task that never ran.
 fn not_started(reason: String) -> Exit {
     Exit {
         code: 127,
@@ -330,7 +337,7 @@
     }
 }
 
-/// The machine's lease as one task sees it.
+/// The machine's lease, as one task reads it.
 struct LeaseFile<'p> {
     path: Option<&'p Path>,
     epoch: u64,
@@ -346,75 +353,75 @@
         })
     }
 
-    /// Whether it lasts. One that cannot be read is no longer known to.
-    fn lasts(&self) -> bool {
-        let holds = |lease: Lease| !lease.over(&self.boot, self.epoch, steady_us());
+    /// Whether the task may rely on the lease. A lease that cannot be read doesn't count.
+    fn is_valid(&self) -> bool {
+        let usable = |lease: Lease| !lease.is_unusable(&self.boot, self.epoch, boottime_us());
         self.path
-            .is_none_or(|path| read::<Lease>(path).is_ok_and(holds))
+            .is_none_or(|path| read_json::<Lease>(path).is_ok_and(usable))
     }
 }
 
 fn watch(dir: &Path, plan: &Plan, lease: &LeaseFile<'_>, mut child: Child) -> Result<Exit, Error> {
     let mut pipe = child.stdout.take();
-    let (most, kept) = (plan.limits.output, dir.to_path_buf());
-    // The reader ends with the last process that holds the pipe.
+    let (max_bytes, output_dir) = (plan.limits.output, dir.to_path_buf());
+    // This thread ends when the last process that holds the pipe ends.
     let reader = std::thread::spawn(move || {
-        let mut output = Output::new(&kept, most);
+        let mut output = RotatingOutput::new(&output_dir, max_bytes);
         let mut buffer = vec![0; 64 * 1024];
         while let Some(n) = pipe.as_mut().and_then(|p| read_some(p, &mut buffer)) {
             output.write(&buffer[..n]);
         }
     });
-    let main = Pid::from_raw(child.id() as i32);
-    let until = plan.limits.time_s.filter(|s| s.is_finite() && *s >= 0.0);
-    let mut until = until.map(|s| Instant::now() + Duration::from_secs_f64(s.min(1e9)));
+    let task_id = Pid::from_raw(child.id() as i32);
+    let deadline = plan.limits.time_s.filter(|s| s.is_finite() && *s >= 0.0);
+    let mut deadline = deadline.map(|s| Instant::now() + Duration::from_secs_f64(s.min(1e9)));
     let mut exit = Exit::default();
     let mut killed = false;
     loop {
         match waitpid(Pid::from_raw(-1), Some(WaitPidFlag::WNOHANG)) {
-            Ok(WaitStatus::Exited(id, code)) if id == main => {
+            Ok(WaitStatus::Exited(id, code)) if id == task_id => {
                 exit.code = code;
                 break;
             }
-            Ok(WaitStatus::Signaled(id, signal, _)) if id == main => {
+            Ok(WaitStatus::Signaled(id, signal, _)) if id == task_id => {
                 exit.code = 128 + signal as i32;
                 break;
             }
-            // A descendant that was left to us.
+            // A descendant of the task whose parent has ended.
             Ok(WaitStatus::Exited(..) | WaitStatus::Signaled(..)) => continue,
             Ok(_) => {}
             Err(e) => return Err(e.into()),
         }
-        if let Ok(stop) = read::<Stop>(&dir.join(STOP)) {
+        if let Ok(stop) = read_json::<StopRequest>(&dir.join(STOP_FILE)) {
             let at = Instant::now() + Duration::from_secs_f64(stop.grace_s.clamp(0.0, 1e9));
             if !exit.stopped {
                 exit.stopped = true;
-                until = Some(at);
-                if let Some(p) = Process::of(main.as_raw()) {
+                deadline = Some(at);
+                if let Some(p) = Process::of(task_id.as_raw()) {
                     p.signal(Signal::SIGTERM)?;
                 }
             }
-            // A second request may only shorten it.
-            until = until.map(|u| u.min(at));
+            // A second request can only shorten the time.
+            deadline = deadline.map(|u| u.min(at));
         }
-        exit.lease_over = exit.lease_over || !lease.lasts();
-        let over = exit.lease_over || until.is_some_and(|u| Instant::now() >= u);
-        if over && !killed {
+        exit.lease_over = exit.lease_over || !lease.is_valid();
+        let must_end = exit.lease_over || deadline.is_some_and(|u| Instant::now() >= u);
+        if must_end && !killed {
             killed = true;
             exit.too_long = !exit.stopped && !exit.lease_over;
-            let own = std::process::id() as i32;
-            end_all(|| below(own), GONE)?;
+            let shim_id = std::process::id() as i32;
+            kill_all(|| descendants(shim_id), KILL_TIMEOUT)?;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    // What it left running goes with it.
-    let own = std::process::id() as i32;
-    exit.gone = end_all(|| below(own), GONE)?;
+    // What the task left running is killed.
+    let shim_id = std::process::id() as i32;
+    exit.gone = kill_all(|| descendants(shim_id), KILL_TIMEOUT)?;
     while let Ok(WaitStatus::Exited(..) | WaitStatus::Signaled(..)) =
         waitpid(Pid::from_raw(-1), Some(WaitPidFlag::WNOHANG))
     {}
     if exit.gone {
-        // It only reads what is left in the pipe.
+        // The thread only has to read the rest of the pipe.
         let _ = reader.join();
     }
     Ok(exit)
--- a/crates/agent/src/store.rs
+++ b/crates/agent/src/store.rs
@@ -1,170 +1,183 @@
-//! What stands outside the machine, in a directory that all machines share: results
-//! of tasks, published once; what they save, whole or not at all; and where the
-//! tasks of a gang meet.
+//! A directory that all machines share. It holds the tasks' results, each published once;
+//! their checkpoints, of which only whole ones are used; and files by which the tasks of a
+//! gang see that the others are present.
 
-use crate::attempts::Key;
-use crate::shim::write_whole;
+use crate::attempts::AttemptKey;
+use crate::shim::write_atomically;
 use serde::{Deserialize, Serialize};
 use std::fs;
 use std::io::{Error, ErrorKind};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// A shared directory.
+/// The shared directory, which all machines reach under this path.
 #[derive(Clone, Debug)]
-pub struct Store(pub PathBuf);
+pub struct SharedDir(pub PathBuf);
 
-/// A task's result, as it was published.
+/// A published result of a task: the content of `result.json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
-    /// The attempt that was first.
+    /// The attempt whose result was published first.
     pub attempt: u64,
-    /// The machine that it ran on.
+    /// The machine that the attempt ran on.
     pub machine: String,
 }
 
-/// The prefix of what a task has saved: `save-000007`.
-const SAVE: &str = "save-";
-/// The directory, beside it, in which it saves.
-pub const NEXT: &str = "next";
-/// Whole saves that are kept.
-const SAVES: usize = 2;
+/// Prefix of a checkpoint's directory, before its number: `save-000007`.
+const CHECKPOINT_PREFIX: &str = "save-";
+/// The directory, in the same place as the checkpoints, that a task writes its next one in.
+pub const NEXT_CHECKPOINT_DIR: &str = "next";
+/// How many whole checkpoints of a task are kept.
+const KEPT_CHECKPOINTS: usize = 2;
 
-impl Store {
-    fn of(&self, key: &Key) -> PathBuf {
+impl SharedDir {
+    fn task_dir(&self, key: &AttemptKey) -> PathBuf {
         let index = key.task.rsplit('/').next().unwrap_or("0");
         self.0.join(key.job()).join(index)
     }
 
-    /// Makes a task's place; returns the directory that it saves in.
+    /// Creates a task's directory and returns its path; the task's checkpoints lie in it.
     ///
     /// # Errors
-    /// It cannot be made.
-    pub fn place(&self, key: &Key) -> Result<PathBuf, Error> {
-        let dir = self.of(key);
+    /// The directory cannot be created.
+    pub fn create_task_dir(&self, key: &AttemptKey) -> Result<PathBuf, Error> {
+        let dir = self.task_dir(key);
         fs::create_dir_all(&dir)?;
         Ok(dir)
     }
 
-    /// A task's result, if one was published.
-    pub fn published(&self, key: &Key) -> Option<Published> {
-        let bytes = fs::read(self.of(key).join("result.json")).ok()?;
+    /// A task's result; `None` if none was published.
+    pub fn published(&self, key: &AttemptKey) -> Option<Published> {
+        let bytes = fs::read(self.task_dir(key).join("result.json")).ok()?;
         serde_json::from_slice(&bytes).ok()
     }
 
-    /// Publishes a task's result: the first one counts, for good. What `out` holds
-    /// is moved beside it, by one rename before.
+    /// Publishes a task's result and returns the one that counts: the first, for good.
+    /// Before that, one rename moves the directory `output` to the task's directory.
     ///
     /// # Errors
-    /// It cannot be written: then nothing is published.
-    pub fn publish(&self, key: &Key, machine: &str, out: &Path) -> Result<Published, Error> {
-        let dir = self.place(key)?;
-        if let Some(first) = self.published(key) {
-            return Ok(first);
+    /// The files cannot be written; then nothing is published.
+    pub fn publish(
+        &self,
+        key: &AttemptKey,
+        machine: &str,
+        output: &Path,
+    ) -> Result<Published, Error> {
+        let dir = self.create_task_dir(key)?;
+        if let Some(published) = self.published(key) {
+            return Ok(published);
         }
-        let own = Published {
+        let result = Published {
             attempt: key.attempt,
             machine: machine.into(),
         };
-        // Written whole beside its place; the link is made by one alone.
+        // Written whole under a name of this attempt and machine. Then one hard link alone
+        // succeeds, whoever tries at the same time.
         let name = format!("result.{}.{machine}", key.attempt);
-        let beside = dir.join(&name);
-        write_whole(&beside, &serde_json::to_vec(&own)?)?;
-        let kept = dir.join(format!("out.{}.{machine}", key.attempt));
-        match fs::rename(out, &kept) {
+        let temporary = dir.join(&name);
+        write_atomically(&temporary, &serde_json::to_vec(&result)?)?;
+        let published_output = dir.join(format!("out.{}.{machine}", key.attempt));
+        match fs::rename(output, &published_output) {
             Ok(()) => {}
             Err(e) if e.kind() == ErrorKind::NotFound => {}
             Err(e) => return Err(e),
         }
-        let linked = fs::hard_link(&beside, dir.join("result.json"));
-        let _ = fs::remove_file(&beside);
+        let linked = fs::hard_link(&temporary, dir.join("result.json"));
+        let _ = fs::remove_file(&temporary);
         match linked {
             Ok(()) => fs::File::open(&dir)?.sync_all()?,
             Err(e) if e.kind() == ErrorKind::AlreadyExists => {}
             Err(e) => return Err(e),
         }
         self.published(key)
-            .ok_or_else(|| Error::other("its result is published and cannot be read"))
+            .ok_or_else(|| Error::other("the result is published and cannot be read"))
     }
 
-    /// The newest whole save of a task: its number and directory. A torn one has
-    /// no `whole` in it, as that is written last, and is passed over.
-    pub fn newest(&self, key: &Key) -> Option<(u64, PathBuf)> {
-        let mut all = self.saves(key);
-        all.retain(|(_, dir)| dir.join("whole").exists());
-        all.pop()
+    /// The newest whole checkpoint of a task: its number and directory. A torn checkpoint
+    /// is skipped: the file `whole`, which a task writes last, is missing from it.
+    pub fn newest_checkpoint(&self, key: &AttemptKey) -> Option<(u64, PathBuf)> {
+        let mut checkpoints = self.list_checkpoints(key);
+        checkpoints.retain(|(_, dir)| dir.join("whole").exists());
+        checkpoints.pop()
     }
 
-    fn saves(&self, key: &Key) -> Vec<(u64, PathBuf)> {
-        let entries = fs::read_dir(self.of(key)).into_iter().flatten().flatten();
-        let mut all: Vec<(u64, PathBuf)> = entries
+    fn list_checkpoints(&self, key: &AttemptKey) -> Vec<(u64, PathBuf)> {
+        let entries = fs::read_dir(self.task_dir(key))
+            .into_iter()
+            .flatten()
+            .flatten();
+        let mut checkpoints: Vec<(u64, PathBuf)> = entries
             .filter_map(|e| {
                 let name = e.file_name().into_string().ok()?;
-                Some((name.strip_prefix(SAVE)?.parse().ok()?, e.path()))
+                Some((
+                    name.strip_prefix(CHECKPOINT_PREFIX)?.parse().ok()?,
+                    e.path(),
+                ))
             })
             .collect();
-        all.sort();
-        all
+        checkpoints.sort();
+        checkpoints
     }
 
-    /// Removes saves that are older than the newest whole ones.
-    pub fn tidy(&self, key: &Key) {
-        let mut all = self.saves(key);
-        all.retain(|(_, dir)| dir.join("whole").exists());
-        let old = all.len().saturating_sub(SAVES);
-        for (_, dir) in all.into_iter().take(old) {
-            // What stays is in nobody's way.
+    /// Removes whole checkpoints of a task, all but the newest two.
+    pub fn remove_old_checkpoints(&self, key: &AttemptKey) {
+        let mut checkpoints = self.list_checkpoints(key);
+        checkpoints.retain(|(_, dir)| dir.join("whole").exists());
+        let excess = checkpoints.len().saturating_sub(KEPT_CHECKPOINTS);
+        for (_, dir) in checkpoints.into_iter().take(excess) {
+            // A directory that cannot be removed does no harm.
             let _ = fs::remove_dir_all(dir);
         }
     }
 
     // ---- gangs ----
 
-    fn meeting(&self, key: &Key) -> PathBuf {
+    fn gang_dir(&self, key: &AttemptKey) -> PathBuf {
         self.0.join(key.job()).join(format!("gang-{}", key.attempt))
     }
 
-    fn sign(&self, key: &Key) -> PathBuf {
+    fn presence_file(&self, key: &AttemptKey) -> PathBuf {
         let index = key.task.rsplit('/').next().unwrap_or("0");
-        self.meeting(key).join(index)
+        self.gang_dir(key).join(index)
     }
 
-    /// Says that a task of a gang is here and well.
+    /// Marks a task of a gang as present. The file's modification time is what the others
+    /// see.
     ///
     /// # Errors
-    /// It cannot be written.
-    pub fn here(&self, key: &Key) -> Result<(), Error> {
-        fs::create_dir_all(self.meeting(key))?;
-        fs::write(self.sign(key), b"here")
+    /// The file cannot be written.
+    pub fn mark_present(&self, key: &AttemptKey) -> Result<(), Error> {
+        fs::create_dir_all(self.gang_dir(key))?;
+        fs::write(self.presence_file(key), b"here")
     }
 
-    /// Says that it has completed, and is not missed.
+    /// Marks a task of a gang as completed: the others don't count its silence as a loss.
     ///
     /// # Errors
-    /// It cannot be written.
-    pub fn complete(&self, key: &Key) -> Result<(), Error> {
-        write_whole(&self.sign(key), b"done")
+    /// The file cannot be written.
+    pub fn mark_complete(&self, key: &AttemptKey) -> Result<(), Error> {
+        write_atomically(&self.presence_file(key), b"done")
     }
 
-    /// Says that it is not here any more.
-    pub fn away(&self, key: &Key) {
-        // If it is not heard, its silence is.
-        let _ = fs::remove_file(self.sign(key));
+    /// Marks a task of a gang as absent.
+    pub fn mark_absent(&self, key: &AttemptKey) {
+        // If the file cannot be removed, its age shows the absence.
+        let _ = fs::remove_file(self.presence_file(key));
     }
 
-    /// Which of a gang's tasks are here, or have completed; those that were silent
-    /// for longer than `patience` are not.
-    pub fn present(&self, key: &Key, tasks: u32, patience: Duration) -> Vec<bool> {
-        let dir = self.meeting(key);
+    /// Which of a gang's tasks are present or have completed, by index. A task whose file
+    /// is older than `max_silence` is absent.
+    pub fn present(&self, key: &AttemptKey, tasks: u32, max_silence: Duration) -> Vec<bool> {
+        let dir = self.gang_dir(key);
         let now = SystemTime::now();
-        let one = |i: u32| {
+        let is_present = |i: u32| {
             let path = dir.join(i.to_string());
             if fs::read(&path).is_ok_and(|b| b == b"done") {
                 return true;
             }
-            let said = fs::metadata(&path).and_then(|m| m.modified());
-            said.is_ok_and(|t| now.duration_since(t).unwrap_or_default() <= patience)
+            let last_seen = fs::metadata(&path).and_then(|m| m.modified());
+            last_seen.is_ok_and(|t| now.duration_since(t).unwrap_or_default() <= max_silence)
         };
-        (0..tasks).map(one).collect()
+        (0..tasks).map(is_present).collect()
     }
 }
--- a/crates/agent/src/worker.rs
+++ b/crates/agent/src/worker.rs
@@ -1,7 +1,7 @@
-//! A machine's whole side of the protocol as one state machine: reports and their
-//! answers, direct commands, sessions and what is on the machine.
+//! An agent's whole side of the protocol as one state machine: heartbeats and their
+//! responses, direct commands, agent epochs and the task attempts on the machine.
 
-use crate::attempts::{Attempts, Effect, Times};
+use crate::attempts::{Attempts, Effect, Timeouts};
 use crate::link::{Link, Pace};
 use pebblefold_wire::decode;
 use pebblefold_wire::types::{MachineId, MachineTypeName, NodeId, Resources, Time, Zone};
@@ -10,71 +10,78 @@
 };
 use rand::Rng;
 
-/// What a machine is.
+/// The machine that an agent runs on, as heartbeats describe it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Machine {
-    /// Its name.
+    /// The cloud's name of the machine.
     pub id: MachineId,
-    /// Where direct commands go.
+    /// The address for direct commands.
     pub addr: String,
-    /// Its type.
-    pub kind: MachineTypeName,
-    /// Its zone.
+    /// The machine type.
+    pub machine_type: MachineTypeName,
+    /// The zone that the machine is in.
     pub zone: Zone,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// What it has.
-    pub has: Resources,
+    /// The resources that tasks may use.
+    pub capacity: Resources,
 }
 
-/// A worker.
+/// The state of an agent. It does no input or output: the driver performs its effects.
 #[derive(Debug)]
 pub struct Worker {
     machine: Machine,
-    labels: Vec<NodeId>,
+    controller_ids: Vec<NodeId>,
     link: Link,
-    /// What is on the machine.
+    /// The task attempts on the machine.
     pub attempts: Attempts,
-    /// When the machine is taken, if that is known.
-    taken: Option<Time>,
-    before: Vec<Effect>,
+    /// When the cloud terminates the machine, if it has given notice.
+    terminates_at: Option<Time>,
+    /// Writes of a higher token, which precede the effects of `attempts`.
+    token_effects: Vec<Effect>,
 }
 
 impl Worker {
-    /// A worker on a machine that talks to the controllers of these names.
-    pub fn new(machine: Machine, labels: Vec<NodeId>, link: Link, times: Times) -> Worker {
+    /// The agent of a machine, with the ids of the controllers in the order that `link`
+    /// counts them.
+    pub fn new(
+        machine: Machine,
+        controller_ids: Vec<NodeId>,
+        link: Link,
+        timeouts: Timeouts,
+    ) -> Worker {
         Worker {
-            attempts: Attempts::new(machine.has, times),
+            attempts: Attempts::new(machine.capacity, timeouts),
             machine,
-            labels,
+            controller_ids,
             link,
-            taken: None,
-            before: Vec::new(),
+            terminates_at: None,
+            token_effects: Vec::new(),
         }
     }
 
-    /// The link to the controllers.
+    /// The connection to the controllers.
     pub fn link(&self) -> &Link {
         &self.link
     }
 
-    /// What is to be done, in this order.
-    pub fn take(&mut self) -> Vec<Effect> {
-        let mut all = std::mem::take(&mut self.before);
-        all.extend(self.attempts.take());
-        all
+    /// The effects since the last call, in the order in which they have to be performed.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        let mut effects = std::mem::take(&mut self.token_effects);
+        effects.extend(self.attempts.take_effects());
+        effects
     }
 
-    /// The cloud takes the machine then.
-    pub fn notice(&mut self, at: Time) {
-        if self.taken.replace(at) != Some(at) {
+    /// Handles the cloud's notice that it terminates the machine at this instant.
+    pub fn termination_notice(&mut self, at: Time) {
+        if self.terminates_at.replace(at) != Some(at) {
             self.link.touch();
         }
     }
 
-    /// Its heartbeat now; `None` while the lease is over: what is on the machine then
-    /// counts no more, and is told by nobody.
-    pub fn report(&mut self, now: Time) -> Option<Heartbeat> {
+    /// A heartbeat with the next sequence number; `None` while the lease is expired:
+    /// attempts of an expired epoch aren't reported.
+    pub fn build_heartbeat(&mut self, now: Time) -> Option<Heartbeat> {
         if self.link.expired(now) {
             return None;
         }
@@ -82,108 +89,109 @@
         Some(Heartbeat {
             machine: m.id.clone(),
             addr: m.addr.clone(),
-            kind: m.kind.clone(),
+            kind: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             epoch: self.link.epoch(),
             sequence: self.link.count(),
             token: self.link.token(),
-            notice_s: self.taken.map(|t| t.since(now).as_secs()),
-            tasks: self.attempts.reported(),
+            notice_s: self.terminates_at.map(|t| t.since(now).as_secs()),
+            tasks: self.attempts.reported_tasks(),
         })
     }
 
-    /// Begins a report under this ticket, if one is due: to which controller, and
-    /// what it says.
+    /// Begins a heartbeat under this request id if one is due. Returns the index of the
+    /// controller to send it to, and the heartbeat.
     pub fn due(
         &mut self,
         now: Time,
-        ticket: u64,
+        request_id: u64,
         rng: &mut impl Rng,
     ) -> Option<(usize, Heartbeat)> {
-        if self.attempts.changed() {
+        if self.attempts.take_changed() {
             self.link.touch();
         }
-        if !self.link.due(now, ticket, rng) {
+        if !self.link.due(now, request_id, rng) {
             return None;
         }
-        let heartbeat = self.report(now)?;
+        let heartbeat = self.build_heartbeat(now)?;
         Some((self.link.node(), heartbeat))
     }
 
-    /// The answer to a report; `None`: none came.
+    /// Handles the response (status and body) to the heartbeat with this request id;
+    /// `None`: no response arrived in time.
     pub fn answered(
         &mut self,
         now: Time,
-        ticket: u64,
+        request_id: u64,
         answer: Option<(u16, &[u8])>,
         rng: &mut impl Rng,
     ) {
-        if !self.link.awaits(ticket) {
+        if !self.link.awaits(request_id) {
             return;
         }
         match answer {
             Some((200, body)) => match decode::<HeartbeatResponse>(body) {
                 Some(a) => {
-                    let before = self.link.token();
+                    let previous_token = self.link.token();
                     if self.link.answered(now, a.token) {
-                        self.execute(now, before, &a.commands);
+                        self.execute(now, previous_token, &a.commands);
                     }
                 }
                 None => self.link.sent_away(now, None, rng),
             },
             Some((421, body)) => {
-                let told = decode::<LeaderRedirect>(body).and_then(|e| e.report_to);
-                let to = told.and_then(|l| self.labels.iter().position(|k| *k == l));
+                let leader = decode::<LeaderRedirect>(body).and_then(|e| e.report_to);
+                let to = leader.and_then(|l| self.controller_ids.iter().position(|k| *k == l));
                 self.link.sent_away(now, to, rng);
             }
             _ => self.link.sent_away(now, None, rng),
         }
     }
 
-    /// Commands sent straight to the machine: the status, to be answered with the
-    /// report after them.
-    pub fn commanded(&mut self, now: Time, body: &[u8]) -> u16 {
+    /// Executes commands that were sent directly to the agent. Returns the HTTP status; for
+    /// 200 and 409 the driver sends a heartbeat as the body.
+    pub fn handle_commands(&mut self, now: Time, body: &[u8]) -> u16 {
         let Some(d) = decode::<DirectCommands>(body) else {
             return 400;
         };
-        let before = self.link.token();
+        let previous_token = self.link.token();
         if !self.link.takes(now, d.token, d.epoch) {
             return 409;
         }
-        self.execute(now, before, &d.commands);
+        self.execute(now, previous_token, &d.commands);
         200
     }
 
     fn execute(
         &mut self,
         now: Time,
-        before: pebblefold_wire::types::FencingToken,
+        previous_token: pebblefold_wire::types::FencingToken,
         commands: &[Command],
     ) {
-        // A higher token is on disk before anything is done in its name: started
-        // again, the machine must not obey whoever held the one before.
-        if self.link.token() > before {
-            self.before.push(Effect::Token(self.link.token()));
+        // The higher token is on disk before any of its commands is executed: after a
+        // restart, the agent must not obey the leader with the previous token.
+        if self.link.token() > previous_token {
+            self.token_effects.push(Effect::Token(self.link.token()));
         }
         for c in commands {
             self.attempts.command(now, c);
         }
     }
 
-    /// Lets time pass. Once the lease is over the next epoch begins: its record
-    /// comes after the proof that everything of the last one is gone.
+    /// Advances the time. Once the lease has expired the next epoch begins: its record
+    /// follows the proof that all processes of the last epoch are gone.
     pub fn advance(&mut self, now: Time) {
         if self.link.renewed(now) {
             let epoch = self.link.epoch();
             tracing::info!(machine = %self.machine.id, epoch = epoch.0, "lease expired, next epoch begins");
-            self.attempts.lease_over(epoch);
+            self.attempts.lease_expired(epoch);
         }
         self.attempts.advance(now);
     }
 }
 
-/// The pace that a link needs, from seconds.
+/// The pace of a link, from times in seconds.
 pub fn pace(report_s: f64, lease_s: f64) -> Pace {
     Pace {
         report: pebblefold_wire::types::TimeSpan::secs(report_s),
--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -1,19 +1,19 @@
-//! The agent as a process, with a plain controller written here: killed and
-//! started again, stopped and continued, drained. What ran is told by the tasks'
-//! own log and by what is published, never by the agent's word.
+//! The agent as a process, with a minimal controller: killed and restarted, stopped and
+//! continued, drained. What ran is read from the tasks' own log and the published results,
+//! never from the agent's heartbeats.
 
 use nix::sys::signal::{Signal, kill};
 use nix::sys::stat::Mode;
 use nix::unistd::{Pid, mkfifo};
-use pebblefold_agent::driver::DRAIN;
-use pebblefold_agent::shim::{Lease, steady_us};
+use pebblefold_agent::driver::DRAIN_FILE;
+use pebblefold_agent::shim::{Lease, boottime_us};
 use pebblefold_net::answer_connections;
 use pebblefold_wire::command::CommandSpec;
 use pebblefold_wire::http::Response;
 use pebblefold_wire::types::{Attempt, FencingToken};
 use pebblefold_wire::users::{JobShape, Priority, Submission};
 use pebblefold_wire::workers::{
-    Command as Order, Heartbeat, HeartbeatResponse, StopReason, TaskState,
+    Command as AgentCommand, Heartbeat, HeartbeatResponse, StopReason, TaskState,
 };
 use pebblefold_wire::{decode, encode};
 use std::cell::{Cell, RefCell};
@@ -27,19 +27,19 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-/// A controller that wants some tasks done, on one machine.
+/// A controller with one machine, which starts tasks until they are done.
 #[derive(Default)]
 struct Controller {
     last: RefCell<Option<Heartbeat>>,
-    /// Tasks that it wants done, with the attempt that it is at.
+    /// The tasks to be done, each with its current attempt.
     wanted: RefCell<BTreeMap<String, u64>>,
     done: RefCell<BTreeSet<String>>,
-    /// Why attempts ended that were not done.
+    /// The stop reasons of attempts that ended without being done.
     ended: RefCell<Vec<(String, StopReason)>>,
-    stops: RefCell<Vec<Order>>,
+    stops: RefCell<Vec<AgentCommand>>,
     silent: Cell<bool>,
     epochs: RefCell<BTreeSet<u64>>,
-    /// Epoch and sequence number of each heartbeat, as they came.
+    /// Epoch and sequence number of each heartbeat, in order of arrival.
     heartbeats: RefCell<Vec<(u64, u64)>>,
 }
 
@@ -62,15 +62,15 @@
                 }
                 _ => {}
             }
-            commands.push(Order::Forget {
+            commands.push(AgentCommand::Forget {
                 task: t.task.clone(),
                 attempt: t.attempt,
             });
         }
         for (task, attempt) in &*wanted {
-            let here = r.tasks.iter().any(|t| t.task == *task);
-            if !here && !self.done.borrow().contains(task) {
-                commands.push(Order::Start {
+            let reported = r.tasks.iter().any(|t| t.task == *task);
+            if !reported && !self.done.borrow().contains(task) {
+                commands.push(AgentCommand::Start {
                     task: task.clone(),
                     attempt: Attempt(*attempt),
                 });
@@ -107,33 +107,33 @@
         std::fs::create_dir_all(dir.join("commands")).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
-        // A port that the agent alone opens, as often as it is started: bound and
-        // never listened on, so that nobody else is given it.
-        let own = TcpSocket::new_v4().unwrap();
-        own.set_reuseaddr(true).unwrap();
-        own.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        let at = own.local_addr().unwrap();
+        // A port that only the agent opens, on each of its starts: bound here and never
+        // listened on, so that no other process is given it.
+        let reserved_port = TcpSocket::new_v4().unwrap();
+        reserved_port.set_reuseaddr(true).unwrap();
+        reserved_port.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+        let agent_addr = reserved_port.local_addr().unwrap();
         let settings = format!(
             "dir = \"{0}/agent\"\njobs = \"{0}\"\nstore = \"{0}/store\"\n\
              controllers = [{{ label = \"c0\", addr = \"{addr}\" }}]\n\
              times = {{ report_s = 0.5, lease_s = {lease_s}, gang_wait_s = 2.0, gang_peer_s = 1.0 }}\n\
-             [machine]\nid = \"box-1\"\naddr = \"{at}\"\nkind = \"k\"\nzone = \"z\"\ncpus = 8\nmemory_gb = 8\n",
+             [machine]\nid = \"box-1\"\naddr = \"{agent_addr}\"\nkind = \"k\"\nzone = \"z\"\ncpus = 8\nmemory_gb = 8\n",
             dir.display()
         );
         std::fs::write(dir.join("agent.toml"), settings).unwrap();
         let controller = Rc::new(Controller::default());
-        let door = Rc::clone(&controller);
+        let handler = Rc::clone(&controller);
         spawn_local(answer_connections(listener, move |r| {
-            let door = Rc::clone(&door);
+            let handler = Rc::clone(&handler);
             async move {
-                if door.silent.get() {
+                if handler.silent.get() {
                     return None;
                 }
-                let report: Heartbeat = decode(&r.body)?;
+                let heartbeat: Heartbeat = decode(&r.body)?;
                 Some(Response {
                     status: 200,
                     retry_after: None,
-                    body: encode(&door.answer(report)),
+                    body: encode(&handler.answer(heartbeat)),
                     close: false,
                 })
             }
@@ -142,7 +142,7 @@
             dir,
             controller,
             agent: None,
-            _port: own,
+            _port: reserved_port,
         }
     }
 
@@ -172,8 +172,8 @@
         kill(Pid::from_raw(id), s).unwrap();
     }
 
-    /// A job whose tasks run a script; `$LOG` is the tasks' own log.
-    fn job(&self, id: &str, tasks: u32, gang: bool, saves: bool, script: &str) {
+    /// Describes a job whose tasks run a script; `$LOG` is the tasks' own log.
+    fn job(&self, id: &str, tasks: u32, gang: bool, checkpoints: bool, script: &str) {
         let spec = Submission {
             id: id.into(),
             class: "c".into(),
@@ -196,7 +196,7 @@
             spread: false,
             spot: false,
             estimate_s: 1.0,
-            checkpoint_s: if saves { 1.0 } else { 0.0 },
+            checkpoint_s: if checkpoints { 1.0 } else { 0.0 },
             save_s: 0.1,
             deadline_s: None,
         };
@@ -232,12 +232,12 @@
         out
     }
 
-    /// What is known, for a failure that can be read.
-    fn told(&self) -> String {
+    /// The state of the test, for the message of a failure.
+    fn diagnostics(&self) -> String {
         let c = &self.controller;
         let agent = std::fs::read_to_string(self.dir.join("agent.log")).unwrap_or_default();
         format!(
-            "log {:?}, ended {:?}, sessions {:?}, last {:?}, agent:\n{agent}",
+            "log {:?}, ended {:?}, epochs {:?}, last {:?}, agent:\n{agent}",
             self.log(),
             c.ended.borrow(),
             c.epochs.borrow(),
@@ -245,13 +245,13 @@
         )
     }
 
-    async fn until(&self, what: &str, mut holds: impl FnMut(&Site) -> bool) {
-        let begun = Instant::now();
+    async fn wait_until(&self, what: &str, mut holds: impl FnMut(&Site) -> bool) {
+        let started = Instant::now();
         while !holds(self) {
             assert!(
-                begun.elapsed() < Duration::from_secs(60),
-                "never: {what}; {}",
-                self.told()
+                started.elapsed() < Duration::from_secs(60),
+                "timed out waiting until {what}; {}",
+                self.diagnostics()
             );
             sleep(Duration::from_millis(20)).await;
         }
@@ -265,7 +265,7 @@
     }
 }
 
-fn on_sockets<F: Future<Output = ()>>(test: F) {
+fn run_on_runtime<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -273,20 +273,20 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-// Killed at named points: when it was told of tasks, when some run, when some have
-// ended and are not told, when some are told and not cleared.
+// The agent is killed when it has received its tasks, when some run, when some have ended
+// and aren't reported, and when some are reported and not forgotten.
 #[test]
-fn an_agent_killed_again_and_again_finishes_each_task_once_and_repeats_nothing() {
-    on_sockets(async {
+fn repeatedly_killed_agent_runs_each_task_once() {
+    run_on_runtime(async {
         let mut s = Site::new("kills", 20.0).await;
         let script = "echo begun-$PEBBLEFOLD_INDEX >> $LOG; sleep 0.4; echo $PEBBLEFOLD_INDEX > $PEBBLEFOLD_OUT/result";
         s.job("wk-a", 12, false, false, script);
         s.want("wk-a", 12);
         s.start();
-        s.until("some run", |s| s.log().len() >= 2).await;
+        s.wait_until("some run", |s| s.log().len() >= 2).await;
         s.kill();
         s.start();
-        s.until("some have ended", |s| {
+        s.wait_until("some have ended", |s| {
             !s.controller.done.borrow().is_empty()
         })
         .await;
@@ -295,7 +295,7 @@
             s.kill();
             s.start();
         }
-        s.until("all are done", |s| s.controller.done.borrow().len() == 12)
+        s.wait_until("all are done", |s| s.controller.done.borrow().len() == 12)
             .await;
         let once: BTreeMap<String, usize> = (0..12).map(|i| (format!("begun-{i}"), 1)).collect();
         assert_eq!(s.log(), once, "{:?}", s.controller.ended.borrow());
@@ -307,10 +307,13 @@
             assert!(place.join("result.json").exists());
         }
         assert_eq!(*s.controller.epochs.borrow(), BTreeSet::from([1]));
-        // There is one agent for a machine; the first has it once it reports.
+        // Only one agent may serve a machine; the first one is ready once it sends a
+        // heartbeat.
         s.controller.last.borrow_mut().take();
-        s.until("it reports", |s| s.controller.last.borrow().is_some())
-            .await;
+        s.wait_until("the agent sends a heartbeat", |s| {
+            s.controller.last.borrow().is_some()
+        })
+        .await;
         let mut second = Command::new(env!("CARGO_BIN_EXE_pebblefold-agent"))
             .arg("serve")
             .arg(s.dir.join("agent.toml"))
@@ -318,7 +321,7 @@
             .spawn()
             .unwrap();
         let mut status = None;
-        s.until("the second ends", |_| {
+        s.wait_until("the second agent exits", |_| {
             status = second.try_wait().unwrap();
             status.is_some()
         })
@@ -327,14 +330,14 @@
     });
 }
 
-// Standing still for longer than the lease: what ran is gone, the session rises, and
-// the task goes on from what it saved. On a busy computer leases may run out more
-// often than here; nothing waits for a time, only for what has happened.
+// The agent is stopped for longer than its lease: what ran is gone, the epoch rises, and
+// the task resumes from its checkpoint. On a busy computer leases may expire more often
+// than here; what is asserted depends on events, never on a time.
 #[test]
-fn past_its_lease_nothing_counts_and_work_goes_on_from_what_was_saved() {
-    on_sockets(async {
+fn resumes_from_checkpoint_after_lease_expiry() {
+    run_on_runtime(async {
         let mut s = Site::new("lease", 2.0).await;
-        // Counts to seventy, saving each step whole: renamed, then signed.
+        // Counts to seventy, with a checkpoint of each step: written whole, then renamed.
         let script = "n=0; test -z \"$PEBBLEFOLD_RESUME\" || n=$(cat $PEBBLEFOLD_RESUME/n); \
             echo $$ > $LOG.pid; echo from-$n >> $LOG; \
             while test $n -lt 70; do sleep 0.1; n=$((n+1)); \
@@ -343,14 +346,14 @@
         s.job("wk-s", 1, false, true, script);
         s.want("wk-s", 1);
         s.start();
-        s.until("it has saved", |s| {
+        s.wait_until("the task has written a checkpoint", |s| {
             s.dir.join("store/wk-s/0/save-000008").exists()
         })
         .await;
-        // A torn save is the newest by its number.
+        // By its number, a torn checkpoint is the newest.
         std::fs::create_dir_all(s.dir.join("store/wk-s/0/save-000900")).unwrap();
         let place = s.dir.join("store/wk-s/0");
-        let saves = || -> u64 {
+        let newest_checkpoint = || -> u64 {
             let names = std::fs::read_dir(&place).unwrap().flatten();
             let whole = names.filter(|e| e.path().join("whole").exists());
             let number = |e: std::fs::DirEntry| {
@@ -359,62 +362,73 @@
             };
             whole.filter_map(number).max().unwrap_or(0)
         };
-        // Its shim ends it when the lease is over, while the agent stands still.
-        let gone = |s: &Site| {
+        // The shim kills the task when the lease expires, while the agent is stopped.
+        let task_gone = |s: &Site| {
             let id = std::fs::read_to_string(s.dir.join("log.pid")).unwrap();
             kill(Pid::from_raw(id.trim().parse().unwrap()), None).is_err()
         };
         s.signal(Signal::SIGSTOP);
-        s.until("its lease is over", gone).await;
-        // For the agent too, which may be a little later.
+        s.wait_until("the lease has expired", task_gone).await;
+        // The lease has to expire for the agent too, which may be a little later.
         sleep(Duration::from_millis(2600)).await;
-        let stood = saves();
+        let at_expiry = newest_checkpoint();
         s.signal(Signal::SIGCONT);
-        s.until("it goes on", |_| saves() >= stood + 3).await;
+        s.wait_until("the task resumes", |_| newest_checkpoint() >= at_expiry + 3)
+            .await;
         assert!(s.controller.epochs.borrow().last() >= Some(&2));
-        // Away for good, as far as the machine knows.
+        // The agent doesn't come back before the lease has expired.
         s.kill();
-        s.until("its lease is over again", gone).await;
+        s.wait_until("the lease has expired again", task_gone).await;
         sleep(Duration::from_millis(2600)).await;
-        let left = saves();
+        let at_restart = newest_checkpoint();
         s.start();
-        s.until("it is done", |s| s.controller.done.borrow().len() == 1)
-            .await;
+        s.wait_until("the task is done", |s| {
+            s.controller.done.borrow().len() == 1
+        })
+        .await;
         let epochs = s.controller.epochs.borrow().clone();
         assert!(epochs.first() == Some(&1) && epochs.last() >= Some(&3));
-        // Each time from the newest whole save, never from the torn one.
+        // Each run resumed from the newest whole checkpoint, never from the torn one.
         let log = std::fs::read_to_string(s.dir.join("log")).unwrap();
         let from = |line: &str| line.strip_prefix("from-")?.parse::<u64>().ok();
-        let went: Vec<u64> = log.lines().filter_map(from).collect();
-        assert!(went.is_sorted() && went.last() < Some(&900), "{}", s.told());
-        for from in [0, stood, left] {
-            assert!(went.contains(&from), "{from}: {}", s.told());
+        let resumed_from: Vec<u64> = log.lines().filter_map(from).collect();
+        assert!(
+            resumed_from.is_sorted() && resumed_from.last() < Some(&900),
+            "{}",
+            s.diagnostics()
+        );
+        for from in [0, at_expiry, at_restart] {
+            assert!(resumed_from.contains(&from), "{from}: {}", s.diagnostics());
         }
     });
 }
 
-// The agent looks at its lease, then writes it down for the shims, then sends a
-// heartbeat. A pipe in place of the file that is written holds it in between until the
-// lease is over: the heartbeat that follows must not be of the epoch that has ended.
+// The agent checks its lease, then writes it for the shims, then sends a heartbeat. A pipe
+// in place of the file to be written blocks it in between until the lease has expired: the
+// heartbeat that follows must not belong to the expired epoch.
 #[test]
-fn heartbeat_after_standing_still_past_the_lease_is_of_the_next_epoch() {
-    on_sockets(async {
+fn heartbeat_after_long_pause_has_next_epoch() {
+    run_on_runtime(async {
         let mut s = Site::new("still", 1.0).await;
         s.start();
-        s.until("it sends heartbeats", |s| {
+        s.wait_until("the agent sends heartbeats", |s| {
             s.controller.heartbeats.borrow().len() >= 2
         })
         .await;
         let pipe = s.dir.join("agent/lease.part");
-        s.until("it is held", |_| mkfifo(&pipe, Mode::S_IRWXU).is_ok())
-            .await;
-        // Twice a lease, of which nobody but the agent can renew any.
-        let held_at = steady_us();
-        s.until("its lease is over", |_| steady_us() > held_at + 2_000_000)
-            .await;
+        s.wait_until("the agent is blocked", |_| {
+            mkfifo(&pipe, Mode::S_IRWXU).is_ok()
+        })
+        .await;
+        // Twice the lease, which only the agent can renew.
+        let blocked_at = boottime_us();
+        s.wait_until("the lease has expired", |_| {
+            boottime_us() > blocked_at + 2_000_000
+        })
+        .await;
         let before = s.controller.heartbeats.borrow().len();
         let reader = std::thread::spawn(move || std::fs::read(pipe).unwrap());
-        s.until("it sends a heartbeat again", |s| {
+        s.wait_until("the agent sends a heartbeat again", |s| {
             s.controller.heartbeats.borrow().len() > before
         })
         .await;
@@ -424,8 +438,8 @@
     });
 }
 
-/// How many stops the next test makes, each of an agent of its own.
-const STOPS: u32 = 12;
+/// Number of stops in the next test, each of a new agent.
+const STOP_ROUNDS: u32 = 12;
 
 /// Stops an agent right after it has written its lease for the n-th time from now.
 fn stop_after_lease_written(lease: &std::path::Path, agent: i32, times: u32) {
@@ -439,16 +453,16 @@
     kill(Pid::from_raw(agent), Signal::SIGSTOP).unwrap();
 }
 
-// SIGSTOP as close as it gets to the moment that matters: the lease was looked at and
-// written, and the heartbeat is not sent yet. Whether it falls before or behind that
-// moment is left to the machine; the heartbeat after it is never of the ended epoch.
+// SIGSTOP as close as possible to the critical moment: the lease was checked and written,
+// and the heartbeat isn't sent yet. Whether the stop falls before or after that moment
+// depends on the machine; the heartbeat after it never belongs to the expired epoch.
 #[test]
-fn no_stop_lets_a_heartbeat_of_an_ended_epoch_follow() {
-    on_sockets(async {
-        for round in 0..STOPS {
+fn stopped_agent_sends_no_heartbeat_of_expired_epoch() {
+    run_on_runtime(async {
+        for round in 0..STOP_ROUNDS {
             let mut s = Site::new(&format!("stop-{round}"), 1.0).await;
             s.start();
-            s.until("it sends heartbeats", |s| {
+            s.wait_until("the agent sends heartbeats", |s| {
                 s.controller.heartbeats.borrow().len() >= 2
             })
             .await;
@@ -457,15 +471,15 @@
             let path = lease.clone();
             let stop = move || stop_after_lease_written(&path, agent, 1 + round);
             tokio::task::spawn_blocking(stop).await.unwrap();
-            let stopped_at = steady_us();
-            s.until("its lease is over", |_| {
-                steady_us() > stopped_at + 1_200_000
+            let stopped_at = boottime_us();
+            s.wait_until("the lease has expired", |_| {
+                boottime_us() > stopped_at + 1_200_000
             })
             .await;
             let ended: Lease = serde_json::from_slice(&std::fs::read(&lease).unwrap()).unwrap();
             let before = s.controller.heartbeats.borrow().len();
             s.signal(Signal::SIGCONT);
-            s.until("it sends a heartbeat again", |s| {
+            s.wait_until("the agent sends a heartbeat again", |s| {
                 s.controller.heartbeats.borrow().len() > before
             })
             .await;
@@ -475,15 +489,15 @@
     });
 }
 
-// Controllers pass over a message that is older than the newest one they know.
+// Controllers ignore a message that is older than the newest one they have received.
 #[test]
-fn restarted_agent_numbers_its_heartbeats_on() {
-    on_sockets(async {
+fn restarted_agent_continues_heartbeat_numbers() {
+    run_on_runtime(async {
         let mut s = Site::new("numbers", 60.0).await;
         for _ in 0..3 {
             let before = s.controller.heartbeats.borrow().len();
             s.start();
-            s.until("it sends heartbeats", |s| {
+            s.wait_until("the agent sends heartbeats", |s| {
                 s.controller.heartbeats.borrow().len() >= before + 3
             })
             .await;
@@ -496,18 +510,18 @@
 }
 
 #[test]
-fn torn_lease_is_not_resumed_and_the_log_says_why() {
-    on_sockets(async {
+fn logs_why_torn_lease_is_not_resumed() {
+    run_on_runtime(async {
         let mut s = Site::new("torn", 60.0).await;
         s.start();
-        s.until("it sends heartbeats", |s| {
+        s.wait_until("the agent sends heartbeats", |s| {
             !s.controller.heartbeats.borrow().is_empty()
         })
         .await;
         s.kill();
         std::fs::write(s.dir.join("agent/lease.json"), "{\"boot\":\"").unwrap();
         s.start();
-        s.until("its next epoch begins", |s| {
+        s.wait_until("the next epoch begins", |s| {
             s.controller.epochs.borrow().contains(&2)
         })
         .await;
@@ -521,22 +535,24 @@
 }
 
 #[test]
-fn gangs_meet_and_draining_machines_take_nothing_new() {
-    on_sockets(async {
+fn gang_starts_together_and_draining_refuses_tasks() {
+    run_on_runtime(async {
         let mut s = Site::new("gang", 20.0).await;
         let script = "echo begun >> $LOG; while test $(wc -l < $LOG) -lt 3; do sleep 0.02; done";
         s.job("wk-g", 3, true, false, script);
         s.want("wk-g", 2);
         s.start();
-        // Two of three wait, and give it up.
-        s.until("two wait", |s| {
+        // Two of three tasks wait, and end when the wait times out.
+        s.wait_until("two wait", |s| {
             let states = s.controller.states();
             states.iter().filter(|s| **s == TaskState::Waiting).count() == 2
         })
         .await;
         assert!(s.log().is_empty());
-        s.until("they are alone", |s| s.controller.ended.borrow().len() >= 2)
-            .await;
+        s.wait_until("the wait for the gang times out", |s| {
+            s.controller.ended.borrow().len() >= 2
+        })
+        .await;
         let alone = s
             .controller
             .ended
@@ -544,23 +560,25 @@
             .iter()
             .all(|(_, w)| *w == StopReason::Alone);
         assert!(alone, "{:?}", s.controller.ended.borrow());
-        // All three, in an attempt of their own.
+        // All three tasks, as a new attempt.
         {
             let mut wanted = s.controller.wanted.borrow_mut();
             *wanted = (0..3).map(|i| (format!("wk-g/{i}"), 9)).collect();
         }
-        s.until("the gang is done", |s| {
+        s.wait_until("the gang is done", |s| {
             s.controller.done.borrow().len() == 3
         })
         .await;
         assert_eq!(s.log(), BTreeMap::from([("begun".into(), 3)]));
-        std::fs::write(s.dir.join("agent").join(DRAIN), "").unwrap();
+        std::fs::write(s.dir.join("agent").join(DRAIN_FILE), "").unwrap();
         sleep(Duration::from_millis(200)).await;
         s.controller.ended.borrow_mut().clear();
         s.job("wk-n", 1, false, false, "echo new >> $LOG");
         s.want("wk-n", 1);
-        s.until("it is refused", |s| !s.controller.ended.borrow().is_empty())
-            .await;
+        s.wait_until("the new task is refused", |s| {
+            !s.controller.ended.borrow().is_empty()
+        })
+        .await;
         let refused = s.controller.ended.borrow()[0].clone();
         assert_eq!(refused, ("wk-n/0".into(), StopReason::NoRoom));
         assert!(!s.log().contains_key("new"));
--- a/crates/agent/tests/epochs.rs
+++ b/crates/agent/tests/epochs.rs
@@ -1,7 +1,7 @@
-//! What an agent leaves on disk when it is killed at any moment of the change from one
-//! epoch to the next.
+//! What a killed agent leaves on disk, for each moment of the change from one epoch to the
+//! next.
 
-use pebblefold_agent::attempts::{Effect, Key, Times};
+use pebblefold_agent::attempts::{AttemptKey, Effect, Timeouts};
 use pebblefold_agent::link::{Link, Pace};
 use pebblefold_agent::shim::Exit;
 use pebblefold_agent::worker::{Machine, Worker};
@@ -20,12 +20,12 @@
     Time(0) + TimeSpan::secs(seconds)
 }
 
-/// What would survive a kill: the journal, and what runs.
+/// What would survive a kill: the journal and the running attempts.
 #[derive(Clone, Debug, Default)]
 struct Disk {
     epoch: u64,
-    attempts: BTreeSet<Key>,
-    running: BTreeSet<Key>,
+    attempts: BTreeSet<AttemptKey>,
+    running: BTreeSet<AttemptKey>,
 }
 
 impl Disk {
@@ -34,32 +34,33 @@
             Effect::Record(key, _) => {
                 self.attempts.insert(key.clone());
             }
-            Effect::Strike(key) => {
+            Effect::DeleteRecord(key) => {
                 self.attempts.remove(key);
             }
             Effect::Epoch(epoch) => self.epoch = epoch.0,
             Effect::Spawn(key, _) => {
                 self.running.insert(key.clone());
             }
-            // Carried out only with the proof that its processes are gone.
+            // The driver performs this effect only with the proof that the processes are
+            // gone.
             Effect::Remove(key) => {
                 self.running.remove(key);
             }
             Effect::Token(_)
-            | Effect::Describe(_)
-            | Effect::Fetch(..)
-            | Effect::GiveUp(_)
-            | Effect::Meet(..)
+            | Effect::LoadJob(_)
+            | Effect::FetchImage(..)
+            | Effect::CancelStart(_)
+            | Effect::JoinGang(..)
             | Effect::Stop(..) => {}
         }
     }
 
-    /// The states in which a kill may leave it: consecutive records are one write.
+    /// The states in which a kill may leave the disk: consecutive records are one write.
     fn states_while(&mut self, effects: &[Effect]) -> Vec<Disk> {
         let is_record = |effect: &Effect| {
             matches!(
                 effect,
-                Effect::Record(..) | Effect::Strike(_) | Effect::Token(_) | Effect::Epoch(_)
+                Effect::Record(..) | Effect::DeleteRecord(_) | Effect::Token(_) | Effect::Epoch(_)
             )
         };
         let mut states = vec![self.clone()];
@@ -100,7 +101,7 @@
 }
 
 fn worker() -> Worker {
-    let whole = Resources {
+    let capacity = Resources {
         cpus: 8.0,
         gpus: 0.0,
         memory_gb: 8.0,
@@ -108,10 +109,10 @@
     let machine = Machine {
         id: "m".into(),
         addr: String::new(),
-        kind: "k".into(),
+        machine_type: "k".into(),
         zone: "z".into(),
         spot: false,
-        has: whole,
+        capacity,
     };
     let pace = Pace {
         report: TimeSpan::millis(500),
@@ -120,7 +121,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let link = Link::new(pace, 1, at(0.0), &mut rng);
     let gang_wait = TimeSpan::secs(9.0);
-    Worker::new(machine, vec!["c0".into()], link, Times { gang_wait })
+    Worker::new(machine, vec!["c0".into()], link, Timeouts { gang_wait })
 }
 
 fn start(worker: &mut Worker, now: Time, index: u32) -> u16 {
@@ -132,25 +133,25 @@
             attempt: Attempt(1),
         }],
     };
-    worker.commanded(now, &encode(&commands))
+    worker.handle_commands(now, &encode(&commands))
 }
 
-fn key(index: u32) -> Key {
-    Key {
+fn key(index: u32) -> AttemptKey {
+    AttemptKey {
         task: format!("wk-1/{index}"),
         attempt: 1,
     }
 }
 
-/// A worker with an attempt that has ended, one that runs and one that fetches, and the
-/// disk that goes with it.
+/// A worker with one attempt that has ended, one that runs and one that fetches its image,
+/// and the matching disk.
 fn worker_with_attempts() -> (Worker, Disk) {
     let (mut worker, mut disk) = (worker(), Disk::default());
     disk.epoch = 1;
     for index in [0, 1] {
         assert_eq!(start(&mut worker, at(0.1), index), 200);
-        worker.attempts.described("wk-1", Some(Rc::new(job())));
-        worker.attempts.imaged(at(0.1), &key(index), true);
+        worker.attempts.job_loaded("wk-1", Some(Rc::new(job())));
+        worker.attempts.image_fetched(at(0.1), &key(index), true);
     }
     let exit = Exit {
         gone: true,
@@ -158,19 +159,19 @@
     };
     worker.attempts.exited(&key(0), &exit);
     assert_eq!(start(&mut worker, at(0.2), 2), 200);
-    disk.states_while(&worker.take());
+    disk.states_while(&worker.take_effects());
     assert_eq!(disk.attempts.len(), 3);
     assert_eq!(disk.running.len(), 2);
     (worker, disk)
 }
 
-// The agent that is started again goes on with the epoch it finds, and with the attempts
+// A restarted agent resumes the epoch that it finds in the journal, with all attempts that
 // it finds there.
 #[test]
-fn no_kill_leaves_attempts_of_an_ended_epoch_under_the_next_one() {
+fn kill_leaves_no_attempts_of_expired_epoch() {
     let (mut worker, mut disk) = worker_with_attempts();
     worker.advance(at(2.1));
-    let states = disk.states_while(&worker.take());
+    let states = disk.states_while(&worker.take_effects());
     assert!(states.len() > 3);
     for state in &states {
         let is_clean = state.attempts.is_empty() && state.running.is_empty();
@@ -180,18 +181,20 @@
     assert!(disk.attempts.is_empty() && disk.running.is_empty());
 }
 
-// Commands were taken in the step in which the lease ended, and not carried out yet.
+// The commands arrived in the step in which the lease expired, and their effects were not
+// performed yet.
 #[test]
-fn nothing_is_begun_for_an_epoch_that_has_ended() {
+fn starts_nothing_for_expired_epoch() {
     let (mut worker, mut disk) = worker_with_attempts();
     assert_eq!(start(&mut worker, at(1.9), 3), 200);
-    worker.attempts.described("wk-1", Some(Rc::new(job())));
-    worker.attempts.imaged(at(1.9), &key(3), true);
+    worker.attempts.job_loaded("wk-1", Some(Rc::new(job())));
+    worker.attempts.image_fetched(at(1.9), &key(3), true);
     worker.advance(at(2.1));
-    let effects = worker.take();
-    let begins = |effect: &Effect| matches!(effect, Effect::Spawn(..) | Effect::Fetch(..));
-    assert!(!effects.iter().any(begins), "{effects:?}");
+    let effects = worker.take_effects();
+    let starts_work =
+        |effect: &Effect| matches!(effect, Effect::Spawn(..) | Effect::FetchImage(..));
+    assert!(!effects.iter().any(starts_work), "{effects:?}");
     disk.states_while(&effects);
     assert!(disk.attempts.is_empty() && disk.running.is_empty());
-    assert_eq!(start(&mut worker, at(2.2), 3), 409, "the epoch before");
+    assert_eq!(start(&mut worker, at(2.2), 3), 409, "the previous epoch");
 }
--- a/crates/agent/tests/lease.rs
+++ b/crates/agent/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease of a worker whose process stands still in the middle of a step.
+//! The lease of an agent whose process is stopped in the middle of a step.
 
 use pebblefold_agent::link::{Link, Pace};
 use pebblefold_wire::types::{AgentEpoch, FencingToken, Time, TimeSpan};
@@ -10,13 +10,14 @@
     Time(0) + TimeSpan::secs(seconds)
 }
 
-// A step looks at the lease first and sends a heartbeat later. Stopped in between until
-// the lease was over, and continued, the agent sent that heartbeat in the epoch that had
-// ended; the answer then renewed a lease that had expired, and what the controllers had
-// given elsewhere counted as running here. `docs/incidents/agent-lease.md` has the story:
-// of 12 agents that SIGSTOP met just after they had written `lease.json`, 9 did so.
+// A step checks the lease first and sends a heartbeat later. An agent that was stopped in
+// between until the lease had expired, and then continued, sent that heartbeat in the
+// expired epoch; the response renewed the expired lease, and what the controllers had
+// started elsewhere counted as running here. `docs/incidents/agent-lease.md` describes the
+// incident: of 12 agents that SIGSTOP hit just after they had written `lease.json`, 9 did
+// so.
 #[test]
-fn lease_that_expired_within_a_step_is_not_renewed() {
+fn does_not_renew_lease_expired_within_step() {
     let pace = Pace {
         report: TimeSpan::millis(500),
         lease: TimeSpan::millis(2000),
@@ -25,15 +26,15 @@
     let mut link = Link::new(pace, 1, at(0.0), &mut rng);
     assert!(!link.renewed(at(1.0)), "the lease lasts for two seconds");
 
-    // The process stood still from 1 s to 5 s.
+    // The process was stopped from 1 s to 5 s.
     if link.due(at(5.0), 1, &mut rng) {
         link.answered(at(5.0), FencingToken(1));
     }
 
-    assert!(link.renewed(at(5.0)), "the lease was over at 2 s");
+    assert!(link.renewed(at(5.0)), "the lease expired at 2 s");
 }
 
-/// A link whose lease of two seconds began at 0 s, with a heartbeat in flight from 1 s on.
+/// A link whose lease of two seconds began at 0 s, with a heartbeat in flight since 1 s.
 fn link_with_heartbeat_in_flight(rng: &mut StdRng) -> Link {
     let pace = Pace {
         report: TimeSpan::millis(500),
@@ -44,13 +45,16 @@
     link
 }
 
-// The heartbeat was sent within the lease and answered within it; the process stood still
-// before it read the answer.
+// The heartbeat was sent within the lease, and answered within it; the process was stopped
+// before it read the response.
 #[test]
-fn answer_handled_after_the_lease_counts_for_nothing() {
+fn ignores_response_handled_after_expiry() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut link = link_with_heartbeat_in_flight(&mut rng);
-    assert!(!link.answered(at(2.5), FencingToken(1)), "over since 2 s");
+    assert!(
+        !link.answered(at(2.5), FencingToken(1)),
+        "expired since 2 s"
+    );
     assert_eq!(link.token(), FencingToken(0));
     assert!(link.renewed(at(2.5)));
 
@@ -61,24 +65,24 @@
 }
 
 #[test]
-fn direct_commands_need_a_lease_that_lasts() {
+fn direct_commands_need_valid_lease() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut link = link_with_heartbeat_in_flight(&mut rng);
     let (token, epoch) = (FencingToken(1), link.epoch());
     assert!(link.takes(at(2.0), token, epoch));
     assert!(!link.takes(at(2.1), token, epoch));
     assert!(link.renewed(at(2.1)));
-    assert!(!link.takes(at(2.2), token, epoch), "the epoch before");
+    assert!(!link.takes(at(2.2), token, epoch), "the previous epoch");
     assert!(link.takes(at(2.2), token, link.epoch()));
 }
 
-/// One thing that a worker does with its link, at its own instant.
+/// One use of the link, at an instant of its own.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Heartbeat,
     Answer { token: u64 },
     Command { token: u64, epochs_back: u64 },
-    Look,
+    CheckLease,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -86,22 +90,22 @@
         3 => Just(Step::Heartbeat),
         3 => (0u64..3).prop_map(|token| Step::Answer { token }),
         1 => (0u64..3, 0u64..2).prop_map(|(token, epochs_back)| Step::Command { token, epochs_back }),
-        1 => Just(Step::Look),
+        1 => Just(Step::CheckLease),
     ]
 }
 
-/// The lease by its definition: it counts from the sending of the last answered
-/// heartbeat, or from the epoch's beginning.
-struct PlainLease {
-    counts_from: u64,
-    sent: Option<u64>,
+/// The lease by its definition: counted from the sending of the last answered heartbeat, or
+/// from the epoch's beginning.
+struct LeaseModel {
+    start_ms: u64,
+    sent_ms: Option<u64>,
     token: u64,
     epoch: u64,
 }
 
-impl PlainLease {
-    fn lasts(&self, now_ms: u64) -> bool {
-        now_ms - self.counts_from <= 2000
+impl LeaseModel {
+    fn is_valid(&self, now_ms: u64) -> bool {
+        now_ms - self.start_ms <= 2000
     }
 }
 
@@ -110,55 +114,55 @@
         cases: 2000, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..Default::default()
     })]
-    // Time may stand still or run on before each step, whatever was looked at before.
+    // Time may pass before each step, whatever an earlier step has checked.
     #[test]
-    fn nothing_counts_in_an_epoch_whose_lease_is_over(
+    fn nothing_counts_after_lease_expiry(
         steps in proptest::collection::vec((step(), 0u64..1500), 1..40),
     ) {
         let pace = Pace { report: TimeSpan::millis(500), lease: TimeSpan::millis(2000) };
         let mut rng = StdRng::seed_from_u64(1);
         let mut link = Link::new(pace, 2, Time(0), &mut rng);
-        let mut plain = PlainLease { counts_from: 0, sent: None, token: 0, epoch: 1 };
+        let mut model = LeaseModel { start_ms: 0, sent_ms: None, token: 0, epoch: 1 };
         let mut now_ms = 0;
         for (step, pause_ms) in steps {
             now_ms += pause_ms;
             let now = Time(0) + TimeSpan::millis(now_ms);
-            let lasts = plain.lasts(now_ms);
+            let valid = model.is_valid(now_ms);
             match step {
                 Step::Heartbeat => {
                     if link.due(now, now_ms, &mut rng) {
-                        prop_assert!(lasts, "a heartbeat of an epoch that is over");
-                        plain.sent = Some(now_ms);
+                        prop_assert!(valid, "a heartbeat of an expired epoch");
+                        model.sent_ms = Some(now_ms);
                     }
                 }
                 Step::Answer { token } => {
-                    let counts = plain.sent.is_some() && token >= plain.token && lasts;
+                    let counts = model.sent_ms.is_some() && token >= model.token && valid;
                     prop_assert_eq!(link.answered(now, FencingToken(token)), counts);
-                    let sent = plain.sent.take();
+                    let sent_ms = model.sent_ms.take();
                     if counts {
-                        plain.token = token;
-                        plain.counts_from = sent.unwrap_or(plain.counts_from);
+                        model.token = token;
+                        model.start_ms = sent_ms.unwrap_or(model.start_ms);
                     }
                 }
                 Step::Command { token, epochs_back } => {
-                    let counts = token >= plain.token && epochs_back == 0 && lasts;
-                    let epoch = AgentEpoch(plain.epoch - epochs_back);
+                    let counts = token >= model.token && epochs_back == 0 && valid;
+                    let epoch = AgentEpoch(model.epoch - epochs_back);
                     prop_assert_eq!(link.takes(now, FencingToken(token), epoch), counts);
                     if counts {
-                        plain.token = token;
+                        model.token = token;
                     }
                 }
-                Step::Look => {
-                    prop_assert_eq!(link.renewed(now), !lasts);
-                    if !lasts {
-                        plain.epoch += 1;
-                        plain.counts_from = now_ms;
-                        plain.sent = None;
+                Step::CheckLease => {
+                    prop_assert_eq!(link.renewed(now), !valid);
+                    if !valid {
+                        model.epoch += 1;
+                        model.start_ms = now_ms;
+                        model.sent_ms = None;
                     }
                 }
             }
-            prop_assert_eq!(link.expired(now), !plain.lasts(now_ms));
-            prop_assert_eq!(link.epoch(), AgentEpoch(plain.epoch));
+            prop_assert_eq!(link.expired(now), !model.is_valid(now_ms));
+            prop_assert_eq!(link.epoch(), AgentEpoch(model.epoch));
         }
     }
 }
--- a/crates/agent/tests/resume.rs
+++ b/crates/agent/tests/resume.rs
@@ -1,8 +1,8 @@
-//! Which stored lease an agent that is started again goes on with.
+//! Which stored leases a restarted agent resumes.
 
-use pebblefold_agent::journal::Kept;
+use pebblefold_agent::journal::JournalContents;
 use pebblefold_agent::link::Pace;
-use pebblefold_agent::resume::{LeaseRefusal, start};
+use pebblefold_agent::resume::{LeaseRefusal, decide_start};
 use pebblefold_agent::shim::Lease;
 use pebblefold_wire::types::{AgentEpoch, FencingToken, Time, TimeSpan};
 
@@ -13,15 +13,15 @@
     lease: TimeSpan::millis(2000),
 };
 
-fn journal_at_epoch_three() -> Kept {
-    Kept {
+fn journal_at_epoch_three() -> JournalContents {
+    JournalContents {
         epoch: Some(AgentEpoch(3)),
         token: FencingToken(7),
         attempts: Vec::new(),
     }
 }
 
-/// A lease of epoch three with a second to go.
+/// A lease of epoch three that expires in a second.
 fn lease() -> Lease {
     Lease {
         boot: BOOT.into(),
@@ -31,24 +31,24 @@
 }
 
 #[test]
-fn a_lease_that_lasts_is_gone_on_with_and_not_for_longer() {
-    let start = start(&journal_at_epoch_three(), Ok(lease()), BOOT, NOW, PACE);
+fn resumes_valid_lease_without_extending_it() {
+    let start = decide_start(&journal_at_epoch_three(), Ok(lease()), BOOT, NOW, PACE);
     assert_eq!(start.refusal, None);
     assert_eq!(start.link.epoch, AgentEpoch(3));
     assert_eq!(start.link.token, FencingToken(7));
-    assert_eq!(start.link.leased + PACE.lease, Time(lease().until_us));
+    assert_eq!(start.link.lease_start + PACE.lease, Time(lease().until_us));
     assert_eq!(start.link.sequence.0, NOW.0);
 }
 
 #[test]
-fn a_new_directory_begins_with_the_first_epoch() {
-    let start = start(&Kept::default(), Ok(lease()), BOOT, NOW, PACE);
+fn new_directory_starts_first_epoch() {
+    let start = decide_start(&JournalContents::default(), Ok(lease()), BOOT, NOW, PACE);
     assert_eq!(start.refusal, Some(LeaseRefusal::FirstStart));
     assert_eq!(start.link.epoch, AgentEpoch(1));
 }
 
 #[test]
-fn no_doubtful_lease_is_gone_on_with() {
+fn refuses_unusable_lease() {
     let with = |change: &dyn Fn(&mut Lease)| {
         let mut changed = lease();
         change(&mut changed);
@@ -82,11 +82,11 @@
         ),
     ];
     for (lease, reason) in cases {
-        let start = start(&journal_at_epoch_three(), lease, BOOT, NOW, PACE);
-        let told = start.refusal.map(|refusal| refusal.to_string());
-        assert_eq!(told.as_deref(), Some(reason));
+        let start = decide_start(&journal_at_epoch_three(), lease, BOOT, NOW, PACE);
+        let refusal_text = start.refusal.map(|refusal| refusal.to_string());
+        assert_eq!(refusal_text.as_deref(), Some(reason));
         assert_eq!(start.link.epoch, AgentEpoch(4), "{reason}");
         assert_eq!(start.link.token, FencingToken(7), "{reason}");
-        assert_eq!(start.link.leased, NOW, "{reason}");
+        assert_eq!(start.link.lease_start, NOW, "{reason}");
     }
 }
