--- a/crates/kvstore/src/backup.rs
+++ b/crates/kvstore/src/backup.rs
@@ -1,7 +1,7 @@
-//! Snapshots: the whole store in one file, a `tar` of parts compressed with
-//! `zstd`. The manifest comes last and holds each part's length and checksum,
-//! so a snapshot that was cut off has none, and one that was damaged does not
-//! match it. Nothing is restored from a snapshot that is not whole.
+//! Snapshots: the whole store in one file, a `tar` archive of parts compressed with
+//! `zstd`. The manifest is the last file of the archive and holds each part's length and
+//! checksum, so that a truncated snapshot has no manifest and a damaged one does not match
+//! its manifest. Nothing is restored from an incomplete or damaged snapshot.
 
 use crate::persisted_state::{ChangeRecord, Counters, PersistedState, StoredKey};
 use crate::storage::{Batch, Storage, StorageError};
@@ -11,54 +11,55 @@
 use std::io::{BufReader, BufWriter, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The version of the snapshot's format; another one is refused.
+/// Version of the snapshot format; snapshots of other versions are refused.
 const FORMAT_VERSION: u32 = 1;
-/// Records in one part: a part is read into memory whole.
+/// Maximum number of records in one part. A whole part is read into memory.
 const MAX_PART_RECORDS: usize = 50_000;
-/// Records restored in one batch.
-const RESTORE_BATCH_RECORDS: usize = 20_000;
-/// The file that lists the parts.
-const MANIFEST: &str = "manifest.json";
-/// Longest part or manifest that is read, in bytes.
+/// Maximum number of records that a restore writes in one batch.
+const MAX_RESTORE_BATCH_RECORDS: usize = 20_000;
+/// Name of the manifest in the archive.
+const MANIFEST_NAME: &str = "manifest.json";
+/// Maximum length of a part or manifest; larger ones are refused as damage.
 const MAX_PART_BYTES: u64 = 1 << 30;
-/// zstd's level: a higher one costs more time than it saves space.
+/// Compression level of zstd; higher levels cost more time than the saved space is worth.
 const COMPRESSION_LEVEL: i32 = 3;
-/// How far versions and lease numbers are moved on by a restore: more than can
-/// have been given out since any snapshot.
+/// A restore adds this number to the revision and to the last lease id. It is larger than
+/// the number of revisions or leases that can have been issued since any snapshot.
 pub const RESTORE_GAP: u64 = 1 << 32;
 
-/// Why a snapshot could not be saved or restored.
+/// A failure to save, read or restore a snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum BackupError {
-    /// A file could not be read or written.
+    /// An I/O error on the file at this path.
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
-    /// The snapshot is not whole.
-    #[error("{file}: {what}; nothing was restored, use another snapshot")]
+    /// The snapshot is incomplete or damaged.
+    #[error("{file}: {reason}; nothing was restored, use another snapshot")]
     Damaged {
-        /// The snapshot.
+        /// Path of the snapshot.
         file: PathBuf,
-        /// What is wrong, and where.
-        what: String,
+        /// The damage, and the part it was found in or after.
+        reason: String,
     },
-    /// The store to restore into could not be written.
+    /// The store could not be written during a restore.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// There is something where the store should go.
-    #[error("{0}: exists; move it away first, or name another place")]
+    /// A file exists at the path of the store to be restored.
+    #[error("{0}: exists; move it away first, or choose another path")]
     Exists(PathBuf),
 }
 
-/// A part as the manifest lists it.
+/// An entry of the manifest: one part of the archive.
 #[derive(Serialize, Deserialize)]
 struct PartEntry {
+    /// Table and number, such as `keys/000000`.
     name: String,
     bytes: u64,
     crc32: u32,
     records: u64,
 }
 
-/// The list of parts, written last.
+/// The manifest, the last file of the archive.
 #[derive(Serialize, Deserialize)]
 struct Manifest {
     format: u32,
@@ -67,21 +68,21 @@
     parts: Vec<PartEntry>,
 }
 
-/// What a snapshot holds.
+/// Contents of a snapshot, for the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct BackupSummary {
-    /// Revision of the store.
+    /// Revision of the store in the snapshot, or of the store after a restore.
     pub revision: u64,
-    /// Keys.
+    /// Number of keys.
     pub keys: u64,
-    /// Leases.
+    /// Number of leases.
     pub leases: u64,
-    /// Changes kept for watches.
+    /// Number of changes in the change log.
     pub changes: u64,
 }
 
 impl BackupSummary {
-    /// What a state holds.
+    /// Counts the records of `state`.
     pub fn of(state: &PersistedState) -> BackupSummary {
         BackupSummary {
             revision: state.counters.revision,
@@ -92,18 +93,18 @@
     }
 }
 
-/// Saves a state, first beside `path` and then in its place.
+/// Writes a snapshot to a temporary file next to `path` and then renames it to `path`.
 ///
 /// # Errors
-/// The file cannot be written; what was there before stays.
+/// The file cannot be written; a file that existed at `path` is unchanged.
 pub fn save(state: &PersistedState, path: &Path) -> Result<BackupSummary, BackupError> {
     let io = |e| BackupError::Io(path.into(), e);
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".part");
-    let beside = PathBuf::from(beside);
-    let file = File::create(&beside).map_err(io)?;
-    let packed = zstd::Encoder::new(BufWriter::new(file), COMPRESSION_LEVEL).map_err(io)?;
-    let mut tar = tar::Builder::new(packed);
+    let mut temporary_path = path.as_os_str().to_owned();
+    temporary_path.push(".part");
+    let temporary_path = PathBuf::from(temporary_path);
+    let file = File::create(&temporary_path).map_err(io)?;
+    let compressed = zstd::Encoder::new(BufWriter::new(file), COMPRESSION_LEVEL).map_err(io)?;
+    let mut tar = tar::Builder::new(compressed);
     let mut parts = Vec::new();
     let keys: Vec<_> = state.keys.iter().collect();
     let leases: Vec<_> = state.leases.iter().collect();
@@ -116,17 +117,17 @@
         counters: state.counters,
         parts,
     };
-    let text = serde_json::to_vec_pretty(&manifest).map_err(|e| io(e.into()))?;
-    append(&mut tar, MANIFEST, &text).map_err(io)?;
-    let packed = tar.into_inner().map_err(io)?;
-    let file = packed.finish().map_err(io)?;
+    let manifest_json = serde_json::to_vec_pretty(&manifest).map_err(|e| io(e.into()))?;
+    append(&mut tar, MANIFEST_NAME, &manifest_json).map_err(io)?;
+    let compressed = tar.into_inner().map_err(io)?;
+    let file = compressed.finish().map_err(io)?;
     let file = file.into_inner().map_err(|e| io(e.into_error()))?;
     file.sync_all().map_err(io)?;
-    std::fs::rename(&beside, path).map_err(io)?;
+    std::fs::rename(&temporary_path, path).map_err(io)?;
     Ok(BackupSummary::of(state))
 }
 
-/// Writes one file of the archive.
+/// Appends one file to the archive.
 fn append<W: Write>(tar: &mut tar::Builder<W>, name: &str, data: &[u8]) -> std::io::Result<()> {
     let mut header = tar::Header::new_gnu();
     header.set_size(data.len() as u64);
@@ -135,28 +136,30 @@
     tar.append_data(&mut header, name, data)
 }
 
-/// Writes records in parts and notes each for the manifest.
+/// Appends a table's records to the archive in parts and adds an entry for each part to
+/// `parts`.
 fn add_table<W: Write, T: Serialize>(
     tar: &mut tar::Builder<W>,
     parts: &mut Vec<PartEntry>,
     table: &str,
     records: &[T],
 ) -> std::io::Result<()> {
-    for (i, some) in records.chunks(MAX_PART_RECORDS).enumerate() {
+    for (i, chunk) in records.chunks(MAX_PART_RECORDS).enumerate() {
         let name = format!("{table}/{i:06}");
-        let data = rmp_serde::to_vec(some).map_err(std::io::Error::other)?;
+        let data = rmp_serde::to_vec(chunk).map_err(std::io::Error::other)?;
         append(tar, &name, &data)?;
         parts.push(PartEntry {
             name,
             bytes: data.len() as u64,
             crc32: crc32fast::hash(&data),
-            records: some.len() as u64,
+            records: chunk.len() as u64,
         });
     }
     Ok(())
 }
 
-/// What was read of a snapshot file, before it is checked against its manifest.
+/// Contents of a snapshot file as far as they have been read, not yet checked against the
+/// manifest.
 #[derive(Default)]
 struct Contents {
     state: PersistedState,
@@ -165,7 +168,7 @@
 }
 
 impl Contents {
-    /// Names the last part that was read whole, for texts about what follows it.
+    /// Describes the current position for error messages: after the last complete part.
     fn position(&self) -> String {
         match self.parts.last() {
             Some(part) => format!("after {}", part.name),
@@ -173,9 +176,9 @@
         }
     }
 
-    /// Takes over one file of the archive; the error says what is wrong with it.
+    /// Adds one file of the archive; the error describes damage in the file.
     fn add(&mut self, name: String, data: &[u8]) -> Result<(), String> {
-        if name == MANIFEST {
+        if name == MANIFEST_NAME {
             let manifest = serde_json::from_slice(data).map_err(|e| format!("{name}: {e}"))?;
             self.manifest = Some(manifest);
             return Ok(());
@@ -190,12 +193,12 @@
         Ok(())
     }
 
-    /// Compares what was read with the manifest; the error says what differs.
+    /// Compares the parts with the manifest; the error describes the first difference.
     fn check(self) -> Result<PersistedState, String> {
         let position = self.position();
         let manifest = self
             .manifest
-            .ok_or_else(|| format!("cut off {position}: no {MANIFEST}"))?;
+            .ok_or_else(|| format!("cut off {position}: no {MANIFEST_NAME}"))?;
         if manifest.format != FORMAT_VERSION {
             let found = manifest.format;
             return Err(format!(
@@ -211,8 +214,8 @@
                 Some(_) => {}
             }
         }
-        let listed = |part: &&PartEntry| manifest.parts.iter().all(|p| p.name != part.name);
-        if let Some(extra) = self.parts.iter().find(listed) {
+        let unlisted = |part: &&PartEntry| manifest.parts.iter().all(|p| p.name != part.name);
+        if let Some(extra) = self.parts.iter().find(unlisted) {
             return Err(format!("{}: not in the manifest", extra.name));
         }
         Ok(PersistedState {
@@ -222,19 +225,20 @@
     }
 }
 
-/// Reads a snapshot and checks all of it.
+/// Reads a snapshot and checks all its parts.
 ///
 /// # Errors
-/// It cannot be read, or is not whole; the text says which part is wrong.
+/// The file cannot be read, or the snapshot is incomplete or damaged; the error names the
+/// part.
 pub fn read(path: &Path) -> Result<PersistedState, BackupError> {
-    let damaged = |what: String| BackupError::Damaged {
+    let damaged = |reason: String| BackupError::Damaged {
         file: path.into(),
-        what,
+        reason,
     };
     let file = File::open(path).map_err(|e| BackupError::Io(path.into(), e))?;
-    let unpacked = zstd::Decoder::new(BufReader::new(file))
+    let decompressed = zstd::Decoder::new(BufReader::new(file))
         .map_err(|e| damaged(format!("not a snapshot: {e}")))?;
-    let mut tar = tar::Archive::new(unpacked);
+    let mut tar = tar::Archive::new(decompressed);
     let mut contents = Contents::default();
     let entries = tar.entries().map_err(|e| damaged(e.to_string()))?;
     for entry in entries {
@@ -259,7 +263,7 @@
     contents.check().map_err(damaged)
 }
 
-/// Adds the records of one part to `state`; returns how many there were.
+/// Decodes one part, adds its records to `state` and returns their number.
 fn add_records(state: &mut PersistedState, name: &str, data: &[u8]) -> Result<u64, String> {
     fn decode<T: DeserializeOwned>(name: &str, data: &[u8]) -> Result<Vec<T>, String> {
         rmp_serde::from_slice(data).map_err(|e| format!("{name}: {e}"))
@@ -289,19 +293,20 @@
     Ok(count as u64)
 }
 
-/// Restores a snapshot into an empty place. The snapshot is read and checked
-/// whole before anything is written.
+/// Restores a snapshot into a new store at `path`. The whole snapshot is read and checked
+/// before anything is written.
 ///
-/// What was written after the snapshot is gone, but versions must not come a
-/// second time: workers drop commands whose token, a version, is lower than one
-/// they have seen, and a node could take an old watch for unbroken. So versions
-/// and lease numbers go on [`RESTORE_GAP`] later, and every watch has to read again.
+/// Changes after the snapshot are lost, but versions must not be issued a second time:
+/// agents drop commands whose fencing token, a version, is lower than one they have seen,
+/// and a controller could mistake an old watch for one without gaps. So revision and
+/// lease id continue [`RESTORE_GAP`] later, the change log starts empty, and every watch
+/// from before gets 410 and has to read its keys again.
 ///
 /// # Errors
-/// The snapshot is not whole, there is something at `path`, or it cannot be
+/// The snapshot is incomplete or damaged, a file exists at `path`, or the store cannot be
 /// written.
-pub fn restore(archive: &Path, path: &Path) -> Result<BackupSummary, BackupError> {
-    let mut state = read(archive)?;
+pub fn restore(snapshot: &Path, path: &Path) -> Result<BackupSummary, BackupError> {
+    let mut state = read(snapshot)?;
     state.counters.revision += RESTORE_GAP;
     state.counters.lease += RESTORE_GAP;
     state.counters.compacted_revision = state.counters.revision;
@@ -309,50 +314,57 @@
     if path.exists() {
         return Err(BackupError::Exists(path.into()));
     }
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".part");
-    let beside = PathBuf::from(beside);
-    let io = |e| BackupError::Io(beside.clone(), e);
-    if beside.exists() {
-        std::fs::remove_file(&beside).map_err(io)?;
+    let mut temporary_path = path.as_os_str().to_owned();
+    temporary_path.push(".part");
+    let temporary_path = PathBuf::from(temporary_path);
+    let io = |e| BackupError::Io(temporary_path.clone(), e);
+    if temporary_path.exists() {
+        std::fs::remove_file(&temporary_path).map_err(io)?;
     }
-    let mut disk = crate::Disk::at(&beside);
+    let mut disk = crate::Disk::at(&temporary_path);
     disk.load()?;
     write_state(&mut disk, &state)?;
     drop(disk);
-    std::fs::rename(&beside, path).map_err(|e| BackupError::Io(path.into(), e))?;
+    std::fs::rename(&temporary_path, path).map_err(|e| BackupError::Io(path.into(), e))?;
     Ok(BackupSummary::of(&state))
 }
 
-/// Writes a whole state into empty storage.
+/// Writes a whole state into empty storage, in several batches.
 ///
 /// # Errors
-/// The storage refuses.
+/// The storage returns an error; part of the state may be stored by then.
 pub fn write_state(storage: &mut impl Storage, state: &PersistedState) -> Result<(), StorageError> {
     let keys: Vec<_> = state.keys.iter().collect();
     let changes: Vec<_> = state.changes.iter().collect();
     let mut counters = state.counters;
-    let mut batch = |part: Batch| {
+    let mut write_batch = |partial: Batch| {
         counters.batch += 1;
         let counters = counters;
-        storage.write(&Batch { counters, ..part })
+        storage.write(&Batch {
+            counters,
+            ..partial
+        })
     };
-    batch(Batch {
-        leases: state.leases.iter().map(|(&i, &ms)| (i, Some(ms))).collect(),
+    write_batch(Batch {
+        leases: state
+            .leases
+            .iter()
+            .map(|(&id, &ttl_ms)| (id, Some(ttl_ms)))
+            .collect(),
         ..Batch::default()
     })?;
-    for some in keys.chunks(RESTORE_BATCH_RECORDS) {
-        batch(Batch {
-            keys: some
+    for chunk in keys.chunks(MAX_RESTORE_BATCH_RECORDS) {
+        write_batch(Batch {
+            keys: chunk
                 .iter()
                 .map(|(n, k)| ((*n).clone(), Some((*k).clone())))
                 .collect(),
             ..Batch::default()
         })?;
     }
-    for some in changes.chunks(RESTORE_BATCH_RECORDS) {
-        batch(Batch {
-            changes: some.iter().map(|c| (*c).clone()).collect(),
+    for chunk in changes.chunks(MAX_RESTORE_BATCH_RECORDS) {
+        write_batch(Batch {
+            changes: chunk.iter().map(|c| (*c).clone()).collect(),
             ..Batch::default()
         })?;
     }
--- a/crates/kvstore/src/disk.rs
+++ b/crates/kvstore/src/disk.rs
@@ -1,6 +1,6 @@
-//! Storage in a file, by the embedded store `redb`: copy-on-write pages, a
-//! commit slot with checksums, one sync a batch. A torn or unsynced write is
-//! found by checksum when the file is opened and the commit before it stands.
+//! Storage in a file, by the embedded database `redb`: copy-on-write pages, commit
+//! slots with checksums, one sync per batch. When the file is opened, checksums reveal a
+//! torn or unsynced write, and the state of the commit before it is used.
 
 use crate::persisted_state::{ChangeRecord, Counters, PersistedState, StoredKey};
 use crate::storage::{Batch, Storage, StorageError};
@@ -18,15 +18,18 @@
 const LEASES: TableDefinition<'_, u64, u64> = TableDefinition::new("leases");
 const CHANGES: TableDefinition<'_, (u64, u32), &[u8]> = TableDefinition::new("changes");
 
-/// Pages that redb may keep; the service holds everything in memory itself.
+/// Size of redb's page cache. It is small because the service itself holds the whole state
+/// in memory.
 const CACHE_BYTES: usize = 8 * 1024 * 1024;
 
-type Open = Box<dyn FnMut() -> Result<Database, DatabaseError>>;
+type OpenDatabase = Box<dyn FnMut() -> Result<Database, DatabaseError>>;
 
-/// A file with everything in it.
+/// Storage in one `redb` database, in a file or on another [`StorageBackend`].
 pub struct Disk {
+    /// The file's path, for error messages.
     name: String,
-    open: Open,
+    open: OpenDatabase,
+    /// `None` before the first load and after an error.
     database: Option<Database>,
 }
 
@@ -36,16 +39,17 @@
     }
 }
 
-fn store(e: impl std::fmt::Display) -> StorageError {
+fn store_error(e: impl std::fmt::Display) -> StorageError {
     StorageError::Store(e.to_string())
 }
 
-fn pack<T: Serialize>(v: &T) -> Vec<u8> {
-    // Positions, not names: a key's name is most of a small record otherwise.
+fn encode_record<T: Serialize>(v: &T) -> Vec<u8> {
+    // Fields are stored by position, because field names would make up most of a small
+    // record.
     rmp_serde::to_vec(v).unwrap_or_default()
 }
 
-fn unpack<T: DeserializeOwned>(
+fn decode_record<T: DeserializeOwned>(
     table: &'static str,
     key: impl std::fmt::Display,
     bytes: &[u8],
@@ -53,29 +57,30 @@
     rmp_serde::from_slice(bytes).map_err(|e| StorageError::Damaged {
         table,
         key: key.to_string(),
-        why: e.to_string(),
+        reason: e.to_string(),
     })
 }
 
-/// Opens a store. A new one is made beside its place and moved there whole: a
-/// file whose making was cut off by a power loss would be refused for ever.
+/// Opens the database file at `path`. A new file is created under a temporary name and then
+/// renamed, because redb refuses to open a file whose creation was interrupted by a
+/// power loss.
 fn open_file(path: &Path) -> Result<Database, DatabaseError> {
     let builder = || {
-        let mut b = Database::builder();
-        b.set_cache_size(CACHE_BYTES);
-        b
+        let mut settings = Database::builder();
+        settings.set_cache_size(CACHE_BYTES);
+        settings
     };
     if !path.exists() {
         let io = |e: std::io::Error| DatabaseError::Storage(StorageFailure::Io(e));
-        let mut beside = path.as_os_str().to_owned();
-        beside.push(".new");
-        let beside = PathBuf::from(beside);
-        match std::fs::remove_file(&beside) {
+        let mut temporary_path = path.as_os_str().to_owned();
+        temporary_path.push(".new");
+        let temporary_path = PathBuf::from(temporary_path);
+        match std::fs::remove_file(&temporary_path) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(io(e)),
             _ => {}
         }
-        drop(builder().create(&beside)?);
-        std::fs::rename(&beside, path).map_err(io)?;
+        drop(builder().create(&temporary_path)?);
+        std::fs::rename(&temporary_path, path).map_err(io)?;
         if let Some(dir) = path.parent().filter(|d| !d.as_os_str().is_empty()) {
             File::open(dir).and_then(|d| d.sync_all()).map_err(io)?;
         }
@@ -84,8 +89,8 @@
 }
 
 impl Disk {
-    /// Storage in a file, which is made if it does not exist. It is opened by
-    /// the first load.
+    /// Storage in the file at `path`. The first load opens the file, or creates it if it
+    /// does not exist.
     pub fn at(path: impl Into<PathBuf>) -> Disk {
         let path = path.into();
         Disk {
@@ -95,7 +100,8 @@
         }
     }
 
-    /// Storage on what `backend` gives anew at each opening.
+    /// Storage on the backend that `backend` returns; it is called each time that the
+    /// database is opened.
     pub fn on<B: StorageBackend>(mut backend: impl FnMut() -> B + 'static) -> Disk {
         Disk {
             name: "backend".into(),
@@ -112,91 +118,103 @@
         if self.database.is_none() {
             let opened = (self.open)().map_err(|e| match e {
                 DatabaseError::DatabaseAlreadyOpen => StorageError::InUse(self.name.clone()),
-                other => store(other),
+                other => store_error(other),
             })?;
             self.database = Some(opened);
         }
-        self.database.as_ref().ok_or_else(|| store("not open"))
+        self.database
+            .as_ref()
+            .ok_or_else(|| store_error("not open"))
     }
 
     fn try_write(&mut self, batch: &Batch) -> Result<(), StorageError> {
-        let txn = self.database()?.begin_write().map_err(store)?;
+        let txn = self.database()?.begin_write().map_err(store_error)?;
         {
-            let mut counters = txn.open_table(COUNTERS).map_err(store)?;
+            let mut counters = txn.open_table(COUNTERS).map_err(store_error)?;
             counters
-                .insert(0, pack(&batch.counters).as_slice())
-                .map_err(store)?;
-            let mut keys = txn.open_table(KEYS).map_err(store)?;
+                .insert(0, encode_record(&batch.counters).as_slice())
+                .map_err(store_error)?;
+            let mut keys = txn.open_table(KEYS).map_err(store_error)?;
             for (name, key) in &batch.keys {
                 match key {
-                    Some(k) => keys.insert(name.as_str(), pack(k).as_slice()).map(drop),
+                    Some(k) => keys
+                        .insert(name.as_str(), encode_record(k).as_slice())
+                        .map(drop),
                     None => keys.remove(name.as_str()).map(drop),
                 }
-                .map_err(store)?;
+                .map_err(store_error)?;
             }
-            let mut leases = txn.open_table(LEASES).map_err(store)?;
-            for (id, life) in &batch.leases {
-                match life {
+            let mut leases = txn.open_table(LEASES).map_err(store_error)?;
+            for (id, ttl) in &batch.leases {
+                match ttl {
                     Some(ms) => leases.insert(id, ms).map(drop),
                     None => leases.remove(id).map(drop),
                 }
-                .map_err(store)?;
+                .map_err(store_error)?;
             }
-            let mut changes = txn.open_table(CHANGES).map_err(store)?;
+            let mut changes = txn.open_table(CHANGES).map_err(store_error)?;
             for (at, change) in &batch.changes {
-                changes.insert(at, pack(change).as_slice()).map_err(store)?;
+                changes
+                    .insert(at, encode_record(change).as_slice())
+                    .map_err(store_error)?;
             }
-            for at in &batch.forgotten {
-                changes.remove(at).map_err(store)?;
+            for at in &batch.compacted_changes {
+                changes.remove(at).map_err(store_error)?;
             }
         }
-        txn.commit().map_err(store)
+        txn.commit().map_err(store_error)
     }
 
     fn try_load(&mut self) -> Result<PersistedState, StorageError> {
         let database = self.database()?;
-        // Tables come into being with the first write.
-        let txn = database.begin_write().map_err(store)?;
-        txn.open_table(COUNTERS).map_err(store)?;
-        txn.open_table(KEYS).map_err(store)?;
-        txn.open_table(LEASES).map_err(store)?;
-        txn.open_table(CHANGES).map_err(store)?;
-        txn.commit().map_err(store)?;
-        let txn = database.begin_read().map_err(store)?;
+        // Opening a table in a write transaction creates it if it does not exist yet.
+        let txn = database.begin_write().map_err(store_error)?;
+        txn.open_table(COUNTERS).map_err(store_error)?;
+        txn.open_table(KEYS).map_err(store_error)?;
+        txn.open_table(LEASES).map_err(store_error)?;
+        txn.open_table(CHANGES).map_err(store_error)?;
+        txn.commit().map_err(store_error)?;
+        let txn = database.begin_read().map_err(store_error)?;
         let mut state = PersistedState::default();
-        if let Some(m) = txn
+        if let Some(record) = txn
             .open_table(COUNTERS)
-            .map_err(store)?
+            .map_err(store_error)?
             .get(0)
-            .map_err(store)?
+            .map_err(store_error)?
         {
-            state.counters = unpack::<Counters>("marks", 0, m.value())?;
+            state.counters = decode_record::<Counters>("marks", 0, record.value())?;
         }
-        for entry in txn.open_table(KEYS).map_err(store)?.iter().map_err(store)? {
-            let (name, key) = entry.map_err(store)?;
+        for entry in txn
+            .open_table(KEYS)
+            .map_err(store_error)?
+            .iter()
+            .map_err(store_error)?
+        {
+            let (name, key) = entry.map_err(store_error)?;
             let name = name.value();
-            state
-                .keys
-                .insert(name.into(), unpack::<StoredKey>("keys", name, key.value())?);
+            state.keys.insert(
+                name.into(),
+                decode_record::<StoredKey>("keys", name, key.value())?,
+            );
         }
         for entry in txn
             .open_table(LEASES)
-            .map_err(store)?
+            .map_err(store_error)?
             .iter()
-            .map_err(store)?
+            .map_err(store_error)?
         {
-            let (id, life) = entry.map_err(store)?;
-            state.leases.insert(id.value(), life.value());
+            let (id, ttl) = entry.map_err(store_error)?;
+            state.leases.insert(id.value(), ttl.value());
         }
         for entry in txn
             .open_table(CHANGES)
-            .map_err(store)?
+            .map_err(store_error)?
             .iter()
-            .map_err(store)?
+            .map_err(store_error)?
         {
-            let (at, change) = entry.map_err(store)?;
+            let (at, change) = entry.map_err(store_error)?;
             let at = at.value();
-            let change = unpack::<ChangeRecord>("changes", at.0, change.value())?;
+            let change = decode_record::<ChangeRecord>("changes", at.0, change.value())?;
             state.changes.push_back((at, change));
         }
         Ok(state)
@@ -215,8 +233,8 @@
     fn write(&mut self, batch: &Batch) -> Result<(), StorageError> {
         let written = self.try_write(batch);
         if written.is_err() {
-            // The store refuses everything after a failed write; it is opened
-            // anew, which goes back to the last whole commit.
+            // redb refuses all operations after a failed write. The next load opens the
+            // database again, which returns to the last complete commit.
             self.database = None;
         }
         written
--- a/crates/kvstore/src/driver.rs
+++ b/crates/kvstore/src/driver.rs
@@ -1,5 +1,6 @@
-//! Runs the service on sockets, on the caller's thread; no protocol logic of its own. While a batch is stored,
-//! requests gather for the next: the slower the disk, the larger the groups.
+//! Runs the service on sockets, on the caller's thread; the protocol itself is implemented by
+//! [`Service`]. While a batch is written, further requests queue up for the next batch, so that
+//! a slower disk leads to larger batches.
 
 use crate::service::{ClientId, Reply, RequestId, RequestOutcome, Service};
 use crate::storage::Storage;
@@ -14,19 +15,23 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Longest time between two ticks of the service: well below the 50 ms it may take.
+/// Maximum time between two ticks of the service, well below the 50 ms that
+/// [`Service::tick`] requires.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Shared<S> {
     service: RefCell<Service<S>>,
-    waiting: RefCell<HashMap<RequestId, oneshot::Sender<RequestOutcome>>>,
-    gone: RefCell<BTreeSet<RequestId>>,
-    next: Cell<u64>,
-    started: Instant,
-    work: Notify,
+    /// Senders of the outcomes of requests that are not answered yet.
+    pending_requests: RefCell<HashMap<RequestId, oneshot::Sender<RequestOutcome>>>,
+    /// Requests whose future was dropped since the last batch.
+    cancelled_requests: RefCell<BTreeSet<RequestId>>,
+    next_request_id: Cell<u64>,
+    started_at: Instant,
+    /// Wakes [`Server::run`] when the service may have a batch to write.
+    work_available: Notify,
 }
 
-/// A service that runs. Clones are the same service.
+/// A running service. Clones refer to the same service.
 pub struct Server<S>(Rc<Shared<S>>);
 
 impl<S> Clone for Server<S> {
@@ -35,81 +40,87 @@
     }
 }
 
-/// Tells the service when nobody waits any more.
-struct Waiting<'a, S> {
+/// Marks a request as cancelled when its future is dropped before the reply.
+struct CancelOnDrop<'a, S> {
     shared: &'a Shared<S>,
     request_id: RequestId,
 }
 
-impl<S> Drop for Waiting<'_, S> {
+impl<S> Drop for CancelOnDrop<'_, S> {
     fn drop(&mut self) {
         if self
             .shared
-            .waiting
+            .pending_requests
             .borrow_mut()
             .remove(&self.request_id)
             .is_some()
         {
-            self.shared.gone.borrow_mut().insert(self.request_id);
+            self.shared
+                .cancelled_requests
+                .borrow_mut()
+                .insert(self.request_id);
         }
     }
 }
 
 impl<S: Storage + 'static> Server<S> {
-    /// Serves `open`'s service, which is given the time to begin with.
+    /// Creates a server for the service that `open` returns. `open` receives the start of
+    /// the server's clock, which is the time for [`Service::open`].
     ///
     /// # Errors
-    /// Whatever `open` returns.
+    /// The error that `open` returns.
     pub fn new<E>(open: impl FnOnce(Time) -> Result<Service<S>, E>) -> Result<Server<S>, E> {
         Ok(Server(Rc::new(Shared {
             service: RefCell::new(open(Time(1))?),
-            waiting: RefCell::default(),
-            gone: RefCell::default(),
-            next: Cell::new(1),
-            started: Instant::now(),
-            work: Notify::new(),
+            pending_requests: RefCell::default(),
+            cancelled_requests: RefCell::default(),
+            next_request_id: Cell::new(1),
+            started_at: Instant::now(),
+            work_available: Notify::new(),
         })))
     }
 
-    /// Looks at the service or tells it something.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Service<S>, Time) -> T) -> T {
+    /// Calls `f` with the service and the current time, then wakes [`Server::run`].
+    pub fn with<T>(&self, f: impl FnOnce(&mut Service<S>, Time) -> T) -> T {
         let now = self.0.now();
-        let out = act(&mut self.0.service.borrow_mut(), now);
-        self.0.work.notify_one();
-        out
+        let result = f(&mut self.0.service.borrow_mut(), now);
+        self.0.work_available.notify_one();
+        result
     }
 
-    /// Handles a request; `None`: nobody can say what became of it. Dropping
-    /// the future does not take a change back.
-    pub async fn ask(&self, client: ClientId, request: Request) -> Option<Reply> {
+    /// Handles a request and waits for its reply; `None`: it is unknown whether the
+    /// request's changes were stored. Dropping the future closes a watch, but does not undo
+    /// changes.
+    pub async fn execute(&self, client: ClientId, request: Request) -> Option<Reply> {
         let shared = &*self.0;
-        let request_id = RequestId(shared.next.get());
-        shared.next.set(request_id.0 + 1);
+        let request_id = RequestId(shared.next_request_id.get());
+        shared.next_request_id.set(request_id.0 + 1);
         let (tx, rx) = oneshot::channel();
-        shared.waiting.borrow_mut().insert(request_id, tx);
-        let _waiting = Waiting { shared, request_id };
+        shared.pending_requests.borrow_mut().insert(request_id, tx);
+        let _cancel_on_drop = CancelOnDrop { shared, request_id };
         let now = shared.now();
         shared
             .service
             .borrow_mut()
             .handle(now, client, request_id, &request);
-        shared.work.notify_one();
+        shared.work_available.notify_one();
         match rx.await {
-            Ok(RequestOutcome::Reply(a)) => Some(a),
+            Ok(RequestOutcome::Reply(reply)) => Some(reply),
             Ok(RequestOutcome::Unanswered) | Err(_) => None,
         }
     }
 
-    /// Serves a listener's connections for ever, all as one client.
+    /// Accepts connections without end and handles all their requests as those of
+    /// `client`. [`Server::run`] has to run at the same time.
     pub async fn listen(self, listener: TcpListener, client: ClientId) {
         answer_connections(listener, move |request| {
             let server = self.clone();
             async move {
-                let a = server.ask(client, request).await?;
+                let reply = server.execute(client, request).await?;
                 Some(Response {
-                    status: a.status,
+                    status: reply.status,
                     retry_after: None,
-                    body: a.body,
+                    body: reply.body,
                     close: false,
                 })
             }
@@ -117,28 +128,31 @@
         .await;
     }
 
-    /// Stores and answers for ever.
+    /// Writes batches and sends replies without end.
     pub async fn run(self) {
         let shared = self.0;
         loop {
-            // Time for a batch to gather: whoever is ready hands in first.
-            if timeout(TICK_INTERVAL, shared.work.notified()).await.is_ok() {
+            // Lets all tasks that are ready add their requests to the batch first.
+            if timeout(TICK_INTERVAL, shared.work_available.notified())
+                .await
+                .is_ok()
+            {
                 sleep(Duration::ZERO).await;
                 tokio::task::yield_now().await;
             }
             let now = shared.now();
-            let answers = {
+            let outcomes = {
                 let mut service = shared.service.borrow_mut();
-                let gone = std::mem::take(&mut *shared.gone.borrow_mut());
-                if !gone.is_empty() {
-                    service.forget_watches(&gone);
+                let cancelled = std::mem::take(&mut *shared.cancelled_requests.borrow_mut());
+                if !cancelled.is_empty() {
+                    service.cancel_watches(&cancelled);
                 }
                 service.tick(now);
                 service.flush(now)
             };
-            for (request_id, outcome) in answers {
-                if let Some(tx) = shared.waiting.borrow_mut().remove(&request_id) {
-                    // The client may be gone; nobody misses the reply.
+            for (request_id, outcome) in outcomes {
+                if let Some(tx) = shared.pending_requests.borrow_mut().remove(&request_id) {
+                    // Sending fails if the client has disconnected; the reply is dropped.
                     let _ = tx.send(outcome);
                 }
             }
@@ -148,6 +162,6 @@
 
 impl<S> Shared<S> {
     fn now(&self) -> Time {
-        Time(self.started.elapsed().as_micros() as u64 + 1)
+        Time(self.started_at.elapsed().as_micros() as u64 + 1)
     }
 }
--- a/crates/kvstore/src/faulty_disk.rs
+++ b/crates/kvstore/src/faulty_disk.rs
@@ -1,66 +1,68 @@
-//! A disk in memory whose power can fail at a numbered operation, for tests
-//! and rehearsals. What was synced is there afterwards; of what was not,
-//! nothing, all, or any torn part.
+//! A simulated disk in memory whose power can fail at a numbered operation, for tests
+//! and rehearsals. Synced data survives a power failure; of the unsynced writes, none,
+//! all, or a torn part survives.
 
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes that a disk writes whole or not at all.
-const SECTOR: usize = 512;
+/// Unit of atomic writes: a sector survives a power failure entirely or not at all.
+const SECTOR_BYTES: usize = 512;
 
-/// What becomes of writes that were not synced when the power fails.
+/// Outcome of the writes that were not synced when the power fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsyncedWrites {
-    /// They are lost.
+    /// All unsynced writes are lost.
     Lost,
-    /// They got there all the same.
+    /// All unsynced writes survive.
     Kept,
-    /// Some of their sectors got there, chosen by this seed.
+    /// A pseudo-random half of the unsynced sectors survives; the value is the seed.
     Torn(u64),
 }
 
+/// An operation since the last sync.
 #[derive(Debug)]
 enum Pending {
-    /// Bytes at an offset.
+    /// A write of bytes at an offset.
     Write(u64, Vec<u8>),
-    /// A new length of the file.
+    /// A change to a new length of the file.
     Length(u64),
 }
 
 #[derive(Debug, Default)]
 struct DiskState {
-    /// What a power failure cannot take back.
+    /// Contents that survive a power failure.
     synced: Vec<u8>,
-    /// What the process that has it open reads.
+    /// Contents that the process reads, with unsynced writes.
     visible: Vec<u8>,
-    /// Writes since the last sync, in order.
+    /// Writes and changes of length since the last sync, in order.
     pending: Vec<Pending>,
-    /// Writes, syncs and changes of length so far.
+    /// Number of writes, syncs and changes of length so far.
     operations: u64,
-    /// The operation at which the power fails.
+    /// Number of the operation at which the power fails, and the outcome of unsynced writes.
     fail_at: Option<(u64, UnsyncedWrites)>,
-    /// Counts openings; an older one is of no use.
+    /// Number of openings; operations through an earlier opening fail.
     generation: u64,
-    /// Whether the power failed since it was last opened.
+    /// Whether the power failed since the disk was last opened.
     failed: bool,
-    /// No power: nothing works until it is back.
+    /// Whether the disk is without power; all operations fail until the power is back.
     power_off: bool,
-    /// Whether writes fail for lack of room.
+    /// Whether writes fail because the disk is full.
     full: bool,
 }
 
-/// The disk. Clones are the same disk.
+/// The simulated disk. Clones refer to the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(Arc<Mutex<DiskState>>);
 
-/// The disk as one process has it open; of no use once the power failed.
+/// One opening of the disk, as a storage backend of `redb`. All operations fail once the
+/// power has failed or the disk has been opened again.
 #[derive(Debug)]
 pub struct OpenDisk {
     disk: FaultyDisk,
     generation: u64,
 }
 
-fn apply(bytes: &mut Vec<u8>, offset: u64, data: &[u8]) {
+fn write_at(bytes: &mut Vec<u8>, offset: u64, data: &[u8]) {
     let end = offset as usize + data.len();
     if bytes.len() < end {
         bytes.resize(end, 0);
@@ -69,31 +71,31 @@
 }
 
 impl DiskState {
-    fn fail(&mut self, left: UnsyncedWrites) {
+    fn fail(&mut self, unsynced_writes: UnsyncedWrites) {
         self.failed = true;
-        // A small generator of its own: one seed, one outcome.
-        let mut word = match left {
+        // A xorshift generator: the same seed always gives the same outcome.
+        let mut rng_state = match unsynced_writes {
             UnsyncedWrites::Torn(seed) => seed | 1,
             _ => 0,
         };
-        let mut survives = || match left {
+        let mut survives = || match unsynced_writes {
             UnsyncedWrites::Lost => false,
             UnsyncedWrites::Kept => true,
             UnsyncedWrites::Torn(_) => {
-                word ^= word << 13;
-                word ^= word >> 7;
-                word ^= word << 17;
-                word & 1 == 1
+                rng_state ^= rng_state << 13;
+                rng_state ^= rng_state >> 7;
+                rng_state ^= rng_state << 17;
+                rng_state & 1 == 1
             }
         };
-        for p in std::mem::take(&mut self.pending) {
-            match p {
-                Pending::Length(n) if survives() => self.synced.resize(n as usize, 0),
+        for pending_operation in std::mem::take(&mut self.pending) {
+            match pending_operation {
+                Pending::Length(new_len) if survives() => self.synced.resize(new_len as usize, 0),
                 Pending::Length(_) => {}
                 Pending::Write(offset, data) => {
-                    for (i, sector) in data.chunks(SECTOR).enumerate() {
+                    for (i, sector) in data.chunks(SECTOR_BYTES).enumerate() {
                         if survives() {
-                            apply(&mut self.synced, offset + (i * SECTOR) as u64, sector);
+                            write_at(&mut self.synced, offset + (i * SECTOR_BYTES) as u64, sector);
                         }
                     }
                 }
@@ -101,14 +103,15 @@
         }
     }
 
-    /// Counts an operation; an error if it is the one at which power fails.
+    /// Counts an operation. Returns an error if the disk has no power, or if the power
+    /// fails at this operation.
     fn count_operation(&mut self, generation: u64) -> Result<()> {
         self.check_power(generation)?;
         self.operations += 1;
-        if let Some((at, left)) = self.fail_at
+        if let Some((at, unsynced_writes)) = self.fail_at
             && self.operations >= at
         {
-            self.fail(left);
+            self.fail(unsynced_writes);
             self.power_off = true;
             self.fail_at = None;
         }
@@ -117,7 +120,7 @@
 
     fn check_power(&self, generation: u64) -> Result<()> {
         if self.failed || generation != self.generation {
-            return Err(Error::new(ErrorKind::BrokenPipe, "the power is gone"));
+            return Err(Error::new(ErrorKind::BrokenPipe, "simulated power failure"));
         }
         Ok(())
     }
@@ -125,62 +128,64 @@
 
 impl FaultyDisk {
     fn inner(&self) -> MutexGuard<'_, DiskState> {
-        // A panicking test must not hide behind a poisoned lock.
+        // A poisoned lock must not hide the first panic of a test.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens the disk; what an earlier life had open is cut off. Without power
-    /// everything fails until [`FaultyDisk::power_on`].
+    /// Opens the disk; operations through an earlier opening fail from now on. Of writes
+    /// that are unsynced at this time, all survive. Without power, all operations fail
+    /// until [`FaultyDisk::power_on`] and another opening.
     pub fn open(&self) -> OpenDisk {
-        let mut d = self.inner();
-        if d.power_off {
+        let mut state = self.inner();
+        if state.power_off {
             let (disk, generation) = (self.clone(), 0);
             return OpenDisk { disk, generation };
         }
-        if !d.failed {
-            let unsynced = !d.pending.is_empty();
-            d.fail(if unsynced {
+        if !state.failed {
+            let has_unsynced_writes = !state.pending.is_empty();
+            state.fail(if has_unsynced_writes {
                 UnsyncedWrites::Kept
             } else {
                 UnsyncedWrites::Lost
             });
         }
-        d.failed = false;
-        d.generation += 1;
-        d.visible = d.synced.clone();
+        state.failed = false;
+        state.generation += 1;
+        state.visible = state.synced.clone();
         OpenDisk {
             disk: self.clone(),
-            generation: d.generation,
+            generation: state.generation,
         }
     }
 
-    /// Lets the power fail at the operation of this number (writes, syncs and
-    /// changes of length count, from 1 over the disk's life). Until then there
-    /// is power.
-    pub fn fail_at(&self, operation: u64, left: UnsyncedWrites) {
-        let mut d = self.inner();
-        d.power_off = false;
-        d.fail_at = Some((operation, left));
+    /// Schedules a power failure at the operation of this number. Writes, syncs and
+    /// changes of length count, from 1 at the disk's creation. The disk has power until
+    /// then.
+    pub fn fail_at(&self, operation: u64, unsynced_writes: UnsyncedWrites) {
+        let mut state = self.inner();
+        state.power_off = false;
+        state.fail_at = Some((operation, unsynced_writes));
     }
 
-    /// The power is back, and nothing is cut from here on.
+    /// Restores the power and cancels a scheduled power failure.
     pub fn power_on(&self) {
-        let mut d = self.inner();
-        d.power_off = false;
-        d.fail_at = None;
+        let mut state = self.inner();
+        state.power_off = false;
+        state.fail_at = None;
     }
 
-    /// Whether the power has failed.
+    /// Whether the power has failed and has not been restored.
     pub fn is_off(&self) -> bool {
         self.inner().power_off
     }
 
-    /// Operations so far.
+    /// Number of writes, syncs and changes of length so far.
     pub fn operations(&self) -> u64 {
         self.inner().operations
     }
 
-    /// Lets every write fail for lack of room, or not.
+    /// Sets whether the disk is full. On a full disk, writes and increases of the length
+    /// fail.
     pub fn set_full(&self, full: bool) {
         self.inner().full = full;
     }
@@ -188,50 +193,50 @@
 
 impl redb::StorageBackend for OpenDisk {
     fn len(&self) -> Result<u64> {
-        let d = self.disk.inner();
-        d.check_power(self.generation)?;
-        Ok(d.visible.len() as u64)
+        let state = self.disk.inner();
+        state.check_power(self.generation)?;
+        Ok(state.visible.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<()> {
-        let d = self.disk.inner();
-        d.check_power(self.generation)?;
-        let from = offset as usize;
-        let bytes = d
+        let state = self.disk.inner();
+        state.check_power(self.generation)?;
+        let start = offset as usize;
+        let bytes = state
             .visible
-            .get(from..from + out.len())
+            .get(start..start + out.len())
             .ok_or(ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> Result<()> {
-        let mut d = self.disk.inner();
-        d.count_operation(self.generation)?;
-        if d.full && len as usize > d.visible.len() {
+        let mut state = self.disk.inner();
+        state.count_operation(self.generation)?;
+        if state.full && len as usize > state.visible.len() {
             return Err(ErrorKind::StorageFull.into());
         }
-        d.visible.resize(len as usize, 0);
-        d.pending.push(Pending::Length(len));
+        state.visible.resize(len as usize, 0);
+        state.pending.push(Pending::Length(len));
         Ok(())
     }
 
     fn sync_data(&self) -> Result<()> {
-        let mut d = self.disk.inner();
-        d.count_operation(self.generation)?;
-        d.pending.clear();
-        d.synced = d.visible.clone();
+        let mut state = self.disk.inner();
+        state.count_operation(self.generation)?;
+        state.pending.clear();
+        state.synced = state.visible.clone();
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<()> {
-        let mut d = self.disk.inner();
-        d.count_operation(self.generation)?;
-        if d.full {
+        let mut state = self.disk.inner();
+        state.count_operation(self.generation)?;
+        if state.full {
             return Err(ErrorKind::StorageFull.into());
         }
-        apply(&mut d.visible, offset, data);
-        d.pending.push(Pending::Write(offset, data.to_vec()));
+        write_at(&mut state.visible, offset, data);
+        state.pending.push(Pending::Write(offset, data.to_vec()));
         Ok(())
     }
 }
--- a/crates/kvstore/src/lib.rs
+++ b/crates/kvstore/src/lib.rs
@@ -1,17 +1,13 @@
 #![doc = include_str!("../README.md")]
 //! # Contents
 //!
-//! A key-value store for one machine: the small consistent store that controller
-//! nodes keep everything in, by the users' protocol ("Controller nodes ->
-//! state service").
-//!
-//! - [`Service`] is the protocol as a state machine: requests and time go in,
-//!   replies and records to store come out. It does no I/O of its own.
-//! - [`Storage`] is what it stands on: [`Memory`], or [`Disk`], an embedded
-//!   store that survives power loss.
-//! - [`driver`] serves it on sockets.
-//! - [`backup`] saves everything to one file and restores it.
-//! - [`faulty_disk`] is a disk in memory whose power fails at a numbered write.
+//! - [`Service`] is the protocol as a state machine without I/O: requests and time
+//!   are its input, replies and batches of records are its output.
+//! - [`Storage`] makes batches durable: [`Disk`] stores them in an embedded database that
+//!   survives power loss; [`Memory`] keeps nothing beyond the process.
+//! - [`driver`] serves a [`Service`] on sockets.
+//! - [`backup`] writes the whole store to one snapshot file and restores it.
+//! - [`faulty_disk`] is a simulated disk whose power fails at a numbered operation.
 
 pub mod backup;
 mod disk;
--- a/crates/kvstore/src/persisted_state.rs
+++ b/crates/kvstore/src/persisted_state.rs
@@ -1,11 +1,11 @@
-//! Everything that the service keeps, as it is stored.
+//! The service's persisted state and the types of its records.
 
 use pebblefold_wire::types::Version;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// A value as it is kept: MessagePack, shared between keys and changes.
+/// A value as MessagePack. The bytes are shared between the key and its change record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StoredValue(#[serde(with = "bytes")] pub Arc<[u8]>);
@@ -36,48 +36,50 @@
 /// A key's value, version and lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredKey {
-    /// Its value.
+    /// The current value.
     pub value: StoredValue,
-    /// The revision of its last change.
+    /// The store's revision at the last put of this key.
     pub version: Version,
-    /// The lease it hangs on.
+    /// The lease that the key is bound to; `None`: the key stays until it is deleted.
     pub lease: Option<u64>,
 }
 
-/// A change as watches see it.
+/// A put or a delete, kept in the change log for watches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// The key.
+    /// The key that changed.
     pub key: String,
-    /// Its new value; `None`: deleted.
+    /// The new value; `None`: the key was deleted.
     pub value: Option<StoredValue>,
 }
 
-/// Numbers that only grow.
+/// Monotonic counters of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Number of the last batch written; tells after a failure whether it is there.
+    /// Number of the last batch. After a failed write, the stored number shows whether
+    /// the batch was stored.
     pub batch: u64,
-    /// Revision of the store.
+    /// Revision of the store. Each transaction with operations increments it, and so
+    /// does the end of a lease that keys are bound to.
     pub revision: u64,
-    /// The last lease given out.
+    /// Id of the last lease granted; 0 if none was.
     pub lease: u64,
-    /// The newest revision of which a change is kept no longer.
+    /// The newest revision of which a change was dropped from the change log; a watch
+    /// from an earlier revision gets 410.
     #[serde(rename = "dropped")]
     pub compacted_revision: u64,
 }
 
-/// The whole store at one moment. Cloning it is cheap per key: values are
-/// shared.
+/// The whole store at one revision. A clone copies the keys but shares the values.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedState {
-    /// The counters.
+    /// Batch, revision and lease counters.
     pub counters: Counters,
-    /// All keys.
+    /// All keys, in order.
     pub keys: BTreeMap<String, StoredKey>,
-    /// Lives of the leases, in milliseconds. When they end is not kept: after
-    /// an outage each has its full time again.
+    /// Time to live of each lease in milliseconds, by lease id. Expiry times are not
+    /// stored: after a restart or an outage each lease has its full time to live again.
     pub leases: BTreeMap<u64, u64>,
-    /// The last changes, by revision and place within it.
+    /// The change log, oldest first: revision, position within the revision, change.
     pub changes: VecDeque<((u64, u32), ChangeRecord)>,
 }
--- a/crates/kvstore/src/service/mod.rs
+++ b/crates/kvstore/src/service/mod.rs
@@ -1,9 +1,9 @@
-//! The key-value store's protocol as a state machine; it does no I/O of its own.
+//! The key-value store's protocol as a state machine without I/O.
 //!
-//! Requests are handled one after the other in memory; what they change is
-//! gathered into a batch. [`Service::flush`] stores the batch with a single
-//! sync and only then lets the replies out, those of reads included: nobody
-//! sees what a power loss could take back.
+//! Requests are handled one after the other in memory; their changes are
+//! collected in a batch. [`Service::flush`] writes the batch with a single sync
+//! and only then releases the replies, those of reads included: no client
+//! sees a change that a power loss could undo.
 
 mod lease;
 mod read;
@@ -24,49 +24,57 @@
 use storage_fault::StorageFault;
 use watch::Watch;
 
-/// Changes that are kept for watches; a watch that asks for older ones gets 410.
+/// Number of changes that are kept for watches. A watch that starts at an older
+/// revision gets 410.
 pub const RETAINED_CHANGES: usize = 10_000;
 
-/// Limits of the service, over all clients together.
+/// Limits of the service; the rates apply to all clients together.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests a second; watches when opened and lease renewals count.
+    /// Requests per second. Opening a watch and renewing a lease count; answering
+    /// a watch later does not. The burst is one second's worth.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second, each operation of a transaction counted. The
+    /// burst is one second's worth.
     pub write_rps: f64,
-    /// JSON bytes of one value.
+    /// Maximum length of one value in bytes, as JSON.
     pub value_bytes: usize,
-    /// Puts and deletes in one transaction; four times as many preconditions.
+    /// Maximum number of puts and deletes in one transaction. A transaction may
+    /// have four times as many preconditions.
     pub txn_ops: usize,
 }
 
-/// A client of the service. All are served alike, but one can be refused.
+/// Identifies a client of the service. Only [`Service::refuse`], which simulates a fault,
+/// tells clients apart; all clients share the same limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u32);
 
-/// Names a request that waits for its reply.
+/// Identifies a request until it is answered. The caller chooses it, unique among
+/// its open requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// What becomes of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It is answered.
+    /// The request is answered with this reply.
     Reply(Reply),
-    /// Nobody knows whether it was executed: the connection ends unanswered.
+    /// It is unknown whether the request's changes were stored; the connection has
+    /// to be closed without an answer.
     Unanswered,
 }
 
-/// A reply that waits until what it rests on is stored.
+/// A reply that is held until the changes that it depends on are stored.
 #[derive(Debug)]
 struct HeldReply {
     request_id: RequestId,
     outcome: RequestOutcome,
-    /// Whether its request changed something.
+    /// Whether the request changed the store.
     writes: bool,
 }
 
-/// The key-value store.
+/// The key-value store's state machine: [`Service::handle`] accepts requests,
+/// [`Service::flush`] returns the replies.
 #[derive(Debug)]
 pub struct Service<S> {
     storage: S,
@@ -76,24 +84,26 @@
     watches: Vec<Watch>,
     /// Changes since the last flush.
     batch: Batch,
-    /// Replies that wait for the batch.
+    /// Replies since the last flush.
     held: Vec<HeldReply>,
-    /// Whether keys changed since watches were last answered.
+    /// Whether the watches have to be checked again: since the last check, keys
+    /// changed, or an outage or a refusal began or ended.
     watches_outdated: bool,
-    requests: TokenBucket,
-    writes: TokenBucket,
+    request_limiter: TokenBucket,
+    write_limiter: TokenBucket,
     outage: bool,
     refused_clients: BTreeSet<ClientId>,
     storage_fault: Option<StorageFault>,
 }
 
-/// A stored value as it goes on the wire.
+/// Decodes a stored value for a response; null if it cannot be decoded.
 fn decode_value(value: &StoredValue) -> serde_json::Value {
     decode(&value.0).unwrap_or_default()
 }
 
 impl<S: Storage> Service<S> {
-    /// A service on what `storage` holds; every lease has its full time.
+    /// Loads the service's state from `storage`. Each lease starts with its full
+    /// time to live.
     ///
     /// # Errors
     /// The storage cannot be read.
@@ -108,8 +118,8 @@
             batch: Batch::default(),
             held: Vec::new(),
             watches_outdated: false,
-            requests: TokenBucket::new(limits.rps, limits.rps),
-            writes: TokenBucket::new(limits.write_rps, limits.write_rps),
+            request_limiter: TokenBucket::new(limits.rps, limits.rps),
+            write_limiter: TokenBucket::new(limits.write_rps, limits.write_rps),
             outage: false,
             refused_clients: BTreeSet::new(),
             storage_fault: None,
@@ -118,17 +128,19 @@
         Ok(service)
     }
 
-    /// Begins or ends an outage: everybody gets 503, open watches stay open,
-    /// and leases have their full time when it ends.
-    pub fn set_out(&mut self, now: Time, out: bool) {
-        if self.outage && !out {
+    /// Begins or ends a simulated outage. During an outage all requests get 503, open
+    /// watches stay open, and no lease expires; when it ends, each lease has its
+    /// full time to live again.
+    pub fn set_out(&mut self, now: Time, unavailable: bool) {
+        if self.outage && !unavailable {
             self.renew_all_leases(now);
         }
-        self.outage = out;
+        self.outage = unavailable;
         self.watches_outdated = true;
     }
 
-    /// Refuses one client with 503, or not any more. Its leases run on.
+    /// Starts or stops refusing one client's requests with 503. Leases that the
+    /// client has been granted expire as they otherwise would.
     pub fn refuse(&mut self, client: ClientId, refused: bool) {
         if refused {
             self.refused_clients.insert(client);
@@ -138,28 +150,31 @@
         self.watches_outdated = true;
     }
 
-    /// The store as it is now, to be saved while service goes on.
+    /// A copy of the whole state, for a backup that is written while the service
+    /// continues. Changes that are not flushed yet are included.
     pub fn state(&self) -> PersistedState {
         self.state.clone()
     }
 
-    /// The store's revision and the number of its keys.
+    /// The store's current revision and its number of keys.
     pub fn size(&self) -> (Version, usize) {
         (Version(self.state.counters.revision), self.state.keys.len())
     }
 
-    /// How many keys begin with a prefix.
+    /// The number of keys that begin with `prefix`.
     pub fn count(&self, prefix: &str) -> usize {
-        let from = self.state.keys.range(prefix.to_string()..);
-        from.take_while(|(key, _)| key.starts_with(prefix)).count()
+        let candidates = self.state.keys.range(prefix.to_string()..);
+        candidates
+            .take_while(|(key, _)| key.starts_with(prefix))
+            .count()
     }
 
-    /// What storage the service stands on.
+    /// The storage that was passed to [`Service::open`].
     pub fn storage(&self) -> &S {
         &self.storage
     }
 
-    /// Takes a request. Its reply comes out of a later [`Service::flush`].
+    /// Handles a request. A later [`Service::flush`] returns its reply.
     pub fn handle(
         &mut self,
         now: Time,
@@ -167,24 +182,25 @@
         request_id: RequestId,
         request: &Request,
     ) {
-        let before = self.batch.counters;
+        let counters_before = self.batch.counters;
         let refused =
             self.outage || self.storage_fault.is_some() || self.refused_clients.contains(&client);
         let reply = if refused {
             Some(Reply::empty(503))
-        } else if !self.requests.take(now, 1.0) {
+        } else if !self.request_limiter.take(now, 1.0) {
             Some(Reply::empty(429))
         } else {
             self.route(now, client, request_id, request)
                 .unwrap_or_else(Some)
         };
         if let Some(reply) = reply {
-            let writes = self.batch.counters != before;
-            self.hold(request_id, RequestOutcome::Reply(reply), writes);
+            let writes = self.batch.counters != counters_before;
+            self.hold_reply(request_id, RequestOutcome::Reply(reply), writes);
         }
     }
 
-    /// `Ok(None)`: a watch that waits. `Err`: the request is refused.
+    /// Executes a request by its method and path. `Ok(None)`: a watch stays open.
+    /// `Err`: the reply to a request that is rejected.
     fn route(
         &mut self,
         now: Time,
@@ -192,8 +208,8 @@
         request_id: RequestId,
         request: &Request,
     ) -> Result<Option<Reply>, Reply> {
-        let parts: Vec<&str> = request.path.splitn(3, '/').skip(1).collect();
-        let reply = match (request.method.as_str(), parts.as_slice()) {
+        let segments: Vec<&str> = request.path.splitn(3, '/').skip(1).collect();
+        let reply = match (request.method.as_str(), segments.as_slice()) {
             ("GET", ["keys", key]) => self.read_key(key)?,
             ("GET", ["keys"]) => self.read_page(&request.query)?,
             ("GET", ["changes"]) => {
@@ -201,14 +217,14 @@
             }
             ("POST", ["commit"]) => self.commit(now, &request.body)?,
             ("POST", ["leases"]) => self.grant_lease(now, &request.body)?,
-            ("POST", ["leases", rest]) => self.renew_lease(now, rest),
+            ("POST", ["leases", subpath]) => self.renew_lease(now, subpath),
             ("DELETE", ["leases", id]) => self.revoke_lease(id),
             (method, _) => Reply::error(400, format!("{method} {}: unknown", request.path)),
         };
         Ok(Some(reply))
     }
 
-    fn hold(&mut self, request_id: RequestId, outcome: RequestOutcome, writes: bool) {
+    fn hold_reply(&mut self, request_id: RequestId, outcome: RequestOutcome, writes: bool) {
         self.held.push(HeldReply {
             request_id,
             outcome,
@@ -216,9 +232,9 @@
         });
     }
 
-    /// Lets time pass: leases expire, watches are answered, a storage that failed
-    /// is tried again. To be called at least every 50 ms, since a lease may
-    /// end at most 100 ms late.
+    /// Runs the timers: expires leases, answers watches that are due, and retries a
+    /// storage that failed. The caller has to call it at least every 50 ms, since a
+    /// lease may expire at most 100 ms late.
     pub fn tick(&mut self, now: Time) {
         if self.storage_fault.is_some() {
             self.retry_storage(now);
@@ -232,8 +248,8 @@
         }
     }
 
-    /// Stores what has gathered, with one sync, and returns the replies that
-    /// may go out now.
+    /// Writes the batch with one sync and returns the replies that were held for it.
+    /// If the write fails, `handle_write_failure` decides the replies.
     pub fn flush(&mut self, now: Time) -> Vec<(RequestId, RequestOutcome)> {
         if self.watches_outdated {
             self.answer_watches(now);
@@ -244,7 +260,10 @@
             self.state.counters.batch += 1;
             batch.counters = self.state.counters;
             if let Err(e) = self.storage.write(&batch) {
-                tracing::error!(error = %e, "cannot store; refusing until it can");
+                tracing::error!(
+                    error = %e,
+                    "cannot write to storage; requests get 503 until a write succeeds"
+                );
                 self.handle_write_failure(now, &batch, &mut held);
             }
         }
--- a/crates/kvstore/src/service/reply.rs
+++ b/crates/kvstore/src/service/reply.rs
@@ -1,22 +1,22 @@
-//! Replies, and the checks of a request's text that are answered with them.
+//! Replies, and checks of requests' parameters and keys that fail with an error reply.
 
 use pebblefold_wire::encode;
 use std::collections::BTreeMap;
 
-/// Longest key, in bytes.
+/// Maximum length of a key.
 const MAX_KEY_BYTES: usize = 200;
 
-/// The answer to a request, to be put on the wire as it is.
+/// The response to a request, as the transport sends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
-    /// The body, in MessagePack; empty where the status says all.
+    /// The body in MessagePack; empty if the status alone is the answer.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// A status and a message.
+    /// A reply with a body that is encoded from `body`.
     pub(super) fn message<T: serde::Serialize>(status: u16, body: &T) -> Reply {
         Reply {
             status,
@@ -24,13 +24,13 @@
         }
     }
 
-    /// A status and the reason for it.
+    /// A reply whose body is an error message.
     pub(super) fn error(status: u16, reason: impl Into<String>) -> Reply {
         let error = reason.into();
         Reply::message(status, &pebblefold_wire::users::ErrorResponse { error })
     }
 
-    /// A status alone.
+    /// A reply without a body.
     pub(super) fn empty(status: u16) -> Reply {
         Reply {
             status,
@@ -39,7 +39,8 @@
     }
 }
 
-/// The parameters of a query, `name=value` joined by `&`.
+/// Parses a query string, `name=value` pairs joined by `&`. The error is a reply with 400 for
+/// a pair without `=`.
 pub(super) fn parse_query(query: &str) -> Result<BTreeMap<&str, &str>, Reply> {
     let pairs = query.split('&').filter(|p| !p.is_empty());
     pairs
@@ -50,8 +51,9 @@
         .collect()
 }
 
-/// A whole number among the parameters, or `default` where it is absent.
-pub(super) fn number(
+/// Parses the integer parameter `name`; `default` if it is absent. The error is a reply with
+/// 400 for a value that is not a number.
+pub(super) fn integer_param(
     params: &BTreeMap<&str, &str>,
     name: &str,
     default: u64,
@@ -64,7 +66,8 @@
     }
 }
 
-/// Whether `key` can be a key.
+/// Checks that `key` is a valid key: 1 to [`MAX_KEY_BYTES`] bytes without whitespace or
+/// control characters. The error is a reply with 400.
 pub(super) fn check_key(key: &str) -> Result<(), Reply> {
     let fits = (1..=MAX_KEY_BYTES).contains(&key.len());
     if fits && !key.contains(|c: char| c.is_whitespace() || c.is_control()) {
@@ -76,7 +79,7 @@
     ))
 }
 
-/// Counts bytes of JSON without keeping them.
+/// A writer that counts bytes and discards them.
 struct ByteCounter(usize);
 
 impl std::io::Write for ByteCounter {
@@ -89,7 +92,8 @@
     }
 }
 
-/// Length of a value as JSON, by which the protocol's limits are given.
+/// Length in bytes of `value` as JSON: the protocol states its limits in JSON bytes,
+/// although messages are sent as MessagePack.
 pub(super) fn json_length<T: serde::Serialize>(value: &T) -> usize {
     let mut counter = ByteCounter(0);
     serde_json::to_writer(&mut counter, value).map_or(usize::MAX, |()| counter.0)
--- a/crates/kvstore/src/service/storage_fault.rs
+++ b/crates/kvstore/src/service/storage_fault.rs
@@ -1,39 +1,41 @@
-//! What happens when storage fails: nothing is answered that may not last, and the
-//! service goes on once a write succeeds again.
+//! Handling of storage failures: replies that depend on changes which may not be stored
+//! are replaced, and all requests get 503 until a write succeeds again.
 
 use super::reply::Reply;
 use super::{HeldReply, RequestOutcome, Service};
 use crate::storage::{Batch, Storage};
 use pebblefold_wire::types::{Time, TimeSpan};
 
-/// Pause before the first retry of a failed write.
-const FIRST_RETRY: TimeSpan = TimeSpan::millis(200);
-/// Longest pause between retries; it doubles up to this.
-const LONGEST_RETRY: TimeSpan = TimeSpan::millis(2000);
+/// Delay before the first retry after a failed write.
+const MIN_RETRY_DELAY: TimeSpan = TimeSpan::millis(200);
+/// Maximum delay between retries; the delay doubles up to this value.
+const MAX_RETRY_DELAY: TimeSpan = TimeSpan::millis(2000);
 
-/// A failure to store, and when to try again.
+/// A storage failure that lasts, and the time of the next retry.
 #[derive(Debug)]
 pub(super) struct StorageFault {
     retry_at: Time,
-    pause: TimeSpan,
-    /// Whether memory shows what is stored.
+    delay: TimeSpan,
+    /// Whether the state in memory was loaded from storage after the last failed write.
     reloaded: bool,
 }
 
 impl StorageFault {
-    fn new(now: Time, pause: TimeSpan, reloaded: bool) -> StorageFault {
+    fn new(now: Time, delay: TimeSpan, reloaded: bool) -> StorageFault {
         StorageFault {
-            retry_at: now + pause,
-            pause,
+            retry_at: now + delay,
+            delay,
             reloaded,
         }
     }
 }
 
 impl<S: Storage> Service<S> {
-    /// Decides the replies of a batch whose write failed. Whether it got there can be
-    /// told only by reading: if so its replies stand, if not nothing of it happened, and
-    /// if nothing can be read nobody can say.
+    /// Decides the replies that were held for a batch whose write failed. The batch may
+    /// have been stored all the same, which only a reload shows. If it was stored, the
+    /// replies remain valid; if not, none of its changes happened and all requests get
+    /// 503. If the reload fails too, the outcome of the changes is unknown, and only
+    /// requests without changes get 503.
     pub(super) fn handle_write_failure(
         &mut self,
         now: Time,
@@ -51,7 +53,7 @@
                 };
             }
         }
-        self.storage_fault = Some(StorageFault::new(now, FIRST_RETRY, reloaded));
+        self.storage_fault = Some(StorageFault::new(now, MIN_RETRY_DELAY, reloaded));
     }
 
     fn reload(&mut self, now: Time) -> bool {
@@ -62,14 +64,14 @@
                 true
             }
             Err(e) => {
-                tracing::error!(error = %e, "cannot read what is stored");
+                tracing::error!(error = %e, "cannot load the stored state");
                 false
             }
         }
     }
 
-    /// Tries to write the counters, which changes nothing; service goes on once that
-    /// succeeds.
+    /// Once the retry is due, writes a batch without changes; if that succeeds, the
+    /// service accepts requests again.
     pub(super) fn retry_storage(&mut self, now: Time) {
         let Some(fault) = &self.storage_fault else {
             return;
@@ -77,18 +79,18 @@
         if now < fault.retry_at {
             return;
         }
-        let pause = (fault.pause + fault.pause).min(LONGEST_RETRY);
+        let delay = (fault.delay + fault.delay).min(MAX_RETRY_DELAY);
         let reloaded = fault.reloaded || self.reload(now);
         if reloaded && self.write_counters() {
-            tracing::info!("stores again");
+            tracing::info!("storage accepts writes again");
             self.storage_fault = None;
             self.renew_all_leases(now);
             self.watches_outdated = true;
             return;
         }
-        // A write that failed may have been carried out: what is stored has to be read
-        // again before the next.
-        self.storage_fault = Some(StorageFault::new(now, pause, false));
+        // A failed write may have been executed: the stored state has to be loaded again
+        // before the next write.
+        self.storage_fault = Some(StorageFault::new(now, delay, false));
     }
 
     fn write_counters(&mut self) -> bool {
--- a/crates/kvstore/src/service/transaction.rs
+++ b/crates/kvstore/src/service/transaction.rs
@@ -1,4 +1,5 @@
-//! Transactions: preconditions on versions, then puts and deletes, all or nothing.
+//! Transactions: puts and deletes that are applied atomically if all preconditions on
+//! versions hold.
 
 use super::reply::{Reply, check_key, json_length};
 use super::{RETAINED_CHANGES, Service};
@@ -8,9 +9,9 @@
 use pebblefold_wire::types::{Time, Version};
 use pebblefold_wire::{decode, encode};
 
-/// Most JSON bytes in one transaction.
+/// Maximum length of one transaction, as JSON.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// Preconditions that a transaction may have for each operation it may have.
+/// Maximum number of preconditions, as a multiple of the maximum number of operations.
 const PRECONDITIONS_PER_OPERATION: usize = 4;
 
 fn check_limit(what: &str, found: usize, limit: usize) -> Result<(), Reply> {
@@ -24,12 +25,13 @@
 }
 
 impl<S: Storage> Service<S> {
-    /// Carries a transaction out, or answers 409 with the keys whose version differs.
+    /// Applies a transaction, or answers 409 with the keys whose version differs from
+    /// the precondition's.
     pub(super) fn commit(&mut self, now: Time, body: &[u8]) -> Result<Reply, Reply> {
         let transaction: wire::Transaction =
             decode(body).ok_or_else(|| Reply::error(400, "not a transaction in MessagePack"))?;
         self.check_transaction(&transaction)?;
-        if !self.writes.take(now, transaction.ops.len() as f64) {
+        if !self.write_limiter.take(now, transaction.ops.len() as f64) {
             return Err(Reply::empty(429));
         }
         let failed = self.failed_preconditions(&transaction);
@@ -79,7 +81,8 @@
         Ok(())
     }
 
-    /// Keys whose version is not the one that the transaction was made for.
+    /// Keys whose current version differs from the precondition's; an absent key has
+    /// version 0.
     fn failed_preconditions(&self, transaction: &wire::Transaction) -> Vec<String> {
         let version = |key: &str| self.state.keys.get(key).map_or(0, |k| k.version.0);
         transaction
@@ -90,13 +93,15 @@
             .collect()
     }
 
-    /// The store's revision, and the keys whose precondition failed.
+    /// A response with the store's current revision and the keys whose precondition
+    /// failed.
     pub(super) fn transaction_response(&self, failed: Vec<String>) -> wire::TransactionResponse {
         let revision = Version(self.state.counters.revision);
         wire::TransactionResponse { revision, failed }
     }
 
-    /// All changes until the next call belong to one new revision.
+    /// Increments the store's revision; all changes until the next call get this
+    /// revision.
     pub(super) fn begin_revision(&mut self) {
         self.state.counters.revision += 1;
         self.batch.counters = self.state.counters;
@@ -140,7 +145,8 @@
         });
     }
 
-    /// Adds to the log that watches read, and drops its oldest entries.
+    /// Appends to the change log that watches read and drops the oldest entries beyond
+    /// [`RETAINED_CHANGES`].
     fn append_change(&mut self, change: ChangeRecord) {
         let revision = self.state.counters.revision;
         let position = match self.state.changes.back() {
@@ -153,7 +159,7 @@
         while self.state.changes.len() > RETAINED_CHANGES
             && let Some((oldest, _)) = self.state.changes.pop_front()
         {
-            self.batch.forgotten.push(oldest);
+            self.batch.compacted_changes.push(oldest);
             self.state.counters.compacted_revision = oldest.0;
             self.batch.counters = self.state.counters;
         }
--- a/crates/kvstore/src/service/watch.rs
+++ b/crates/kvstore/src/service/watch.rs
@@ -1,6 +1,6 @@
-//! Watches: long polls that are answered once a key below their prefix changes.
+//! Watches: long polls that are answered once a key with their prefix changes.
 
-use super::reply::{Reply, number, parse_query};
+use super::reply::{Reply, integer_param, parse_query};
 use super::{ClientId, RequestId, RequestOutcome, Service, decode_value};
 use crate::persisted_state::ChangeRecord;
 use crate::storage::Storage;
@@ -8,18 +8,19 @@
 use pebblefold_wire::types::{Time, TimeSpan, Version};
 use std::collections::BTreeSet;
 
-/// Longest wait of a watch, in milliseconds.
+/// Maximum time that a watch stays open without a change; longer requested times
+/// are reduced to it.
 const MAX_WATCH_HOLD_MS: u64 = 60_000;
 
-/// A watch that waits for a change.
+/// An open watch.
 #[derive(Debug)]
 pub(super) struct Watch {
     request_id: RequestId,
     client: ClientId,
     prefix: String,
-    /// Changes after this revision are wanted.
+    /// The watch reports changes of later revisions than this one.
     since: u64,
-    /// When it is answered even if nothing changed.
+    /// The time at which the watch is answered even without changes.
     deadline: Time,
 }
 
@@ -29,8 +30,8 @@
     }
 }
 
-/// A change as the protocol shows it.
-fn event(revision: u64, change: &ChangeRecord) -> wire::WatchEvent {
+/// A change in the form of the protocol.
+fn watch_event(revision: u64, change: &ChangeRecord) -> wire::WatchEvent {
     let (put, delete) = match change.value {
         Some(_) => (Some(change.key.clone()), None),
         None => (None, Some(change.key.clone())),
@@ -44,7 +45,8 @@
 }
 
 impl<S: Storage> Service<S> {
-    /// Opens a watch. `Ok(None)`: it waits, and is answered by a later flush.
+    /// Opens a watch. `Ok(None)`: nothing to report yet; a later flush returns the
+    /// reply.
     pub(super) fn open_watch(
         &mut self,
         now: Time,
@@ -53,8 +55,8 @@
         query: &str,
     ) -> Result<Option<Reply>, Reply> {
         let params = parse_query(query)?;
-        let since = number(&params, "since", 0)?;
-        let hold_ms = number(&params, "hold_ms", 0)?.min(MAX_WATCH_HOLD_MS);
+        let since = integer_param(&params, "since", 0)?;
+        let hold_ms = integer_param(&params, "hold_ms", 0)?.min(MAX_WATCH_HOLD_MS);
         let watch = Watch {
             request_id,
             client,
@@ -69,7 +71,7 @@
         Ok(reply)
     }
 
-    /// What a watch is answered now, if it is.
+    /// The reply to a watch; `None` if it has nothing to report and is not due yet.
     fn watch_reply(&self, watch: &Watch, now: Time) -> Option<Reply> {
         if watch.since < self.state.counters.compacted_revision {
             return Some(Reply::error(410, "changes since then are no longer kept"));
@@ -79,7 +81,7 @@
         let events: Vec<wire::WatchEvent> = log
             .range(first..)
             .filter(|(_, change)| change.key.starts_with(&watch.prefix))
-            .map(|(at, change)| event(at.0, change))
+            .map(|(at, change)| watch_event(at.0, change))
             .collect();
         if events.is_empty() && !watch.is_due(now) {
             return None;
@@ -91,14 +93,15 @@
         ))
     }
 
-    /// Answers the watches that a change or their deadline makes due.
+    /// Answers the watches that have changes to report or reached their deadline; the
+    /// others stay open.
     pub(super) fn answer_watches(&mut self, now: Time) {
         self.watches_outdated = false;
         if self.outage || self.storage_fault.is_some() {
             return;
         }
         for watch in std::mem::take(&mut self.watches) {
-            // A client that is refused hears nothing, as in an outage.
+            // A refused client's watches stay open, as all watches do in an outage.
             let reply = if self.refused_clients.contains(&watch.client) {
                 None
             } else {
@@ -106,16 +109,16 @@
             };
             match reply {
                 Some(reply) => {
-                    self.hold(watch.request_id, RequestOutcome::Reply(reply), false);
+                    self.hold_reply(watch.request_id, RequestOutcome::Reply(reply), false);
                 }
                 None => self.watches.push(watch),
             }
         }
     }
 
-    /// Forgets watches whose connection is gone.
-    pub fn forget_watches(&mut self, gone: &BTreeSet<RequestId>) {
+    /// Removes the watches among `cancelled`, whose clients no longer wait for a reply.
+    pub fn cancel_watches(&mut self, cancelled: &BTreeSet<RequestId>) {
         self.watches
-            .retain(|watch| !gone.contains(&watch.request_id));
+            .retain(|watch| !cancelled.contains(&watch.request_id));
     }
 }
--- a/crates/kvstore/src/storage.rs
+++ b/crates/kvstore/src/storage.rs
@@ -1,73 +1,76 @@
-//! What the service stands on.
+//! The storage interface of the service, and storage in memory.
 
 use crate::persisted_state::{ChangeRecord, Counters, PersistedState, StoredKey};
 
-/// Why storage failed.
+/// A storage failure.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// The embedded store or the disk below it refused.
-    #[error("state store: {0}")]
+    /// The embedded database or the disk below it returned an error.
+    #[error("key-value store: {0}")]
     Store(String),
-    /// A record cannot be read.
-    #[error("state store: {table} {key}: cannot be read ({why}); restore from a snapshot")]
+    /// A record cannot be decoded.
+    #[error(
+        "key-value store: {table} {key}: cannot be decoded ({reason}); restore from a snapshot"
+    )]
     Damaged {
-        /// The table.
+        /// Name of the record's table in the file.
         table: &'static str,
-        /// The record.
+        /// Key of the record in the table.
         key: String,
-        /// What is wrong with it.
-        why: String,
+        /// The decoder's error.
+        reason: String,
     },
     /// Another process has the file open.
-    #[error("state store: {0}: in use by another process; end that one first")]
+    #[error("key-value store: {0}: in use by another process; stop that process first")]
     InUse(String),
 }
 
-/// Records that are written together or not at all.
+/// Records that are written atomically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
-    /// The counters after it.
+    /// The counters after this batch.
     pub counters: Counters,
-    /// Keys written or, with `None`, deleted; the last word on a key counts.
+    /// Keys put or, with `None`, deleted; of several entries for a key the last applies.
     pub keys: Vec<(String, Option<StoredKey>)>,
-    /// Leases given or, with `None`, ended.
+    /// Leases granted, with their time to live in milliseconds, or, with `None`, ended.
     pub leases: Vec<(u64, Option<u64>)>,
-    /// Changes to keep.
+    /// Changes to append to the change log, by revision and position within it.
     pub changes: Vec<((u64, u32), ChangeRecord)>,
-    /// Changes to forget.
-    pub forgotten: Vec<(u64, u32)>,
+    /// Revisions and positions of the changes to remove from the change log.
+    pub compacted_changes: Vec<(u64, u32)>,
 }
 
 impl Batch {
-    /// Whether it holds nothing to write.
+    /// Whether the batch has nothing to write. Compacted changes are not checked, since
+    /// they occur only together with new changes.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty() && self.leases.is_empty() && self.changes.is_empty()
     }
 }
 
-/// A place where batches last.
+/// Durable storage of batches.
 pub trait Storage {
-    /// Reads everything, opening what has to be opened.
+    /// Opens the storage if it is closed and loads the whole state.
     ///
     /// # Errors
-    /// Nothing can be read, or what is there is damaged.
+    /// The storage cannot be opened or read, or a record is damaged.
     fn load(&mut self) -> Result<PersistedState, StorageError>;
 
-    /// Writes a batch, whole, and returns once it would survive a power loss.
+    /// Writes a batch atomically and returns once the batch would survive a power loss.
     ///
     /// # Errors
-    /// The batch may be there or not. [`Storage::load`] tells, and has to
+    /// The batch may have been stored or not. [`Storage::load`] shows which, and has to
     /// succeed before the next write.
     fn write(&mut self, batch: &Batch) -> Result<(), StorageError>;
 }
 
-/// Storage that ends with the process.
+/// Storage that is lost when the process ends.
 #[derive(Debug, Default)]
 pub struct Memory(PersistedState);
 
 impl Memory {
-    /// Memory that begins with a state.
-    pub fn with(state: PersistedState) -> Memory {
+    /// Storage in memory whose loads return `state`.
+    pub fn with_state(state: PersistedState) -> Memory {
         Memory(state)
     }
 }
@@ -77,8 +80,8 @@
         Ok(self.0.clone())
     }
 
-    /// Nothing to do: the service itself holds everything in memory, and a
-    /// second copy would only cost.
+    /// Does nothing: the service itself holds the state in memory, and a second copy
+    /// would only cost time and memory.
     fn write(&mut self, _: &Batch) -> Result<(), StorageError> {
         Ok(())
     }
