--- a/crates/kvstore/benches/state.rs
+++ b/crates/kvstore/benches/state.rs
@@ -1,6 +1,6 @@
-//! What the state service does a second, on disk and in memory, alone and in
-//! groups; how long it takes to start and what a key costs. Run with
-//! `cargo bench -p pebblefold-state`; the figures are of the machine at hand.
+//! Throughput and latency of the key-value store, on disk and in memory, with different
+//! numbers of requests per flush; its start-up time, and the memory and disk space per key.
+//! Run with `cargo bench -p pebblefold-kvstore`; the figures depend on the machine.
 
 use hdrhistogram::Histogram;
 use pebblefold_kvstore::{
@@ -15,9 +15,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Asks a process of this program to open a store: path and keys.
-const OPEN: &str = "PEBBLEFOLD_BENCH_OPEN";
+/// Environment variable that makes this program only open a store and measure it: the path
+/// and the number of keys.
+const OPEN_STORE_ENV: &str = "PEBBLEFOLD_BENCH_OPEN";
 
+/// Limits whose rates are too high to be reached.
 const LIMITS: Limits = Limits {
     rps: 1e12,
     write_rps: 1e12,
@@ -36,7 +38,7 @@
     }
 }
 
-/// A commit of four values of 300 bytes, as a controller's cycle makes them.
+/// A commit of four values of 300 bytes, as a controller's scheduling cycle makes it.
 fn commit(n: u64) -> Request {
     let put = |i: u64| Operation::Put {
         key: format!("r/wk-{:06}/{i}", n % 5000),
@@ -54,14 +56,19 @@
     request("GET", format!("/keys/r/wk-{:06}/1", n % 5000), Vec::new())
 }
 
-/// Handles groups of requests for two seconds.
-fn measure<S: Storage>(what: &str, s: &mut Service<S>, group: u64, make: fn(u64) -> Request) {
+/// Handles requests for two seconds, `group` of them per flush, and prints rate and latency.
+fn measure<S: Storage>(
+    label: &str,
+    s: &mut Service<S>,
+    group: u64,
+    make_request: fn(u64) -> Request,
+) {
     let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
     let begin = Instant::now();
     let mut n = 0;
     while begin.elapsed() < Duration::from_secs(2) {
         let now = Time(1 + begin.elapsed().as_micros() as u64);
-        let requests: Vec<Request> = (n..n + group).map(make).collect();
+        let requests: Vec<Request> = (n..n + group).map(make_request).collect();
         let t = Instant::now();
         for (i, r) in requests.iter().enumerate() {
             s.handle(now, ClientId(0), RequestId(i as u64), r);
@@ -75,19 +82,20 @@
     let rate = n as f64 / begin.elapsed().as_secs_f64();
     let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
     println!(
-        "{what:<34} groups of {group:>3}: {rate:>9.0} a second, p50 {p50:>6} us, p99 {p99:>6} us"
+        "{label:<34} groups of {group:>3}: {rate:>9.0} a second, p50 {p50:>6} us, p99 {p99:>6} us"
     );
 }
 
-/// Memory that this process holds, in bytes.
-fn held() -> u64 {
+/// Resident memory of this process in bytes; 0 if it is unknown.
+fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kb = line.and_then(|l| l.trim().strip_suffix(" kB")?.parse::<u64>().ok());
     kb.unwrap_or(0) * 1024
 }
 
-fn state(keys: u64) -> PersistedState {
+/// A state with this number of small records.
+fn state_with_keys(keys: u64) -> PersistedState {
     let key = |n| {
         let value = StoredValue(encode(&serde_json::json!({"s": "d", "n": n % 100})).into());
         (
@@ -109,44 +117,44 @@
     }
 }
 
-/// Makes a store of so many keys, and lets a process of its own open it: what
-/// this one has held would count otherwise.
-fn start_up(dir: &Path, keys: u64) {
+/// Creates a store with `keys` keys and measures its start-up in a new process, since this
+/// process's memory would distort the result.
+fn measure_start_up(dir: &Path, keys: u64) {
     let path = dir.join(format!("store-{keys}"));
     let mut disk = Disk::at(&path);
-    disk.load().expect("a new store");
-    backup::write_state(&mut disk, &state(keys)).expect("there is room");
+    disk.load().expect("a new store loads");
+    backup::write_state(&mut disk, &state_with_keys(keys)).expect("there is room");
     drop(disk);
-    let own = std::env::current_exe().expect("this program has a path");
-    let status = std::process::Command::new(own)
-        .env(OPEN, format!("{} {keys}", path.display()))
+    let program = std::env::current_exe().expect("this program has a path");
+    let status = std::process::Command::new(program)
+        .env(OPEN_STORE_ENV, format!("{} {keys}", path.display()))
         .status();
-    assert!(status.expect("it starts").success());
+    assert!(status.expect("the process starts").success());
 }
 
-/// Opens a store and tells what that took.
-fn open(path: &Path, keys: u64) {
-    let before = held();
+/// Opens a store and prints the time and the memory that this took, and the cost of a snapshot.
+fn measure_open(path: &Path, keys: u64) {
+    let before = resident_bytes();
     let t = Instant::now();
     let s = Service::open(Disk::at(path), LIMITS, Time(1)).expect("just written");
-    let took = t.elapsed();
-    let memory = held().saturating_sub(before) / keys;
+    let start_time = t.elapsed();
+    let memory = resident_bytes().saturating_sub(before) / keys;
     let file = std::fs::metadata(path).map_or(0, |m| m.len()) / keys;
     let t = Instant::now();
-    let saved = path.with_extension("snapshot");
-    backup::save(&s.state(), &saved).expect("there is room");
-    let saving = t.elapsed();
-    let size = std::fs::metadata(&saved).map_or(0, |m| m.len()) / keys;
+    let snapshot_path = path.with_extension("snapshot");
+    backup::save(&s.state(), &snapshot_path).expect("there is room");
+    let snapshot_time = t.elapsed();
+    let size = std::fs::metadata(&snapshot_path).map_or(0, |m| m.len()) / keys;
     println!(
-        "{keys:>8} keys: starts in {took:>8.1?}; a key takes {memory} bytes of memory, {file} on disk; \
-         snapshot in {saving:.1?}, {size} bytes a key"
+        "{keys:>8} keys: starts in {start_time:>8.1?}; a key takes {memory} bytes of memory, {file} on disk; \
+         snapshot in {snapshot_time:.1?}, {size} bytes a key"
     );
 }
 
 fn main() {
-    if let Ok(asked) = std::env::var(OPEN) {
-        let (path, keys) = asked.split_once(' ').expect("path and keys");
-        return open(Path::new(path), keys.parse().expect("a number"));
+    if let Ok(arguments) = std::env::var(OPEN_STORE_ENV) {
+        let (path, keys) = arguments.split_once(' ').expect("path and keys");
+        return measure_open(Path::new(path), keys.parse().expect("a number"));
     }
     let dir = std::env::temp_dir().join(format!("pebblefold-bench-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory for the measurement");
@@ -159,7 +167,7 @@
     measure("reads, in memory,", &mut memory, 1, read);
     measure("reads, on disk,", &mut disk, 1, read);
     for keys in [10_000, 100_000, 1_000_000] {
-        start_up(&dir, keys);
+        measure_start_up(&dir, keys);
     }
-    std::fs::remove_dir_all(&dir).expect("our own directory");
+    std::fs::remove_dir_all(&dir).expect("a directory of this process");
 }
--- a/crates/kvstore/tests/common/mod.rs
+++ b/crates/kvstore/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the state service share.
-#![allow(dead_code, reason = "each test program uses a part")]
+//! Helpers for the tests of the key-value store.
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 use pebblefold_kvstore::{ClientId, Limits, Reply, RequestId, RequestOutcome, Service, Storage};
 use pebblefold_wire::http::Request;
@@ -11,6 +11,7 @@
 use pebblefold_wire::{decode, encode};
 use serde_json::Value;
 
+/// Limits whose rates are too high to be reached.
 pub const LIMITS: Limits = Limits {
     rps: 1e9,
     write_rps: 1e9,
@@ -22,6 +23,7 @@
     Time(1 + ms * 1000)
 }
 
+/// A request to `target`, a path with an optional query.
 pub fn request(method: &str, target: &str, body: Vec<u8>) -> Request {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     Request {
@@ -33,8 +35,8 @@
     }
 }
 
-/// One request with a flush of its own.
-pub fn ask<S: Storage>(
+/// Handles one request, flushes, and returns its outcome.
+pub fn outcome_of<S: Storage>(
     s: &mut Service<S>,
     ms: u64,
     method: &str,
@@ -48,23 +50,24 @@
         request_id,
         &request(method, target, body),
     );
-    let mut out = s.flush(at_ms(ms));
-    let i = out
+    let mut outcomes = s.flush(at_ms(ms));
+    let i = outcomes
         .iter()
-        .position(|(t, _)| *t == request_id)
-        .expect("answered at once");
-    out.swap_remove(i).1
+        .position(|(id, _)| *id == request_id)
+        .expect("answered by the first flush");
+    outcomes.swap_remove(i).1
 }
 
-pub fn answered<S: Storage>(
+/// Handles one request and returns its reply.
+pub fn reply_to<S: Storage>(
     s: &mut Service<S>,
     ms: u64,
     method: &str,
     target: &str,
     body: Vec<u8>,
 ) -> Reply {
-    match ask(s, ms, method, target, body) {
-        RequestOutcome::Reply(a) => a,
+    match outcome_of(s, ms, method, target, body) {
+        RequestOutcome::Reply(reply) => reply,
         RequestOutcome::Unanswered => panic!("{method} {target}: no answer"),
     }
 }
@@ -78,6 +81,7 @@
     Operation::Delete { key: key.into() }
 }
 
+/// A transaction, encoded; preconditions are keys with their versions.
 pub fn txn(conditions: &[(&str, u64)], ops: Vec<Operation>) -> Vec<u8> {
     let condition = |(key, version): &(&str, u64)| Precondition {
         key: (*key).into(),
@@ -92,37 +96,42 @@
     ms: u64,
     body: Vec<u8>,
 ) -> (u16, TransactionResponse) {
-    let a = answered(s, ms, "POST", "/commit", body);
-    (a.status, decode(&a.body).unwrap_or_default())
+    let reply = reply_to(s, ms, "POST", "/commit", body);
+    (reply.status, decode(&reply.body).unwrap_or_default())
 }
 
-pub fn lease<S: Storage>(s: &mut Service<S>, ms: u64, ttl_ms: u64) -> u64 {
-    let a = answered(
+pub fn grant_lease<S: Storage>(s: &mut Service<S>, ms: u64, ttl_ms: u64) -> u64 {
+    let reply = reply_to(
         s,
         ms,
         "POST",
         "/leases",
         encode(&LeaseGrantRequest { ttl_ms }),
     );
-    decode::<LeaseGrant>(&a.body).expect("a lease").lease
+    decode::<LeaseGrant>(&reply.body).expect("a lease").lease
 }
 
 pub fn get<S: Storage>(s: &mut Service<S>, ms: u64, key: &str) -> Option<KeyResponse> {
-    let a = answered(s, ms, "GET", &format!("/keys/{key}"), Vec::new());
-    (a.status == 200).then(|| decode(&a.body).expect("an entry"))
+    let reply = reply_to(s, ms, "GET", &format!("/keys/{key}"), Vec::new());
+    (reply.status == 200).then(|| decode(&reply.body).expect("an entry"))
 }
 
-pub fn page<S: Storage>(s: &mut Service<S>, ms: u64, query: &str) -> EntryPage {
-    let a = answered(s, ms, "GET", &format!("/keys?{query}"), Vec::new());
-    decode(&a.body).expect("a page")
+pub fn read_page<S: Storage>(s: &mut Service<S>, ms: u64, query: &str) -> EntryPage {
+    let reply = reply_to(s, ms, "GET", &format!("/keys?{query}"), Vec::new());
+    decode(&reply.body).expect("a page")
 }
 
-pub fn changes<S: Storage>(s: &mut Service<S>, ms: u64, since: u64) -> Result<WatchResponse, u16> {
+/// The changes after a revision, or the status of the refusal.
+pub fn read_changes<S: Storage>(
+    s: &mut Service<S>,
+    ms: u64,
+    since: u64,
+) -> Result<WatchResponse, u16> {
     let target = format!("/changes?starts=&since={since}");
-    let a = answered(s, ms, "GET", &target, Vec::new());
-    if a.status == 200 {
-        Ok(decode(&a.body).expect("changes"))
+    let reply = reply_to(s, ms, "GET", &target, Vec::new());
+    if reply.status == 200 {
+        Ok(decode(&reply.body).expect("changes"))
     } else {
-        Err(a.status)
+        Err(reply.status)
     }
 }
--- a/crates/kvstore/tests/protocol.rs
+++ b/crates/kvstore/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol, against a plain model and by its limits.
+//! The protocol: compared with a reference model, and at its limits.
 
 mod common;
 use common::*;
@@ -11,13 +11,15 @@
     Service::open(Memory::default(), LIMITS, at_ms(0)).unwrap()
 }
 
-/// The plain model: a list of keys, searched from end to end.
+/// The reference model: unordered lists with linear search.
 #[derive(Default)]
 struct Model {
+    /// Key, value, version and lease.
     keys: Vec<(String, u64, u64, Option<u64>)>,
     revision: u64,
+    /// Id, time to live in ms, and expiry time in ms.
     leases: Vec<(u64, u64, u64)>,
-    given: u64,
+    last_lease: u64,
 }
 
 impl Model {
@@ -27,8 +29,9 @@
 
     fn commit(&mut self, conditions: &[(&str, u64)], ops: &[Operation]) -> u16 {
         let live = |l: &u64| self.leases.iter().any(|(id, _, _)| id == l);
-        let dead = |o: &Operation| matches!(o, Operation::Put { lease: Some(l), .. } if !live(l));
-        if ops.iter().any(dead) {
+        let has_unknown_lease =
+            |o: &Operation| matches!(o, Operation::Put { lease: Some(l), .. } if !live(l));
+        if ops.iter().any(has_unknown_lease) {
             return 400;
         }
         if conditions.iter().any(|(k, v)| self.version(k) != *v) {
@@ -50,22 +53,27 @@
         200
     }
 
-    fn pass(&mut self, now: u64) {
+    fn expire_leases(&mut self, now: u64) {
         while let Some(i) = self.leases.iter().position(|l| now > l.2) {
             let (id, _, _) = self.leases.remove(i);
-            let before = self.keys.len();
+            let keys_before = self.keys.len();
             self.keys.retain(|k| k.3 != Some(id));
-            self.revision += u64::from(self.keys.len() < before);
+            self.revision += u64::from(self.keys.len() < keys_before);
         }
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
+    /// Preconditions: key and version. Operations: key, value (`None`: delete) and lease.
     Commit(Vec<(u8, u64)>, Vec<(u8, Option<u64>, Option<u64>)>),
-    LeaseGrant(u64),
-    Touch(u64),
-    End(u64),
+    /// Time to live in ms.
+    GrantLease(u64),
+    /// Lease id.
+    RenewLease(u64),
+    /// Lease id.
+    RevokeLease(u64),
+    /// Time in ms.
     Wait(u64),
 }
 
@@ -79,9 +87,9 @@
     let step = prop_oneof![
         6 => (proptest::collection::vec((key, 0u64..12), 0..2), proptest::collection::vec(op, 0..4))
             .prop_map(|(c, o)| Step::Commit(c, o)),
-        1 => (100u64..900).prop_map(Step::LeaseGrant),
-        2 => (1u64..4).prop_map(Step::Touch),
-        1 => (1u64..4).prop_map(Step::End),
+        1 => (100u64..900).prop_map(Step::GrantLease),
+        2 => (1u64..4).prop_map(Step::RenewLease),
+        1 => (1u64..4).prop_map(Step::RevokeLease),
         2 => (1u64..400).prop_map(Step::Wait),
     ];
     proptest::collection::vec(step, 1..60)
@@ -93,15 +101,15 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..Default::default()
     })]
     #[test]
-    fn agrees_with_the_plain_model(steps in steps()) {
+    fn matches_reference_model(steps in steps()) {
         let (mut s, mut m, mut now) = (service(), Model::default(), 0);
         let name = |k: u8| format!("k/{}{k}", if k.is_multiple_of(2) { "a" } else { "b" });
         for step in steps {
             match step {
                 Step::Commit(conditions, ops) => {
-                    // A key stands only once in a transaction.
-                    let mut seen = std::collections::BTreeSet::new();
-                    let ops: Vec<Operation> = ops.into_iter().filter(|o| seen.insert(o.0)).map(|(k, v, l)| match v {
+                    // Each operation of a transaction has a different key.
+                    let mut keys_used = std::collections::BTreeSet::new();
+                    let ops: Vec<Operation> = ops.into_iter().filter(|o| keys_used.insert(o.0)).map(|(k, v, l)| match v {
                         Some(v) => put(&name(k), v, l),
                         None => delete(&name(k)),
                     }).collect();
@@ -113,38 +121,38 @@
                         prop_assert_eq!(got.1.revision.0, m.revision);
                     }
                 }
-                Step::LeaseGrant(ms) => {
-                    m.given += 1;
-                    m.leases.push((m.given, ms, now + ms));
-                    prop_assert_eq!(lease(&mut s, now, ms), m.given);
+                Step::GrantLease(ms) => {
+                    m.last_lease += 1;
+                    m.leases.push((m.last_lease, ms, now + ms));
+                    prop_assert_eq!(grant_lease(&mut s, now, ms), m.last_lease);
                 }
-                Step::Touch(id) => {
-                    let got = answered(&mut s, now, "POST", &format!("/leases/{id}/touch"), Vec::new()).status;
+                Step::RenewLease(id) => {
+                    let got = reply_to(&mut s, now, "POST", &format!("/leases/{id}/touch"), Vec::new()).status;
                     let held = m.leases.iter_mut().find(|l| l.0 == id);
                     prop_assert_eq!(got, if held.is_some() { 200 } else { 404 });
                     if let Some(l) = held {
                         l.2 = now + l.1;
                     }
                 }
-                Step::End(id) => {
-                    let got = answered(&mut s, now, "DELETE", &format!("/leases/{id}"), Vec::new()).status;
+                Step::RevokeLease(id) => {
+                    let got = reply_to(&mut s, now, "DELETE", &format!("/leases/{id}"), Vec::new()).status;
                     let held = m.leases.iter_mut().find(|l| l.0 == id);
                     prop_assert_eq!(got, if held.is_some() { 200 } else { 404 });
                     if let Some(l) = held {
                         l.2 = 0;
                     }
-                    m.pass(now.max(1));
+                    m.expire_leases(now.max(1));
                 }
                 Step::Wait(ms) => {
                     now += ms;
                     s.tick(at_ms(now));
                     let _ = s.flush(at_ms(now));
-                    m.pass(now);
+                    m.expire_leases(now);
                 }
             }
             let mut wanted: Vec<_> = m.keys.iter().map(|k| (k.0.clone(), k.1, k.2)).collect();
             wanted.sort();
-            let got = page(&mut s, now, "starts=k/").items;
+            let got = read_page(&mut s, now, "starts=k/").items;
             let got: Vec<_> = got.into_iter().map(|e| (e.key, e.value.as_u64().unwrap(), e.version.0)).collect();
             prop_assert_eq!(got, wanted);
         }
@@ -152,9 +160,9 @@
 }
 
 #[test]
-fn invalid_requests_get_the_protocols_errors() {
+fn enforces_protocol_limits() {
     let mut s = service();
-    let wide = |n: usize| {
+    let short_puts = |n: usize| {
         (0..n)
             .map(|i| put(&format!("k{i}"), 1, None))
             .collect::<Vec<_>>()
@@ -166,30 +174,30 @@
             .map(|k| (k.as_str(), 0))
             .collect::<Vec<_>>()
     };
-    let long = "v".repeat(8191 - 1);
-    let many = |n: usize| {
+    let longest_value = "v".repeat(8191 - 1);
+    let long_puts = |n: usize| {
         (0..n)
-            .map(|i| put(&format!("k{i}"), long.clone(), None))
+            .map(|i| put(&format!("k{i}"), longest_value.clone(), None))
             .collect::<Vec<_>>()
     };
     let cases: Vec<(&str, Vec<u8>, u16)> = vec![
         (
             "a value of 8 KiB",
-            txn(&[], vec![put("k", long.clone(), None)]),
+            txn(&[], vec![put("k", longest_value.clone(), None)]),
             200,
         ),
         (
             "a longer value",
-            txn(&[], vec![put("k", format!("{long}v"), None)]),
+            txn(&[], vec![put("k", format!("{longest_value}v"), None)]),
             400,
         ),
-        ("48 changes", txn(&[], wide(48)), 200),
-        ("49 changes", txn(&[], wide(49)), 400),
-        ("192 conditions", txn(&conditions(192), Vec::new()), 409),
-        ("193 conditions", txn(&conditions(193), Vec::new()), 400),
-        ("over 64 KiB", txn(&[], many(8)), 400),
+        ("48 operations", txn(&[], short_puts(48)), 200),
+        ("49 operations", txn(&[], short_puts(49)), 400),
+        ("192 preconditions", txn(&conditions(192), Vec::new()), 409),
+        ("193 preconditions", txn(&conditions(193), Vec::new()), 400),
+        ("over 64 KiB", txn(&[], long_puts(8)), 400),
         (
-            "a lease that never was",
+            "a lease that was never granted",
             txn(&[("k", 99)], vec![put("k", 1, Some(7))]),
             400,
         ),
@@ -205,25 +213,25 @@
             400,
         ),
         ("not a transaction", b"\xc1".to_vec(), 400),
-        ("nothing at all", txn(&[], Vec::new()), 200),
+        ("an empty transaction", txn(&[], Vec::new()), 200),
     ];
-    for (what, body, status) in cases {
-        assert_eq!(commit(&mut s, 0, body).0, status, "{what}");
+    for (case, body, status) in cases {
+        assert_eq!(commit(&mut s, 0, body).0, status, "{case}");
     }
     for ms in [99, 600_001] {
         let body = encode(&LeaseGrantRequest { ttl_ms: ms });
-        assert_eq!(answered(&mut s, 0, "POST", "/leases", body).status, 400);
+        assert_eq!(reply_to(&mut s, 0, "POST", "/leases", body).status, 400);
     }
     assert_eq!(
-        answered(&mut s, 0, "GET", "/keys/none", Vec::new()).status,
+        reply_to(&mut s, 0, "GET", "/keys/none", Vec::new()).status,
         404
     );
     assert_eq!(
-        answered(&mut s, 0, "PUT", "/keys/a", Vec::new()).status,
+        reply_to(&mut s, 0, "PUT", "/keys/a", Vec::new()).status,
         400
     );
     assert_eq!(
-        answered(&mut s, 0, "GET", "/changes?since=x", Vec::new()).status,
+        reply_to(&mut s, 0, "GET", "/changes?since=x", Vec::new()).status,
         400
     );
 }
@@ -242,7 +250,7 @@
     commit(&mut s, 0, txn(&[], vec![put("d", 1, None)]));
     let (mut keys, mut since, mut pages) = (Vec::new(), String::new(), Vec::new());
     loop {
-        let p = page(&mut s, 0, &format!("starts=c/&since={since}&most=5000"));
+        let p = read_page(&mut s, 0, &format!("starts=c/&since={since}&most=5000"));
         pages.push(p.items.len());
         since = p.items.last().unwrap().key.clone();
         keys.extend(p.items.into_iter().map(|e| e.key));
@@ -254,7 +262,7 @@
         keys,
         (0..1200).map(|i| format!("c/{i:05}")).collect::<Vec<_>>()
     );
-    // 512 KiB hold 65 values of 8 KB; then 1000 items.
+    // A page of 512 KiB holds 65 values of 8 KB; the next page is full at 1000 keys.
     assert_eq!(pages, [65, 1000, 135]);
 }
 
@@ -271,20 +279,24 @@
     assert_eq!(put_one(0, 0), 200);
     let refused: Vec<u16> = (0..5).map(|_| put_one(0, 99)).collect();
     assert_eq!(refused, [409, 409, 409, 409, 429]);
-    assert_eq!(put_one(250, 1), 200, "one write is back");
-    // Seven of ten requests, and 2.5 back.
+    assert_eq!(
+        put_one(250, 1),
+        200,
+        "the write limiter has refilled for one write"
+    );
+    // Seven of the burst of ten requests were used, and 2.5 are refilled in 250 ms.
     let reads: Vec<bool> = (0..7)
-        .map(|_| answered(&mut s, 250, "GET", "/keys/k", Vec::new()).status == 200)
+        .map(|_| reply_to(&mut s, 250, "GET", "/keys/k", Vec::new()).status == 200)
         .collect();
     assert_eq!(reads.iter().filter(|ok| **ok).count(), 5);
 }
 
-// A lease ended early would let two leaders be; one that an outage ate up
-// would take the leader's key from a leader that could not renew it.
+// A lease that expires early would allow two leaders. A lease that expires during an
+// outage would delete the leader key of a leader that could not renew it.
 #[test]
 fn lease_expires_on_time_and_is_renewed_by_outage_end() {
     let mut s = service();
-    let (id, other) = (lease(&mut s, 0, 1000), lease(&mut s, 0, 1000));
+    let (id, other) = (grant_lease(&mut s, 0, 1000), grant_lease(&mut s, 0, 1000));
     commit(
         &mut s,
         0,
@@ -299,7 +311,7 @@
     s.set_out(at_ms(1000), true);
     s.tick(at_ms(9000));
     assert_eq!(
-        answered(&mut s, 9000, "GET", "/keys/held", Vec::new()).status,
+        reply_to(&mut s, 9000, "GET", "/keys/held", Vec::new()).status,
         503
     );
     s.set_out(at_ms(9000), false);
@@ -307,7 +319,10 @@
     assert_eq!(get(&mut s, 9999, "held").unwrap().lease, Some(id));
     s.tick(at_ms(10_050));
     assert!(get(&mut s, 10_050, "held").is_none());
-    assert!(get(&mut s, 10_050, "free").is_some(), "it was detached");
+    assert!(
+        get(&mut s, 10_050, "free").is_some(),
+        "the second put detached the key from its lease"
+    );
     let gone = commit(&mut s, 10_050, txn(&[], vec![put("held", 1, Some(id))]));
     assert_eq!(gone.0, 400);
 }
@@ -334,8 +349,8 @@
             txn(&[], vec![put("c/1", 1, None), put("c/2", 1, None)]),
         ),
     );
-    let told: Vec<u64> = s.flush(at_ms(20)).into_iter().map(|(t, _)| t.0).collect();
-    assert_eq!(told, [9, 1], "a refused node's watch waits on");
+    let answered: Vec<u64> = s.flush(at_ms(20)).into_iter().map(|(id, _)| id.0).collect();
+    assert_eq!(answered, [9, 1], "a refused client's watch stays open");
     s.refuse(ClientId(2), false);
     s.tick(at_ms(1500));
     assert_eq!(s.flush(at_ms(1500)).len(), 1);
@@ -349,7 +364,7 @@
             ),
         );
     }
-    // The service keeps 10,000 changes; both revisions before are gone.
-    assert_eq!(changes(&mut s, 2000, 1).unwrap_err(), 410);
-    assert_eq!(changes(&mut s, 2000, 2).unwrap().events.len(), 10_000);
+    // The service keeps 10,000 changes; the changes of both earlier revisions are dropped.
+    assert_eq!(read_changes(&mut s, 2000, 1).unwrap_err(), 410);
+    assert_eq!(read_changes(&mut s, 2000, 2).unwrap().events.len(), 10_000);
 }
--- a/crates/kvstore/tests/stored_format.rs
+++ b/crates/kvstore/tests/stored_format.rs
@@ -1,12 +1,10 @@
-//! Pins the protocol of the state service as bytes and texts, and the form of its
-//! snapshots, as literals.
+//! Pins the protocol's statuses, bodies and texts and the format of snapshots with literals.
 
 mod common;
-use common::{LIMITS, answered, at_ms};
+use common::{LIMITS, at_ms, reply_to};
 use pebblefold_kvstore::backup::{self, BackupSummary, RESTORE_GAP};
 use pebblefold_kvstore::{
-    ChangeRecord, Counters, Disk, Memory, PersistedState, Service, Storage, StoredKey,
-    StoredValue as Kept,
+    ChangeRecord, Counters, Disk, Memory, PersistedState, Service, Storage, StoredKey, StoredValue,
 };
 use pebblefold_wire::types::Version;
 use pebblefold_wire::{decode, encode};
@@ -14,27 +12,29 @@
 use std::io::Read;
 use std::path::PathBuf;
 
-/// Asks with JSON as MessagePack; the status and the answer as JSON, null if it has none.
-fn told(s: &mut Service<Memory>, method: &str, target: &str, body: Value) -> (u16, Value) {
+/// Sends `body` as MessagePack and returns the status and the decoded reply; null stands for
+/// an empty body.
+fn exchange(s: &mut Service<Memory>, method: &str, target: &str, body: Value) -> (u16, Value) {
     let body = if body.is_null() {
         Vec::new()
     } else {
         encode(&body)
     };
-    let a = answered(s, 0, method, target, body);
-    let body = if a.body.is_empty() {
+    let reply = reply_to(s, 0, method, target, body);
+    let body = if reply.body.is_empty() {
         Value::Null
     } else {
-        decode(&a.body).expect("MessagePack")
+        decode(&reply.body).expect("MessagePack")
     };
-    (a.status, body)
+    (reply.status, body)
 }
 
 fn service() -> Service<Memory> {
     Service::open(Memory::default(), LIMITS, at_ms(0)).expect("memory opens")
 }
 
-fn file(name: &str) -> PathBuf {
+/// A path below the target folder where no file exists.
+fn unused_path(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("stored_format");
     std::fs::create_dir_all(&dir).expect("a directory");
     let path = dir.join(name);
@@ -42,7 +42,7 @@
     path
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn bytes_from_hex(text: &str) -> Vec<u8> {
     let byte = |i| u8::from_str_radix(&text[i..i + 2], 16).expect("hex");
     (0..text.len()).step_by(2).map(byte).collect()
 }
@@ -129,7 +129,7 @@
         ),
     ];
     for (method, target, body, status, answer) in cases {
-        let got = told(&mut s, method, target, body);
+        let got = exchange(&mut s, method, target, body);
         assert_eq!(got, (status, answer), "{method} {target}");
     }
 }
@@ -199,16 +199,19 @@
         ),
         ("PUT", "/keys/a", none.clone(), 400, "PUT /keys/a: unknown"),
     ];
-    for (method, target, body, status, why) in cases {
-        let got = told(&mut s, method, target, body);
-        assert_eq!(got, (status, json!({"error": why})), "{method} {target}");
+    for (method, target, body, status, error) in cases {
+        let got = exchange(&mut s, method, target, body);
+        assert_eq!(got, (status, json!({"error": error})), "{method} {target}");
     }
     s.set_out(at_ms(0), true);
-    assert_eq!(told(&mut s, "GET", "/keys/a", none.clone()), (503, none));
+    assert_eq!(
+        exchange(&mut s, "GET", "/keys/a", none.clone()),
+        (503, none)
+    );
 }
 
 fn state() -> PersistedState {
-    let value = |v: Value| Kept(encode(&v).into());
+    let value = |v: Value| StoredValue(encode(&v).into());
     let key = |lease| StoredKey {
         value: value(json!({"s": "p"})),
         version: Version(7),
@@ -235,7 +238,7 @@
     }
 }
 
-/// The parts of a snapshot of [`state`], in their order.
+/// The parts of a snapshot of [`state`] in hex, in the order of the archive.
 const KEYS: &str = "9292a16193c40581a173a170070392a16293c40581a173a17007c0";
 const LEASES: &str = "919203cd1388";
 const CHANGES: &str = "929292070092a161c401019292090192a161c0";
@@ -254,16 +257,16 @@
 
 #[test]
 fn snapshot_keeps_its_parts_and_their_bytes() {
-    let path = file("written.snapshot");
-    let summary = backup::save(&state(), &path).expect("it is saved");
-    let packed = std::fs::File::open(&path).expect("it is there");
-    let mut tar = tar::Archive::new(zstd::Decoder::new(packed).expect("zstd"));
+    let path = unused_path("written.snapshot");
+    let summary = backup::save(&state(), &path).expect("the snapshot is written");
+    let compressed = std::fs::File::open(&path).expect("the snapshot exists");
+    let mut tar = tar::Archive::new(zstd::Decoder::new(compressed).expect("zstd"));
     let mut parts = Vec::new();
     for entry in tar.entries().expect("tar") {
         let mut entry = entry.expect("an entry");
         let name = entry.path().expect("a name").display().to_string();
         let mut data = Vec::new();
-        entry.read_to_end(&mut data).expect("its bytes");
+        entry.read_to_end(&mut data).expect("the entry's bytes");
         parts.push((name, data));
     }
     let names: Vec<&str> = parts.iter().map(|(n, _)| n.as_str()).collect();
@@ -279,26 +282,26 @@
     assert_eq!(hex(&parts[0].1), KEYS);
     assert_eq!(hex(&parts[1].1), LEASES);
     assert_eq!(hex(&parts[2].1), CHANGES);
-    let told: Value = serde_json::from_slice(&parts[3].1).expect("JSON");
-    assert_eq!(told, manifest());
+    let written: Value = serde_json::from_slice(&parts[3].1).expect("JSON");
+    assert_eq!(written, manifest());
     assert_eq!(
         serde_json::to_value(summary).expect("JSON"),
         json!({"revision": 9, "keys": 2, "leases": 1, "changes": 2})
     );
 }
 
-/// A snapshot made of the literal parts, without the code that saves one.
-fn snapshot(name: &str) -> PathBuf {
-    let path = file(name);
-    let out = std::fs::File::create(&path).expect("a file");
-    let packed = zstd::Encoder::new(out, 3).expect("zstd");
-    let mut tar = tar::Builder::new(packed);
-    let text = serde_json::to_vec(&manifest()).expect("JSON");
+/// Writes a snapshot from the literal parts, without the code under test.
+fn write_literal_snapshot(name: &str) -> PathBuf {
+    let path = unused_path(name);
+    let file = std::fs::File::create(&path).expect("a file");
+    let compressed = zstd::Encoder::new(file, 3).expect("zstd");
+    let mut tar = tar::Builder::new(compressed);
+    let manifest_json = serde_json::to_vec(&manifest()).expect("JSON");
     let parts = [
-        ("keys/000000", unhex(KEYS)),
-        ("leases/000000", unhex(LEASES)),
-        ("changes/000000", unhex(CHANGES)),
-        ("manifest.json", text),
+        ("keys/000000", bytes_from_hex(KEYS)),
+        ("leases/000000", bytes_from_hex(LEASES)),
+        ("changes/000000", bytes_from_hex(CHANGES)),
+        ("manifest.json", manifest_json),
     ];
     for (name, data) in parts {
         let mut header = tar::Header::new_gnu();
@@ -306,32 +309,34 @@
         header.set_mode(0o600);
         header.set_cksum();
         let added = tar.append_data(&mut header, name, data.as_slice());
-        added.expect("it is added");
+        added.expect("the part is added");
     }
-    let packed = tar.into_inner().expect("tar");
-    packed.finish().expect("zstd");
+    let compressed = tar.into_inner().expect("tar");
+    compressed.finish().expect("zstd");
     path
 }
 
 #[test]
-fn snapshot_written_earlier_is_read() {
-    let read = backup::read(&snapshot("earlier.snapshot")).expect("it is whole");
+fn reads_snapshot_of_earlier_build() {
+    let read = backup::read(&write_literal_snapshot("earlier.snapshot"))
+        .expect("the snapshot is complete");
     assert_eq!(read, state());
 }
 
 #[test]
-fn snapshot_written_earlier_is_restored_with_versions_moved_on() {
-    let store = file("restored.store");
-    let summary = backup::restore(&snapshot("moved.snapshot"), &store).expect("it is whole");
+fn restores_earlier_snapshot_with_increased_versions() {
+    let store = unused_path("restored.store");
+    let summary = backup::restore(&write_literal_snapshot("moved.snapshot"), &store)
+        .expect("the snapshot is complete");
     let revision = 9 + (1 << 32);
-    let wanted = BackupSummary {
+    let expected = BackupSummary {
         revision,
         keys: 2,
         leases: 1,
         changes: 0,
     };
-    assert_eq!((summary, RESTORE_GAP), (wanted, 1 << 32));
-    let restored = Disk::at(&store).load().expect("it is read");
+    assert_eq!((summary, RESTORE_GAP), (expected, 1 << 32));
+    let restored = Disk::at(&store).load().expect("the store is loaded");
     assert_eq!(
         (restored.keys, restored.leases),
         (state().keys, state().leases)
@@ -340,10 +345,12 @@
 }
 
 #[test]
-fn refused_snapshot_keeps_its_text() {
-    let path = file("none.snapshot");
-    std::fs::write(&path, b"nothing").expect("it is written");
-    let e = backup::read(&path).expect_err("it is none").to_string();
+fn refused_snapshot_keeps_its_error_text() {
+    let path = unused_path("none.snapshot");
+    std::fs::write(&path, b"nothing").expect("the file is written");
+    let e = backup::read(&path)
+        .expect_err("the file is not a snapshot")
+        .to_string();
     assert!(e.starts_with(&format!("{}: ", path.display())), "{e}");
     assert!(
         e.ends_with("; nothing was restored, use another snapshot"),
