--- a/crates/kvstore/src/disk.rs
+++ b/crates/kvstore/src/disk.rs
@@ -153,13 +153,13 @@
                 .map_err(store_error)?;
             }
             let mut changes = txn.open_table(CHANGES).map_err(store_error)?;
-            for (at, change) in &batch.changes {
+            for (change_id, change) in &batch.changes {
                 changes
-                    .insert(at, encode_record(change).as_slice())
+                    .insert(change_id, encode_record(change).as_slice())
                     .map_err(store_error)?;
             }
-            for at in &batch.compacted_changes {
-                changes.remove(at).map_err(store_error)?;
+            for change_id in &batch.compacted_changes {
+                changes.remove(change_id).map_err(store_error)?;
             }
         }
         txn.commit().map_err(store_error)
@@ -212,10 +212,10 @@
             .iter()
             .map_err(store_error)?
         {
-            let (at, change) = entry.map_err(store_error)?;
-            let at = at.value();
-            let change = decode_record::<ChangeRecord>("changes", at.0, change.value())?;
-            state.changes.push_back((at, change));
+            let (change_id, change) = entry.map_err(store_error)?;
+            let change_id = change_id.value();
+            let change = decode_record::<ChangeRecord>("changes", change_id.0, change.value())?;
+            state.changes.push_back((change_id, change));
         }
         Ok(state)
     }
--- a/crates/kvstore/src/service/transaction.rs
+++ b/crates/kvstore/src/service/transaction.rs
@@ -153,9 +153,9 @@
             Some(((last, position), _)) if *last == revision => position + 1,
             _ => 0,
         };
-        let at = (revision, position);
-        self.batch.changes.push((at, change.clone()));
-        self.state.changes.push_back((at, change));
+        let change_id = (revision, position);
+        self.batch.changes.push((change_id, change.clone()));
+        self.state.changes.push_back((change_id, change));
         while self.state.changes.len() > RETAINED_CHANGES
             && let Some((oldest, _)) = self.state.changes.pop_front()
         {
--- a/crates/kvstore/src/service/watch.rs
+++ b/crates/kvstore/src/service/watch.rs
@@ -77,11 +77,11 @@
             return Some(Reply::error(410, "changes since then are no longer kept"));
         }
         let log = &self.state.changes;
-        let first = log.partition_point(|(at, _)| at.0 <= watch.since);
+        let first = log.partition_point(|(change_id, _)| change_id.0 <= watch.since);
         let events: Vec<wire::WatchEvent> = log
             .range(first..)
             .filter(|(_, change)| change.key.starts_with(&watch.prefix))
-            .map(|(at, change)| watch_event(at.0, change))
+            .map(|(change_id, change)| watch_event(change_id.0, change))
             .collect();
         if events.is_empty() && !watch.is_due(now) {
             return None;
--- a/crates/kvstore/src/storage.rs
+++ b/crates/kvstore/src/storage.rs
@@ -34,9 +34,10 @@
     pub keys: Vec<(String, Option<StoredKey>)>,
     /// Leases granted, with their time to live in milliseconds, or, with `None`, ended.
     pub leases: Vec<(u64, Option<u64>)>,
-    /// Changes to append to the change log, by revision and position within it.
+    /// Changes to append to the change log; a change's id is its revision and its position
+    /// within the revision.
     pub changes: Vec<((u64, u32), ChangeRecord)>,
-    /// Revisions and positions of the changes to remove from the change log.
+    /// Ids of the changes to remove from the change log.
     pub compacted_changes: Vec<(u64, u32)>,
 }
 
--- a/crates/kvstore/tests/power.rs
+++ b/crates/kvstore/tests/power.rs
@@ -42,10 +42,10 @@
             let body = pebblefold_wire::encode(&pebblefold_wire::kvstore::LeaseGrantRequest {
                 ttl_ms: 5000,
             });
-            if let RequestOutcome::Reply(a) = outcome_of(&mut s, group, "POST", "/leases", body)
+            if let RequestOutcome::Reply(reply) = outcome_of(&mut s, group, "POST", "/leases", body)
                 && let Some(l) =
-                    pebblefold_wire::decode::<pebblefold_wire::kvstore::LeaseGrant>(&a.body)
-                && a.status == 200
+                    pebblefold_wire::decode::<pebblefold_wire::kvstore::LeaseGrant>(&reply.body)
+                && reply.status == 200
             {
                 acked.leases.push(l.lease);
             }
@@ -64,11 +64,11 @@
             s.handle(at_ms(group), ClientId(0), RequestId(n), &r);
         }
         for (request_id, outcome) in s.flush(at_ms(group)) {
-            if let RequestOutcome::Reply(a) = outcome
-                && a.status == 200
+            if let RequestOutcome::Reply(reply) = outcome
+                && reply.status == 200
             {
                 let r: pebblefold_wire::kvstore::TransactionResponse =
-                    pebblefold_wire::decode(&a.body).unwrap();
+                    pebblefold_wire::decode(&reply.body).unwrap();
                 acked.commits.push((request_id.0, r.revision.0));
             }
         }
@@ -205,7 +205,7 @@
     // The put of `b` is not acknowledged, and `b` is absent later.
     assert!(
         !matches!(outcome_of(&mut s, 10, "POST", "/commit", txn(&[], vec![put("b", 1, None)])),
-        RequestOutcome::Reply(a) if a.status == 200)
+        RequestOutcome::Reply(reply) if reply.status == 200)
     );
     for ms in (100..5000).step_by(50) {
         s.tick(at_ms(ms));
