--- a/crates/client/src/attempts.rs
+++ b/crates/client/src/attempts.rs
@@ -1,14 +1,15 @@
-//! The attempts of one call: which node, when, and when to stop. No I/O, no clock.
+//! The attempts of one call: which controller each one is sent to, when it is sent, and
+//! when the call ends. No I/O; the caller passes the time.
 
 use pebblefold_wire::backoff::Backoff;
 use pebblefold_wire::types::{Time, TimeSpan};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Longest pause, in seconds, that a node may ask for by Retry-After.
+/// Upper bound, in seconds, of `Retry-After`; a larger value is reduced to it.
 const MAX_RETRY_AFTER_S: u32 = 30;
 
-/// What is asked.
+/// The request that a call makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// `POST /submissions`
@@ -19,18 +20,20 @@
     Cancel,
 }
 
-/// Deadlines, timeouts and backoff of a call.
+/// Deadline, timeouts and backoff of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// After this a call ends, answered or not.
+    /// Time after the start of a call at which it ends, with an answer or with an error.
     pub deadline: TimeSpan,
-    /// How long one attempt waits for its answer.
+    /// How long one attempt waits for its response.
     pub attempt_timeout: TimeSpan,
-    /// A poll that is not answered by then is asked of another node as well.
+    /// How long a poll waits for its response before it is also sent to another
+    /// controller.
     pub hedge_after: TimeSpan,
-    /// Pause after the first failure in a row; it doubles, with jitter.
+    /// Pause after the first of several consecutive failures; it doubles with each
+    /// further failure. Jitter shortens a pause by up to half.
     pub first_pause: TimeSpan,
-    /// Longest pause, unless a node asks for more.
+    /// Upper bound of the doubled pause; a longer `Retry-After` takes precedence.
     pub max_pause: TimeSpan,
 }
 
@@ -46,72 +49,79 @@
     }
 }
 
-/// What a node's answer means for the call.
+/// What a controller's response means for the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyClass {
-    /// It is the answer.
+    /// The response ends the call.
     Final,
-    /// Not now: another node, or later.
+    /// The request has to be sent again, later or to another controller.
     Retry {
-        /// The node's word on when, in seconds.
-        after: Option<u32>,
+        /// `Retry-After` of the response, in seconds.
+        retry_after_s: Option<u32>,
     },
 }
 
 impl ReplyClass {
-    /// By the users' protocol; everything but an answer or a refusal for good is
-    /// tried again.
-    pub fn of(status: u16, after: Option<u32>) -> ReplyClass {
+    /// Classifies a response by its status, as the users' protocol defines it: every
+    /// status but that of an answer (200, 201, 404) or of a permanent rejection (400,
+    /// 422) is retried.
+    pub fn of(status: u16, retry_after_s: Option<u32>) -> ReplyClass {
         match status {
             200 | 201 | 400 | 404 | 422 => ReplyClass::Final,
-            _ => ReplyClass::Retry { after },
+            _ => ReplyClass::Retry { retry_after_s },
         }
     }
 }
 
-/// What to do next.
+/// What the caller of [`Attempts::next`] has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the request.
     Send {
-        /// To this node.
+        /// Index of the controller to send it to.
         node: usize,
-        /// Numbers the attempt.
+        /// Number of the attempt within the call, from 0.
         attempt: u32,
     },
-    /// Nothing before this time, unless an answer comes.
+    /// Do nothing until this time, unless a response arrives earlier.
     Wait(Time),
-    /// The deadline is over, or no retry is left in the budget.
-    GiveUp,
+    /// End the call without an answer: the deadline has passed, or the retry budget is
+    /// used up.
+    Abandon,
 }
 
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     attempt: u32,
     node: usize,
-    sent: Time,
+    sent_at: Time,
 }
 
-/// The attempts of one call, as a state machine.
+/// The attempts of one call, as a state machine: [`Attempts::next`] returns what to do,
+/// [`Attempts::failed`] records an attempt that has to be repeated.
 #[derive(Debug)]
 pub struct Attempts {
     kind: RequestKind,
+    /// Number of controllers.
     nodes: usize,
     policy: RetryPolicy,
     started: Time,
     rng: StdRng,
     backoff: Backoff,
-    /// Attempts under way.
+    /// Attempts that have neither failed nor timed out.
     in_flight: Vec<Attempt>,
     attempts_made: u32,
     next_node: usize,
-    /// No further attempt before this time.
+    /// Earliest time of the next retry.
     pause_until: Time,
+    /// Whether the current attempt was already sent to a second controller.
     hedged: bool,
 }
 
 impl Attempts {
-    /// A call of this kind at so many nodes that begins now.
+    /// Starts a call at `now`, with `nodes` controllers to send it to. `seed` determines
+    /// the first controller and the jitter.
     pub fn new(
         kind: RequestKind,
         nodes: usize,
@@ -126,7 +136,7 @@
             nodes,
             policy,
             started: now,
-            // Callers that begin together begin at different nodes.
+            // A random first controller spreads the load of calls that start together.
             next_node: rng.random_range(0..nodes),
             rng,
             backoff: Backoff::default(),
@@ -144,75 +154,78 @@
         self.in_flight.push(Attempt {
             attempt,
             node,
-            sent: now,
+            sent_at: now,
         });
         Action::Send { node, attempt }
     }
 
-    /// What to do now. `budget` is asked before each try but the first whether
-    /// one more is allowed.
+    /// Returns what to do now. Before each attempt but the first, `budget` is called
+    /// and returns whether one more attempt is allowed.
     pub fn next(&mut self, now: Time, budget: &mut dyn FnMut(Time) -> bool) -> Vec<Action> {
-        let end = self.started + self.policy.deadline;
-        if now >= end {
-            return vec![Action::GiveUp];
+        let call_end = self.started + self.policy.deadline;
+        if now >= call_end {
+            return vec![Action::Abandon];
         }
         let attempt_timeout = self.policy.attempt_timeout;
-        let late: Vec<u32> = self
+        let timed_out: Vec<u32> = self
             .in_flight
             .iter()
-            .filter(|t| now.since(t.sent) >= attempt_timeout)
-            .map(|t| t.attempt)
+            .filter(|a| now.since(a.sent_at) >= attempt_timeout)
+            .map(|a| a.attempt)
             .collect();
-        for attempt in late {
+        for attempt in timed_out {
             self.failed(now, attempt, None);
         }
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         if self.in_flight.is_empty() && now >= self.pause_until {
             if self.attempts_made > 0 && !budget(now) {
-                return vec![Action::GiveUp];
+                return vec![Action::Abandon];
             }
             self.hedged = false;
-            out.push(self.send(now));
+            actions.push(self.send(now));
         }
-        // A second node costs one request and saves the wait for a slow one; it
-        // is asked once a try, and only where nothing can be changed by it.
-        if let [only] = self.in_flight.as_slice()
+        // A hedged request costs one more request and saves the wait for a slow
+        // controller. Each attempt is hedged at most once, and only polls are, since
+        // they change nothing.
+        if let [single] = self.in_flight.as_slice()
             && self.kind == RequestKind::Poll
             && self.nodes > 1
             && !self.hedged
-            && now.since(only.sent) >= self.policy.hedge_after
+            && now.since(single.sent_at) >= self.policy.hedge_after
         {
             self.hedged = true;
             if budget(now) {
-                out.push(self.send(now));
+                actions.push(self.send(now));
             }
         }
-        if out.is_empty() {
-            out.push(Action::Wait(self.next_wakeup(end)));
+        if actions.is_empty() {
+            actions.push(Action::Wait(self.next_wakeup(call_end)));
         }
-        out
+        actions
     }
 
-    fn next_wakeup(&self, end: Time) -> Time {
-        let tries = self
+    /// Earliest time at which [`Attempts::next`] may return something other than a wait.
+    fn next_wakeup(&self, call_end: Time) -> Time {
+        let timeouts = self
             .in_flight
             .iter()
-            .map(|t| t.sent + self.policy.attempt_timeout);
+            .map(|a| a.sent_at + self.policy.attempt_timeout);
         let hedge = match self.in_flight.as_slice() {
-            [only] if self.kind == RequestKind::Poll && self.nodes > 1 && !self.hedged => {
-                Some(only.sent + self.policy.hedge_after)
+            [single] if self.kind == RequestKind::Poll && self.nodes > 1 && !self.hedged => {
+                Some(single.sent_at + self.policy.hedge_after)
             }
             _ => None,
         };
         let pause = self.in_flight.is_empty().then_some(self.pause_until);
-        let all = tries.chain(hedge).chain(pause);
-        all.min().unwrap_or(end).min(end)
+        let wakeups = timeouts.chain(hedge).chain(pause);
+        wakeups.min().unwrap_or(call_end).min(call_end)
     }
 
-    /// An attempt failed, or was answered with "not now": the next one waits, as long
-    /// as the node asks or a little, and goes to another node.
-    pub fn failed(&mut self, now: Time, attempt: u32, after: Option<u32>) {
-        let Some(i) = self.in_flight.iter().position(|t| t.attempt == attempt) else {
+    /// Records that an attempt failed or that its response asks for a retry. The next
+    /// attempt waits for the backoff or for `Retry-After`, whichever is longer, and is
+    /// sent to another controller. An attempt that is no longer in flight is ignored.
+    pub fn failed(&mut self, now: Time, attempt: u32, retry_after_s: Option<u32>) {
+        let Some(i) = self.in_flight.iter().position(|a| a.attempt == attempt) else {
             return;
         };
         let node = self.in_flight.remove(i).node;
@@ -220,22 +233,25 @@
             self.next_node = (node + 1) % self.nodes;
         }
         let jitter = self.rng.random();
-        let (first, most) = (self.policy.first_pause, self.policy.max_pause);
-        let own = self.backoff.failed(first, most, jitter);
-        // The node's word spreads the return of many: never earlier, and not all
-        // at the same moment.
-        let asked = after.map_or(TimeSpan::ZERO, |s| {
+        let (initial, limit) = (self.policy.first_pause, self.policy.max_pause);
+        let backoff_pause = self.backoff.failed(initial, limit, jitter);
+        // Jitter of up to a quarter spreads the retries of many clients that received
+        // the same `Retry-After`; none of them retries earlier.
+        let requested_pause = retry_after_s.map_or(TimeSpan::ZERO, |s| {
             TimeSpan::secs(f64::from(s.min(MAX_RETRY_AFTER_S)) * (1.0 + jitter / 4.0))
         });
-        self.pause_until = self.pause_until.max(now + TimeSpan(own.0.max(asked.0)));
+        self.pause_until = self
+            .pause_until
+            .max(now + TimeSpan(backoff_pause.0.max(requested_pause.0)));
     }
 
-    /// When an ended call may be made again at the earliest, by what nodes said.
+    /// Earliest time at which the caller may repeat a call that has ended, by the
+    /// backoff and the last `Retry-After`.
     pub fn retry_not_before(&self) -> Time {
         self.pause_until
     }
 
-    /// Attempts made.
+    /// Number of attempts made, timed out and hedged ones included.
     pub fn attempts_made(&self) -> u32 {
         self.attempts_made
     }
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls on sockets.
+//! The client: calls to the controllers over HTTP, with retries.
 
 use crate::answer_cache::AnswerCache;
 use crate::attempts::{Action, Attempts, ReplyClass, RequestKind, RetryPolicy};
@@ -16,82 +16,90 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Retries a second that all calls of a client may make together.
+/// Retries per second that all calls of a client may make together.
 const RETRIES_PER_S: f64 = 5.0;
-/// Retries that they may make at once.
+/// Retries that the calls may make in one burst.
 const RETRY_BURST: f64 = 25.0;
-/// Spreads the seeds of a client's calls (Knuth's multiplicative constant for 64 bits).
+/// Multiplier that derives the seed of a client's next call from the last one (Knuth's
+/// multiplicative constant for 64 bits).
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Why a call has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// Refused for good: malformed, or it can never run. Not to be repeated.
+    /// The controller rejected the request permanently: it is malformed, or the job can
+    /// never run. Repeating the call is useless.
     #[error("{status} {reason}")]
     Refused {
         /// 400 or 422.
         status: u16,
-        /// The node's reason.
+        /// The reason that the controller gave.
         reason: String,
     },
-    /// No such job.
+    /// The job does not exist.
     #[error("no such job: {0}")]
     NoSuchJob(JobId),
-    /// The id can be none of a job; nothing was sent.
+    /// The id is not a valid job id; no request was sent.
     #[error("job id {0:?}: 1 to 128 letters, digits, '-', '_' or '.' are wanted")]
     InvalidJobId(String),
-    /// No node decided within the deadline, or the retries are used up. May be
-    /// repeated, not before the pause: it may have been carried out.
+    /// No controller gave a final answer before the deadline, or the retry budget is used
+    /// up. The request may have been carried out. The call may be repeated after the
+    /// pause.
     #[error("{last}; try again in {} s", pause.as_secs().ceil())]
     Busy {
-        /// What the last try met.
+        /// How the last attempt failed.
         last: String,
-        /// How long to wait.
+        /// How long the caller has to wait before it repeats the call.
         pause: TimeSpan,
     },
-    /// The client has no nodes.
+    /// The client was created without addresses of controllers.
     #[error("no nodes to ask; give at least one address")]
     NoNodes,
 }
 
 impl ClientError {
-    /// Whether the same call may succeed later.
+    /// Whether the same call may succeed when it is repeated later.
     pub fn is_retryable(&self) -> bool {
         matches!(self, ClientError::Busy { .. })
     }
 }
 
-/// A client. Has to be used within a [`tokio::task::LocalSet`]; clones share
-/// connections, the budget of retries and what was answered before.
+/// A client of the users' protocol. It has to be used within a
+/// [`tokio::task::LocalSet`]. Clones share the connections, the retry budget and the
+/// cache of answers.
 #[derive(Clone, Debug)]
 pub struct Client(Rc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
     http: HttpClient,
+    /// Addresses of the controllers.
     nodes: Vec<SocketAddrV4>,
     policy: RetryPolicy,
+    /// Origin of the times that the client passes to [`Attempts`] and to the budget.
     started: Instant,
-    retries: RefCell<TokenBucket>,
+    retry_budget: RefCell<TokenBucket>,
     answer_cache: RefCell<AnswerCache>,
+    /// Seed of the last call.
     seed: Cell<u64>,
 }
 
 impl Client {
-    /// A client of these nodes.
+    /// Creates a client that sends its requests to the controllers at these addresses.
     pub fn new(nodes: Vec<SocketAddrV4>, policy: RetryPolicy) -> Client {
         Client(Rc::new(Shared {
             http: HttpClient::default(),
             nodes,
             policy,
             started: Instant::now(),
-            retries: RefCell::new(TokenBucket::new(RETRIES_PER_S, RETRY_BURST)),
+            retry_budget: RefCell::new(TokenBucket::new(RETRIES_PER_S, RETRY_BURST)),
             answer_cache: RefCell::default(),
             seed: Cell::new(rand::random()),
         }))
     }
 
-    /// Submits a job. Safe to repeat: the same id is the same job.
+    /// Submits a job. The call may be repeated: a submission with the same id is the same
+    /// job.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -101,7 +109,7 @@
             .await
     }
 
-    /// A job's state.
+    /// Returns a job's current status.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -111,7 +119,8 @@
             .await
     }
 
-    /// Cancels a job. Safe to repeat; answers "done" if it was over already.
+    /// Cancels a job. The call may be repeated; the returned stage is "done" if the job had
+    /// already completed.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -121,32 +130,35 @@
             .await
     }
 
-    /// Polls until a job is over; `on_change` hears of each change. Nodes that cannot
-    /// answer for a while are waited for.
+    /// Polls a job, at intervals of at least `interval`, until the job is done or
+    /// cancelled. `on_change` is called with each status whose stage differs from the
+    /// last one. A poll that fails with [`ClientError::Busy`] is repeated without limit.
     ///
     /// # Errors
-    /// The job is not known.
+    /// The job does not exist; see [`ClientError`].
     pub async fn wait(
         &self,
         id: &JobId,
-        every: Duration,
+        interval: Duration,
         mut on_change: impl FnMut(&JobStatus),
     ) -> Result<JobStatus, ClientError> {
         let mut last: Option<JobStage> = None;
         loop {
-            let mut pause = every;
+            let mut pause = interval;
             match self.status(id).await {
-                Ok(a) => {
-                    if last != Some(a.stage) {
-                        on_change(&a);
+                Ok(job_status) => {
+                    if last != Some(job_status.stage) {
+                        on_change(&job_status);
                     }
-                    last = Some(a.stage);
-                    if matches!(a.stage, JobStage::Done | JobStage::Cancelled) {
-                        return Ok(a);
+                    last = Some(job_status.stage);
+                    if matches!(job_status.stage, JobStage::Done | JobStage::Cancelled) {
+                        return Ok(job_status);
                     }
                 }
-                Err(ClientError::Busy { pause: p, .. }) => {
-                    pause = every.max(Duration::from_micros(p.0));
+                Err(ClientError::Busy {
+                    pause: retry_pause, ..
+                }) => {
+                    pause = interval.max(Duration::from_micros(retry_pause.0));
                 }
                 Err(e) => return Err(e),
             }
@@ -154,7 +166,8 @@
         }
     }
 
-    /// Makes a call: attempts until one is answered for good or the deadline is over.
+    /// Makes a call: repeats attempts until one has a final answer or the deadline has
+    /// passed.
     async fn call(
         &self,
         kind: RequestKind,
@@ -167,18 +180,20 @@
         if shared.nodes.is_empty() {
             return Err(ClientError::NoNodes);
         }
-        // A job without a usable id is refused by the node, with its reason.
+        // A submission with an invalid id is sent: the controller rejects it with a reason.
         if kind != RequestKind::Submit && !is_valid_job_id(id.as_str()) {
             return Err(ClientError::InvalidJobId(id.to_string()));
         }
         let mut attempts = shared.new_attempts(kind);
         let (tx, mut rx) = mpsc::unbounded_channel();
-        // Attempts end with the call: the set aborts them when it is dropped.
+        // When the call ends, the set is dropped and aborts the attempts in flight.
         let mut tasks: JoinSet<()> = JoinSet::new();
         let mut last = "no answer".to_string();
         loop {
             let now = shared.now();
-            let actions = attempts.next(now, &mut |now| shared.retries.borrow_mut().take(now, 1.0));
+            let actions = attempts.next(now, &mut |now| {
+                shared.retry_budget.borrow_mut().take(now, 1.0)
+            });
             for action in actions {
                 match action {
                     Action::Send { node, attempt } => {
@@ -186,7 +201,8 @@
                         let (path, body) = (path.clone(), body.clone());
                         tasks.spawn_local(async move {
                             let result = shared.send_request(node, method, &path, &body).await;
-                            // The call may be over; nobody misses the result.
+                            // The send fails if the call has ended; the result is then
+                            // no longer needed.
                             let _ = tx.send(AttemptResult {
                                 attempt,
                                 node,
@@ -195,37 +211,40 @@
                         });
                     }
                     Action::Wait(_) => {}
-                    Action::GiveUp => {
-                        let pause = attempts.retry_not_before().since(now).max(LEAST_PAUSE);
+                    Action::Abandon => {
+                        let pause = attempts.retry_not_before().since(now).max(MIN_RETRY_PAUSE);
                         return Err(ClientError::Busy { last, pause });
                     }
                 }
             }
             let wait = next_wait(&mut attempts, now);
-            let Ok(Some(done)) = timeout(wait, rx.recv()).await else {
+            let Ok(Some(finished)) = timeout(wait, rx.recv()).await else {
                 continue;
             };
-            match shared.classify(id, &done) {
+            match shared.classify(id, &finished) {
                 Progress::Answered(answer) => return answer,
-                Progress::Retry { reason, after } => {
-                    last = format!("{}: {reason}", shared.nodes[done.node]);
-                    attempts.failed(shared.now(), done.attempt, after);
+                Progress::Retry {
+                    reason,
+                    retry_after_s,
+                } => {
+                    last = format!("{}: {reason}", shared.nodes[finished.node]);
+                    attempts.failed(shared.now(), finished.attempt, retry_after_s);
                 }
             }
         }
     }
 }
 
-/// Least pause that a caller is told to keep after a call without an answer.
-const LEAST_PAUSE: TimeSpan = TimeSpan::millis(1000);
-/// Least wait between two looks at the attempts under way.
-const LEAST_WAIT_US: u64 = 1000;
+/// Lower bound of the pause in [`ClientError::Busy`].
+const MIN_RETRY_PAUSE: TimeSpan = TimeSpan::millis(1000);
+/// Lower bound of the wait between two calls of [`Attempts::next`], in microseconds.
+const MIN_WAIT_US: u64 = 1000;
 
-/// What came of one attempt.
+/// The result of one attempt.
 struct AttemptResult {
     attempt: u32,
     node: usize,
-    /// The response, or why there is none.
+    /// The response, or the reason why there is none.
     result: Result<Response, String>,
 }
 
@@ -234,28 +253,31 @@
     Answered(Result<JobStatus, ClientError>),
     Retry {
         reason: String,
-        /// Seconds that the node asks to wait.
-        after: Option<u32>,
+        /// `Retry-After` of the response, in seconds.
+        retry_after_s: Option<u32>,
     },
 }
 
-/// How long nothing is to be done, unless an attempt ends.
+/// How long to wait for the result of an attempt before [`Attempts::next`] is called
+/// again.
 fn next_wait(attempts: &mut Attempts, now: Time) -> Duration {
     let wait = match attempts.next(now, &mut |_| false).as_slice() {
         [Action::Wait(until)] => until.since(now),
         _ => TimeSpan::millis(1),
     };
-    Duration::from_micros(wait.0.max(LEAST_WAIT_US))
+    Duration::from_micros(wait.0.max(MIN_WAIT_US))
 }
 
-fn reason(r: &Response) -> String {
-    match decode::<ErrorResponse>(&r.body) {
-        Some(x) => format!("{} {}", r.status, x.error),
-        None => format!("{} refused", r.status),
+/// Why a response is not final, for [`ClientError::Busy`].
+fn reason(reply: &Response) -> String {
+    match decode::<ErrorResponse>(&reply.body) {
+        Some(error_body) => format!("{} {}", reply.status, error_body.error),
+        None => format!("{} refused", reply.status),
     }
 }
 
 impl Shared {
+    /// Time since the client was created; 1 us is added, so that it is never zero.
     fn now(&self) -> Time {
         Time(self.started.elapsed().as_micros() as u64 + 1)
     }
@@ -266,27 +288,27 @@
         Attempts::new(kind, self.nodes.len(), self.policy, self.now(), seed)
     }
 
-    fn classify(&self, id: &JobId, done: &AttemptResult) -> Progress {
-        let response = match &done.result {
+    fn classify(&self, id: &JobId, finished: &AttemptResult) -> Progress {
+        let response = match &finished.result {
             Ok(response) => response,
             Err(e) => {
                 return Progress::Retry {
                     reason: e.clone(),
-                    after: None,
+                    retry_after_s: None,
                 };
             }
         };
         match ReplyClass::of(response.status, response.retry_after) {
-            ReplyClass::Final => match self.read(id, response) {
+            ReplyClass::Final => match self.check_answer(id, response) {
                 Some(answer) => Progress::Answered(answer),
                 None => Progress::Retry {
-                    reason: format!("{}, older than what is known", response.status),
-                    after: None,
+                    reason: format!("{}, older than an earlier answer", response.status),
+                    retry_after_s: None,
                 },
             },
-            ReplyClass::Retry { after } => Progress::Retry {
+            ReplyClass::Retry { retry_after_s } => Progress::Retry {
                 reason: reason(response),
-                after,
+                retry_after_s,
             },
         }
     }
@@ -299,33 +321,36 @@
         body: &[u8],
     ) -> Result<Response, String> {
         let sent = Sent::default();
-        let asked = self
+        let exchange_future = self
             .http
             .exchange(self.nodes[node], method, path, body, &sent);
         let limit = Duration::from_micros(self.policy.attempt_timeout.0);
-        match timeout(limit, asked).await {
-            Ok(Ok(r)) => Ok(r),
+        match timeout(limit, exchange_future).await {
+            Ok(Ok(reply)) => Ok(reply),
             Ok(Err(e)) => Err(e.to_string()),
             Err(_) => Err("no answer in time".into()),
         }
     }
 
-    /// The answer as it may be given; `None`: it is older than one that was.
-    fn read(&self, id: &JobId, r: &Response) -> Option<Result<JobStatus, ClientError>> {
+    /// Decodes a final response and checks it against the cache of answers. `None`: the
+    /// response cannot be decoded, is about another job, or is older than an answer that
+    /// was returned before.
+    fn check_answer(&self, id: &JobId, reply: &Response) -> Option<Result<JobStatus, ClientError>> {
         let mut answer_cache = self.answer_cache.borrow_mut();
-        match r.status {
+        match reply.status {
             404 if answer_cache.allows(id, None) => Some(Err(ClientError::NoSuchJob(id.clone()))),
             404 => None,
             400 | 422 => Some(Err(ClientError::Refused {
-                status: r.status,
-                reason: decode::<ErrorResponse>(&r.body).map_or("refused".into(), |x| x.error),
+                status: reply.status,
+                reason: decode::<ErrorResponse>(&reply.body)
+                    .map_or("refused".into(), |error_body| error_body.error),
             })),
             _ => {
-                let answer: JobStatus = decode(&r.body)?;
+                let answer: JobStatus = decode(&reply.body)?;
                 if answer.id != *id || !answer_cache.allows(id, Some(answer.stage)) {
                     return None;
                 }
-                answer_cache.note(id, answer.stage);
+                answer_cache.record(id, answer.stage);
                 Some(Ok(answer))
             }
         }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,9 +1,9 @@
 #![doc = include_str!("../README.md")]
 //! # Contents
 //!
-//! - [`Attempts`]: one call's attempts and retries as a state machine, without I/O.
-//! - [`AnswerCache`]: what was answered before, so that no answer is older.
-//! - [`Client`]: both on sockets.
+//! - [`Attempts`]: the attempts and retries of one call as a state machine, without I/O.
+//! - [`AnswerCache`]: the last known stage of each job, to detect stale answers.
+//! - [`Client`]: applies both to calls over HTTP.
 
 mod answer_cache;
 mod attempts;
--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -1,4 +1,5 @@
-//! The client against nodes that lag, refuse, hang and vanish.
+//! The client with controllers that lag behind, reject requests, do not respond, and drop
+//! connections.
 
 use pebblefold_client::{
     Action, AnswerCache, Attempts, Client, ClientError, RequestKind, RetryPolicy,
@@ -15,34 +16,35 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-fn at(ms: u64) -> Time {
+fn at_ms(ms: u64) -> Time {
     Time(ms * 1000)
 }
 
-/// Plays a call against nodes that never answer; what is sent when, to whom.
-fn silent(
+/// Simulates a call to controllers that never respond. Returns the time in milliseconds
+/// and the controller of each attempt, and the time at which the call ends.
+fn simulate_unresponsive_nodes(
     kind: RequestKind,
     nodes: usize,
     policy: RetryPolicy,
     mut budget: u32,
 ) -> (Vec<(u64, usize)>, u64) {
-    let mut a = Attempts::new(kind, nodes, policy, at(0), 3);
+    let mut attempts = Attempts::new(kind, nodes, policy, at_ms(0), 3);
     let mut sent = Vec::new();
     for ms in 0..100_000 {
         let mut allow = |_| {
-            let left = budget > 0;
+            let is_allowed = budget > 0;
             budget = budget.saturating_sub(1);
-            left
+            is_allowed
         };
-        for step in a.next(at(ms), &mut allow) {
-            match step {
+        for action in attempts.next(at_ms(ms), &mut allow) {
+            match action {
                 Action::Send { node, .. } => sent.push((ms, node)),
-                Action::GiveUp => return (sent, ms),
-                Action::Wait(t) => assert!(t > at(ms)),
+                Action::Abandon => return (sent, ms),
+                Action::Wait(t) => assert!(t > at_ms(ms)),
             }
         }
     }
-    panic!("it never ends");
+    panic!("the call does not end");
 }
 
 #[test]
@@ -52,7 +54,7 @@
         attempt_timeout: TimeSpan::millis(1000),
         ..RetryPolicy::default()
     };
-    let (sent, end) = silent(RequestKind::Submit, 3, policy, 100);
+    let (sent, end) = simulate_unresponsive_nodes(RequestKind::Submit, 3, policy, 100);
     assert_eq!(end, 20_000);
     assert!((8..=14).contains(&sent.len()), "{sent:?}");
     assert!(
@@ -64,8 +66,8 @@
         pauses[0] <= 100 && *pauses.last().unwrap() >= 1000,
         "{pauses:?}"
     );
-    // Without a budget the first try is the last.
-    let (sent, end) = silent(RequestKind::Submit, 3, policy, 0);
+    // Without a retry budget there is one attempt.
+    let (sent, end) = simulate_unresponsive_nodes(RequestKind::Submit, 3, policy, 0);
     assert!(sent.len() == 1 && end < 1200, "{sent:?} {end}");
 }
 
@@ -76,32 +78,53 @@
         attempt_timeout: TimeSpan::millis(2000),
         ..RetryPolicy::default()
     };
-    let (polls, _) = silent(RequestKind::Poll, 3, policy, 100);
+    let (polls, _) = simulate_unresponsive_nodes(RequestKind::Poll, 3, policy, 100);
     assert_eq!(polls.iter().map(|s| s.0).collect::<Vec<_>>(), [0, 500]);
     assert_ne!(polls[0].1, polls[1].1);
-    assert_eq!(silent(RequestKind::Poll, 1, policy, 100).0.len(), 1);
-    assert_eq!(silent(RequestKind::Cancel, 3, policy, 100).0.len(), 1);
+    assert_eq!(
+        simulate_unresponsive_nodes(RequestKind::Poll, 1, policy, 100)
+            .0
+            .len(),
+        1
+    );
+    assert_eq!(
+        simulate_unresponsive_nodes(RequestKind::Cancel, 3, policy, 100)
+            .0
+            .len(),
+        1
+    );
 }
 
 #[test]
 fn honours_retry_after_with_jitter() {
-    let mut starts = Vec::new();
+    let mut resend_times_ms = Vec::new();
     for seed in 0..50 {
-        let mut a = Attempts::new(RequestKind::Submit, 3, RetryPolicy::default(), at(0), seed);
-        a.next(at(0), &mut |_| true);
-        a.failed(at(10), 0, Some(4));
-        let back = (0..30_000)
-            .find(|ms| matches!(a.next(at(*ms), &mut |_| true)[..], [Action::Send { .. }]))
+        let mut attempts = Attempts::new(
+            RequestKind::Submit,
+            3,
+            RetryPolicy::default(),
+            at_ms(0),
+            seed,
+        );
+        attempts.next(at_ms(0), &mut |_| true);
+        attempts.failed(at_ms(10), 0, Some(4));
+        let resent_at_ms = (0..30_000)
+            .find(|ms| {
+                matches!(
+                    attempts.next(at_ms(*ms), &mut |_| true)[..],
+                    [Action::Send { .. }]
+                )
+            })
             .unwrap();
-        starts.push(back);
+        resend_times_ms.push(resent_at_ms);
     }
     assert!(
-        starts.iter().all(|s| (4010..=5011).contains(s)),
-        "{starts:?}"
+        resend_times_ms.iter().all(|s| (4010..=5011).contains(s)),
+        "{resend_times_ms:?}"
     );
-    starts.sort_unstable();
-    starts.dedup();
-    assert!(starts.len() > 20, "they come back together");
+    resend_times_ms.sort_unstable();
+    resend_times_ms.dedup();
+    assert!(resend_times_ms.len() > 20, "the retries are not spread");
 }
 
 #[test]
@@ -109,21 +132,21 @@
     let mut answer_cache = AnswerCache::default();
     let job = "wk-1".into();
     assert!(answer_cache.allows(&job, None));
-    answer_cache.note(&job, JobStage::Queued);
+    answer_cache.record(&job, JobStage::Queued);
     assert!(!answer_cache.allows(&job, None) && answer_cache.allows(&job, Some(JobStage::Running)));
-    answer_cache.note(&job, JobStage::Done);
-    answer_cache.note(&job, JobStage::Running);
+    answer_cache.record(&job, JobStage::Done);
+    answer_cache.record(&job, JobStage::Running);
     assert!(answer_cache.allows(&job, Some(JobStage::Done)));
     assert!(
         !answer_cache.allows(&job, Some(JobStage::Running))
             && !answer_cache.allows(&job, Some(JobStage::Cancelled))
     );
     for i in 0..30_000 {
-        answer_cache.note(&format!("wk-{i}").as_str().into(), JobStage::Queued);
+        answer_cache.record(&format!("wk-{i}").as_str().into(), JobStage::Queued);
     }
     assert!(
         answer_cache.allows(&"wk-5".into(), None),
-        "only so many are kept"
+        "the oldest job is dropped"
     );
 }
 
@@ -154,16 +177,17 @@
 
 type Script = Rc<RefCell<Vec<Option<(u16, Option<u32>, JobStage)>>>>;
 
-/// A node that answers by a script, from its end; `None` drops the connection.
-async fn node(script: Vec<Option<(u16, Option<u32>, JobStage)>>) -> (SocketAddrV4, Script) {
+/// Starts a controller that responds to each request with the last entry of the script
+/// and removes it; `None` drops the connection.
+async fn start_node(script: Vec<Option<(u16, Option<u32>, JobStage)>>) -> (SocketAddrV4, Script) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
         unreachable!("bound to an IPv4 address")
     };
     let script = Rc::new(RefCell::new(script));
-    let left = Rc::clone(&script);
+    let remaining = Rc::clone(&script);
     spawn_local(answer_connections(listener, move |_: Request| {
-        let next = left.borrow_mut().pop().flatten();
+        let next = remaining.borrow_mut().pop().flatten();
         async move {
             let (status, retry_after, stage) = next?;
             let id = "wk-1".into();
@@ -184,7 +208,7 @@
     (addr, script)
 }
 
-fn on_sockets<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+fn run_local<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -192,7 +216,7 @@
     LocalSet::new().block_on(&runtime, test());
 }
 
-fn quick() -> RetryPolicy {
+fn fast_policy() -> RetryPolicy {
     RetryPolicy {
         first_pause: TimeSpan::millis(5),
         max_pause: TimeSpan::millis(20),
@@ -203,40 +227,41 @@
 
 #[test]
 fn call_survives_refusals_dropped_connections_and_stale_answers() {
-    on_sockets(async || {
-        let q = JobStage::Queued;
+    run_local(async || {
+        let queued = JobStage::Queued;
         let script = vec![
             Some((200, None, JobStage::Done)),
             Some((200, None, JobStage::Running)),
-            Some((404, None, q)),
+            Some((404, None, queued)),
             Some((200, None, JobStage::Done)),
             None,
-            Some((503, None, q)),
-            Some((201, None, q)),
+            Some((503, None, queued)),
+            Some((201, None, queued)),
         ];
-        let (addr, left) = node(script).await;
-        let dead = "127.0.0.1:1".parse().unwrap();
-        let client = Client::new(vec![addr, dead], quick());
+        let (addr, remaining) = start_node(script).await;
+        let closed_port = "127.0.0.1:1".parse().unwrap();
+        let client = Client::new(vec![addr, closed_port], fast_policy());
         let job = "wk-1".into();
-        assert_eq!(client.submit(&submission()).await.unwrap().stage, q);
-        // Refused, dropped, then done; and never running or unknown again.
+        assert_eq!(client.submit(&submission()).await.unwrap().stage, queued);
+        // The first status call is rejected, loses its connection, then receives "done".
+        // Afterwards the job must not be reported as unknown or running.
         assert_eq!(client.status(&job).await.unwrap().stage, JobStage::Done);
         assert_eq!(client.status(&job).await.unwrap().stage, JobStage::Done);
         assert!(
-            left.borrow().is_empty(),
-            "the older answers were passed over"
+            remaining.borrow().is_empty(),
+            "a stale answer was not skipped"
         );
     });
 }
 
 #[test]
 fn errors_say_whether_they_are_retryable() {
-    on_sockets(async || {
+    run_local(async || {
         let policy = RetryPolicy {
             deadline: TimeSpan::millis(300),
-            ..quick()
+            ..fast_policy()
         };
-        let (addr, _) = node(vec![
+        let (addr, _) = start_node(vec![
             Some((422, None, JobStage::Queued)),
             Some((404, None, JobStage::Queued)),
         ])
@@ -251,8 +276,8 @@
         assert!(
             matches!(refused, ClientError::Refused { status: 422, .. }) && !refused.is_retryable()
         );
-        // The node's word on when to come back is passed on.
-        let (addr, _) = node(vec![Some((503, Some(9), JobStage::Queued))]).await;
+        // The error carries the controller's `Retry-After`.
+        let (addr, _) = start_node(vec![Some((503, Some(9), JobStage::Queued))]).await;
         let busy = Client::new(vec![addr], policy)
             .status(&job)
             .await
@@ -262,8 +287,8 @@
             matches!(busy, ClientError::Busy { pause, .. } if pause > TimeSpan::millis(8000)),
             "{busy}"
         );
-        let bad = Client::new(vec![addr], policy).status(&"a/b".into()).await;
-        assert!(matches!(bad, Err(ClientError::InvalidJobId(_))));
+        let invalid_id = Client::new(vec![addr], policy).status(&"a/b".into()).await;
+        assert!(matches!(invalid_id, Err(ClientError::InvalidJobId(_))));
         assert_eq!(
             Client::new(Vec::new(), policy).status(&job).await,
             Err(ClientError::NoNodes)
@@ -273,24 +298,24 @@
 
 #[test]
 fn wait_reports_each_change_until_the_job_ends() {
-    on_sockets(async || {
+    run_local(async || {
         let stages = [
             JobStage::Cancelled,
             JobStage::Running,
             JobStage::Running,
             JobStage::Queued,
         ];
-        let (addr, _) = node(stages.map(|s| Some((200, None, s))).into()).await;
-        let client = Client::new(vec![addr], quick());
-        let mut told = Vec::new();
+        let (addr, _) = start_node(stages.map(|s| Some((200, None, s))).into()).await;
+        let client = Client::new(vec![addr], fast_policy());
+        let mut reported_stages = Vec::new();
         let end = client
-            .wait(&"wk-1".into(), Duration::from_millis(1), |a| {
-                told.push(a.stage);
+            .wait(&"wk-1".into(), Duration::from_millis(1), |job_status| {
+                reported_stages.push(job_status.stage);
             })
             .await;
         assert_eq!(end.unwrap().stage, JobStage::Cancelled);
         assert_eq!(
-            told,
+            reported_stages,
             [JobStage::Queued, JobStage::Running, JobStage::Cancelled]
         );
     });
