--- a/crates/wire/src/backoff/tests.rs
+++ b/crates/wire/src/backoff/tests.rs
@@ -2,15 +2,21 @@
 
 #[test]
 fn backoff_doubles_up_to_its_maximum() {
-    let mut b = Backoff::default();
-    let pause = |b: &mut Backoff| {
-        b.failed(TimeSpan::millis(100), TimeSpan::millis(500), 1.0)
+    let mut backoff = Backoff::default();
+    let pause = |backoff: &mut Backoff| {
+        backoff
+            .failed(TimeSpan::millis(100), TimeSpan::millis(500), 1.0)
             .as_millis()
     };
     assert_eq!(
-        [pause(&mut b), pause(&mut b), pause(&mut b), pause(&mut b)],
+        [
+            pause(&mut backoff),
+            pause(&mut backoff),
+            pause(&mut backoff),
+            pause(&mut backoff)
+        ],
         [100, 200, 400, 500]
     );
-    b.succeeded();
-    assert_eq!(pause(&mut b), 100);
+    backoff.succeeded();
+    assert_eq!(pause(&mut backoff), 100);
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,42 +1,42 @@
-//! The cloud's messages.
+//! Messages to and from the cloud, which provisions and terminates machines.
 
 use crate::types::{MachineId, MachineTypeName, Resources, Zone};
 use serde::{Deserialize, Serialize};
 
-/// A machine type.
+/// A machine type that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type, as requests and heartbeats give it.
     #[serde(rename = "sku")]
     pub name: MachineTypeName,
-    /// Processors.
+    /// Number of processors.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// Graphics processors.
+    /// Number of graphics processors.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory.
+    /// Memory in GB.
     pub memory_gb: f64,
-    /// Room for images.
+    /// Size of the image cache in GB.
     pub cache_gb: f64,
-    /// How fast it fetches images.
+    /// Bandwidth at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price per hour of an on-demand machine.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Current price an hour as a spot machine.
+    /// Current price per hour of a spot machine.
     #[serde(rename = "low_price")]
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(rename = "startup_s")]
     pub boot_s: f64,
-    /// Where it can be had.
+    /// Zones that offer the type.
     #[serde(rename = "yards")]
     pub zones: Vec<Zone>,
 }
 
 impl MachineType {
-    /// What a machine of this type has.
+    /// Total resources of a machine of this type.
     pub fn has(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -46,85 +46,87 @@
     }
 }
 
-/// All machine types.
+/// The cloud's list of machine types.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types.
+    /// All types that the cloud offers.
     #[serde(rename = "kinds_of_box")]
     pub kinds: Vec<MachineType>,
 }
 
-/// A request for machines.
+/// A request to provision machines of one type in one zone. The cloud answers with
+/// [`MachineNames`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProvisionRequest {
-    /// The request's name, never reused.
+    /// Unique id of the request, which makes it safe to repeat; never reused.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Machine type.
+    /// Machine type to provision.
     #[serde(rename = "box_kind")]
     pub kind: MachineTypeName,
-    /// Zone.
+    /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: Zone,
-    /// Spot or ordinary.
+    /// Whether to provision spot machines.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Names of machines: rented ones, or ones to release.
+/// Names of machines: the answer to a [`ProvisionRequest`], or a request to terminate
+/// these machines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names that the cloud gave to the machines.
     #[serde(rename = "boxes")]
     pub machines: Vec<MachineId>,
 }
 
-/// State of a listed machine.
+/// State of a machine in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineStage {
-    /// Not up yet.
+    /// Provisioned, but not running yet.
     #[serde(rename = "booting")]
     Booting,
-    /// Up.
+    /// Running.
     #[serde(rename = "running")]
     Running,
-    /// Stopped on its own.
+    /// Stopped without a request to terminate it.
     #[serde(rename = "failed")]
     Failed,
 }
 
-/// A machine in the list.
+/// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "ref")]
     pub id: MachineId,
-    /// Its worker's address.
+    /// Address of the agent on the machine.
     pub addr: String,
-    /// Its type.
+    /// Machine type.
     #[serde(rename = "box_kind")]
     pub kind: MachineTypeName,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: Zone,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     pub stage: MachineStage,
-    /// Age since the request.
+    /// Seconds since the machine was requested.
     pub age_s: f64,
 }
 
 /// A page of the machine list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines.
+    /// The machines of this page.
     #[serde(rename = "boxes")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether further pages follow.
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
--- a/crates/wire/src/command.rs
+++ b/crates/wire/src/command.rs
@@ -1,6 +1,5 @@
-//! What a task runs, as its owner uploads it for the workers: a command with its
-//! place. The users' protocol leaves the upload to the users; this is the form in
-//! which workflows do it here.
+//! Commands that tasks run, in the form in which the workflow engine uploads them for the
+//! agents. The users' protocol does not define such an upload.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,111 +8,114 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RestartPolicy {
-    /// It may.
+    /// It may be run again.
     #[default]
     #[serde(rename = "yes")]
     Allowed,
-    /// It may not: once it was started, nobody starts it a second time.
+    /// It is started at most once.
     Never,
 }
 
-/// Stands for the directory that an attempt runs in, in arguments, environment and
-/// texts: the worker puts its own in its place.
+/// Placeholder for the working directory of an attempt, in arguments, environment values
+/// and texts. The process that starts the attempt replaces it with the path.
 pub const WORKING_DIR_PLACEHOLDER: &str = "/:pebblefold:here:";
 
-/// Something that stands in the attempt's directory before the command starts;
-/// `to` is within it.
+/// A file or directory that is created in the working directory of the attempt before the
+/// command starts. `to` is a path within that directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StagedFile {
-    /// A link to a file or directory.
+    /// A symbolic link to a file or directory.
     Link {
-        /// What it leads to.
+        /// Path that the link points to.
         from: String,
-        /// Its place.
+        /// Path of the link.
         to: String,
     },
-    /// A copy of a file or directory, to be written to.
+    /// A copy of a file or directory, which the command may write to.
     Copy {
-        /// What is copied.
+        /// Path to copy from.
         from: String,
-        /// Its place.
+        /// Path of the copy.
         to: String,
     },
-    /// A text.
+    /// A text file.
     Text {
-        /// Its place.
+        /// Path of the file.
         to: String,
-        /// What is in it.
+        /// Content of the file; [`WORKING_DIR_PLACEHOLDER`] in it is replaced.
         text: String,
     },
     /// An empty directory.
     Directory {
-        /// Its place.
+        /// Path of the directory.
         to: String,
     },
 }
 
-/// A command, uploaded under its job's id.
+/// The command of a job, uploaded under the id of the job. The simulator's loopback clusters
+/// use all fields; the agent uses `argv`, `env` and `limit_s`, and runs attempts in
+/// directories of the machine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CommandSpec {
     /// The program and its arguments.
     pub argv: Vec<String>,
-    /// A directory that all machines share: each attempt runs in one of its own
-    /// within it, and the first that ends writes [`EXIT_FILE`] there.
+    /// Path of a directory that all machines share. Each attempt runs in a new directory
+    /// within it, and the first attempt that ends writes [`EXIT_FILE`] to it.
     pub dir: String,
-    /// A file to read from.
+    /// File that is the standard input; `None`: no file.
     #[serde(default)]
     pub stdin: Option<String>,
-    /// A file to write to, within the attempt's directory.
+    /// File for the standard output, within the working directory; `None`: no file.
     #[serde(default)]
     pub stdout: Option<String>,
-    /// Likewise.
+    /// File for the standard error, within the working directory; `None`: no file.
     #[serde(default)]
     pub stderr: Option<String>,
-    /// The whole environment.
+    /// The complete environment; the command inherits no other variables.
     #[serde(default)]
     pub env: BTreeMap<String, String>,
-    /// Whether it may be run again.
+    /// Whether the command may be run again after its machine was lost.
     #[serde(default)]
     pub again: RestartPolicy,
-    /// What stands in its directory before it starts.
+    /// Files that are created in the working directory before the command starts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub put: Vec<StagedFile>,
-    /// Seconds after which it is ended.
+    /// Time limit in seconds, after which the command is killed; `None`: no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit_s: Option<f64>,
 }
 
-/// The file that tells how a command ended.
+/// Name of the file with the [`ExitRecord`] of a command, in [`CommandSpec::dir`].
 pub const EXIT_FILE: &str = "exit.json";
-/// The file that is made, once, before a command starts.
+/// Name of the file that is created before a command starts. Only one attempt can create
+/// it, so its presence means that the command may have run.
 pub const STARTED_FILE: &str = "started.json";
-/// The file that tells that a second start was refused.
+/// Name of the file that is written when [`RestartPolicy::Never`] prevents a second start.
 pub const REFUSED_FILE: &str = "refused.json";
 
-/// How a command ended, or where it was started.
+/// How a command ended, or which attempt was refused a second start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExitRecord {
-    /// The exit code; 128 and the signal's number if a signal ended it.
+    /// The exit code; 128 plus the signal's number if a signal ended the command.
     pub code: i64,
-    /// The attempt's directory.
+    /// Working directory of the attempt.
     pub dir: String,
-    /// The machine.
+    /// The machine that ran the attempt.
     pub machine: String,
-    /// The attempt.
+    /// Number of the attempt.
     #[serde(default)]
     pub attempt: u64,
-    /// When it started and ended, in milliseconds since 1970 by the worker's clock.
+    /// Start time, in milliseconds since 1970 by the machine's clock.
     #[serde(default)]
     pub began_ms: u64,
-    /// Likewise.
+    /// End time, in milliseconds since 1970 by the machine's clock.
     #[serde(default)]
     pub ended_ms: u64,
-    /// Why it was not started at all, if so.
+    /// Why the command could not be started; `None`: it was started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub not_started: Option<String>,
-    /// Whether it was ended for taking longer than it may.
+    /// Whether the command was killed because it exceeded its time limit.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub too_long: bool,
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,30 +1,31 @@
-//! A small HTTP/1.1: parsing for servers and clients, with limits. Pure; the
-//! driver brings the sockets.
+//! A small HTTP/1.1: parsing and serialization of messages for servers and clients, with
+//! size limits. It does no I/O; `pebblefold-net` provides the sockets.
 
-/// Largest head accepted.
+/// Largest accepted head (start line and header fields).
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Largest request body accepted.
+/// Largest accepted body of a request.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Largest response taken from a service of the platform (watches have no
-/// limit of their own; this bounds what one answer may cost us).
+/// Largest accepted body of a response. The platform's watches have no size limit, so this
+/// one bounds the memory that a response can take.
 pub const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a message was refused.
+/// Why a message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// It is not HTTP, or contradicts itself.
+    /// The message is not HTTP, or its header fields contradict each other.
     #[error("malformed message")]
     Malformed,
-    /// Its head is over the limit.
+    /// The head exceeds [`MAX_HEAD_BYTES`] or has more than 48 header fields, or the
+    /// trailers exceed that size.
     #[error("head too large")]
     HeadTooLarge,
-    /// Its body is over the limit.
+    /// The body exceeds [`MAX_BODY_BYTES`] or [`MAX_RESPONSE_BYTES`].
     #[error("body too large")]
     BodyTooLarge,
 }
 
 impl HttpError {
-    /// The status that answers it.
+    /// The status of the response to the rejected request.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
@@ -34,146 +35,153 @@
     }
 }
 
-/// How a body's end is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
+    /// By `Content-Length`, in bytes.
     Length(usize),
     Chunked,
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// A request, whole.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The method.
+    /// The method, as it was sent.
     pub method: String,
     /// The path, without the query.
     pub path: String,
     /// The query, without its question mark.
     pub query: String,
-    /// The body.
+    /// The body, without chunked encoding.
     pub body: Vec<u8>,
-    /// Whether the connection closes after the answer.
+    /// Whether the connection closes after the response.
     pub close: bool,
 }
 
-/// A response, whole.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Seconds after which to come back.
+    /// `Retry-After` in seconds; `None` if absent or given as a date.
     pub retry_after: Option<u32>,
-    /// The body.
+    /// The body, without chunked encoding.
     pub body: Vec<u8>,
-    /// Whether the connection closes.
+    /// Whether the connection closes after this response.
     pub close: bool,
 }
 
+/// The header fields that matter here.
 #[derive(Default)]
 struct Fields {
     length: Option<usize>,
     chunked: bool,
+    /// By `Connection`; `None`: the default of the HTTP version applies.
     close: Option<bool>,
     retry_after: Option<u32>,
 }
 
-fn fields(headers: &[httparse::Header<'_>]) -> Result<Fields, HttpError> {
-    let mut f = Fields::default();
-    for h in headers {
-        let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("content-length") {
+fn parse_fields(headers: &[httparse::Header<'_>]) -> Result<Fields, HttpError> {
+    let mut header_fields = Fields::default();
+    for header in headers {
+        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+        if header.name.eq_ignore_ascii_case("content-length") {
             if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
                 return Err(HttpError::Malformed);
             }
             let n = value.parse().map_err(|_| HttpError::BodyTooLarge)?;
-            // Two lengths that differ are a smuggling attempt.
-            if f.length.is_some_and(|l| l != n) {
+            // Two different lengths indicate request smuggling.
+            if header_fields.length.is_some_and(|previous| previous != n) {
                 return Err(HttpError::Malformed);
             }
-            f.length = Some(n);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
+            header_fields.length = Some(n);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case("chunked") {
                 return Err(HttpError::Malformed);
             }
-            f.chunked = true;
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            for word in value.split(',') {
-                match word.trim().to_ascii_lowercase().as_str() {
-                    "close" => f.close = Some(true),
-                    "keep-alive" => f.close = Some(false),
+            header_fields.chunked = true;
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            for option in value.split(',') {
+                match option.trim().to_ascii_lowercase().as_str() {
+                    "close" => header_fields.close = Some(true),
+                    "keep-alive" => header_fields.close = Some(false),
                     _ => {}
                 }
             }
-        } else if h.name.eq_ignore_ascii_case("retry-after") {
-            f.retry_after = value.parse().ok();
+        } else if header.name.eq_ignore_ascii_case("retry-after") {
+            header_fields.retry_after = value.parse().ok();
         }
     }
-    if f.chunked && f.length.is_some() {
+    if header_fields.chunked && header_fields.length.is_some() {
         return Err(HttpError::Malformed);
     }
-    Ok(f)
+    Ok(header_fields)
 }
 
-/// Decodes the body at the start of `data`. `None`: more is needed. Otherwise
-/// the body and how many bytes it took.
-fn body(
+/// Decodes the body at the start of `data`. Returns the body and the bytes that it took
+/// up; `None` if `data` is incomplete. `at_eof`: the sender has closed the connection.
+fn decode_body(
     data: &[u8],
     framing: Framing,
-    most: usize,
-    ended: bool,
+    max_bytes: usize,
+    at_eof: bool,
 ) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
     match framing {
-        Framing::Length(n) if n > most => Err(HttpError::BodyTooLarge),
+        Framing::Length(n) if n > max_bytes => Err(HttpError::BodyTooLarge),
         Framing::Length(n) => Ok((data.len() >= n).then(|| (data[..n].to_vec(), n))),
-        Framing::UntilClose if data.len() > most => Err(HttpError::BodyTooLarge),
-        Framing::UntilClose => Ok(ended.then(|| (data.to_vec(), data.len()))),
-        Framing::Chunked => chunked(data, most),
+        Framing::UntilClose if data.len() > max_bytes => Err(HttpError::BodyTooLarge),
+        Framing::UntilClose => Ok(at_eof.then(|| (data.to_vec(), data.len()))),
+        Framing::Chunked => decode_chunked(data, max_bytes),
     }
 }
 
-fn chunked(data: &[u8], most: usize) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
-    let mut out = Vec::new();
-    let mut at = 0;
+/// Decodes a body in chunked encoding, like [`decode_body`].
+fn decode_chunked(data: &[u8], max_bytes: usize) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+    let mut buffer = Vec::new();
+    let mut offset = 0;
     loop {
-        match httparse::parse_chunk_size(&data[at..]) {
+        match httparse::parse_chunk_size(&data[offset..]) {
             Err(_) => return Err(HttpError::Malformed),
             Ok(httparse::Status::Partial) => {
-                return if data.len() - at > MAX_HEAD_BYTES {
+                return if data.len() - offset > MAX_HEAD_BYTES {
                     Err(HttpError::Malformed)
                 } else {
                     Ok(None)
                 };
             }
-            Ok(httparse::Status::Complete((line, size))) => {
-                at += line;
+            Ok(httparse::Status::Complete((size_line_length, size))) => {
+                offset += size_line_length;
                 if size == 0 {
-                    return trailers(&data[at..]).map(|t| t.map(|n| (out, at + n)));
+                    return trailers_length(&data[offset..])
+                        .map(|t| t.map(|n| (buffer, offset + n)));
                 }
-                if size > (most - out.len().min(most)) as u64 {
+                if size > (max_bytes - buffer.len().min(max_bytes)) as u64 {
                     return Err(HttpError::BodyTooLarge);
                 }
                 let size = size as usize;
-                if data.len() < at + size + 2 {
+                if data.len() < offset + size + 2 {
                     return Ok(None);
                 }
-                out.extend_from_slice(&data[at..at + size]);
-                if &data[at + size..at + size + 2] != b"\r\n" {
+                buffer.extend_from_slice(&data[offset..offset + size]);
+                if &data[offset + size..offset + size + 2] != b"\r\n" {
                     return Err(HttpError::Malformed);
                 }
-                at += size + 2;
+                offset += size + 2;
             }
         }
     }
 }
 
-/// Skips trailer lines up to the empty one; returns their length.
-fn trailers(data: &[u8]) -> Result<Option<usize>, HttpError> {
-    let mut at = 0;
-    while let Some(end) = data[at..].windows(2).position(|w| w == b"\r\n") {
-        at += end + 2;
+/// Returns the length of the trailers, the empty line at their end included; `None` if
+/// `data` is incomplete.
+fn trailers_length(data: &[u8]) -> Result<Option<usize>, HttpError> {
+    let mut offset = 0;
+    while let Some(end) = data[offset..].windows(2).position(|w| w == b"\r\n") {
+        offset += end + 2;
         if end == 0 {
-            return Ok(Some(at));
+            return Ok(Some(offset));
         }
     }
     if data.len() > MAX_HEAD_BYTES {
@@ -182,15 +190,15 @@
     Ok(None)
 }
 
-/// Reads a request from the start of `data`. `None`: more is needed.
-/// Otherwise the request and how many bytes it took.
+/// Parses the request at the start of `data`. Returns the request and the bytes that it
+/// took up; `None` if `data` is incomplete.
 ///
 /// # Errors
-/// The message is malformed or over a limit; the connection cannot be used further.
+/// The message is malformed or exceeds a limit; the connection cannot be used any longer.
 pub fn read_request(data: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut head = httparse::Request::new(&mut headers);
-    let used = match head.parse(data) {
+    let head_length = match head.parse(data) {
         Ok(httparse::Status::Complete(n)) => n,
         Ok(httparse::Status::Partial) if data.len() > MAX_HEAD_BYTES => {
             return Err(HttpError::HeadTooLarge);
@@ -199,42 +207,44 @@
         Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
         Err(_) => return Err(HttpError::Malformed),
     };
-    if used > MAX_HEAD_BYTES {
+    if head_length > MAX_HEAD_BYTES {
         return Err(HttpError::HeadTooLarge);
     }
-    let f = fields(head.headers)?;
-    let framing = if f.chunked {
+    let header_fields = parse_fields(head.headers)?;
+    let framing = if header_fields.chunked {
         Framing::Chunked
     } else {
-        Framing::Length(f.length.unwrap_or(0))
+        Framing::Length(header_fields.length.unwrap_or(0))
     };
     let target = head.path.unwrap_or("/");
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let old = head.version == Some(0);
+    let is_http_1_0 = head.version == Some(0);
     Ok(
-        body(&data[used..], framing, MAX_BODY_BYTES, false)?.map(|(body, n)| {
+        decode_body(&data[head_length..], framing, MAX_BODY_BYTES, false)?.map(|(body, n)| {
             (
                 Request {
                     method: head.method.unwrap_or("").to_string(),
                     path: path.to_string(),
                     query: query.to_string(),
                     body,
-                    close: f.close.unwrap_or(old),
+                    close: header_fields.close.unwrap_or(is_http_1_0),
                 },
-                used + n,
+                head_length + n,
             )
         }),
     )
 }
 
-/// Reads a response from the start of `data`; `ended`: the sender has closed.
+/// Parses the response at the start of `data`. Returns the response and the bytes that it
+/// took up; `None` if `data` is incomplete. `at_eof`: the sender has closed the connection,
+/// which ends a body without a length.
 ///
 /// # Errors
-/// The message is malformed or over a limit; the connection cannot be used further.
-pub fn read_response(data: &[u8], ended: bool) -> Result<Option<(Response, usize)>, HttpError> {
+/// The message is malformed or exceeds a limit; the connection cannot be used any longer.
+pub fn read_response(data: &[u8], at_eof: bool) -> Result<Option<(Response, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut head = httparse::Response::new(&mut headers);
-    let used = match head.parse(data) {
+    let head_length = match head.parse(data) {
         Ok(httparse::Status::Complete(n)) => n,
         Ok(httparse::Status::Partial) if data.len() > MAX_HEAD_BYTES => {
             return Err(HttpError::HeadTooLarge);
@@ -243,30 +253,30 @@
         Err(_) => return Err(HttpError::Malformed),
     };
     let status = head.code.unwrap_or(0);
-    let f = fields(head.headers)?;
-    let framing = match (f.chunked, f.length) {
+    let header_fields = parse_fields(head.headers)?;
+    let framing = match (header_fields.chunked, header_fields.length) {
         (true, _) => Framing::Chunked,
         (false, Some(n)) => Framing::Length(n),
         (false, None) if status == 204 || status == 304 => Framing::Length(0),
         (false, None) => Framing::UntilClose,
     };
     Ok(
-        body(&data[used..], framing, MAX_RESPONSE_BYTES, ended)?.map(|(body, n)| {
+        decode_body(&data[head_length..], framing, MAX_RESPONSE_BYTES, at_eof)?.map(|(body, n)| {
             (
                 Response {
                     status,
-                    retry_after: f.retry_after,
+                    retry_after: header_fields.retry_after,
                     body,
-                    close: f.close.unwrap_or(head.version == Some(0))
+                    close: header_fields.close.unwrap_or(head.version == Some(0))
                         || framing == Framing::UntilClose,
                 },
-                used + n,
+                head_length + n,
             )
         }),
     )
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -284,39 +294,40 @@
     }
 }
 
-/// Writes a response.
-pub fn write_response(r: &Response) -> Vec<u8> {
-    let mut out = format!(
+/// Serializes a response. Its body is declared as MessagePack.
+pub fn write_response(response: &Response) -> Vec<u8> {
+    let mut buffer = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/msgpack\r\nContent-Length: {}\r\n",
-        r.status,
-        reason(r.status),
-        r.body.len()
+        response.status,
+        reason_phrase(response.status),
+        response.body.len()
     );
-    if let Some(s) = r.retry_after {
-        out.push_str(&format!("Retry-After: {s}\r\n"));
+    if let Some(seconds) = response.retry_after {
+        buffer.push_str(&format!("Retry-After: {seconds}\r\n"));
     }
-    if r.close {
-        out.push_str("Connection: close\r\n");
+    if response.close {
+        buffer.push_str("Connection: close\r\n");
     }
-    out.push_str("\r\n");
-    let mut out = out.into_bytes();
-    out.extend_from_slice(&r.body);
-    out
+    buffer.push_str("\r\n");
+    let mut buffer = buffer.into_bytes();
+    buffer.extend_from_slice(&response.body);
+    buffer
 }
 
-/// Writes a request.
+/// Serializes a request. `target` is the path with the query; a body is declared as
+/// MessagePack.
 pub fn write_request(method: &str, host: &str, target: &str, body: &[u8]) -> Vec<u8> {
-    let mut out = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
+    let mut buffer = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
     if !body.is_empty() || method == "POST" {
-        out.push_str(&format!(
+        buffer.push_str(&format!(
             "Content-Type: application/msgpack\r\nContent-Length: {}\r\n",
             body.len()
         ));
     }
-    out.push_str("\r\n");
-    let mut out = out.into_bytes();
-    out.extend_from_slice(body);
-    out
+    buffer.push_str("\r\n");
+    let mut buffer = buffer.into_bytes();
+    buffer.extend_from_slice(body);
+    buffer
 }
 
 #[cfg(test)]
--- a/crates/wire/src/http/tests.rs
+++ b/crates/wire/src/http/tests.rs
@@ -3,14 +3,18 @@
 
 #[test]
 fn parses_request_split_at_any_byte() {
-    let whole = b"POST /a?b=1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: u\r\n\r\nGET";
-    for cut in 0..whole.len() - 3 {
-        assert_eq!(read_request(&whole[..cut]), Ok(None), "cut at {cut}");
+    let request_bytes = b"POST /a?b=1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: u\r\n\r\nGET";
+    for cut in 0..request_bytes.len() - 3 {
+        assert_eq!(
+            read_request(&request_bytes[..cut]),
+            Ok(None),
+            "cut at {cut}"
+        );
     }
-    let (r, used) = read_request(whole).unwrap().unwrap();
+    let (r, consumed) = read_request(request_bytes).unwrap().unwrap();
     assert_eq!((r.path.as_str(), r.query.as_str()), ("/a", "b=1"));
     assert_eq!(r.body, b"abcde");
-    assert_eq!(&whole[used..], b"GET");
+    assert_eq!(&request_bytes[consumed..], b"GET");
 }
 
 #[test]
@@ -45,8 +49,8 @@
     for (bytes, error) in cases {
         assert_eq!(read_request(bytes), Err(error));
     }
-    let long = [b"GET / HTTP/1.1\r\nX: ".as_slice(), &[b'a'; MAX_HEAD_BYTES]].concat();
-    assert_eq!(read_request(&long), Err(HttpError::HeadTooLarge));
+    let oversized_head = [b"GET / HTTP/1.1\r\nX: ".as_slice(), &[b'a'; MAX_HEAD_BYTES]].concat();
+    assert_eq!(read_request(&oversized_head), Err(HttpError::HeadTooLarge));
 }
 
 proptest! {
@@ -68,8 +72,8 @@
         let _ = read_response(&body, true);
         let mut chunked = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         chunked.extend(&body);
-        if let Ok(Some((r, used))) = read_request(&chunked) {
-            prop_assert!(used <= chunked.len() && r.body.len() <= body.len());
+        if let Ok(Some((r, consumed))) = read_request(&chunked) {
+            prop_assert!(consumed <= chunked.len() && r.body.len() <= body.len());
         }
     }
 }
--- a/crates/wire/src/kvstore.rs
+++ b/crates/wire/src/kvstore.rs
@@ -1,19 +1,19 @@
-//! Messages of the key-value store: reads, transactions, leases, watches. Values travel
-//! as JSON-like data.
+//! Messages of the key-value store: reads, transactions, leases, watches. Values are
+//! JSON-like data.
 
 use crate::types::Version;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// One key with its value.
+/// One key with its value, in a page of a range read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The key.
+    /// The full name of the key.
     pub key: String,
-    /// Its value.
+    /// The value that was last written to the key.
     #[serde(default)]
     pub value: Value,
-    /// Its version.
+    /// Revision of the store at which the key was last written.
     #[serde(rename = "touched")]
     pub version: Version,
 }
@@ -21,68 +21,70 @@
 /// The response to a read of one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyResponse {
-    /// The key.
+    /// The full name of the key.
     pub key: String,
-    /// Its value.
+    /// The value that was last written to the key.
     #[serde(default)]
     pub value: Value,
-    /// Its version.
+    /// Revision of the store at which the key was last written.
     #[serde(rename = "touched")]
     pub version: Version,
-    /// The lease that it is bound to: it is deleted when that expires.
+    /// The lease that the key is bound to: the key is deleted when the lease ends. `None`:
+    /// the key is bound to no lease.
     #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// A page of keys.
+/// A page of a range read.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryPage {
-    /// The keys, in order.
+    /// The keys of this page, in the order of their names.
     #[serde(rename = "entries")]
     pub items: Vec<Entry>,
-    /// Whether more follow.
+    /// Whether further keys follow after this page.
     #[serde(rename = "truncated", default)]
     pub more: bool,
-    /// Revision of the store.
+    /// Revision of the store at the time of the read.
     #[serde(rename = "ledger_mark")]
     pub revision: Version,
 }
 
-/// A precondition of a transaction: the key has this version; 0 stands for absent.
+/// A precondition of a transaction: the key has this version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
-    /// The key.
+    /// The full name of the key.
     pub key: String,
-    /// The version it must have.
+    /// The version that the key must have; 0: the key must not exist.
     #[serde(rename = "touched")]
     pub version: Version,
 }
 
-/// One change of a transaction.
+/// One operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Operation {
-    /// Write a key.
+    /// Writes a key.
     Put {
-        /// The key.
+        /// The full name of the key.
         #[serde(rename = "write")]
         key: String,
-        /// The value.
+        /// The value, which replaces the old one.
         value: Value,
-        /// The lease that it is bound to: it is deleted when that expires.
+        /// The lease to bind the key to: the key is deleted when the lease ends. `None`: the
+        /// key is bound to no lease.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Delete a key.
+    /// Deletes a key.
     Delete {
-        /// The key.
+        /// The full name of the key.
         #[serde(rename = "delete")]
         key: String,
     },
 }
 
 impl Operation {
-    /// The key that it changes.
+    /// The key that the operation writes or deletes.
     pub fn key(&self) -> &str {
         match self {
             Operation::Put { key, .. } | Operation::Delete { key } => key,
@@ -90,24 +92,24 @@
     }
 }
 
-/// A compare-and-swap over several keys: all operations or none.
+/// A compare-and-swap over several keys: the store applies all operations or none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold, else nothing is carried out.
+    /// Preconditions; if one of them fails, no operation is applied.
     #[serde(rename = "if")]
     pub conditions: Vec<Precondition>,
-    /// What then happens.
+    /// The operations, applied in order.
     #[serde(rename = "apply")]
     pub ops: Vec<Operation>,
 }
 
-/// The response to a transaction, and to a read of a missing key.
+/// The response to a transaction, and to a read of a key that does not exist.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransactionResponse {
-    /// Revision of the store.
+    /// Revision of the store after the request; 0 if absent.
     #[serde(rename = "ledger_mark", default)]
     pub revision: Version,
-    /// Keys whose precondition failed.
+    /// Keys whose preconditions failed; empty if the operations were applied.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -115,7 +117,7 @@
 /// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrantRequest {
-    /// Time to live, in milliseconds.
+    /// Time to live in milliseconds: the lease expires when it is not renewed for so long.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -123,24 +125,24 @@
 /// The response to a lease request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The lease's number.
+    /// Number of the lease, never reused.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
 
-/// One change seen by a watch.
+/// One change of a watched key. Either `put` or `delete` is present.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// The key, when written.
+    /// The key, if it was written.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
-    /// The key, when deleted.
+    /// The key, if it was deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
-    /// The new value.
+    /// The new value; null if the key was deleted.
     #[serde(default)]
     pub value: Value,
-    /// The revision of the change.
+    /// Revision of the store at which the change was made.
     #[serde(rename = "touched")]
     pub version: Version,
 }
@@ -148,10 +150,10 @@
 /// The response to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Revision of the store.
+    /// Revision up to which the response contains all changes; the next watch starts there.
     #[serde(rename = "ledger_mark")]
     pub revision: Version,
-    /// The changes, in order.
+    /// The changes, in the order in which they were made; empty if the watch timed out.
     #[serde(rename = "news", default)]
     pub events: Vec<WatchEvent>,
 }
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -1,40 +1,40 @@
-//! Messages between controller nodes: heartbeats, leadership transfer, and the votes
-//! by which a quorum decides that a leader has failed.
+//! Messages between controllers: heartbeats, leadership transfer, and the votes by which a
+//! quorum decides that a leader has failed.
 
 use crate::types::{FencingToken, Image, JobId, MachineId, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// The leader's heartbeat, sent to each peer a few times a second by a thread of its
-/// own, so that much work does not delay it.
+/// The leader's heartbeat, sent to each peer several times per second. A separate thread
+/// sends it, so that a busy event loop does not delay it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderHeartbeat {
-    /// The leader.
+    /// Name of the leader.
     #[serde(rename = "label")]
     pub node_id: NodeId,
-    /// The fencing token under which it leads.
+    /// The leader's fencing token.
     pub token: FencingToken,
-    /// Milliseconds since the key-value store last answered it.
+    /// Milliseconds since the key-value store last answered the leader.
     #[serde(rename = "state_ms")]
     pub store_contact_age_ms: u64,
-    /// Milliseconds since its event loop last ran.
+    /// Milliseconds since the leader's event loop last ran.
     #[serde(rename = "late_ms")]
     pub work_delay_ms: u64,
 }
 
-/// A leader that shuts down asks this peer to take over the leader key.
+/// Request of a leader that shuts down: the receiving peer is to take over the leader key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeadershipTransfer {
-    /// The leader's token.
+    /// Fencing token of the leader that shuts down.
     pub token: FencingToken,
 }
 
-/// Asks a peer whether it suspects the leader too.
+/// Request for a peer's vote on a leader that the sender suspects to have failed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SuspicionQuery {
-    /// The leader's token.
+    /// The suspected leader's fencing token.
     pub token: FencingToken,
-    /// True: the leader is up but the key-value store does not answer it. False: the
-    /// leader itself is silent.
+    /// The reason of the suspicion. True: the leader is up, but the key-value store does not
+    /// answer it. False: the leader itself is silent.
     #[serde(rename = "no_state")]
     pub store_unreachable: bool,
 }
@@ -42,29 +42,29 @@
 /// A peer's vote on a suspected leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SuspicionReport {
-    /// Who votes.
+    /// Name of the peer that votes.
     #[serde(rename = "label")]
     pub node_id: NodeId,
-    /// The suspected leader's token.
+    /// The suspected leader's fencing token, from the query.
     pub token: FencingToken,
-    /// Whether it suspects that leader too.
+    /// Whether the peer confirms the suspicion.
     pub agrees: bool,
-    /// Workers that lately switched from that leader to this node; counted only as far as
-    /// the decision needs it.
+    /// Number of agents that recently switched from the suspected leader to this peer,
+    /// counted only as far as the decision needs the number.
     #[serde(default)]
     pub came: u32,
 }
 
-/// The build that a node runs and the format versions that it supports.
+/// The build that a controller runs and the format versions that the build supports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BuildInfo {
     /// Oldest supported format version.
     pub low: u32,
     /// Newest supported format version.
     pub high: u32,
-    /// Name of the build.
+    /// Name of the build, such as "0.2.0".
     pub build: String,
-    /// Random number of this run of the process.
+    /// Random number that identifies this run of the process.
     pub life: u64,
 }
 
@@ -72,43 +72,46 @@
     true
 }
 
-/// A node's heartbeat, sent to each peer about once a second and answered with the
-/// peer's own.
+/// A controller's heartbeat, sent to each peer about once per second. The peer answers with
+/// a heartbeat as well.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// The sender.
+    /// Name of the sender.
     #[serde(rename = "label")]
     pub node_id: NodeId,
-    /// Highest fencing token that it has seen.
+    /// Highest fencing token that the sender has seen.
     pub token: FencingToken,
-    /// Whether it leads under that token.
+    /// Whether the sender is the leader with that token.
     pub leads: bool,
-    /// Whether it has loaded all records and answers workers. Builds that do not send
-    /// this field are taken to have.
+    /// Whether the leader, as far as the sender can tell, has loaded all records and answers
+    /// agents. If the field is absent, as in older builds, it counts as true.
     #[serde(default = "yes")]
     pub loaded: bool,
-    /// Whether the key-value store answers it.
+    /// Whether the key-value store answers the sender.
     pub state_ok: bool,
-    /// Whether it is overloaded.
+    /// Whether the sender is overloaded or shutting down.
     #[serde(default)]
     pub strained: bool,
-    /// Microseconds that a fixed piece of work takes on its processor; 0: not measured.
+    /// Microseconds that a fixed piece of work takes on the sender's processor; 0: not
+    /// measured.
     #[serde(default)]
     pub effort_us: u64,
-    /// Its build; absent from builds without format versions.
+    /// The sender's build; `None`: a build without format versions.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub levels: Option<BuildInfo>,
-    /// Jobs whose cancellation it lately confirmed to users.
+    /// Jobs whose cancellation the sender recently confirmed to users.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cancelled: Vec<JobId>,
-    /// From the leader: (job, tasks done, tasks running) where they changed, for display.
+    /// From the leader: (job, tasks done, tasks running) of jobs for which these numbers
+    /// changed, for display.
     #[serde(default)]
     pub counts: Vec<(JobId, u32, u32)>,
-    /// From the leader: cached images and their sizes in GB, of machines where they
-    /// changed, as hints for a successor. To the leader: hints from earlier leaders.
+    /// From the leader: cached images and their sizes in GB, of machines whose caches
+    /// changed, as hints for the next leader. To the leader: hints from earlier leaders.
     #[serde(default)]
     pub caches: Vec<(MachineId, Vec<(Image, f64)>)>,
-    /// From the leader: milliseconds that fetching each image last took.
+    /// From the leader, and to it together with `caches`: milliseconds that fetching each
+    /// image last took.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub fetches: Vec<(Image, u64)>,
 }
--- a/crates/wire/src/rate_limit.rs
+++ b/crates/wire/src/rate_limit.rs
@@ -1,52 +1,55 @@
-//! A token bucket: how many calls a second are allowed.
+//! A token bucket, which limits the rate of calls.
 
 use crate::types::Time;
 
-/// A token bucket: allows `rate` a second on average, and bursts.
+/// Allows a number of calls per second on average, and bursts up to a limit.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    rate: f64,
+    rate_per_s: f64,
     burst: f64,
+    /// Tokens in the bucket as of the last refill.
     level: f64,
-    at: Time,
+    refilled_at: Time,
 }
 
 impl TokenBucket {
-    /// A full bucket.
-    pub fn new(rate: f64, burst: f64) -> TokenBucket {
+    /// Creates a full bucket that gains `rate_per_s` tokens per second and holds at most `burst`
+    /// tokens.
+    pub fn new(rate_per_s: f64, burst: f64) -> TokenBucket {
         TokenBucket {
-            rate,
+            rate_per_s,
             burst,
             level: burst,
-            at: Time(0),
+            refilled_at: Time(0),
         }
     }
 
     fn refill(&mut self, now: Time) {
-        let gained = now.since(self.at).as_secs() * self.rate;
+        let gained = now.since(self.refilled_at).as_secs() * self.rate_per_s;
         self.level = (self.level + gained).min(self.burst);
-        self.at = self.at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// The most that are allowed at once.
+    /// The most tokens that the bucket holds.
     pub fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// How many are allowed at once now.
+    /// Tokens in the bucket now.
     pub fn level(&mut self, now: Time) -> f64 {
         self.refill(now);
         self.level
     }
 
-    /// Takes `n` if they are there.
+    /// Takes `n` tokens and returns true if the bucket holds that many; otherwise takes none
+    /// and returns false.
     pub fn take(&mut self, now: Time, n: f64) -> bool {
         self.refill(now);
-        let enough = self.level + 1e-9 >= n;
-        if enough {
+        let is_allowed = self.level + 1e-9 >= n;
+        if is_allowed {
             self.level -= n;
         }
-        enough
+        is_allowed
     }
 }
 
--- a/crates/wire/src/types.rs
+++ b/crates/wire/src/types.rs
@@ -1,10 +1,11 @@
-//! Small types of their own for ids, versions, times and amounts.
+//! Types for ids, versions, times and resources.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 use std::rc::Rc;
 
+/// Defines an id that is serialized as text and is cheap to clone.
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -41,6 +42,7 @@
     };
 }
 
+/// Defines a number that is serialized as such.
 macro_rules! number {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
@@ -59,7 +61,7 @@
 }
 
 text_id!(
-    /// A job's id, chosen by its user.
+    /// A job's id, chosen by the user who submits the job.
     JobId
 );
 text_id!(
@@ -67,58 +69,58 @@
     MachineId
 );
 text_id!(
-    /// An image that a task needs on its machine.
+    /// Name of an image that a machine must have cached to run a task.
     Image
 );
 text_id!(
-    /// A zone.
+    /// Name of a zone of the cloud.
     Zone
 );
 text_id!(
-    /// A machine type.
+    /// Name of a machine type.
     MachineTypeName
 );
 text_id!(
-    /// A team.
+    /// Name of a team, for which jobs run and quotas are set.
     Team
 );
 text_id!(
-    /// A class of jobs, as `objectives` name them.
+    /// Name of a class of jobs, to which the `objectives` of the policy refer.
     Class
 );
 text_id!(
-    /// A controller node's name.
+    /// Name of a controller.
     NodeId
 );
 
 number!(
-    /// A fencing token: the version of the leader key. Workers reject commands with a
-    /// token lower than one that they have seen.
+    /// A fencing token: the version of the leader key. Agents reject commands whose token is
+    /// lower than the highest token that they have seen.
     FencingToken(u64)
 );
 number!(
-    /// A key's version in the key-value store; 0 stands for "no such key".
+    /// A key's version in the key-value store; 0: the key does not exist.
     Version(u64)
 );
 number!(
-    /// A worker's epoch; grows whenever its lease expires.
+    /// An agent's epoch; increases each time the agent's lease expires.
     AgentEpoch(u64)
 );
 number!(
-    /// The number of a worker's heartbeat; (epoch, sequence) orders its heartbeats.
+    /// Sequence number of a heartbeat; (epoch, sequence) orders the heartbeats of an agent.
     HeartbeatSequence(u64)
 );
 number!(
-    /// An attempt at running a task.
+    /// Number of an attempt at running a task.
     Attempt(u64)
 );
 
-/// A task: its job and its number within the job.
+/// Identifies a task by its job and its index within the job.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// The number, from 0.
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
@@ -129,7 +131,7 @@
 }
 
 impl TaskId {
-    /// Reads `wk-000412/3`.
+    /// Parses the text form of a task id, such as `wk-000412/3`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId {
@@ -139,15 +141,15 @@
     }
 }
 
-/// A moment on this process's steady clock, in microseconds.
+/// A point in time on the monotonic clock of this process, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimeSpan(pub u64);
 
-/// A moment on the wall clock, in milliseconds; kept in the key-value store.
+/// A point in time on the wall clock, in milliseconds, as stored in the key-value store.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -155,26 +157,27 @@
 pub struct WallTime(pub u64);
 
 impl TimeSpan {
-    /// No time at all.
+    /// The empty duration.
     pub const ZERO: TimeSpan = TimeSpan(0);
 
-    /// A span of `s` seconds; negative and non-finite ones count as zero.
+    /// A duration of `s` seconds; a negative one or NaN becomes zero, and the maximum is 1e9
+    /// seconds.
     pub fn secs(s: f64) -> TimeSpan {
         TimeSpan((s.max(0.0) * 1e6).min(1e15) as u64)
     }
-    /// A span of whole milliseconds.
+    /// A duration of `ms` milliseconds.
     pub const fn millis(ms: u64) -> TimeSpan {
         TimeSpan(ms * 1000)
     }
-    /// In seconds.
+    /// The duration in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// In whole milliseconds.
+    /// The duration in milliseconds, rounded down.
     pub fn as_millis(self) -> u64 {
         self.0 / 1000
     }
-    /// This span times `f`.
+    /// The duration multiplied by `f`.
     #[must_use]
     pub fn scaled(self, f: f64) -> TimeSpan {
         TimeSpan::secs(self.as_secs() * f)
@@ -182,7 +185,7 @@
 }
 
 impl Time {
-    /// Time since `earlier`, zero when that lies ahead.
+    /// The duration from `earlier` to this time; zero if `earlier` is the later one.
     pub fn since(self, earlier: Time) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(earlier.0))
     }
@@ -207,35 +210,36 @@
     }
 }
 
-/// What a task takes of a machine, or what a machine has.
+/// Resources that a task requires, or that a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processors.
+    /// Number of processors.
     pub cpus: f64,
-    /// Graphics processors.
+    /// Number of graphics processors.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
 }
 
-/// Slack for sums of decimal amounts.
-const EPS: f64 = 1e-6;
+/// Tolerance for rounding errors in sums of decimal amounts.
+const TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// Whether `self` fits into `room`.
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + EPS
-            && self.gpus <= room.gpus + EPS
-            && self.memory_gb <= room.memory_gb + EPS
+    /// Whether these resources are within `available`.
+    pub fn fits(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + TOLERANCE
+            && self.gpus <= available.gpus + TOLERANCE
+            && self.memory_gb <= available.memory_gb + TOLERANCE
     }
-    /// The largest share of `whole` that this takes, over the resources.
+    /// The fraction of `whole` that these resources take up, the largest one of all kinds of
+    /// resources.
     pub fn share_of(&self, whole: &Resources) -> f64 {
-        let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.memory_gb, whole.memory_gb))
+        let ratio = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
+        ratio(self.cpus, whole.cpus)
+            .max(ratio(self.gpus, whole.gpus))
+            .max(ratio(self.memory_gb, whole.memory_gb))
     }
-    /// These amounts `n` times.
+    /// Each amount multiplied by `n`.
     #[must_use]
     pub fn times(&self, n: f64) -> Resources {
         Resources {
@@ -244,7 +248,7 @@
             memory_gb: self.memory_gb * n,
         }
     }
-    /// The larger of both, amount by amount.
+    /// The component-wise maximum of both.
     #[must_use]
     pub fn most(&self, other: &Resources) -> Resources {
         Resources {
@@ -253,7 +257,7 @@
             memory_gb: self.memory_gb.max(other.memory_gb),
         }
     }
-    /// The smaller of both, amount by amount.
+    /// The component-wise minimum of both.
     #[must_use]
     pub fn least(&self, other: &Resources) -> Resources {
         Resources {
@@ -262,19 +266,19 @@
             memory_gb: self.memory_gb.min(other.memory_gb),
         }
     }
-    /// How many times this fits into `room`, at most `most`.
-    pub fn count_in(&self, room: &Resources, most: u32) -> u32 {
-        let part = |need: f64, have: f64| {
-            if need <= EPS {
-                f64::from(most)
+    /// How many times these resources fit into `available`, at most `limit`.
+    pub fn count_in(&self, available: &Resources, limit: u32) -> u32 {
+        let ratio = |need: f64, have: f64| {
+            if need <= TOLERANCE {
+                f64::from(limit)
             } else {
-                ((have + EPS) / need).floor().max(0.0)
+                ((have + TOLERANCE) / need).floor().max(0.0)
             }
         };
-        part(self.cpus, room.cpus)
-            .min(part(self.gpus, room.gpus))
-            .min(part(self.memory_gb, room.memory_gb))
-            .min(f64::from(most)) as u32
+        ratio(self.cpus, available.cpus)
+            .min(ratio(self.gpus, available.gpus))
+            .min(ratio(self.memory_gb, available.memory_gb))
+            .min(f64::from(limit)) as u32
     }
 }
 
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,26 +1,26 @@
-//! What users send and get.
+//! The users' protocol: submissions, cancellations and queries, with the answers.
 
 use crate::types::{Class, Image, JobId, MachineTypeName, Resources, Team, Zone};
 use serde::{Deserialize, Serialize};
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job depend on each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobShape {
-    /// Independent tasks.
+    /// A job array: independent tasks.
     #[serde(rename = "batch")]
     Array,
-    /// All tasks at once or none.
+    /// All tasks run at the same time, or none does.
     #[serde(rename = "ensemble")]
     Gang,
-    /// Replicas that run until cancelled.
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "service")]
     Service,
 }
 
-/// Priorities, the most urgent greatest.
+/// Priorities in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// May wait for everything else.
+    /// Work that may wait for all other work.
     #[serde(rename = "low")]
     Low,
     /// Ordinary work.
@@ -34,73 +34,75 @@
     Production,
 }
 
-/// A job as submitted.
+/// A job as its user submits it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Its id.
+    /// Id of the job; see [`is_valid_job_id`].
     #[serde(rename = "ref")]
     pub id: JobId,
-    /// Its class.
+    /// Class of the job.
     #[serde(rename = "lane")]
     pub class: Class,
-    /// The team it runs for.
+    /// Team that the job runs for.
     #[serde(rename = "crew")]
     pub team: Team,
-    /// Array, gang or service.
+    /// Whether the job is an array, a gang or a service.
     pub shape: JobShape,
-    /// Its priority.
+    /// Priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, 1 to [`MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// Processors a task takes.
+    /// Number of processors that each task requires.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// Graphics processors a task takes.
+    /// Number of graphics processors that each task requires.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory a task takes.
+    /// Memory in GB that each task requires.
     pub memory_gb: f64,
-    /// Image a task needs.
+    /// Image that each task requires.
     #[serde(rename = "bundle")]
     pub image: Image,
-    /// The image's size.
+    /// Size of the image in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Allowed machine types.
+    /// Allowed machine types, at least one; `None`: all types are allowed.
     #[serde(rename = "kinds_of_box", default)]
     pub kinds: Option<Vec<MachineTypeName>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None`: all zones are allowed.
     #[serde(rename = "yard", default)]
     pub zone: Option<Zone>,
-    /// All tasks in one zone.
+    /// Whether all tasks have to run in one zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// Whether the tasks are spread over zones: at most half of them run in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// May run on spot machines.
+    /// Whether the tasks may run on spot machines.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// The owner's guess at a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "guess_s")]
     pub estimate_s: f64,
-    /// Progress between checkpoints; 0: never saves.
+    /// Progress between two checkpoints, in seconds of run time; 0: the tasks write no
+    /// checkpoints.
     #[serde(rename = "snapshot_every_s")]
     pub checkpoint_s: f64,
-    /// Time to save when stopped.
+    /// Time in seconds that a task needs to write a checkpoint when it is stopped.
     #[serde(rename = "snapshot_s")]
     pub save_s: f64,
-    /// Deadline, measured from submission.
+    /// Deadline in seconds after the submission; `None`: the job has no deadline.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
 }
 
-/// Most tasks a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Whether `id` can be a job's id: it has to fit into a key.
+/// Whether `id` is a valid job id. The rule keeps ids usable as parts of keys of the
+/// key-value store.
 pub fn is_valid_job_id(id: &str) -> bool {
     (1..=128).contains(&id.len())
         && id
@@ -109,7 +111,7 @@
 }
 
 impl Submission {
-    /// What each task takes.
+    /// Resources that each task requires.
     pub fn needs(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -118,72 +120,76 @@
         }
     }
 
-    /// Names the first field whose value makes no sense.
+    /// Returns the name of the first field with an invalid value, spelled as in the message;
+    /// `None` if all are valid.
     pub fn fault(&self) -> Option<&'static str> {
-        let amount = |v: f64| v.is_finite() && (0.0..=1e9).contains(&v);
-        let name = |s: &str| (1..=200).contains(&s.len());
+        let is_valid_amount = |v: f64| v.is_finite() && (0.0..=1e9).contains(&v);
+        let is_valid_name = |s: &str| (1..=200).contains(&s.len());
         let checks = [
             ("ref", is_valid_job_id(self.id.as_str())),
-            ("lane", name(self.class.as_str())),
-            ("crew", name(self.team.as_str())),
+            ("lane", is_valid_name(self.class.as_str())),
+            ("crew", is_valid_name(self.team.as_str())),
             ("pieces", (1..=MAX_TASKS).contains(&self.tasks)),
-            ("vcpus", amount(self.cpus)),
-            ("accelerators", amount(self.gpus)),
-            ("memory_gb", amount(self.memory_gb)),
-            ("bundle", name(self.image.as_str())),
-            ("size_gb", amount(self.image_gb)),
-            ("guess_s", amount(self.estimate_s)),
-            ("snapshot_every_s", amount(self.checkpoint_s)),
-            ("snapshot_s", amount(self.save_s)),
-            ("due_s", self.deadline_s.is_none_or(amount)),
+            ("vcpus", is_valid_amount(self.cpus)),
+            ("accelerators", is_valid_amount(self.gpus)),
+            ("memory_gb", is_valid_amount(self.memory_gb)),
+            ("bundle", is_valid_name(self.image.as_str())),
+            ("size_gb", is_valid_amount(self.image_gb)),
+            ("guess_s", is_valid_amount(self.estimate_s)),
+            ("snapshot_every_s", is_valid_amount(self.checkpoint_s)),
+            ("snapshot_s", is_valid_amount(self.save_s)),
+            ("due_s", self.deadline_s.is_none_or(is_valid_amount)),
             (
                 "kinds_of_box",
                 self.kinds
                     .as_ref()
-                    .is_none_or(|k| !k.is_empty() && k.iter().all(|k| name(k.as_str()))),
+                    .is_none_or(|k| !k.is_empty() && k.iter().all(|k| is_valid_name(k.as_str()))),
+            ),
+            (
+                "yard",
+                self.zone.as_ref().is_none_or(|z| is_valid_name(z.as_str())),
             ),
-            ("yard", self.zone.as_ref().is_none_or(|z| name(z.as_str()))),
         ];
         checks.iter().find(|(_, ok)| !ok).map(|(field, _)| *field)
     }
 }
 
-/// A job's stage as users see it.
+/// A job's stage as reported to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStage {
-    /// No task runs.
+    /// No task is running, and the job is neither done nor cancelled.
     #[serde(rename = "pending")]
     Queued,
-    /// Tasks run.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// Every task is done.
     #[serde(rename = "done")]
     Done,
-    /// The user cancelled it.
+    /// The job was cancelled by its user.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
-/// The answer about a job.
+/// The answer to a submission, a cancellation or a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// Its id.
+    /// Id of the job.
     #[serde(rename = "ref")]
     pub id: JobId,
-    /// Its stage.
+    /// Current stage of the job.
     pub stage: JobStage,
-    /// Tasks done, for display.
+    /// Number of tasks done, for display only; `None`: unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks running, for display.
+    /// Number of tasks running, for display only; `None`: unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
-/// An answer that carries only a reason.
+/// An answer that consists of a reason for an error or a rejection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// The reason.
+    /// The reason as text; for an invalid submission, the name of the field.
     pub error: String,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,26 +1,27 @@
-//! Heartbeats of workers and the commands that they get.
+//! Heartbeats of agents and the commands that controllers send them. The protocol calls an
+//! agent a worker.
 
 use crate::types::{
     AgentEpoch, Attempt, FencingToken, HeartbeatSequence, MachineId, MachineTypeName, NodeId, Zone,
 };
 use serde::{Deserialize, Serialize};
 
-/// State of a task on its machine.
+/// State of a task on its machine, as the agent reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// The machine fetches the image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Waits for its gang.
+    /// The task waits until all tasks of its gang are ready.
     #[serde(rename = "waiting")]
     Waiting,
-    /// Runs.
+    /// The task runs.
     #[serde(rename = "running")]
     Running,
-    /// Saves after a stop.
+    /// The task writes a checkpoint after a stop command.
     #[serde(rename = "saving")]
     Saving,
-    /// Ended.
+    /// The task has ended; [`ReportedTask::why`] says why.
     #[serde(rename = "ended")]
     Exited,
 }
@@ -28,120 +29,121 @@
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopReason {
-    /// Completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// The task was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// A task of its gang is gone.
+    /// Another task of the gang is gone.
     #[serde(rename = "peers")]
     Peers,
-    /// Its gang was not complete in time.
+    /// The gang was not complete in time.
     #[serde(rename = "alone")]
     Alone,
-    /// Failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused: no room.
+    /// The agent rejected the start: the machine lacks the resources or is being drained.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Refused: here with another attempt.
+    /// The agent rejected the start: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     Busy,
-    /// Refused: no such job, or one this version does not know.
+    /// The agent rejected the start: the job does not exist. Also stands for a reason that
+    /// this version does not support.
     #[serde(rename = "unknown", other)]
     Unknown,
 }
 
-/// A task as a heartbeat lists it.
+/// A task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
-    /// Job and number, as `wk-000412/3`.
+    /// Job and index of the task, such as `wk-000412/3`.
     #[serde(rename = "piece")]
     pub task: String,
-    /// The attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// Its state.
+    /// State of the task.
     #[serde(rename = "stage")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Why the task ended; `None`: it has not ended, or the agent gives no reason.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<StopReason>,
-    /// Whether its progress was saved.
+    /// Whether a stopped task wrote a checkpoint; `None`: it was not stopped.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat: everything on its machine, each time.
+/// An agent's heartbeat. Each one lists all tasks on the machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Name of the machine.
     #[serde(rename = "box")]
     pub machine: MachineId,
-    /// Where direct commands go.
+    /// Address of the agent, for direct commands.
     pub addr: String,
-    /// Its type.
+    /// Machine type.
     #[serde(rename = "box_kind")]
     pub kind: MachineTypeName,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: Zone,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// The session.
+    /// The agent's current epoch.
     #[serde(rename = "shift")]
     pub epoch: AgentEpoch,
-    /// The message's number.
+    /// Sequence number of the heartbeat.
     #[serde(rename = "tally")]
     pub sequence: HeartbeatSequence,
-    /// Highest token seen.
+    /// Highest fencing token that the agent has seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Seconds until the machine is taken.
+    /// Seconds until the cloud reclaims the machine; `None`: no notice was received.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, ended ones included until a [`Command::Forget`].
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<ReportedTask>,
 }
 
-/// A command.
+/// A command of a controller to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
-    /// Start a task.
+    /// Starts a task.
     #[serde(rename = "start")]
     Start {
-        /// The task.
+        /// Job and index of the task, such as `wk-000412/3`.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stop a task.
+    /// Stops a task.
     #[serde(rename = "halt")]
     Stop {
-        /// The task.
+        /// Job and index of the task, such as `wk-000412/3`.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Time it gets to save.
+        /// Seconds that the task has to write a checkpoint before it is killed.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Forget an ended task.
+    /// Removes an ended task from the agent's records and heartbeats.
     #[serde(rename = "clear")]
     Forget {
-        /// The task.
+        /// Job and index of the task, such as `wk-000412/3`.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
@@ -150,32 +152,33 @@
 /// The response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Who commands.
+    /// Fencing token of the leader that sends the commands.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// What to do, in order.
+    /// Commands to execute, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands sent straight to a worker.
+/// Commands that the leader sends to an agent outside of a response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Who commands.
+    /// Fencing token of the leader that sends the commands.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// The session that is meant.
+    /// The agent epoch for which the commands are valid.
     #[serde(rename = "shift")]
     pub epoch: AgentEpoch,
-    /// What to do, in order.
+    /// Commands to execute, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// "Not me": who to report to instead, if known.
+/// The response of a controller that is not the leader to a heartbeat: it redirects the
+/// agent to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRedirect {
-    /// The leader.
+    /// Name of the controller to send heartbeats to; `None`: the leader is unknown.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<NodeId>,
 }
--- a/crates/wire/tests/services_format.rs
+++ b/crates/wire/tests/services_format.rs
@@ -1,5 +1,6 @@
-//! Pins what goes to and from the cloud, the state service and the workers' shared
-//! directory: names, spellings and some exact bytes, all as literals.
+//! Pins the messages to and from the cloud and the key-value store, and the files in the
+//! directory that the machines share: field names, spellings and some exact bytes, all as
+//! literals.
 
 use pebblefold_wire::http::{HttpError, Response, write_request, write_response};
 use pebblefold_wire::types::{Resources, Version, WallTime};
@@ -9,15 +10,19 @@
 use serde_json::{Value, json};
 use std::fmt::Debug;
 
-/// The value is written as `expected`, and `expected` is read as the value.
-fn keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: Value) {
+/// Asserts that the value is serialized as `expected`, and `expected` is deserialized as
+/// the value.
+fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    value: &T,
+    expected: Value,
+) {
     let written: Value = decode(&encode(value)).expect("MessagePack");
     assert_eq!(written, expected, "written");
-    reads(value, expected);
+    assert_decodes(value, expected);
 }
 
-/// `stored` is read as the value, in MessagePack and in JSON.
-fn reads<T: DeserializeOwned + PartialEq + Debug>(value: &T, stored: Value) {
+/// Asserts that `stored` is deserialized as the value, from MessagePack and from JSON.
+fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(value: &T, stored: Value) {
     assert_eq!(decode::<T>(&encode(&stored)).as_ref(), Some(value), "read");
     assert_eq!(&serde_json::from_value::<T>(stored).expect("JSON"), value);
 }
@@ -42,7 +47,7 @@
         boot_s: 10.0,
         zones: vec!["z0".into(), "z1".into()],
     };
-    keeps(
+    assert_round_trip(
         &cloud::MachineTypes { kinds: vec![kind] },
         json!({"kinds_of_box": [{
             "sku": "g4", "vcpus": 16.0, "accelerators": 4.0, "memory_gb": 128.0,
@@ -50,31 +55,31 @@
             "startup_s": 10.0, "yards": ["z0", "z1"],
         }]}),
     );
-    keeps(&cloud::MachineTypes::default(), json!({"kinds_of_box": []}));
+    assert_round_trip(&cloud::MachineTypes::default(), json!({"kinds_of_box": []}));
 }
 
 #[test]
-fn renting_and_releasing_keep_their_wire_format() {
-    let rent = cloud::ProvisionRequest {
+fn provisioning_and_terminating_keep_their_wire_format() {
+    let provision = cloud::ProvisionRequest {
         request: "node-0-1".into(),
         kind: "g4".into(),
         zone: "z0".into(),
         spot: true,
         count: 3,
     };
-    keeps(
-        &rent,
+    assert_round_trip(
+        &provision,
         json!({"hire": "node-0-1", "box_kind": "g4", "yard": "z0", "borrowed": true, "count": 3}),
     );
     assert_eq!(
-        hex(&rent),
+        hex(&provision),
         "85a468697265a86e6f64652d302d31a8626f785f6b696e64a26734a479617264a27a30a8626f\
          72726f776564c3a5636f756e7403"
     );
     let names = cloud::MachineNames {
         machines: vec!["host-1".into()],
     };
-    keeps(&names, json!({"boxes": ["host-1"]}));
+    assert_round_trip(&names, json!({"boxes": ["host-1"]}));
 }
 
 #[test]
@@ -94,7 +99,7 @@
         (cloud::MachineStage::Failed, "failed"),
     ];
     for (stage, text) in stages {
-        keeps(
+        assert_round_trip(
             &cloud::MachineList {
                 machines: vec![listed(stage)],
                 more: true,
@@ -105,10 +110,10 @@
             }], "truncated": true}),
         );
     }
-    reads(&cloud::MachineList::default(), json!({"boxes": []}));
+    assert_decodes(&cloud::MachineList::default(), json!({"boxes": []}));
 }
 
-// The state service.
+// The key-value store.
 
 #[test]
 fn keys_keep_their_wire_format() {
@@ -118,7 +123,7 @@
         value: json!({"a": 1}),
         version,
     };
-    keeps(
+    assert_round_trip(
         &entry,
         json!({"key": "job/wk-1", "value": {"a": 1}, "touched": 7}),
     );
@@ -128,26 +133,26 @@
         version,
         lease,
     };
-    keeps(
+    assert_round_trip(
         &answer(Some(3)),
         json!({"key": "job/wk-1", "value": null, "touched": 7, "permit": 3}),
     );
-    keeps(
+    assert_round_trip(
         &answer(None),
         json!({"key": "job/wk-1", "value": null, "touched": 7}),
     );
-    reads(&answer(None), json!({"key": "job/wk-1", "touched": 7}));
+    assert_decodes(&answer(None), json!({"key": "job/wk-1", "touched": 7}));
     let page = |more| kvstore::EntryPage {
         items: vec![entry.clone()],
         more,
         revision: Version(9),
     };
     let items = json!([{"key": "job/wk-1", "value": {"a": 1}, "touched": 7}]);
-    keeps(
+    assert_round_trip(
         &page(true),
         json!({"entries": items, "truncated": true, "ledger_mark": 9}),
     );
-    reads(&page(false), json!({"entries": items, "ledger_mark": 9}));
+    assert_decodes(&page(false), json!({"entries": items, "ledger_mark": 9}));
 }
 
 #[test]
@@ -166,7 +171,7 @@
         conditions: vec![condition],
         ops: vec![put(Some(3)), put(None), delete],
     };
-    keeps(
+    assert_round_trip(
         &txn,
         json!({"if": [{"key": "c", "touched": 7}], "apply": [
             {"write": "a", "value": 1, "permit": 3}, {"write": "a", "value": 1}, {"delete": "b"},
@@ -182,17 +187,17 @@
         revision: Version(9),
         failed: vec!["c".into()],
     };
-    keeps(&revision, json!({"ledger_mark": 9, "failed": ["c"]}));
-    reads(&kvstore::TransactionResponse::default(), json!({}));
+    assert_round_trip(&revision, json!({"ledger_mark": 9, "failed": ["c"]}));
+    assert_decodes(&kvstore::TransactionResponse::default(), json!({}));
 }
 
 #[test]
 fn leases_and_watches_keep_their_wire_format() {
-    keeps(
+    assert_round_trip(
         &kvstore::LeaseGrantRequest { ttl_ms: 3000 },
         json!({"life_ms": 3000}),
     );
-    keeps(&kvstore::LeaseGrant { lease: 3 }, json!({"permit": 3}));
+    assert_round_trip(&kvstore::LeaseGrant { lease: 3 }, json!({"permit": 3}));
     let change = |put: Option<&str>, delete: Option<&str>, value| kvstore::WatchEvent {
         put: put.map(String::from),
         delete: delete.map(String::from),
@@ -206,7 +211,7 @@
             change(None, Some("b"), Value::Null),
         ],
     };
-    keeps(
+    assert_round_trip(
         &changes,
         json!({"ledger_mark": 9, "news": [
             {"write": "a", "value": 1, "touched": 7}, {"delete": "b", "value": null, "touched": 7},
@@ -216,19 +221,19 @@
         revision: Version(9),
         events: Vec::new(),
     };
-    reads(&none, json!({"ledger_mark": 9}));
-    reads(
+    assert_decodes(&none, json!({"ledger_mark": 9}));
+    assert_decodes(
         &change(None, Some("b"), Value::Null),
         json!({"delete": "b", "touched": 7}),
     );
 }
 
-// Uploaded commands and their marks.
+// Uploaded commands and their exit records.
 
 #[test]
 fn uploaded_command_keeps_its_format() {
     let text = String::from;
-    let bare = command::CommandSpec {
+    let minimal = command::CommandSpec {
         argv: vec![text("sh")],
         dir: text("/d"),
         ..Default::default()
@@ -255,9 +260,9 @@
             command::StagedFile::Directory { to: text("b") },
         ],
         limit_s: Some(60.0),
-        ..bare.clone()
+        ..minimal.clone()
     };
-    keeps(
+    assert_round_trip(
         &full,
         json!({
             "argv": ["sh"], "dir": "/d", "stdin": "/in", "stdout": "out", "stderr": "err",
@@ -267,22 +272,22 @@
             ], "limit_s": 60.0,
         }),
     );
-    keeps(
-        &bare,
+    assert_round_trip(
+        &minimal,
         json!({"argv": ["sh"], "dir": "/d", "stdin": null, "stdout": null, "stderr": null,
             "env": {}, "again": "yes"}),
     );
-    reads(&bare, json!({"argv": ["sh"], "dir": "/d"}));
+    assert_decodes(&minimal, json!({"argv": ["sh"], "dir": "/d"}));
     assert_eq!(
-        hex(&bare),
+        hex(&minimal),
         "87a46172677691a27368a3646972a22f64a5737464696ec0a67374646f7574c0a67374646572\
          72c0a3656e7680a5616761696ea3796573"
     );
 }
 
 #[test]
-fn marks_of_an_attempt_keep_their_format() {
-    let bare = command::ExitRecord {
+fn exit_records_keep_their_format() {
+    let minimal = command::ExitRecord {
         code: 137,
         dir: "/d/1".into(),
         machine: "host-1".into(),
@@ -294,20 +299,20 @@
         ended_ms: 2000,
         not_started: Some("no program".into()),
         too_long: true,
-        ..bare.clone()
+        ..minimal.clone()
     };
-    keeps(
+    assert_round_trip(
         &full,
         json!({"code": 137, "dir": "/d/1", "machine": "host-1", "attempt": 4, "began_ms": 1000,
             "ended_ms": 2000, "not_started": "no program", "too_long": true}),
     );
-    keeps(
-        &bare,
+    assert_round_trip(
+        &minimal,
         json!({"code": 137, "dir": "/d/1", "machine": "host-1", "attempt": 0, "began_ms": 0,
             "ended_ms": 0}),
     );
-    reads(
-        &bare,
+    assert_decodes(
+        &minimal,
         json!({"code": 137, "dir": "/d/1", "machine": "host-1"}),
     );
     assert_eq!(command::WORKING_DIR_PLACEHOLDER, "/:pebblefold:here:");
@@ -321,7 +326,7 @@
     );
 }
 
-// What messages are made of.
+// Types that messages consist of, and HTTP.
 
 #[test]
 fn amounts_and_times_keep_their_format() {
@@ -330,11 +335,11 @@
         gpus: 1.0,
         memory_gb: 16.5,
     };
-    keeps(
+    assert_round_trip(
         &amounts,
         json!({"cpus": 4.0, "gpus": 1.0, "memory_gb": 16.5}),
     );
-    keeps(&WallTime(1234), json!(1234));
+    assert_round_trip(&WallTime(1234), json!(1234));
 }
 
 #[test]
@@ -359,12 +364,12 @@
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/msgpack\r\n\
           Content-Length: 2\r\nRetry-After: 2\r\nConnection: close\r\n\r\nxy"
     );
-    let refusals = [
+    let rejections = [
         (HttpError::Malformed, 400, "malformed message"),
         (HttpError::HeadTooLarge, 431, "head too large"),
         (HttpError::BodyTooLarge, 413, "body too large"),
     ];
-    for (e, status, text) in refusals {
+    for (e, status, text) in rejections {
         assert_eq!((e.status(), e.to_string().as_str()), (status, text));
     }
 }
--- a/crates/wire/tests/users_format.rs
+++ b/crates/wire/tests/users_format.rs
@@ -1,4 +1,5 @@
-//! Pins what users send and get: names, spellings and some exact bytes, as literals.
+//! Pins the messages of the users' protocol: field names, spellings and some exact bytes,
+//! all as literals.
 
 use pebblefold_wire::{decode, encode, users};
 use serde::Serialize;
@@ -6,23 +7,27 @@
 use serde_json::{Value, json};
 use std::fmt::Debug;
 
-/// The value is written as `expected`, and `expected` is read as the value.
-fn keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: Value) {
+/// Asserts that the value is serialized as `expected`, and `expected` is deserialized as
+/// the value.
+fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    value: &T,
+    expected: Value,
+) {
     let written: Value = decode(&encode(value)).expect("MessagePack");
     assert_eq!(written, expected, "written");
-    reads(value, expected);
+    assert_decodes(value, expected);
 }
 
-/// `stored` is read as the value, in MessagePack and in JSON.
-fn reads<T: DeserializeOwned + PartialEq + Debug>(value: &T, stored: Value) {
+/// Asserts that `stored` is deserialized as the value, from MessagePack and from JSON.
+fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(value: &T, stored: Value) {
     assert_eq!(decode::<T>(&encode(&stored)).as_ref(), Some(value), "read");
     assert_eq!(&serde_json::from_value::<T>(stored).expect("JSON"), value);
 }
 
-/// Each variant has its spelling.
-fn spells<T: Serialize + DeserializeOwned + PartialEq + Debug>(variants: &[(T, &str)]) {
+/// Asserts the spelling of each variant.
+fn assert_spellings<T: Serialize + DeserializeOwned + PartialEq + Debug>(variants: &[(T, &str)]) {
     for (variant, text) in variants {
-        keeps(variant, json!(text));
+        assert_round_trip(variant, json!(text));
     }
 }
 
@@ -55,7 +60,8 @@
     }
 }
 
-fn submitted() -> Value {
+/// [`submission`] as it is sent, without the fields that are `None`.
+fn submission_json() -> Value {
     json!({
         "ref": "wk-1", "lane": "urgent", "crew": "red", "shape": "ensemble",
         "urgency": "urgent", "pieces": 8, "vcpus": 4.5, "accelerators": 1.0,
@@ -65,9 +71,13 @@
     })
 }
 
-fn with(mut object: Value, more: Value) -> Value {
-    let more = more.as_object().expect("an object").clone();
-    object.as_object_mut().expect("an object").extend(more);
+/// Adds fields to a JSON object.
+fn with(mut object: Value, extra_fields: Value) -> Value {
+    let extra_fields = extra_fields.as_object().expect("an object").clone();
+    object
+        .as_object_mut()
+        .expect("an object")
+        .extend(extra_fields);
     object
 }
 
@@ -79,11 +89,11 @@
         deadline_s: Some(90.0),
         ..submission()
     };
-    let more = json!({"kinds_of_box": ["g4"], "yard": "z0", "due_s": 90.0});
-    keeps(&full, with(submitted(), more));
+    let extra_fields = json!({"kinds_of_box": ["g4"], "yard": "z0", "due_s": 90.0});
+    assert_round_trip(&full, with(submission_json(), extra_fields));
     let absent = json!({"kinds_of_box": null, "yard": null, "due_s": null});
-    keeps(&submission(), with(submitted(), absent));
-    reads(&submission(), submitted());
+    assert_round_trip(&submission(), with(submission_json(), absent));
+    assert_decodes(&submission(), submission_json());
     assert_eq!(
         hex(&submission()),
         "de0014a3726566a4776b2d31a46c616e65a6757267656e74a463726577a3726564a573686170\
@@ -100,18 +110,18 @@
 #[test]
 fn shapes_priorities_and_stages_keep_their_spelling() {
     use users::{JobShape, JobStage, Priority};
-    spells(&[
+    assert_spellings(&[
         (JobShape::Array, "batch"),
         (JobShape::Gang, "ensemble"),
         (JobShape::Service, "service"),
     ]);
-    spells(&[
+    assert_spellings(&[
         (Priority::Low, "low"),
         (Priority::Normal, "standard"),
         (Priority::High, "urgent"),
         (Priority::Production, "production"),
     ]);
-    spells(&[
+    assert_spellings(&[
         (JobStage::Queued, "pending"),
         (JobStage::Running, "running"),
         (JobStage::Done, "done"),
@@ -120,9 +130,9 @@
 }
 
 #[test]
-fn faults_of_a_submission_name_the_fields_as_they_travel() {
-    type Spoil = fn(&mut users::Submission);
-    let cases: [(&str, Spoil); 15] = [
+fn fault_names_field_with_its_wire_spelling() {
+    type Invalidate = fn(&mut users::Submission);
+    let cases: [(&str, Invalidate); 15] = [
         ("ref", |s| s.id = "a b".into()),
         ("lane", |s| s.class = "".into()),
         ("crew", |s| s.team = "".into()),
@@ -139,9 +149,9 @@
         ("kinds_of_box", |s| s.kinds = Some(Vec::new())),
         ("yard", |s| s.zone = Some("".into())),
     ];
-    for (field, spoil) in cases {
+    for (field, invalidate) in cases {
         let mut s = submission();
-        spoil(&mut s);
+        invalidate(&mut s);
         assert_eq!(s.fault(), Some(field));
     }
 }
@@ -154,18 +164,19 @@
         done,
         running,
     };
-    keeps(
+    assert_round_trip(
         &answer(Some(3), Some(4)),
         json!({"ref": "wk-1", "stage": "running", "done": 3, "running": 4}),
     );
-    keeps(
+    assert_round_trip(
         &answer(None, None),
         json!({"ref": "wk-1", "stage": "running"}),
     );
-    let refusal = users::ErrorResponse {
+    let error_response = users::ErrorResponse {
         error: "lane".into(),
     };
-    assert_eq!(hex(&refusal), "81a56572726f72a46c616e65");
-    let read: users::ErrorResponse = decode(&encode(&json!({"error": "lane"}))).expect("a refusal");
-    assert_eq!(read.error, "lane");
+    assert_eq!(hex(&error_response), "81a56572726f72a46c616e65");
+    let decoded: users::ErrorResponse =
+        decode(&encode(&json!({"error": "lane"}))).expect("a refusal");
+    assert_eq!(decoded.error, "lane");
 }
--- a/crates/wire/tests/wire_format.rs
+++ b/crates/wire/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! Pins what controllers and workers tell one another: names, spellings and some exact
-//! bytes. Everything expected is a literal; a renamed type or field must not change it.
+//! Pins the messages between controllers, and between controllers and agents: field names,
+//! spellings and some exact bytes. All expectations are literals, which must not change when
+//! a type or field is renamed.
 
 use pebblefold_wire::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence};
 use pebblefold_wire::{decode, encode, peers, workers};
@@ -8,23 +9,27 @@
 use serde_json::{Value, json};
 use std::fmt::Debug;
 
-/// The value is written as `expected`, and `expected` is read as the value.
-fn keeps<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: Value) {
+/// Asserts that the value is serialized as `expected`, and `expected` is deserialized as
+/// the value.
+fn assert_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    value: &T,
+    expected: Value,
+) {
     let written: Value = decode(&encode(value)).expect("MessagePack");
     assert_eq!(written, expected, "written");
-    reads(value, expected);
+    assert_decodes(value, expected);
 }
 
-/// `stored` is read as the value, in MessagePack and in JSON.
-fn reads<T: DeserializeOwned + PartialEq + Debug>(value: &T, stored: Value) {
+/// Asserts that `stored` is deserialized as the value, from MessagePack and from JSON.
+fn assert_decodes<T: DeserializeOwned + PartialEq + Debug>(value: &T, stored: Value) {
     assert_eq!(decode::<T>(&encode(&stored)).as_ref(), Some(value), "read");
     assert_eq!(&serde_json::from_value::<T>(stored).expect("JSON"), value);
 }
 
-/// Each variant has its spelling.
-fn spells<T: Serialize + DeserializeOwned + PartialEq + Debug>(variants: &[(T, &str)]) {
+/// Asserts the spelling of each variant.
+fn assert_spellings<T: Serialize + DeserializeOwned + PartialEq + Debug>(variants: &[(T, &str)]) {
     for (variant, text) in variants {
-        keeps(variant, json!(text));
+        assert_round_trip(variant, json!(text));
     }
 }
 
@@ -36,54 +41,54 @@
 
 #[test]
 fn leader_heartbeat_keeps_its_wire_format() {
-    let beat = peers::LeaderHeartbeat {
+    let heartbeat = peers::LeaderHeartbeat {
         node_id: "node-0".into(),
         token: FencingToken(5),
         store_contact_age_ms: 120,
         work_delay_ms: 7,
     };
-    keeps(
-        &beat,
+    assert_round_trip(
+        &heartbeat,
         json!({"label": "node-0", "token": 5, "state_ms": 120, "late_ms": 7}),
     );
     assert_eq!(
-        hex(&beat),
+        hex(&heartbeat),
         "84a56c6162656ca66e6f64652d30a5746f6b656e05a873746174655f6d7378a76c6174655f6d\
          7307"
     );
 }
 
 #[test]
-fn handover_and_doubt_messages_keep_their_wire_format() {
-    keeps(
+fn leadership_transfer_and_suspicion_keep_their_wire_format() {
+    assert_round_trip(
         &peers::LeadershipTransfer {
             token: FencingToken(5),
         },
         json!({"token": 5}),
     );
-    let ask = peers::SuspicionQuery {
+    let query = peers::SuspicionQuery {
         token: FencingToken(5),
         store_unreachable: true,
     };
-    keeps(&ask, json!({"token": 5, "no_state": true}));
-    let mut opinion = peers::SuspicionReport {
+    assert_round_trip(&query, json!({"token": 5, "no_state": true}));
+    let mut vote = peers::SuspicionReport {
         node_id: "node-1".into(),
         token: FencingToken(5),
         agrees: true,
         came: 12,
     };
-    keeps(
-        &opinion,
+    assert_round_trip(
+        &vote,
         json!({"label": "node-1", "token": 5, "agrees": true, "came": 12}),
     );
-    opinion.came = 0;
-    reads(
-        &opinion,
+    vote.came = 0;
+    assert_decodes(
+        &vote,
         json!({"label": "node-1", "token": 5, "agrees": true}),
     );
 }
 
-fn bare_greeting() -> peers::PeerHeartbeat {
+fn minimal_peer_heartbeat() -> peers::PeerHeartbeat {
     peers::PeerHeartbeat {
         node_id: "node-0".into(),
         token: FencingToken(5),
@@ -101,8 +106,8 @@
 }
 
 #[test]
-fn node_greeting_keeps_its_wire_format() {
-    let told = peers::BuildInfo {
+fn peer_heartbeat_keeps_its_wire_format() {
+    let build_info = peers::BuildInfo {
         low: 0,
         high: 2,
         build: "0.2.0".into(),
@@ -112,14 +117,14 @@
         loaded: false,
         strained: true,
         effort_us: 350,
-        levels: Some(told),
+        levels: Some(build_info),
         cancelled: vec!["wk-1".into()],
         counts: vec![("wk-2".into(), 3, 4)],
         caches: vec![("host-1".into(), vec![("img-0".into(), 6.5)])],
         fetches: vec![("img-0".into(), 9000)],
-        ..bare_greeting()
+        ..minimal_peer_heartbeat()
     };
-    keeps(
+    assert_round_trip(
         &full,
         json!({
             "label": "node-0", "token": 5, "leads": true, "loaded": false, "state_ok": false,
@@ -129,8 +134,8 @@
             "caches": [["host-1", [["img-0", 6.5]]]], "fetches": [["img-0", 9000]],
         }),
     );
-    keeps(
-        &bare_greeting(),
+    assert_round_trip(
+        &minimal_peer_heartbeat(),
         json!({
             "label": "node-0", "token": 5, "leads": true, "loaded": true, "state_ok": false,
             "strained": false, "effort_us": 0, "counts": [], "caches": [],
@@ -139,16 +144,16 @@
 }
 
 #[test]
-fn node_greeting_of_an_older_build_is_read() {
-    reads(
-        &bare_greeting(),
+fn decodes_peer_heartbeat_of_an_older_build() {
+    assert_decodes(
+        &minimal_peer_heartbeat(),
         json!({"label": "node-0", "token": 5, "leads": true, "state_ok": false}),
     );
 }
 
-// Workers.
+// Agents.
 
-fn report() -> workers::Heartbeat {
+fn minimal_heartbeat() -> workers::Heartbeat {
     workers::Heartbeat {
         machine: "host-1".into(),
         addr: "10.1.0.1:9000".into(),
@@ -174,13 +179,13 @@
 }
 
 #[test]
-fn worker_report_keeps_its_wire_format() {
+fn agent_heartbeat_keeps_its_wire_format() {
     let full = workers::Heartbeat {
         notice_s: Some(30.5),
         tasks: vec![reported(Some(workers::StopReason::Stopped), Some(true))],
-        ..report()
+        ..minimal_heartbeat()
     };
-    keeps(
+    assert_round_trip(
         &full,
         json!({
             "box": "host-1", "addr": "10.1.0.1:9000", "box_kind": "g4", "yard": "z0",
@@ -190,22 +195,22 @@
             ],
         }),
     );
-    keeps(
-        &report(),
+    assert_round_trip(
+        &minimal_heartbeat(),
         json!({
             "box": "host-1", "addr": "10.1.0.1:9000", "box_kind": "g4", "yard": "z0",
             "borrowed": true, "shift": 2, "tally": 17, "baton": 5, "warning_s": null,
             "pieces": [],
         }),
     );
-    reads(
-        &report(),
+    assert_decodes(
+        &minimal_heartbeat(),
         json!({
             "box": "host-1", "addr": "10.1.0.1:9000", "box_kind": "g4", "yard": "z0",
             "borrowed": true, "shift": 2, "tally": 17, "baton": 5,
         }),
     );
-    keeps(
+    assert_round_trip(
         &reported(None, None),
         json!({"piece": "wk-1/3", "try": 4, "stage": "ended"}),
     );
@@ -222,14 +227,14 @@
 #[test]
 fn task_states_and_reasons_keep_their_spelling() {
     use workers::{StopReason, TaskState};
-    spells(&[
+    assert_spellings(&[
         (TaskState::Fetching, "fetching"),
         (TaskState::Waiting, "waiting"),
         (TaskState::Running, "running"),
         (TaskState::Saving, "saving"),
         (TaskState::Exited, "ended"),
     ]);
-    spells(&[
+    assert_spellings(&[
         (StopReason::Done, "done"),
         (StopReason::Stopped, "halted"),
         (StopReason::Peers, "peers"),
@@ -239,11 +244,11 @@
         (StopReason::Busy, "in_use"),
         (StopReason::Unknown, "unknown"),
     ]);
-    reads(&StopReason::Unknown, json!("a reason of a later version"));
+    assert_decodes(&StopReason::Unknown, json!("a reason of a later version"));
 }
 
 #[test]
-fn worker_commands_keep_their_wire_format() {
+fn agent_commands_keep_their_wire_format() {
     let task = || "wk-1/3".to_string();
     let attempt = Attempt(4);
     let start = workers::Command::Start {
@@ -260,17 +265,17 @@
         attempt,
     };
     let commands = vec![start, stop, forget];
-    let orders = json!([
+    let commands_json = json!([
         {"verb": "start", "piece": "wk-1/3", "try": 4},
         {"verb": "halt", "piece": "wk-1/3", "try": 4, "wind_down_s": 2.5},
         {"verb": "clear", "piece": "wk-1/3", "try": 4},
     ]);
-    keeps(&commands, orders.clone());
+    assert_round_trip(&commands, commands_json.clone());
     let answer = workers::HeartbeatResponse {
         token: FencingToken(5),
         commands: commands.clone(),
     };
-    keeps(&answer, json!({"baton": 5, "orders": orders}));
+    assert_round_trip(&answer, json!({"baton": 5, "orders": commands_json}));
     assert_eq!(
         hex(&answer),
         "82a56261746f6e05a66f72646572739383a476657262a57374617274a57069656365a6776b2d\
@@ -283,11 +288,14 @@
         epoch: AgentEpoch(2),
         commands,
     };
-    keeps(&direct, json!({"baton": 5, "shift": 2, "orders": orders}));
-    let elsewhere = |report_to| workers::LeaderRedirect { report_to };
-    keeps(
-        &elsewhere(Some("node-1".into())),
+    assert_round_trip(
+        &direct,
+        json!({"baton": 5, "shift": 2, "orders": commands_json}),
+    );
+    let redirect = |report_to| workers::LeaderRedirect { report_to };
+    assert_round_trip(
+        &redirect(Some("node-1".into())),
         json!({"foreman": "node-1"}),
     );
-    keeps(&elsewhere(None), json!({}));
+    assert_round_trip(&redirect(None), json!({}));
 }
