--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests over kept connections.
+//! An HTTP client that reuses connections.
 
 use pebblefold_wire::http::{self, Response};
 use std::cell::{Cell, RefCell};
@@ -10,30 +10,32 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long connecting may take.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Idle connections kept per target.
+/// Idle connections that a client keeps per target by default.
 const MAX_IDLE_PER_TARGET: usize = 8;
-/// Targets for which idle connections are kept.
+/// Targets for which a client keeps idle connections.
 const MAX_TARGETS: usize = 32;
 
-/// Whether a request may have reached the other side: until this is set it
+/// Whether a request may have reached the server. As long as it is not set, the request
 /// certainly has not.
 #[derive(Debug, Default)]
 pub struct Sent(Cell<bool>);
 
 impl Sent {
-    /// Whether it may have.
+    /// Whether the request may have reached the server.
     pub fn get(&self) -> bool {
         self.0.get()
     }
 }
 
-/// A client. Requests to one target run side by side, each on a connection of
-/// its own while it lasts; nothing is pipelined.
+/// An HTTP client. Concurrent requests to one target use separate connections; requests are
+/// not pipelined.
 #[derive(Debug)]
 pub struct Client {
+    /// Idle connections by target.
     idle: RefCell<HashMap<SocketAddrV4, Vec<TcpStream>>>,
+    /// Idle connections kept per target.
     max_idle: usize,
 }
 
@@ -44,18 +46,20 @@
 }
 
 impl Client {
-    /// A client that keeps so many idle connections to a target. One that asks
-    /// a target for many others keeps as many, or it runs out of local ports.
+    /// Creates a client that keeps at most `max_idle` idle connections per target. A client
+    /// that makes many concurrent requests to one target on behalf of others needs a limit of
+    /// that size, or it runs out of local ports.
     pub fn with_idle_limit(max_idle: usize) -> Client {
         let idle = RefCell::default();
         Client { idle, max_idle }
     }
 
-    /// Sends a request and reads its response. Dropping the future gives the
-    /// request up; it may be executed all the same once `sent` is set.
+    /// Sends a request and receives its response. Apart from connecting, there is no time
+    /// limit. Dropping the future cancels the request; the server may execute it all the same
+    /// if `sent` is set.
     ///
     /// # Errors
-    /// Connecting, writing or reading failed, or the response cannot be read.
+    /// Connecting, writing or reading failed, or the response is malformed or too large.
     pub async fn exchange(
         &self,
         addr: SocketAddrV4,
@@ -68,9 +72,9 @@
         if let Some(stream) = self.take_idle(addr) {
             sent.0.set(true);
             match self.exchange_on(stream, addr, &request).await {
-                Ok(r) => return Ok(r),
-                // A kept connection may have been closed by the other side in
-                // the meantime. Only a read may be sent a second time.
+                Ok(response) => return Ok(response),
+                // The server may have closed the idle connection in the meantime. Only a
+                // read may be sent a second time.
                 Err(e) if method != "GET" => return Err(e),
                 Err(_) => sent.0.set(false),
             }
@@ -83,8 +87,8 @@
         self.exchange_on(stream, addr, &request).await
     }
 
-    /// An idle connection to a target. Targets without any are forgotten, so
-    /// that workers that are gone leave nothing behind.
+    /// Removes and returns an idle connection to a target. A target without further idle
+    /// connections is removed from the map, so that agents that are gone take up no memory.
     fn take_idle(&self, addr: SocketAddrV4) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.get_mut(&addr)?;
@@ -95,6 +99,8 @@
         stream
     }
 
+    /// Sends a request on a connection and receives its response. The connection becomes
+    /// idle if the response permits it and no further bytes have arrived.
     async fn exchange_on(
         &self,
         mut stream: TcpStream,
@@ -102,13 +108,13 @@
         request: &[u8],
     ) -> Result<Response> {
         stream.write_all(request).await?;
-        let mut data = Vec::with_capacity(1024);
+        let mut received = Vec::with_capacity(1024);
         loop {
-            let n = stream.read_buf(&mut data).await?;
-            let parsed = http::read_response(&data, n == 0)
+            let n = stream.read_buf(&mut received).await?;
+            let parsed = http::read_response(&received, n == 0)
                 .map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
-            if let Some((r, used)) = parsed {
-                if !r.close && n > 0 && used == data.len() {
+            if let Some((response, consumed)) = parsed {
+                if !response.close && n > 0 && consumed == received.len() {
                     let mut idle = self.idle.borrow_mut();
                     if idle.len() < MAX_TARGETS || idle.contains_key(&addr) {
                         let streams = idle.entry(addr).or_default();
@@ -117,7 +123,7 @@
                         }
                     }
                 }
-                return Ok(r);
+                return Ok(response);
             }
             if n == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,10 +1,13 @@
 #![doc = include_str!("../README.md")]
 //! # Contents
 //!
-//! The one place where pebblefold's HTTP meets sockets: a client that keeps
-//! idle connections, and a server for one connection. Everything runs on the
-//! caller's thread; limits on time are the caller's where they depend on the
-//! request, and constants here where they do not.
+//! - [`Client`]: an HTTP client that reuses connections. [`Sent`] states whether a request
+//!   may have reached the server.
+//! - [`next_request`], [`sender_is_gone`]: the server's side of one connection.
+//! - [`answer_connections`]: a server for many connections.
+//!
+//! Everything runs on the caller's thread. Time limits that depend on the request are set by
+//! the caller; the others are constants of this package.
 
 mod client;
 mod server;
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,4 @@
-//! Requests from one connection, and a plain server for many.
+//! Reads requests from one connection, and a simple server for many connections.
 
 use pebblefold_wire::http::{self, HttpError, Request, Response};
 use socket2::SockRef;
@@ -11,50 +11,50 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How long a connection may stay silent between requests.
+/// How long a connection may be idle between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// How long a request may take to arrive once it has begun, and an answer to
-/// be taken.
+/// Time limit for each read of a request whose first bytes have arrived, and for writing a
+/// response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after accepting failed, for example for lack of sockets.
+/// Pause after a failure to accept a connection, for example for lack of sockets.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What comes next on a connection.
+/// What [`next_request`] read from a connection.
 #[derive(Debug)]
 pub enum Next {
-    /// A request.
+    /// A complete request.
     Request(Request),
-    /// The other side is gone, or took too long.
+    /// The sender closed the connection, reading failed, or a time limit was exceeded.
     Closed,
-    /// Something that is not a request.
+    /// The sender sent something other than a valid request.
     Bad(HttpError),
 }
 
-/// Whether the other side has closed the connection since it sent its request,
-/// so that nobody waits for the answer any more. A server that is behind saves
-/// itself what nobody wants. It costs one system call; where it fails, somebody
-/// is taken to wait.
+/// Whether the sender has closed the connection since it sent its request, so that it no
+/// longer waits for the response. An overloaded server can skip such a request. The check
+/// costs one system call; if that call fails, the sender counts as waiting.
 pub fn sender_is_gone(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
-    // The socket never blocks.
+    // The socket is non-blocking, so `peek` returns immediately.
     matches!(SockRef::from(stream).peek(&mut byte), Ok(0))
 }
 
-/// Reads the next request; `data` holds what has arrived beyond it.
+/// Reads the next request. `data` holds the bytes that were received but not yet parsed; the
+/// caller passes the same buffer in each call for a connection.
 pub async fn next_request(stream: &mut TcpStream, data: &mut Vec<u8>) -> Next {
     loop {
         match http::read_request(data) {
-            Ok(Some((request, used))) => {
-                data.drain(..used);
+            Ok(Some((request, consumed))) => {
+                data.drain(..consumed);
                 return Next::Request(request);
             }
             Ok(None) => {
-                let patience = if data.is_empty() {
+                let read_timeout = if data.is_empty() {
                     IDLE_TIMEOUT
                 } else {
                     TRANSFER_TIMEOUT
                 };
-                match timeout(patience, stream.read_buf(data)).await {
+                match timeout(read_timeout, stream.read_buf(data)).await {
                     Ok(Ok(n)) if n > 0 => {}
                     _ => return Next::Closed,
                 }
@@ -64,9 +64,9 @@
     }
 }
 
-/// Accepts connections for ever and answers their requests with `handle`, each
-/// connection on a local task of its own. `None` from `handle` drops the
-/// connection without an answer.
+/// Accepts connections without end and answers their requests with `handle`; each connection
+/// has a separate local task. If `handle` returns `None`, the connection is closed without a
+/// response.
 pub async fn answer_connections<H, F>(listener: TcpListener, handle: H)
 where
     H: Fn(Request) -> F + 'static,
@@ -80,7 +80,7 @@
         };
         let handle = Rc::clone(&handle);
         spawn_local(async move {
-            // A socket that refuses the option still serves.
+            // The connection works without the option as well.
             let _ = stream.set_nodelay(true);
             let mut data = Vec::new();
             loop {
--- a/crates/net/src/server/tests.rs
+++ b/crates/net/src/server/tests.rs
@@ -3,8 +3,8 @@
 use std::cell::Cell;
 use tokio::task::LocalSet;
 
-// Requests whose senders had given up were handled all the same, which kept
-// a server that was behind from ever catching up.
+// Guards against an overloaded server that also handles requests whose senders no longer
+// wait for them, and therefore never catches up.
 #[test]
 fn detects_sender_that_closed_its_connection() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -23,7 +23,7 @@
         let next = next_request(&mut server, &mut data).await;
         assert!(matches!(next, Next::Request(_)));
         assert!(!sender_is_gone(&server));
-        // A further request is no end.
+        // A second request is no sign that the sender closed the connection.
         client.write_all(&request).await.unwrap();
         server.readable().await.unwrap();
         assert!(!sender_is_gone(&server));
@@ -36,8 +36,8 @@
     });
 }
 
-// A connection that the server closed between two requests must not make a
-// read fail, and must never send a change twice.
+// If the server closed an idle connection, a read must not fail because of it, and a change
+// must never be sent twice.
 #[test]
 fn retries_only_reads_on_stale_connection() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -49,32 +49,35 @@
         let std::net::SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
             unreachable!("bound to an IPv4 address")
         };
-        let served = Rc::new(Cell::new(0));
-        let count = Rc::clone(&served);
+        let request_count = Rc::new(Cell::new(0));
+        let shared_count = Rc::clone(&request_count);
         spawn_local(answer_connections(listener, move |r| {
-            count.set(count.get() + 1);
-            // Every second request is dropped with its connection.
-            let answer = (count.get() % 2 == 1).then_some(Response {
+            shared_count.set(shared_count.get() + 1);
+            // Every second request gets no response, and its connection is closed.
+            let reply = (shared_count.get() % 2 == 1).then_some(Response {
                 status: 200,
                 retry_after: None,
                 body: r.body,
                 close: false,
             });
-            async move { answer }
+            async move { reply }
         }));
         let client = Client::default();
-        let ask = async |method, body: &[u8]| {
+        let exchange_body = async |method, body: &[u8]| {
             client
                 .exchange(addr, method, "/", body, &Sent::default())
                 .await
                 .map(|r| r.body)
                 .ok()
         };
-        assert_eq!(ask("POST", b"one").await, Some(b"one".to_vec()));
-        assert_eq!(ask("POST", b"two").await, None);
-        assert_eq!(served.get(), 2, "a change is sent once");
-        assert_eq!(ask("POST", b"three").await, Some(b"three".to_vec()));
-        assert_eq!(ask("GET", b"").await, Some(Vec::new()));
-        assert_eq!(served.get(), 5, "a read is sent again");
+        assert_eq!(exchange_body("POST", b"one").await, Some(b"one".to_vec()));
+        assert_eq!(exchange_body("POST", b"two").await, None);
+        assert_eq!(request_count.get(), 2, "a change is sent once");
+        assert_eq!(
+            exchange_body("POST", b"three").await,
+            Some(b"three".to_vec())
+        );
+        assert_eq!(exchange_body("GET", b"").await, Some(Vec::new()));
+        assert_eq!(request_count.get(), 5, "a read is sent again");
     });
 }
