--- a/crates/client/src/answer_cache.rs
+++ b/crates/client/src/answer_cache.rs
@@ -1,5 +1,5 @@
-//! The last known stage of each job, so that a client never returns an answer that is
-//! older than one it has returned before.
+//! The jobs that a client has returned answers for, so that it never returns an answer that
+//! is older than an earlier one.
 
 use pebblefold_wire::types::JobId;
 use pebblefold_wire::users::JobStage;
--- a/crates/client/src/attempts.rs
+++ b/crates/client/src/attempts.rs
@@ -184,7 +184,7 @@
             self.hedged = false;
             actions.push(self.send(now));
         }
-        // A hedged request costs one more request and saves the wait for a slow
+        // A hedged request costs one more request and avoids the wait for a slow
         // controller. Each attempt is hedged at most once, and only polls are, since
         // they change nothing.
         if let [single] = self.in_flight.as_slice()
@@ -221,7 +221,7 @@
         wakeups.min().unwrap_or(call_end).min(call_end)
     }
 
-    /// Records that an attempt failed or that its response asks for a retry. The next
+    /// Records that an attempt failed or that its response requires a retry. The next
     /// attempt waits for the backoff or for `Retry-After`, whichever is longer, and is
     /// sent to another controller. An attempt that is no longer in flight is ignored.
     pub fn failed(&mut self, now: Time, attempt: u32, retry_after_s: Option<u32>) {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -2,7 +2,7 @@
 //! # Contents
 //!
 //! - [`Attempts`]: the attempts and retries of one call as a state machine, without I/O.
-//! - [`AnswerCache`]: the last known stage of each job, to detect stale answers.
+//! - [`AnswerCache`]: jobs with their final stages, to detect stale answers.
 //! - [`Client`]: applies both to calls over HTTP.
 
 mod answer_cache;
