--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -1,5 +1,6 @@
-//! What one placement cycle costs at the size of the largest deployment known:
-//! `cargo bench`. Times are reported, not checked; they depend on the machine.
+//! Measures the duration of one scheduling cycle at the size of the largest known
+//! deployments: `cargo bench`. The times are printed and not checked, as they depend on the
+//! machine.
 
 use hdrhistogram::Histogram;
 use pebblefold_controller::core::placement_tables::{FetchEstimates, ImageCache, MachineRow};
@@ -17,12 +18,12 @@
 use std::time::Instant;
 
 const NOW: Time = Time(1_000_000_000);
-/// Machines of the largest deployments known.
-const MACHINES: [usize; 2] = [1800, 4000];
+/// Numbers of machines of the largest known deployments.
+const MACHINE_COUNTS: [usize; 2] = [1800, 4000];
 const WAITING_JOBS: usize = 300;
 const ROUNDS: usize = 40;
 
-fn amounts(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
+fn resources(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
     Resources {
         cpus,
         gpus,
@@ -34,9 +35,9 @@
     format!("image-{n:02}").into()
 }
 
-/// Machines, of which one in `machines_per_free_one` has room.
+/// `machines` rows; one in `machines_per_free_one` is free, the others have no free resources.
 fn rows(rng: &mut StdRng, machines: usize, machines_per_free_one: usize) -> Vec<MachineRow> {
-    let whole = amounts(48.0, 8.0, 288.0);
+    let whole = resources(48.0, 8.0, 288.0);
     (0..machines)
         .map(|i| {
             let mut cache = ImageCache::default();
@@ -54,7 +55,7 @@
                 zone: format!("zone-{}", i % 3).into(),
                 spot: i % 2 == 0,
                 capacity: whole,
-                free: amounts(gpus * 6.0, gpus, gpus * 36.0),
+                free: resources(gpus * 6.0, gpus, gpus * 36.0),
                 available_at: NOW + TimeSpan::secs(f64::from(rng.random_range(0u32..200))),
                 reservable: whole,
                 last_high_priority_start: None,
@@ -83,9 +84,9 @@
                 image: image(rng.random_range(0..24)),
                 image_gb: 6.0,
                 need: if gang {
-                    amounts(43.0, 8.0, 230.0)
+                    resources(43.0, 8.0, 230.0)
                 } else {
-                    amounts(5.0, 1.0, 27.0)
+                    resources(5.0, 1.0, 27.0)
                 },
                 tasks: (0..tasks).collect(),
                 gang,
@@ -110,7 +111,7 @@
         .collect()
 }
 
-/// Eight small tasks on each machine without room.
+/// Eight tasks, each of an eighth of a machine, on each machine without a free GPU.
 fn victims(rows: &[MachineRow]) -> Vec<Victim> {
     let full = rows.iter().enumerate().filter(|(_, r)| r.free.gpus < 1.0);
     full.flat_map(|(row, _)| {
@@ -121,7 +122,7 @@
             class: "class".into(),
             machines: 0.125,
             priority: Priority::Low,
-            need: amounts(5.0, 1.0, 27.0),
+            need: resources(5.0, 1.0, 27.0),
             gang: false,
             row,
             cost_machine_seconds: f64::from(n as u32),
@@ -137,8 +138,8 @@
 
 fn report(name: &str, times: &Histogram<u64>) {
     let ms = |q: f64| times.value_at_quantile(q) as f64 / 1000.0;
-    let (half, most) = (ms(0.5), ms(1.0));
-    println!("{name}: {half:.2} ms, at most {most:.2} ms ({ROUNDS} rounds)");
+    let (median, maximum) = (ms(0.5), ms(1.0));
+    println!("{name}: {median:.2} ms, at most {maximum:.2} ms ({ROUNDS} rounds)");
 }
 
 fn main() {
@@ -153,7 +154,7 @@
         let used = Resources::default();
         BTreeMap::from([("team".into(), TeamUse { used, share })])
     };
-    for machines in MACHINES {
+    for machines in MACHINE_COUNTS {
         println!("{machines} machines, {WAITING_JOBS} waiting jobs");
         for (name, machines_per_free_one, aged) in [
             ("a cycle, every machine free", 1, false),
@@ -180,18 +181,18 @@
     let mut rng = StdRng::seed_from_u64(2);
     let mut times = histogram();
     for _ in 0..ROUNDS {
-        let (mut rows, requests) = (rows(&mut rng, MACHINES[0], 100), requests(&mut rng));
-        let found = victims(&rows);
+        let (mut rows, requests) = (rows(&mut rng, MACHINE_COUNTS[0], 100), requests(&mut rng));
+        let candidates = victims(&rows);
         let mut teams = teams();
         let start = Instant::now();
-        let victims = Victims::new(found, rows.len());
+        let victims = Victims::new(candidates, rows.len());
         let cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
-        let bounds = ReclaimLimits::default();
+        let limits = ReclaimLimits::default();
         let gangs = requests.iter().filter(|request| request.gang).take(16);
-        let room = gangs.filter(|request| {
-            evict(&cycle, request, &victims, &BTreeSet::new(), &bounds, 16).is_some()
+        let with_room = gangs.filter(|request| {
+            evict(&cycle, request, &victims, &BTreeSet::new(), &limits, 16).is_some()
         });
-        std::hint::black_box(room.count());
+        std::hint::black_box(with_room.count());
         times.saturating_record(start.elapsed().as_micros() as u64);
     }
     report("16 searches for room", &times);
--- a/crates/controller/policy.lua
+++ b/crates/controller/policy.lua
@@ -6,7 +6,7 @@
 -- lease_s (time to live of an agent's lease), gang_wait_s, cancel_s, list_lag_s,
 -- cloud_rps, nodes (the number of controllers), wait_s (the shortest time to start
 -- among the objectives, or nil) and deadlines (whether an objective concerns
--- deadlines). Times are in seconds.
+-- deadlines). Here and below, names that end in _s are times in seconds.
 
 -- Idle machines cost money; new machines take time to boot. Work with a deadline states
 -- how long it can wait, so where an objective concerns deadlines idle machines are
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,11 +1,11 @@
 #![doc = include_str!("../README.md")]
 //! # Contents
 //!
-//! pebblefold: a cluster scheduler that places tasks next to their images and
+//! pebblefold is a cluster scheduler that prefers machines which hold a task's image and
 //! tolerates failures of machines, networks and controllers.
 //!
-//! The controller's logic is [`core`], a state machine without I/O; the
-//! [`driver`] runs it on sockets and timers.
+//! The controller's logic is [`core`], a state machine without I/O. The [`driver`] runs
+//! the state machine on sockets and timers.
 
 pub mod cli;
 pub mod core;
--- a/crates/controller/src/logging.rs
+++ b/crates/controller/src/logging.rs
@@ -1,10 +1,11 @@
-//! Logs on standard error, from the level in `LOG_LEVEL` on (`error`, `warn`,
-//! `info`, `debug`, `trace`) and in the format in `LOG_FORMAT` (`json`, or text).
+//! Logging to standard error. `LOG_LEVEL` sets the least severe level that is logged
+//! (`error`, `warn`, `info`, `debug` or `trace`), `LOG_FORMAT` the format (`json`; any other
+//! value means text).
 
 use tracing::Level;
 
-/// Starts logging; `default_level` holds where `LOG_LEVEL` is not set. Returns
-/// whether logs are JSON, which programs read.
+/// Starts logging. `default_level` applies if `LOG_LEVEL` is not set or names no level.
+/// Returns whether the log format is JSON, which is meant to be read by programs.
 pub fn start(default_level: Level) -> bool {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => Level::ERROR,
@@ -20,7 +21,8 @@
         .with_ansi(false)
         .without_time()
         .with_target(false);
-    // With job, machine, token and span in fields of their own.
+    // In JSON each field of an event (job, machine, token) and the span is a separate
+    // field of the line.
     let json = std::env::var("LOG_FORMAT").as_deref() == Ok("json");
     if json {
         logs.json().flatten_event(true).init();
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: everything is in the library.
+//! The daemon `pebblefold`. All its code is in the library.
 
 fn main() -> std::process::ExitCode {
     pebblefold_controller::cli::run()
--- a/crates/controller/src/policy.rs
+++ b/crates/controller/src/policy.rs
@@ -178,8 +178,9 @@
     floor_window_s: 30.0, 86400.0;
     /// Time without heartbeats after which a machine is terminated.
     silent_release_s: 1.0, 86400.0;
-    /// The highest format version that may be activated
-    /// (`docs/operations/rollout.md`).
+    /// The highest format version that may be activated once all controllers support it. A
+    /// lower number postpones the activation, and with it every change that a roll-back
+    /// cannot undo (`docs/operations/rollout.md`).
     highest_level: 0.0, 1000.0;
 }
 
@@ -189,28 +190,28 @@
 }
 
 /// The facts about the deployment that a script reads from the global table `site`.
-fn site_table(lua: &Lua, s: &Settings) -> mlua::Result<Table> {
-    let t = lua.create_table()?;
-    t.set("report_s", s.workers.report.as_secs())?;
-    t.set("lease_s", s.workers.lease.as_secs())?;
-    t.set("gang_wait_s", s.workers.gang_wait.as_secs())?;
-    t.set("cancel_s", s.workers.cancel.as_secs())?;
-    t.set("list_lag_s", s.list_lag.as_secs())?;
-    t.set("cloud_rps", s.cloud_rps)?;
-    t.set("nodes", s.size)?;
-    let wait = s
+fn site_table(lua: &Lua, settings: &Settings) -> mlua::Result<Table> {
+    let site = lua.create_table()?;
+    site.set("report_s", settings.workers.report.as_secs())?;
+    site.set("lease_s", settings.workers.lease.as_secs())?;
+    site.set("gang_wait_s", settings.workers.gang_wait.as_secs())?;
+    site.set("cancel_s", settings.workers.cancel.as_secs())?;
+    site.set("list_lag_s", settings.list_lag.as_secs())?;
+    site.set("cloud_rps", settings.cloud_rps)?;
+    site.set("nodes", settings.size)?;
+    let min_wait = settings
         .objectives
         .iter()
         .filter(|o| o.kind == ObjectiveKind::Wait)
         .filter_map(|o| o.within)
         .min();
-    t.set("wait_s", wait.map(TimeSpan::as_secs))?;
-    let deadlines = s
+    site.set("wait_s", min_wait.map(TimeSpan::as_secs))?;
+    let deadlines = settings
         .objectives
         .iter()
         .any(|o| o.kind == ObjectiveKind::Deadline);
-    t.set("deadlines", deadlines)?;
-    Ok(t)
+    site.set("deadlines", deadlines)?;
+    Ok(site)
 }
 
 /// Runs a script. Returns the table of fields that it sets, and the Lua state that owns the
--- a/crates/controller/tests/history_format.rs
+++ b/crates/controller/tests/history_format.rs
@@ -1,40 +1,40 @@
-//! Pins what a controller says to the state service, the cloud and a worker over a short
-//! history, as literals.
+//! Pins, as literals, the messages of a controller to the key-value store, the cloud and an
+//! agent while it runs and cancels jobs.
 
 mod common;
-use common::World;
+use common::TestCluster;
 use pebblefold_controller::core::Listener;
 use pebblefold_controller::core::format_version::member_versions::BUILD;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// A job runs to its end, another one is cancelled, and the idle machine is released.
-fn history() -> World {
-    let mut w = World::default();
-    w.pass(10_000);
-    w.submit("wk-1", "batch");
-    w.pass(15_000);
-    w.submit("wk-2", "service");
-    w.pass(2_000);
-    w.ask(
+/// One job runs to its end, another one is cancelled, and the idle machine is terminated.
+fn history() -> TestCluster {
+    let mut cluster = TestCluster::default();
+    cluster.advance(10_000);
+    cluster.submit("wk-1", "batch");
+    cluster.advance(15_000);
+    cluster.submit("wk-2", "service");
+    cluster.advance(2_000);
+    cluster.send_request(
         Listener::Api,
         "POST",
         "/submissions/wk-2/cancel",
         Value::Null,
     );
-    w.pass(160_000);
-    w
+    cluster.advance(160_000);
+    cluster
 }
 
-/// Times and random numbers as 0: they differ from history to history.
-fn without_times(value: &mut Value) {
+/// Replaces times and random numbers by 0, as they differ from run to run.
+fn zero_times(value: &mut Value) {
     match value {
-        Value::Array(a) => a.iter_mut().for_each(without_times),
+        Value::Array(a) => a.iter_mut().for_each(zero_times),
         Value::Object(o) => {
             for (name, v) in o {
                 match name.as_str() {
                     "t" | "at" | "nonce" | "life" if v.is_u64() => *v = json!(0),
-                    _ => without_times(v),
+                    _ => zero_times(v),
                 }
             }
         }
@@ -42,15 +42,16 @@
     }
 }
 
-/// The different values that each key had, in order; null: it was deleted.
-fn written(w: &World) -> BTreeMap<String, Vec<Value>> {
-    let one = |(key, values): (&String, &Vec<Value>)| {
+/// The values that were written to each key, in order and without repetitions; null: the
+/// key was deleted.
+fn written(cluster: &TestCluster) -> BTreeMap<String, Vec<Value>> {
+    let distinct = |(key, values): (&String, &Vec<Value>)| {
         let mut values = values.clone();
-        values.iter_mut().for_each(without_times);
+        values.iter_mut().for_each(zero_times);
         values.dedup();
         (key.clone(), values)
     };
-    w.written.iter().map(one).collect()
+    cluster.written.iter().map(distinct).collect()
 }
 
 fn submitted(id: &str, shape: &str) -> String {
@@ -60,9 +61,9 @@
 }
 
 #[test]
-fn calls_to_the_services_keep_their_paths() {
-    let w = history();
-    let calls: Vec<&str> = w.calls.iter().map(String::as_str).collect();
+fn service_calls_keep_their_paths() {
+    let cluster = history();
+    let calls: Vec<&str> = cluster.calls.iter().map(String::as_str).collect();
     assert_eq!(
         calls,
         [
@@ -80,14 +81,18 @@
 }
 
 #[test]
-fn records_of_a_history_keep_their_keys_and_values() {
+fn stored_records_keep_their_keys_and_values() {
     let mut written = written(&history());
-    assert!(written.remove("d/f").is_some(), "arrivals are remembered");
-    // How many machines are hired, and so the number in a name, is another matter.
-    let later = |k: &String| k.starts_with("d/h/") && k != "d/h/2-1";
-    written.retain(|k, _| !later(k));
+    assert!(
+        written.remove("d/f").is_some(),
+        "the arrival history is stored"
+    );
+    // This test does not check how many machines are provisioned, nor the numbers in the
+    // keys of later provisions.
+    let is_later_provision = |k: &String| k.starts_with("d/h/") && k != "d/h/2-1";
+    written.retain(|k, _| !is_later_provision(k));
     let release = written.keys().find(|k| k.starts_with("d/x/2-")).cloned();
-    let release = written.remove(&release.expect("it is released"));
+    let release = written.remove(&release.expect("a termination is stored"));
     assert_eq!(
         release,
         Some(vec![
@@ -124,17 +129,20 @@
 }
 
 #[test]
-fn the_cloud_and_the_worker_are_asked_as_before() {
-    let w = history();
+fn cloud_requests_and_agent_commands_keep_their_format() {
+    let cluster = history();
     assert_eq!(
-        w.asked["/machines"][0],
+        cluster.cloud_requests["/machines"][0],
         json!({"hire": "2-1", "box_kind": "g4", "yard": "z0", "borrowed": false, "count": 1})
     );
-    assert_eq!(w.asked["/machines/release"], [json!({"boxes": ["host-1"]})]);
+    assert_eq!(
+        cluster.cloud_requests["/machines/release"],
+        [json!({"boxes": ["host-1"]})]
+    );
     let command = |verb: &str, task: &str| json!({"verb": verb, "piece": task, "try": 1});
     let halt = |task: &str| json!({"verb": "halt", "piece": task, "try": 1, "wind_down_s": 0.0});
     assert_eq!(
-        w.commands,
+        cluster.commands,
         [
             command("start", "wk-1/0"),
             command("start", "wk-1/1"),
@@ -150,40 +158,40 @@
     );
 }
 
-/// What a build without levels stored: one task is done, one is placed.
+// The records are those of a build without format versions; one task is done, one is placed.
 #[test]
-fn store_of_a_build_without_levels_is_read_and_rewritten() {
-    let mut w = World::default();
+fn store_without_format_version_is_loaded_and_rewritten() {
+    let mut cluster = TestCluster::default();
     let text = submitted("wk-1", "batch");
     let (one, two) = text.split_at(40);
-    w.stored("job/wk-1", json!({"s": "p", "n": 2}));
-    w.stored("w/j/wk-1", json!({"at": 1_000_000, "n": 2, "s": one}));
-    w.stored("w/p/wk-1/1", json!(two));
-    w.stored(
+    cluster.store_record("job/wk-1", json!({"s": "p", "n": 2}));
+    cluster.store_record("w/j/wk-1", json!({"at": 1_000_000, "n": 2, "s": one}));
+    cluster.store_record("w/p/wk-1/1", json!(two));
+    cluster.store_record(
         "r/wk-1/0",
         json!({"n": 3, "d": [[0, 1]], "p": [[1, 3, "host-9", 1]]}),
     );
-    w.stored("d/m/host-9", json!({"n": 2, "t": 1_000_000}));
-    w.stored(
+    cluster.store_record("d/m/host-9", json!({"n": 2, "t": 1_000_000}));
+    cluster.store_record(
         "d/x/1-1",
         json!({"t": 1_000_000, "w": {"idle": ["host-8"]}}),
     );
-    w.pass(5_000);
-    let (_, told) = w.ask(Listener::Internal, "GET", "/inspect", Value::Null);
-    let job = &told["leading"]["jobs"][0];
+    cluster.advance(5_000);
+    let (_, inspection) = cluster.send_request(Listener::Internal, "GET", "/inspect", Value::Null);
+    let job = &inspection["leading"]["jobs"][0];
     assert_eq!(
         [&job["job"], &job["tasks"], &job["done"], &job["placed"]],
         [&json!("wk-1"), &json!(2), &json!(1), &json!(1)]
     );
-    let duties = &told["leading"]["duties"];
-    // It is asked for again until the list shows that the machine is gone.
-    let mut releases = w.asked["/machines/release"].clone();
+    let duties = &inspection["leading"]["duties"];
+    // The termination is requested again until the list shows that the machine is gone.
+    let mut releases = cluster.cloud_requests["/machines/release"].clone();
     releases.dedup();
     assert_eq!(releases, [json!({"boxes": ["host-8"]})]);
     assert_eq!(duties[2]["open"]["put_aside"], 1);
-    assert_eq!(told["levels"]["rewritten"], 2);
+    assert_eq!(inspection["levels"]["rewritten"], 2);
     assert_eq!(
-        w.written["r/wk-1/0"],
+        cluster.written["r/wk-1/0"],
         [json!({"n": 3, "d": [0, 1], "m": [["host-9", 1, 0, [1]]]})]
     );
 }
--- a/crates/controller/tests/inspect_format.rs
+++ b/crates/controller/tests/inspect_format.rs
@@ -1,8 +1,7 @@
-//! Pins what operators read of a controller and the texts that stand for states, as
-//! literals.
+//! Pins, as literals, the answer to `/inspect` and the texts that represent states.
 
 mod common;
-use common::{World, running};
+use common::{TestCluster, cluster_with_running_job};
 use pebblefold_controller::core::Listener;
 use pebblefold_controller::core::assignment::AssignmentPhase;
 use pebblefold_controller::core::effects::RequestKind;
@@ -14,29 +13,30 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// Adds the path of each value that has none below it.
-fn paths(value: &Value, path: &str, out: &mut BTreeSet<String>) {
+/// Adds the path of each leaf value of `value` to `found_paths`; `path` is the path of `value`.
+fn collect_paths(value: &Value, path: &str, found_paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(o) if !o.is_empty() => {
             let dot = if path.is_empty() { "" } else { "." };
             o.iter()
-                .for_each(|(name, v)| paths(v, &format!("{path}{dot}{name}"), out));
+                .for_each(|(name, v)| collect_paths(v, &format!("{path}{dot}{name}"), found_paths));
         }
         Value::Array(a) if !a.is_empty() => {
-            a.iter().for_each(|v| paths(v, &format!("{path}[]"), out));
+            a.iter()
+                .for_each(|v| collect_paths(v, &format!("{path}[]"), found_paths));
         }
-        _ => drop(out.insert(path.to_string())),
+        _ => drop(found_paths.insert(path.to_string())),
     }
 }
 
-fn inspect(w: &mut World) -> Value {
-    let (status, answer) = w.ask(Listener::Internal, "GET", "/inspect", Value::Null);
+fn inspect(cluster: &mut TestCluster) -> Value {
+    let (status, answer) = cluster.send_request(Listener::Internal, "GET", "/inspect", Value::Null);
     assert_eq!(status, 200);
     answer
 }
 
-/// Each value that a leader tells, where it has a worker with tasks.
-const LEADING: [&str; 126] = [
+/// The paths of all values in the inspection of a leader, when an agent runs tasks.
+const LEADER_PATHS: [&str; 126] = [
     "effort_us",
     "late_share",
     "leader",
@@ -166,33 +166,33 @@
 ];
 
 #[test]
-fn inspection_keeps_its_names() {
-    let told = inspect(&mut running());
+fn leader_inspection_keeps_its_names() {
+    let answer_body = inspect(&mut cluster_with_running_job());
     let mut found = BTreeSet::new();
-    paths(&told, "", &mut found);
-    assert_eq!(found, LEADING.map(String::from).into());
+    collect_paths(&answer_body, "", &mut found);
+    assert_eq!(found, LEADER_PATHS.map(String::from).into());
 }
 
 #[test]
-fn inspection_of_a_node_that_does_not_lead_keeps_its_names() {
-    let told = inspect(&mut World::default());
+fn follower_inspection_keeps_its_names() {
+    let answer_body = inspect(&mut TestCluster::default());
     let mut found = BTreeSet::new();
-    paths(&told, "", &mut found);
+    collect_paths(&answer_body, "", &mut found);
     let leading = |p: &&str| p.starts_with("leading.") || p.starts_with("times.");
-    let mut wanted: BTreeSet<String> = LEADING
+    let mut expected: BTreeSet<String> = LEADER_PATHS
         .iter()
         .filter(|p| !leading(p))
         .map(|p| (*p).to_string())
         .collect();
-    wanted.extend(["leading", "times", "levels.nodes[].levels"].map(String::from));
-    wanted.remove("levels.nodes[].levels[]");
-    assert_eq!(found, wanted);
+    expected.extend(["leading", "times", "levels.nodes[].levels"].map(String::from));
+    expected.remove("levels.nodes[].levels[]");
+    assert_eq!(found, expected);
 }
 
 #[test]
 fn inspection_keeps_its_texts() {
-    let mut w = World::default();
-    let before = inspect(&mut w);
+    let mut cluster = TestCluster::default();
+    let before = inspect(&mut cluster);
     assert_eq!(before["standing"], "Unknown");
     assert_eq!(before["levels"]["name"], "before");
     assert_eq!(
@@ -203,63 +203,67 @@
         before["levels"]["waits_for"],
         "node-0 has not said which levels it serves"
     );
-    let mut w = running();
-    let told = inspect(&mut w);
-    assert_eq!(told["standing"], "Leading");
-    let levels = &told["levels"];
+    let mut cluster = cluster_with_running_job();
+    let answer_body = inspect(&mut cluster);
+    assert_eq!(answer_body["standing"], "Leading");
+    let levels = &answer_body["levels"];
     assert_eq!(
         [&levels["name"], &levels["serves"], &levels["waits_for"]],
         ["remembered", "yes", "level 2 is the newest of this build"]
     );
-    let duties = told["leading"]["duties"].as_array().expect("duties");
+    let duties = answer_body["leading"]["duties"].as_array().expect("duties");
     let names: Vec<&Value> = duties.iter().map(|d| &d["duty"]).collect();
     assert_eq!(names, ["placing", "renting", "reclaiming", "cleaning"]);
     assert_eq!(duties[1]["open"]["by"], "itself");
-    let task = &told["leading"]["machines"][0]["tasks"][0];
+    let task = &answer_body["leading"]["machines"][0]["tasks"][0];
     assert_eq!(
         *task,
         json!({"task": "wk-1/0", "owner": "red", "attempt": 1, "phase": "Seen(Running)",
             "stopping": false})
     );
-    let job = &told["leading"]["jobs"][0];
+    let job = &answer_body["leading"]["jobs"][0];
     assert_eq!(
         (&job["end"], &job["priority"]),
         (&Value::Null, &json!("standard"))
     );
-    w.ask(
+    cluster.send_request(
         Listener::Api,
         "POST",
         "/submissions/wk-1/cancel",
         Value::Null,
     );
-    w.pass(100);
-    let told = inspect(&mut w);
-    assert_eq!(told["leading"]["jobs"][0]["end"], "Cancelled");
-    assert!(told["times"]["cancel"].is_object(), "{}", told["times"]);
+    cluster.advance(100);
+    let answer_body = inspect(&mut cluster);
+    assert_eq!(answer_body["leading"]["jobs"][0]["end"], "Cancelled");
+    assert!(
+        answer_body["times"]["cancel"].is_object(),
+        "{}",
+        answer_body["times"]
+    );
 }
 
 #[test]
-fn inspection_shows_what_a_query_names() {
-    let mut w = running();
-    let (_, none) = w.ask(
+fn inspection_filters_machines_and_jobs_by_query() {
+    let mut cluster = cluster_with_running_job();
+    let (_, without_match) = cluster.send_request(
         Listener::Internal,
         "GET",
         "/inspect?machine=x&job=x",
         Value::Null,
     );
-    assert_eq!(none["leading"]["machines"], json!([]));
-    assert_eq!(none["leading"]["jobs"], json!([]));
-    let (_, some) = w.ask(
+    assert_eq!(without_match["leading"]["machines"], json!([]));
+    assert_eq!(without_match["leading"]["jobs"], json!([]));
+    let (_, matching) = cluster.send_request(
         Listener::Internal,
         "GET",
         "/inspect?machine=host&job=wk",
         Value::Null,
     );
-    assert_eq!(some["leading"]["machines"][0]["machine"], "host-1");
-    assert_eq!(some["leading"]["jobs"][0]["job"], "wk-1");
+    assert_eq!(matching["leading"]["machines"][0]["machine"], "host-1");
+    assert_eq!(matching["leading"]["jobs"][0]["job"], "wk-1");
 }
 
-/// Operators read these as they are written by `Debug`: their names are no private matter.
+// Operators read these states as `Debug` writes them, so the variant names must stay.
 #[test]
 fn states_keep_their_texts() {
     let phases = [
@@ -287,12 +291,12 @@
             "Seen(Exited)"
         ]
     );
-    let ends = [JobOutcome::Done { written: false }, JobOutcome::Cancelled];
+    let outcomes = [JobOutcome::Done { written: false }, JobOutcome::Cancelled];
     assert_eq!(
-        ends.map(|e| e.to_string()),
+        outcomes.map(|e| e.to_string()),
         ["Done { written: false }", "Cancelled"]
     );
-    let standings = [
+    let election_states = [
         ElectionState::Unknown,
         ElectionState::Following(Version(7)),
         ElectionState::Vacant(Version(7)),
@@ -302,7 +306,7 @@
         ElectionState::Activating,
     ];
     assert_eq!(
-        standings.map(|s| s.to_string()),
+        election_states.map(|s| s.to_string()),
         [
             "Unknown",
             "Following(Version(7))",
@@ -313,16 +317,16 @@
             "Rising"
         ]
     );
-    let doubts = [Suspicion::Silent, Suspicion::StoreUnreachable];
-    assert_eq!(doubts.map(|d| d.to_string()), ["Silent", "NoState"]);
-    let timed = [
+    let suspicions = [Suspicion::Silent, Suspicion::StoreUnreachable];
+    assert_eq!(suspicions.map(|d| d.to_string()), ["Silent", "NoState"]);
+    let request_kinds = [
         RequestKind::Submit,
         RequestKind::Poll,
         RequestKind::Cancel,
         RequestKind::Heartbeat,
     ];
     assert_eq!(
-        timed.map(|t| t.to_string()),
+        request_kinds.map(|t| t.to_string()),
         ["submit", "poll", "cancel", "report"]
     );
 }
--- a/crates/controller/tests/layout.rs
+++ b/crates/controller/tests/layout.rs
@@ -1,5 +1,5 @@
-//! What a part of the core uses, others can be built and handed over without: no two
-//! parts of the core need one another.
+//! The modules of the core have no circular dependencies, so each one can be understood and
+//! replaced together with only the modules that it uses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -9,7 +9,8 @@
     text.chars().take_while(is_name).collect()
 }
 
-/// The outermost items of a grouped import, up to its closing brace.
+/// The names of the outermost items of a grouped import. `group` starts after the opening
+/// brace; text after the matching closing brace is ignored.
 fn group_items(group: &str) -> Vec<String> {
     let (mut items, mut depth) = (vec![String::new()], 0);
     for c in group.chars() {
@@ -25,7 +26,8 @@
     items.iter().map(|item| identifier(item)).collect()
 }
 
-/// The first names after `super::` and `crate::core::`, also those of grouped imports.
+/// The first name of each path after `super::` or `crate::core::`, those of grouped imports
+/// included.
 fn named_modules(code: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for prefix in ["super::", "crate::core::"] {
@@ -40,10 +42,10 @@
     names
 }
 
-/// The core's modules and which others their code (not their tests) names.
-fn uses() -> BTreeMap<String, BTreeSet<String>> {
+/// For each module of the core the other modules that its code, without tests, names.
+fn module_uses() -> BTreeMap<String, BTreeSet<String>> {
     let core = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/core");
-    let mut out = BTreeMap::new();
+    let mut used_by_module = BTreeMap::new();
     for entry in std::fs::read_dir(&core).unwrap() {
         let path = entry.unwrap().path();
         let name = path.file_stem().unwrap().to_str().unwrap().to_string();
@@ -62,17 +64,17 @@
                 text.push_str(code.split("#[cfg(test)]\nmod tests").next().unwrap());
             }
         }
-        let used: &mut BTreeSet<String> = out.entry(name).or_default();
+        let used: &mut BTreeSet<String> = used_by_module.entry(name).or_default();
         used.extend(named_modules(&text));
     }
-    let names: BTreeSet<String> = out.keys().cloned().collect();
-    for (name, used) in &mut out {
+    let names: BTreeSet<String> = used_by_module.keys().cloned().collect();
+    for (name, used) in &mut used_by_module {
         used.retain(|u| u != name && names.contains(u));
     }
-    out
+    used_by_module
 }
 
-/// The sources below a directory, tests left out, by path.
+/// The path and the text of each source file below a directory, `tests.rs` files excluded.
 fn sources(directory: &Path) -> Vec<(PathBuf, String)> {
     let mut sources = Vec::new();
     let mut directories = vec![directory.to_path_buf()];
@@ -90,7 +92,7 @@
     sources
 }
 
-/// The lines of code, without comments, that name this identifier.
+/// The lines whose code, without comments, contains this identifier.
 fn lines_naming<'a>(code: &'a str, identifier: &str) -> Vec<&'a str> {
     let is_named = |line: &&str| {
         let code = line.split("//").next().unwrap();
@@ -100,41 +102,45 @@
     code.lines().filter(is_named).collect()
 }
 
-// Every method of the leader once could touch each of its fifty fields. Its parts take
-// what they read as arguments, so none of them knows the whole.
+// Every method of `Leader` once could change each of its fifty fields. The submodules of
+// `leader` now receive what they read as arguments, so none of them may name `Leader`.
 #[test]
-fn parts_of_the_leader_do_not_name_it() {
+fn leader_submodules_do_not_name_leader() {
     let core = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/core");
     let owner = std::fs::read_to_string(core.join("leader.rs")).unwrap();
     assert!(!lines_naming(&owner, "Leader").is_empty());
-    let parts = sources(&core.join("leader"));
-    assert!(parts.len() > 20, "{} parts", parts.len());
-    for (path, code) in parts {
+    let submodules = sources(&core.join("leader"));
+    assert!(submodules.len() > 20, "{} submodules", submodules.len());
+    for (path, code) in submodules {
         let naming = lines_naming(&code, "Leader");
         assert!(naming.is_empty(), "{}: {naming:?}", path.display());
     }
 }
 
-// Five files once needed one another, and everything could touch everything.
+// Five files once depended on one another in a circle, so any of them could change the state
+// of the others.
 #[test]
 fn core_modules_have_no_circular_uses() {
-    let mut left = uses();
+    let mut remaining = module_uses();
     assert!(
-        left.len() > 20 && left["node"].contains("leader"),
-        "{left:?}"
+        remaining.len() > 20 && remaining["node"].contains("leader"),
+        "{remaining:?}"
     );
     loop {
-        let free: Vec<String> = left
+        let independent: Vec<String> = remaining
             .iter()
-            .filter(|(_, used)| used.iter().all(|u| !left.contains_key(u)))
+            .filter(|(_, used)| used.iter().all(|u| !remaining.contains_key(u)))
             .map(|(name, _)| name.clone())
             .collect();
-        if free.is_empty() {
+        if independent.is_empty() {
             break;
         }
-        for name in free {
-            left.remove(&name);
+        for name in independent {
+            remaining.remove(&name);
         }
     }
-    assert!(left.is_empty(), "these need one another: {left:#?}");
+    assert!(
+        remaining.is_empty(),
+        "these modules depend on one another: {remaining:#?}"
+    );
 }
--- a/crates/controller/tests/lean.rs
+++ b/crates/controller/tests/lean.rs
@@ -1,11 +1,11 @@
-//! The daemon runs on a share of one core and 56 MB: heavy libraries never
-//! reach it.
+//! The daemon runs on a share of one processor core with 56 MB of memory, so it must not
+//! depend on large libraries.
 
 use std::process::Command;
 
-/// What the daemon may be built from, besides what these bring along: a new
-/// entry is a decision, not an accident.
-const DIRECT: [&str; 13] = [
+/// The direct dependencies that the daemon may have, besides which only their own
+/// dependencies are allowed. A new one has to be added here on purpose.
+const DIRECT_DEPENDENCIES: [&str; 13] = [
     "clap",
     "hdrhistogram",
     "mlua",
@@ -20,11 +20,11 @@
     "tracing",
     "tracing-subscriber",
 ];
-/// Packages in all; a little above what it is.
-const MOST: usize = 85;
+/// Maximum number of packages in the dependency tree; slightly above the present number.
+const MAX_PACKAGES: usize = 85;
 
-fn tree(depth: &str) -> Vec<String> {
-    let out = Command::new(env!("CARGO"))
+fn dependencies(depth: &str) -> Vec<String> {
+    let cargo_tree = Command::new(env!("CARGO"))
         .args([
             "tree",
             "--locked",
@@ -41,11 +41,11 @@
         .output()
         .unwrap();
     assert!(
-        out.status.success(),
+        cargo_tree.status.success(),
         "{}",
-        String::from_utf8_lossy(&out.stderr)
+        String::from_utf8_lossy(&cargo_tree.stderr)
     );
-    let text = String::from_utf8(out.stdout).unwrap();
+    let text = String::from_utf8(cargo_tree.stdout).unwrap();
     let mut names: Vec<String> = text
         .lines()
         .filter_map(|l| l.split_whitespace().next())
@@ -57,13 +57,17 @@
 }
 
 #[test]
-fn the_daemon_stays_lean() {
-    let mut direct = tree("1");
+fn daemon_dependencies_stay_few() {
+    let mut direct = dependencies("1");
     direct.retain(|n| n != "pebblefold-controller");
-    assert_eq!(direct, DIRECT);
-    let all = tree("99");
-    assert!(all.len() <= MOST, "{}: {all:?}", all.len());
-    for heavy in [
+    assert_eq!(direct, DIRECT_DEPENDENCIES);
+    let packages = dependencies("99");
+    assert!(
+        packages.len() <= MAX_PACKAGES,
+        "{}: {packages:?}",
+        packages.len()
+    );
+    for library in [
         "ratatui",
         "redb",
         "zstd",
@@ -72,6 +76,6 @@
         "schemars",
         "pebblefold-simulator",
     ] {
-        assert!(!all.iter().any(|n| n == heavy), "{heavy}");
+        assert!(!packages.iter().any(|n| n == library), "{library}");
     }
 }
--- a/crates/controller/tests/settings_format.rs
+++ b/crates/controller/tests/settings_format.rs
@@ -1,5 +1,5 @@
-//! Pins what operators write and read at a node's start: the settings file, the policy
-//! script, the answer of `check`, and what is said of a mistake.
+//! Pins, as literals, the formats that operators use to start a controller: the settings
+//! file, the policy script, the output of `check`, and the error messages.
 
 use pebblefold_controller::policy::{DEFAULT_SCRIPT, Policy};
 use pebblefold_controller::settings::{ObjectiveKind, Settings};
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A settings file with every name.
+/// A settings file with every field.
 fn file() -> Value {
     json!({
         "label": "node-0", "zone": "z0",
@@ -38,14 +38,15 @@
     Settings::parse(&file.to_string()).map_err(|e| e.to_string())
 }
 
-/// The file with the value at this JSON pointer replaced or, with `None`, left out.
-fn with(pointer: &str, value: Option<Value>) -> Value {
+/// The settings file with the value at this JSON pointer replaced, or removed if `value` is
+/// `None`.
+fn file_with(pointer: &str, value: Option<Value>) -> Value {
     let mut file = file();
     let (parent, name) = pointer.rsplit_once('/').expect("a pointer");
-    let parent = file.pointer_mut(parent).expect("it is there");
+    let parent = file.pointer_mut(parent).expect("the value exists");
     match (value, parent) {
         (Some(v), Value::Object(o)) => drop(o.insert(name.into(), v)),
-        (None, Value::Object(o)) => drop(o.remove(name).expect("it is there")),
+        (None, Value::Object(o)) => drop(o.remove(name).expect("the value exists")),
         _ => panic!("{pointer}: not in an object"),
     }
     file
@@ -53,7 +54,7 @@
 
 #[test]
 fn settings_file_keeps_its_names() {
-    let s = parse(&file()).expect("it is good");
+    let s = parse(&file()).expect("the settings are valid");
     assert_eq!((s.node_id.as_str(), s.zone.as_str()), ("node-0", "z0"));
     let addresses = [
         s.api_addr,
@@ -91,8 +92,8 @@
 
 #[test]
 fn objectives_keep_their_kinds_and_names() {
-    let s = parse(&file()).expect("it is good");
-    let told: Vec<_> = s
+    let s = parse(&file()).expect("the settings are valid");
+    let found: Vec<_> = s
         .objectives
         .iter()
         .map(|o| {
@@ -104,7 +105,7 @@
         })
         .collect();
     assert_eq!(
-        told,
+        found,
         [
             (ObjectiveKind::Wait, Some("urgent"), Some(18.0), 1.0),
             (ObjectiveKind::Finished, Some("low"), Some(100.0), 1.0),
@@ -129,16 +130,16 @@
         if let Some(name) = pointer.strip_prefix("/settings/teams/0/") {
             let mut file = file();
             let team = file.pointer_mut("/settings/teams/0").expect("a team");
-            let left = team.as_object_mut().expect("an object").remove(name);
-            assert!(left.is_some() && parse(&file).is_ok(), "{pointer}");
+            let removed = team.as_object_mut().expect("an object").remove(name);
+            assert!(removed.is_some() && parse(&file).is_ok(), "{pointer}");
         } else {
-            assert!(parse(&with(pointer, None)).is_ok(), "{pointer}");
+            assert!(parse(&file_with(pointer, None)).is_ok(), "{pointer}");
         }
     }
 }
 
 #[test]
-fn missing_settings_are_named() {
+fn error_names_missing_setting() {
     for pointer in [
         "/label",
         "/zone",
@@ -171,9 +172,9 @@
         "/settings/quota/max_sockets",
     ] {
         let name = pointer.rsplit('/').next().expect("a name");
-        let why = parse(&with(pointer, None)).expect_err(pointer);
+        let error = parse(&file_with(pointer, None)).expect_err(pointer);
         let start = format!("settings: missing field `{name}`");
-        assert!(why.starts_with(&start), "{why}");
+        assert!(error.starts_with(&start), "{error}");
     }
 }
 
@@ -240,12 +241,12 @@
         ),
     ];
     for (pointer, value, text) in cases {
-        let why = parse(&with(pointer, Some(value))).expect_err(pointer);
-        assert_eq!(why, format!("settings: {text}"));
+        let error = parse(&file_with(pointer, Some(value))).expect_err(pointer);
+        assert_eq!(error, format!("settings: {text}"));
     }
 }
 
-/// The default policy with the file above.
+/// The default policy for the settings of `file`.
 fn policy() -> Value {
     json!({
         "cycle_s": 0.5, "leader_lease_s": 3.0, "doubt": 8.0, "first_fetch_s": 30.0,
@@ -257,18 +258,18 @@
     })
 }
 
-fn run(script: &str) -> Result<Policy, String> {
-    let settings = parse(&file()).expect("it is good");
+fn run_policy(script: &str) -> Result<Policy, String> {
+    let settings = parse(&file()).expect("the settings are valid");
     Policy::from_script(script, &settings).map_err(|e| e.to_string())
 }
 
 #[test]
 fn policy_keeps_its_names_and_defaults() {
-    let default = run(DEFAULT_SCRIPT).expect("it is good");
+    let default = run_policy(DEFAULT_SCRIPT).expect("the policy is valid");
     assert_eq!(serde_json::to_value(default).expect("JSON"), policy());
     for (name, value) in policy().as_object().expect("an object") {
         let script = format!("return {{ {name} = {value} }}");
-        let same = run(&script).expect("it is good");
+        let same = run_policy(&script).expect("the policy is valid");
         assert_eq!(
             serde_json::to_value(&same).expect("JSON"),
             policy(),
@@ -276,12 +277,14 @@
         );
         assert!(same.changed.is_empty(), "{name}");
     }
-    let changed = run("return { idle_s = 5 }").expect("it is good").changed;
+    let changed = run_policy("return { idle_s = 5 }")
+        .expect("the policy is valid")
+        .changed;
     assert_eq!(changed, [("idle_s".to_string(), 5.0)].into());
 }
 
 #[test]
-fn policy_is_told_the_sites_facts() {
+fn policy_script_receives_site_facts() {
     let facts = [
         ("report_s", "1.0"),
         ("lease_s", "10.0"),
@@ -295,7 +298,11 @@
     ];
     for (name, value) in facts {
         let script = format!("return {{ idle_s = site.{name} == {value} and 7 or 8 }}");
-        assert_eq!(run(&script).expect("it is good").idle_s, 7.0, "{name}");
+        assert_eq!(
+            run_policy(&script).expect("the policy is valid").idle_s,
+            7.0,
+            "{name}"
+        );
     }
 }
 
@@ -320,7 +327,7 @@
         ),
     ];
     for (script, text) in cases {
-        assert_eq!(run(script).expect_err(script), text);
+        assert_eq!(run_policy(script).expect_err(script), text);
     }
 }
 
@@ -328,28 +335,28 @@
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("settings_format");
     std::fs::create_dir_all(&dir).expect("a directory");
     let config = dir.join(format!("{name}.json"));
-    std::fs::write(&config, settings.to_string()).expect("it is written");
+    std::fs::write(&config, settings.to_string()).expect("the file is written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_pebblefold"));
     command.arg("check").arg("--config").arg(config);
     if let Some(script) = script {
         let policy = dir.join(format!("{name}.lua"));
-        std::fs::write(&policy, script).expect("it is written");
+        std::fs::write(&policy, script).expect("the file is written");
         command.arg("--policy").arg(policy);
     }
-    command.output().expect("it runs")
+    command.output().expect("the command runs")
 }
 
 #[test]
 fn check_command_keeps_its_output_and_statuses() {
     let good = check("good", &file(), None);
     assert_eq!(good.status.code(), Some(0));
-    let told: Value = serde_json::from_slice(&good.stdout).expect("JSON");
+    let found: Value = serde_json::from_slice(&good.stdout).expect("JSON");
     assert_eq!(
-        told,
+        found,
         json!({"node": "node-0", "answers_without_contact_s": 27.990001,
             "cancelled_may_run_over_s": 0.0, "policy": policy()})
     );
-    let bad = check("bad", &with("/label", Some(json!(""))), None);
+    let bad = check("bad", &file_with("/label", Some(json!(""))), None);
     let text = String::from_utf8(bad.stderr).expect("text");
     assert_eq!(bad.status.code(), Some(2));
     assert_eq!(text, "pebblefold: settings: label: must not be empty\n");
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Pins what stands in the state service: every key and every record, as literals. A
-//! store that an older build left behind has to be read by this one.
+//! Pins, as literals, every key and record in the key-value store. This build has to read a
+//! store that an older build has written.
 
 use pebblefold_controller::core::autoscaler::intents::{CapacityPool, Intents, OpenIntents};
 use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
@@ -24,12 +24,12 @@
 use pebblefold_controller::wire::users::{JobShape, Priority, Submission};
 use serde_json::{Value, json};
 
-/// A transaction as it is sent to the state service.
+/// A transaction as JSON, as it is sent to the key-value store.
 fn sent(txn: &Transaction) -> Value {
     serde_json::to_value(txn).expect("a transaction is JSON")
 }
 
-/// What a book holds to be written.
+/// Takes up to nine pending writes, as JSON.
 fn written(pending_writes: &mut PendingWrites) -> Value {
     json!(pending_writes.take_puts(9))
 }
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn watched_keys_are_told_apart() {
+fn watched_keys_are_parsed_by_kind() {
     assert_eq!(keys::parse_watched_key("w/leader"), Watched::Leadership);
     assert_eq!(
         keys::parse_watched_key("w/leader/at/node-0"),
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn job_heads_keep_their_stored_format() {
+fn job_headers_keep_their_stored_format() {
     let stages = [
         (HeaderStage::Open, "p"),
         (HeaderStage::Done, "d"),
@@ -125,14 +125,14 @@
             })
         );
     }
-    let head = JobHeader {
+    let header = JobHeader {
         stage: HeaderStage::Open,
         task_count: 3,
     };
     assert_eq!(
         sent(&job_records::cancel_transaction(
             &"wk-1".into(),
-            head,
+            header,
             Version(7)
         )),
         json!({"if": [{"key": "job/wk-1", "touched": 7}], "apply": [
@@ -148,7 +148,8 @@
         ops: 48,
         value_bytes: 8192,
     };
-    let txn = job_records::accept_transaction(&submission(), WallTime(5), limits).expect("it fits");
+    let txn = job_records::accept_transaction(&submission(), WallTime(5), limits)
+        .expect("the submission fits in one transaction");
     assert_eq!(
         sent(&txn),
         json!({"if": [{"key": "job/wk-1", "touched": 0}], "apply": [
@@ -158,7 +159,7 @@
     );
     let stored = json!({"at": 5, "n": 1, "s": SUBMITTED});
     let job = SubmissionAssembler::default().job(&"wk-1".into(), Version(9), &stored);
-    let job = job.expect("it is read");
+    let job = job.expect("the record is decoded");
     assert_eq!((job.accepted_at, &*job.spec), (WallTime(5), &submission()));
 }
 
@@ -168,9 +169,10 @@
         ops: 48,
         value_bytes: 420,
     };
-    let txn = job_records::accept_transaction(&submission(), WallTime(5), limits).expect("it fits");
-    let (one, rest) = SUBMITTED.split_at(FIRST);
-    let (two, three) = rest.split_at(SECOND);
+    let txn = job_records::accept_transaction(&submission(), WallTime(5), limits)
+        .expect("the submission fits in one transaction");
+    let (one, rest) = SUBMITTED.split_at(FIRST_PART_BYTES);
+    let (two, three) = rest.split_at(SECOND_PART_BYTES);
     assert_eq!(
         sent(&txn)["apply"],
         json!([
@@ -184,14 +186,14 @@
     parts.part("wk-1".into(), 2, &json!(three));
     let stored = json!({"at": 5, "n": 3, "s": one});
     let job = parts.job(&"wk-1".into(), Version(9), &stored);
-    assert_eq!(*job.expect("it is read").spec, submission());
+    assert_eq!(*job.expect("the record is decoded").spec, submission());
 }
-/// Where the parts of the sample end.
-const FIRST: usize = 125;
-const SECOND: usize = 132;
+/// Lengths in bytes of the first two parts into which `SUBMITTED` is split.
+const FIRST_PART_BYTES: usize = 125;
+const SECOND_PART_BYTES: usize = 132;
 
 #[test]
-fn progress_keeps_its_stored_format_at_every_level() {
+fn progress_keeps_its_stored_format_in_each_version() {
     let place = |i, a, m: &str| (i, Attempt(a), m.into(), AgentEpoch(1));
     let full = ChunkProgress {
         attempt: Attempt(3),
@@ -209,12 +211,12 @@
         (FENCED, old, json!({"n": 0, "d": [], "p": []})),
         (WITH_HISTORY, new, json!({"n": 0, "m": []})),
     ];
-    for (level, stored, nothing) in cases {
+    for (level, stored, empty_record) in cases {
         assert_eq!(full.write(level), stored, "{level}");
         assert_eq!(ChunkProgress::read(&stored).as_ref(), Ok(&full), "{level}");
-        assert_eq!(empty.write(level), nothing, "{level}");
+        assert_eq!(empty.write(level), empty_record, "{level}");
         assert_eq!(
-            ChunkProgress::read(&nothing).as_ref(),
+            ChunkProgress::read(&empty_record).as_ref(),
             Ok(&empty),
             "{level}"
         );
@@ -254,7 +256,7 @@
 }
 
 #[test]
-fn levels_keep_their_numbers_and_names() {
+fn format_versions_keep_their_numbers_and_names() {
     let table = KNOWN_VERSIONS.map(|s| (s.version.0, s.name));
     assert_eq!(table, [(0, "before"), (1, "fenced"), (2, "remembered")]);
     assert_eq!(
@@ -290,7 +292,11 @@
     let record = json!({"levels": {"low": 0, "high": 2}, "build": BUILD,
         "policy": {"idle_s": 5.0}, "life": 9});
     assert_eq!(
-        sent(&registry.registration().expect("it has to register")),
+        sent(
+            &registry
+                .registration()
+                .expect("the controller is not registered yet")
+        ),
         json!({
             "if": [{"key": "w/leader/level", "touched": 0},
                 {"key": "w/leader/at/node-0", "touched": 0}],
@@ -301,13 +307,14 @@
         own_registry(&[("w/leader/at/node-0", record)]).registration(),
         None
     );
-    let bare = json!({"levels": {"low": 0, "high": 1}, "build": "0.1"});
-    let member: MemberRecord = job_records::read_record(&bare).expect("it is read");
+    let without_policy = json!({"levels": {"low": 0, "high": 1}, "build": "0.1"});
+    let member: MemberRecord =
+        job_records::read_record(&without_policy).expect("the record is decoded");
     assert!(member.policy.is_empty() && member.life == 0);
 }
 
 #[test]
-fn level_records_keep_their_stored_format() {
+fn version_records_keep_their_stored_format() {
     let begin = own_registry(&[]).initial_operations();
     assert_eq!(
         serde_json::to_value(begin).expect("JSON"),
@@ -328,7 +335,7 @@
         (registry.active_version(), registry.rewritten_version()),
         (FENCED, FENCED)
     );
-    let told = BuildInfo {
+    let peer_build = BuildInfo {
         low: 0,
         high: 2,
         build: "b".into(),
@@ -336,14 +343,14 @@
     };
     for second in 0..=20 {
         let now = Time(second * 1_000_000);
-        registry.record_peer_build(now, &"node-1".into(), Some(told.clone()));
+        registry.record_peer_build(now, &"node-1".into(), Some(peer_build.clone()));
     }
-    let rise = registry
+    let activation = registry
         .next_activation(Time(20_000_000), &["node-1".into()], FormatVersion(9))
-        .expect("all have it");
+        .expect("all controllers support the version");
     let txn = Transaction {
-        conditions: rise.conditions,
-        ops: rise.ops,
+        conditions: activation.conditions,
+        ops: activation.ops,
     };
     assert_eq!(
         sent(&txn),
@@ -356,14 +363,18 @@
     );
     registry.activated(WITH_HISTORY, Version(8));
     assert_eq!(
-        sent(&registry.rewrite_completion().expect("it is to be said")),
+        sent(
+            &registry
+                .rewrite_completion()
+                .expect("the completion is not recorded yet")
+        ),
         json!({"if": [{"key": "w/leader/level", "touched": 8}],
             "apply": [{"write": "w/leader/done", "value": {"level": 2}}]})
     );
 }
 
 #[test]
-fn hire_and_release_intents_keep_their_stored_format() {
+fn provision_and_termination_intents_keep_their_format() {
     let new = || Intents::new(FencingToken(9), TimeSpan::secs(4.0), 8192);
     let mut intents = new();
     let pool = CapacityPool {
@@ -392,13 +403,13 @@
 }
 
 #[test]
-fn put_aside_record_keeps_its_stored_format() {
+fn quarantine_record_keeps_its_stored_format() {
     let (mut quarantine, mut pending_writes) = (Quarantine::default(), PendingWrites::default());
     let id = "host-1".into();
     quarantine.record_missed_lease(&mut pending_writes, &id, WallTime(5));
     quarantine.record_missed_lease(&mut pending_writes, &id, WallTime(6));
-    let struck = json!([["d/m/host-1", {"n": 2, "t": 6, "d": false}]]);
-    assert_eq!(written(&mut pending_writes), struck);
+    let after_missed_leases = json!([["d/m/host-1", {"n": 2, "t": 6, "d": false}]]);
+    assert_eq!(written(&mut pending_writes), after_missed_leases);
     quarantine.drain(&mut pending_writes, &id, WallTime(7));
     let drained = json!([["d/m/host-1", {"n": 2, "t": 6, "d": true}]]);
     assert_eq!(written(&mut pending_writes), drained);
@@ -408,11 +419,11 @@
 }
 
 #[test]
-fn arrival_memory_keeps_its_stored_format() {
-    let mut memory = ArrivalHistory::new(TimeSpan::secs(600.0));
-    memory.record(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
+fn arrival_history_keeps_its_stored_format() {
+    let mut history = ArrivalHistory::new(TimeSpan::secs(600.0));
+    history.record(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
     let stored = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
-    assert_eq!(memory.store(WallTime(40_000), 8192), stored);
+    assert_eq!(history.store(WallTime(40_000), 8192), stored);
     let missing = ArrivalHistory::new(TimeSpan::secs(600.0)).missing(&stored);
     assert_eq!(missing.map(|m| m.len()), Some(1));
 }
