--- a/crates/controller/src/core/format_version/member_versions.rs
+++ b/crates/controller/src/core/format_version/member_versions.rs
@@ -40,7 +40,7 @@
     #[error("the level in force is not known yet")]
     VersionUnknown,
     /// This controller's member record is not stored yet.
-    #[error("this controller's levels are not stored yet")]
+    #[error("this node's levels are not stored yet")]
     Unregistered,
     /// The active format version is not among those that this build supports.
     #[error("level {0} is in force and this build serves {low} to {high}: start a newer one", low = .1.low, high = .1.high)]
--- a/crates/controller/src/core/format_version/member_versions/activation.rs
+++ b/crates/controller/src/core/format_version/member_versions/activation.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ActivationBlocked {
     /// This controller behaves like builds without format versions.
-    #[error("this controller does not support levels")]
+    #[error("this node knows no levels")]
     Unversioned,
     /// This build does not support a newer version than the active one.
     #[error("level {0} is the newest of this build")]
@@ -36,7 +36,7 @@
     #[error("the policy holds it at {0} (highest_level)")]
     HeldByPolicy(FormatVersion),
     /// Stored records are still being rewritten for the active version.
-    #[error("stored records are being rewritten in the form of level {0}")]
+    #[error("stored records get the form of level {0}")]
     RewriteUnfinished(FormatVersion),
     /// A controller's member record is absent or unreadable.
     #[error("{0} has not said which levels it serves")]
@@ -52,7 +52,7 @@
         high: FormatVersion,
     },
     /// A peer's heartbeats are absent, or report a build without the next version.
-    #[error("no recent heartbeat from {0}, or it runs an older build")]
+    #[error("{0} is not heard of, or runs an older build")]
     PeerSilentOrOutdated(NodeId),
     /// A peer has not run its build for long enough yet.
     #[error("{peer} must be there for {seconds_left} s more")]
--- a/crates/controller/src/core/format_version/mod.rs
+++ b/crates/controller/src/core/format_version/mod.rs
@@ -67,19 +67,19 @@
     VersionInfo {
         version: UNVERSIONED,
         name: "before",
-        changes: "the form stored by builds without levels; the leader's key is w/leader",
+        changes: "as builds stored it that know no levels; the leader's key is w/leader",
         older_form_readers: "-",
     },
     VersionInfo {
         version: FENCED,
         name: "fenced",
-        changes: "the leader's key is w/leader/holder; w/leader is a permanent tombstone that names no leader, so that builds without levels never lead",
+        changes: "the leader's key is w/leader/holder; w/leader stands for good and names nobody, so that builds without levels never lead",
         older_form_readers: "every build with levels",
     },
     VersionInfo {
         version: WITH_HISTORY,
         name: "remembered",
-        changes: "r/ holds assignments grouped by machine; d/f holds recent arrivals by class and team",
+        changes: "r/ keeps places by machine; d/f keeps what came for each class and team of late",
         older_form_readers: "r/ in the old form: every build with levels; rewritten by the leader",
     },
 ];
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -333,7 +333,7 @@
         let tasks: Vec<u32> = job.assignments.keys().copied().collect();
         if self.authority.record_peer_cancellation(now, id) {
             tracing::info!(job = %id, tasks = tasks.len(), "job cancelled, as reported by a peer");
-            let why = "a peer reported its cancellation";
+            let why = "a peer says that it is cancelled";
             self.cluster.stop_tasks(now, id, &tasks, 0.0, why);
         }
     }
--- a/crates/controller/src/core/leader/placement_requests.rs
+++ b/crates/controller/src/core/leader/placement_requests.rs
@@ -57,7 +57,7 @@
                 continue;
             }
             let Some(tasks_in_zones) = tasks_in_zones(&self.machines, job) else {
-                job.notes.waiting_reason = "the zone of one of the job's tasks is not known yet";
+                job.notes.waiting_reason = "the zone of one of its tasks is not known yet";
                 continue;
             };
             job.notes.waiting_reason = "no room";
@@ -161,16 +161,16 @@
     job: &Job,
 ) -> Option<&'static str> {
     if job.unreadable {
-        return Some("one of the job's records cannot be read");
+        return Some("a record of it cannot be read");
     }
     if authority.is_reported_cancelled(id) {
-        return Some("a peer reports the job as cancelled");
+        return Some("it is cancelled, as a peer says");
     }
     if now < job.notes.not_before {
-        return Some("the job waits for its retry delay");
+        return Some("it failed lately");
     }
     if job.is_gang() && !job.assignments.is_empty() {
-        return Some("tasks of the gang's last attempt may still be running");
+        return Some("its last attempt is not gone yet");
     }
     None
 }
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -143,7 +143,7 @@
         }
         let ended = self.cluster.inherit_assignments(now);
         for id in ended {
-            self.cluster.stop_ended_job(now, &id, "its job has ended");
+            self.cluster.stop_ended_job(now, &id, "its job is over");
         }
     }
 
@@ -191,7 +191,7 @@
     fn load_intent(&mut self, at: Now, entry: &Entry) {
         for id in self.intents.load(&entry.key, &entry.value, at.wall) {
             let machine = self.cluster.register_machine(at.time, &id, self.intents);
-            machine.mark_for_termination("an earlier leader decided to terminate it");
+            machine.mark_for_termination("an earlier leader meant to release it");
         }
     }
 
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -152,7 +152,7 @@
             };
             let grace_s = job.spec.save_s;
             tracing::info!(job = %id, team = %job.spec.team, tasks = tasks.len(), "tasks preempted");
-            let reason = "preempted for more urgent work";
+            let reason = "stopped for more urgent work";
             self.last_preemption = Some(now);
             let durability = StopDurability::StoredBeforeSent;
             cluster.order_stops(now, &id, &tasks, grace_s, reason, durability);
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -179,7 +179,7 @@
         } else {
             vec![task.index]
         };
-        let why = "the cloud is reclaiming its machine";
+        let why = "its machine is being taken";
         let durability = StopDurability::StoredWhileSent;
         self.order_stops(now, &task.job, &tasks, grace_s, why, durability);
     }
--- a/crates/controller/src/core/leader/task_lifecycle.rs
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -316,7 +316,7 @@
     pub fn cancel_job_ended_elsewhere(&mut self, now: Time, id: &JobId) {
         if self.jobs.get(id).is_some_and(|job| job.is_open()) {
             tracing::info!(job = %id, "job found to be over when its starts were to be stored");
-            self.cancel_job(now, id, "its job has ended");
+            self.cancel_job(now, id, "its job is over");
         }
     }
 }
