--- a/crates/controller/benches/cycle.rs
+++ b/crates/controller/benches/cycle.rs
@@ -3,10 +3,10 @@
 
 use hdrhistogram::Histogram;
 use pebblefold_controller::core::placement_tables::{FetchEstimates, ImageCache, MachineRow};
-use pebblefold_controller::core::preemption::{Victim, Victims, evict};
+use pebblefold_controller::core::preemption::{Victim, Victims, find_victims};
 use pebblefold_controller::core::quota::ReclaimLimits;
 use pebblefold_controller::core::scheduling_cycle::{
-    CycleParameters, PlacementRequest, SchedulingCycle, TeamUse,
+    CycleParameters, PlacementRequest, SchedulingCycle, TeamQuotaState,
 };
 use pebblefold_controller::settings::TeamShare;
 use pebblefold_controller::types::{Image, Resources, Time, TimeSpan};
@@ -100,7 +100,7 @@
                 spot: true,
                 run_time: Some(TimeSpan::secs(60.0)),
                 start_by: None,
-                aged: false,
+                reservation_due: false,
                 overdue: false,
                 promised_start: None,
                 held_back_too_long: false,
@@ -119,7 +119,7 @@
             task: (row % 10 * 8 + n) as u32,
             team: "team".into(),
             class: "class".into(),
-            machines: 0.125,
+            machine_fraction: 0.125,
             priority: Priority::Low,
             need: amounts(5.0, 1.0, 27.0),
             gang: false,
@@ -151,7 +151,7 @@
     let teams = || {
         let share = TeamShare::default();
         let used = Resources::default();
-        BTreeMap::from([("team".into(), TeamUse { used, share })])
+        BTreeMap::from([("team".into(), TeamQuotaState { used, share })])
     };
     for machines in MACHINES {
         println!("{machines} machines, {WAITING_JOBS} waiting jobs");
@@ -166,7 +166,7 @@
                 let mut rows = rows(&mut rng, machines, machines_per_free_one);
                 let mut requests = requests(&mut rng);
                 for request in requests.iter_mut().filter(|request| request.gang) {
-                    request.aged = aged;
+                    request.reservation_due = aged;
                 }
                 let mut teams = teams();
                 let start = Instant::now();
@@ -189,7 +189,7 @@
         let bounds = ReclaimLimits::default();
         let gangs = requests.iter().filter(|request| request.gang).take(16);
         let room = gangs.filter(|request| {
-            evict(&cycle, request, &victims, &BTreeSet::new(), &bounds, 16).is_some()
+            find_victims(&cycle, request, &victims, &BTreeSet::new(), &bounds, 16).is_some()
         });
         std::hint::black_box(room.count());
         times.saturating_record(start.elapsed().as_micros() as u64);
--- a/crates/controller/src/core/assignment.rs
+++ b/crates/controller/src/core/assignment.rs
@@ -13,7 +13,7 @@
     /// Time that the task gets for a checkpoint, in seconds.
     pub grace_s: f64,
     /// When the stop was decided.
-    pub at: Time,
+    pub decided_at: Time,
     /// The number of the change of the task's chunk that records the stop; the stop is
     /// sent only once that change is stored, so that a successor reads which tasks were
     /// stopped, and for which work. `None`: the stop is sent without being stored.
--- a/crates/controller/src/core/autoscaler/intents/records.rs
+++ b/crates/controller/src/core/autoscaler/intents/records.rs
@@ -1,6 +1,6 @@
 //! The keys and values under which intents are stored.
 
-use crate::core::keys::LEADER_RECORDS;
+use crate::core::keys::LEADER_RECORDS_PREFIX;
 use crate::types::{MachineId, WallTime};
 use crate::wire::cloud::ProvisionRequest;
 use serde::{Deserialize, Serialize};
@@ -38,7 +38,7 @@
 impl IntentKey<'_> {
     /// Parses a key; `None` if it is not the key of an intent.
     pub(super) fn parse(key: &str) -> Option<IntentKey<'_>> {
-        match key.strip_prefix(LEADER_RECORDS)?.split_once('/')? {
+        match key.strip_prefix(LEADER_RECORDS_PREFIX)?.split_once('/')? {
             ("h", name) => Some(IntentKey::Provision(name)),
             ("x", name) => Some(IntentKey::Termination(name)),
             _ => None,
@@ -48,8 +48,8 @@
     /// The key under which the intent is stored.
     pub(super) fn to_key(&self) -> String {
         match self {
-            IntentKey::Provision(name) => format!("{LEADER_RECORDS}h/{name}"),
-            IntentKey::Termination(name) => format!("{LEADER_RECORDS}x/{name}"),
+            IntentKey::Provision(name) => format!("{LEADER_RECORDS_PREFIX}h/{name}"),
+            IntentKey::Termination(name) => format!("{LEADER_RECORDS_PREFIX}x/{name}"),
         }
     }
 }
--- a/crates/controller/src/core/cache_hints.rs
+++ b/crates/controller/src/core/cache_hints.rs
@@ -121,7 +121,7 @@
     /// The next part of the hints from earlier leaders, for the leader of this token.
     /// Each hint is returned once; the part is empty when all were. `start`: the position
     /// of the first part, as a share of all machines from 0 to 1.
-    pub fn next_part(
+    pub fn next_transfer_part(
         &mut self,
         leader_token: FencingToken,
         start: f64,
--- a/crates/controller/src/core/cache_hints/tests.rs
+++ b/crates/controller/src/core/cache_hints/tests.rs
@@ -29,7 +29,7 @@
     let mut rounds = 0;
     while received.len() < 950 {
         for (i, p) in peers.iter_mut().enumerate() {
-            let part = p.next_part(FencingToken(9), i as f64 / 3.0);
+            let part = p.next_transfer_part(FencingToken(9), i as f64 / 3.0);
             assert!(part.len() <= MAX_MACHINES_PER_PART);
             received.extend(part.into_iter().map(|(id, _)| id));
         }
@@ -41,17 +41,17 @@
     );
     let mut single_peer = hints_with_machines(250);
     let parts: Vec<usize> = (0..5)
-        .map(|_| single_peer.next_part(FencingToken(9), 0.5).len())
+        .map(|_| single_peer.next_transfer_part(FencingToken(9), 0.5).len())
         .collect();
     assert_eq!(parts, [100, 100, 50, 0, 0]);
     // A leader gets no hints back that carry its own token.
     assert!(
         hints_with_machines(50)
-            .next_part(FencingToken(5), 0.0)
+            .next_transfer_part(FencingToken(5), 0.0)
             .is_empty()
     );
     assert_eq!(
-        single_peer.next_part(FencingToken(12), 0.0).len(),
+        single_peer.next_transfer_part(FencingToken(12), 0.0).len(),
         100,
         "a later leader gets all hints again"
     );
--- a/crates/controller/src/core/effects.rs
+++ b/crates/controller/src/core/effects.rs
@@ -159,7 +159,7 @@
     }
 
     /// Drops waiting requests so old that their connection is presumed closed.
-    pub fn forget_abandoned_requests(&mut self) {
+    pub fn drop_abandoned_requests(&mut self) {
         self.response_times.drop_abandoned(self.now.time);
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Answers with a status and the delay after which the caller is to retry.
-    pub fn answer_later(&mut self, request: RequestId, status: u16, seconds: u32) {
+    pub fn answer_retry_after(&mut self, request: RequestId, status: u16, seconds: u32) {
         let answer = Answer {
             status,
             retry_after: Some(seconds),
--- a/crates/controller/src/core/election.rs
+++ b/crates/controller/src/core/election.rs
@@ -174,7 +174,7 @@
     /// Starts a claim of the key from its present holder. The claim compares the key's
     /// version with `version`. Writes of the holder committed before the claim remain
     /// in force, later ones fail.
-    pub fn challenge(&mut self, version: Version) {
+    pub fn claim_from_leader(&mut self, version: Version) {
         if self.state != ElectionState::Following(version) {
             return;
         }
--- a/crates/controller/src/core/election/claim.rs
+++ b/crates/controller/src/core/election/claim.rs
@@ -76,8 +76,9 @@
                 lease: None,
             });
         } else {
-            let fence = self.member_versions.fence();
-            txn.conditions.extend(fence.map(member_versions::fence));
+            let fence = self.member_versions.version_fence();
+            txn.conditions
+                .extend(fence.map(member_versions::version_precondition));
             if self.store_is_empty {
                 new_holder_key = member_versions::LEADER_KEY;
                 self.claimed_version = Some(FENCED);
@@ -95,7 +96,7 @@
         };
         Operation::Put {
             key: key.into(),
-            value: job_records::leader_record(&record),
+            value: job_records::leader_record_value(&record),
             lease: Some(lease),
         }
     }
@@ -119,7 +120,7 @@
             },
             // The claim may have been applied, or may be applied later: the nonce in
             // the stored record shows whether it was.
-            Reply::Lost => self.read_keys(effects, PendingCall::ReadAfterClaim { lease }),
+            Reply::OutcomeUnknown => self.read_keys(effects, PendingCall::ReadAfterClaim { lease }),
             _ => {
                 self.revoke_lease(effects, lease);
                 if self.claims_as_leader {
@@ -171,7 +172,8 @@
         self.resume_leading();
         self.store_is_empty = false;
         if let Some(version) = self.claimed_version.take() {
-            self.member_versions.activated(version, Version(token.0));
+            self.member_versions
+                .record_activation(version, Version(token.0));
         }
         self.leader = Some((self.node_id.clone(), token));
         self.keep_alive_due = effects.now.time;
--- a/crates/controller/src/core/election/leader_key.rs
+++ b/crates/controller/src/core/election/leader_key.rs
@@ -99,7 +99,7 @@
         match reply {
             Reply::Answer(200, body) => {
                 if let Some(response) = wire::decode::<TransactionResponse>(body) {
-                    self.member_versions.registered(response.revision);
+                    self.member_versions.record_registration(response.revision);
                 }
                 // The registration advanced the revision of an empty store, so whether
                 // the store is empty is read again. Otherwise the watch continues from
--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -112,7 +112,7 @@
     for applied in [true, false] {
         let mut effects = effects_at(5.0);
         let (mut election, pending, written) = leader_with_activation_in_flight(&mut effects);
-        election.handle_reply(&mut effects, pending, Reply::Lost);
+        election.handle_reply(&mut effects, pending, Reply::OutcomeUnknown);
         let (_, pending) = take_last_call(&mut election, &mut effects);
         let keys = match applied {
             true => written.into_iter().map(|(k, v)| entry(&k, v, 11)).collect(),
--- a/crates/controller/src/core/failpoints.rs
+++ b/crates/controller/src/core/failpoints.rs
@@ -10,7 +10,7 @@
     WriteAhead,
     /// The tasks of a silent machine are abandoned only once the machine's lease has
     /// expired. Until then the agent may still run them.
-    LeaseExpiryBeforeGivingUp,
+    AbandonOnlyAfterLeaseExpiry,
     /// Without contact to the key-value store, heartbeats are answered only for a
     /// bounded time. Otherwise cancelled tasks would be kept alive.
     BoundedHold,
@@ -40,7 +40,7 @@
     StartsNeedAnOpenJob,
     /// The age of a new leader's knowledge counts from the first read of its load: later
     /// changes may be missing from the pages read afterwards.
-    LoadIsAsOldAsItsFirstRead,
+    LoadAgeCountsFromFirstRead,
     /// A write whose format depends on the active format version has that version as
     /// a precondition. Otherwise a late write could use a format no longer active.
     WritesCompareFormatVersion,
@@ -55,10 +55,10 @@
     ActivationComparesMembers,
     /// A job with an unreadable record is neither run nor written: the contents of the
     /// record would be lost, and its tasks may already run.
-    UnreadableIsLeftAlone,
+    UnreadableJobIsNotWritten,
     /// The assignments by earlier leaders to a silent machine remain in force for as long
     /// as such a leader may have answered the machine, and for a lease after that.
-    EarlierLeadersAnswersCount,
+    EarlierLeadersAnswersExtendLeases,
     /// A heartbeat proves a task's absence only if it carries this leader's fencing
     /// token. Otherwise a start of an older leader may still be in flight.
     AbsenceNeedsOurToken,
@@ -72,19 +72,19 @@
     RecordsCompareVersions,
     /// An answer that is not final is based on a read sent after the request arrived.
     /// Otherwise users could read an older state than in an earlier answer.
-    AnswersAreFresh,
+    NonFinalAnswersAreFresh,
     /// A submission whose job already exists is answered from the job's stored record,
     /// not from the contents of the request.
-    ConflictIsRead,
+    ConflictingSubmissionIsRead,
     /// A transaction without an answer counts as neither committed nor rejected until
     /// its writer has read which of the two applies.
-    LostIsUnknown,
+    LostTransactionIsUnknown,
     /// A team's quota usage includes the tasks of ended jobs that may still be on
     /// machines.
     EndedJobsCountForQuota,
     /// A new leader watches changes from the revision of the first page of its load on.
     /// Otherwise it would miss changes made during the load.
-    FollowsFromTheFirstPage,
+    WatchStartsAtFirstPage,
     /// Only one of a job's completion and its cancellation is committed.
     OneOutcomeIsCommitted,
     /// A rule that only makes work wait for a better machine no longer applies to work
--- a/crates/controller/src/core/failure_detector/accrual.rs
+++ b/crates/controller/src/core/failure_detector/accrual.rs
@@ -15,7 +15,7 @@
 
 /// The suspicion level of one source of heartbeats.
 #[derive(Clone, Debug, Default)]
-pub struct Accrual {
+pub struct PhiAccrual {
     last_heartbeat: Option<Time>,
     /// Exponential moving average of the intervals, in seconds.
     mean_s: f64,
@@ -25,7 +25,7 @@
     interval_count: u32,
 }
 
-impl Accrual {
+impl PhiAccrual {
     /// Records a heartbeat that arrived at `now`.
     pub fn record_heartbeat(&mut self, now: Time) {
         let Some(last) = self.last_heartbeat.replace(now) else {
--- a/crates/controller/src/core/failure_detector/accrual/tests.rs
+++ b/crates/controller/src/core/failure_detector/accrual/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn accrual_after(intervals: impl IntoIterator<Item = f64>) -> (Accrual, f64) {
-    let (mut accrual, mut t) = (Accrual::default(), 1.0);
+fn accrual_after(intervals: impl IntoIterator<Item = f64>) -> (PhiAccrual, f64) {
+    let (mut accrual, mut t) = (PhiAccrual::default(), 1.0);
     accrual.record_heartbeat(Time(0) + TimeSpan::secs(t));
     for i in intervals {
         t += i;
@@ -10,7 +10,7 @@
     (accrual, t)
 }
 
-fn phi(accrual: &Accrual, t: f64) -> f64 {
+fn phi(accrual: &PhiAccrual, t: f64) -> f64 {
     accrual.phi(Time(0) + TimeSpan::secs(t))
 }
 
--- a/crates/controller/src/core/failure_detector/detector.rs
+++ b/crates/controller/src/core/failure_detector/detector.rs
@@ -8,7 +8,7 @@
 //! compares the key's version, so safety does not depend on this module; a wrong
 //! decision here only replaces a leader needlessly.
 
-use super::accrual::Accrual;
+use super::accrual::PhiAccrual;
 use super::agent_migrations::AgentMigrations;
 use super::investigation::Investigation;
 pub use super::suspicion::{Action, ProbeOutcome, Suspicion};
@@ -52,7 +52,7 @@
     /// The phi from which on a silence is suspicious; 0 disables all suspicion.
     phi_threshold: f64,
     leader: Option<(NodeId, FencingToken)>,
-    heartbeats: Accrual,
+    heartbeats: PhiAccrual,
     /// How long the store had not answered the leader, as of the last heartbeat.
     store_silence: TimeSpan,
     /// How late the leader's state machine ran, as of the last heartbeat.
@@ -85,7 +85,7 @@
             quorum: (peers / 2 + 1).max(2),
             phi_threshold,
             leader: None,
-            heartbeats: Accrual::default(),
+            heartbeats: PhiAccrual::default(),
             store_silence: TimeSpan::ZERO,
             leader_lag: TimeSpan::ZERO,
             last_heartbeat: Time(0),
@@ -108,7 +108,7 @@
             return;
         }
         self.leader = leader.cloned();
-        self.heartbeats = Accrual::default();
+        self.heartbeats = PhiAccrual::default();
         self.store_silence = TimeSpan::ZERO;
         self.leader_lag = TimeSpan::ZERO;
         self.investigation = None;
@@ -168,7 +168,7 @@
 
     /// Whether this controller confirms a peer's suspicion of the holder of `token`.
     /// `store_reachable` says whether the store has recently answered this controller.
-    pub fn confirms(
+    pub fn confirms_suspicion(
         &self,
         now: Time,
         token: FencingToken,
@@ -283,7 +283,7 @@
 
     /// Records whether a peer confirms the suspicion, and how many agents migrated to
     /// that peer.
-    pub fn record_peer_report(
+    pub fn record_peer_answer(
         &mut self,
         peer: NodeId,
         token: FencingToken,
--- a/crates/controller/src/core/failure_detector/detector/tests.rs
+++ b/crates/controller/src/core/failure_detector/detector/tests.rs
@@ -56,12 +56,12 @@
     assert_eq!(action, Action::Investigate(Suspicion::Silent));
     assert!(t < 10.65, "{t}");
     detector.record_store_reachable();
-    detector.record_peer_report("b".into(), TOKEN, true, 0);
+    detector.record_peer_answer("b".into(), TOKEN, true, 0);
     detector.record_probe(at(t), TOKEN, ProbeOutcome::TimedOut);
     // This controller and one of its four peers are no quorum.
     let (t, action) = tick_until_action(&mut detector, t, 12.0, 0).unwrap();
     assert_eq!(action, Action::Investigate(Suspicion::Silent));
-    detector.record_peer_report("c".into(), TOKEN, true, 0);
+    detector.record_peer_answer("c".into(), TOKEN, true, 0);
     let mut lower_ranked = detector.clone();
     let (t, action) = tick_until_action(&mut detector, t, 12.0, 0).unwrap();
     assert_eq!(action, Action::ReplaceLeader(TOKEN, Suspicion::Silent));
@@ -79,7 +79,7 @@
         let (t, _) = tick_until_action(&mut detector, 9.95, 12.0, 0).unwrap();
         detector.record_store_reachable();
         for peer in ["b", "c", "d"] {
-            detector.record_peer_report(peer.into(), TOKEN, true, 0);
+            detector.record_peer_answer(peer.into(), TOKEN, true, 0);
         }
         detector.record_probe(at(t), TOKEN, ProbeOutcome::TimedOut);
         (detector, t)
@@ -105,7 +105,7 @@
     }
     let (mut detector, t) = detector_with_sufficient_evidence();
     for peer in ["c", "d"] {
-        detector.record_peer_report(peer.into(), TOKEN, false, 0);
+        detector.record_peer_answer(peer.into(), TOKEN, false, 0);
     }
     assert!(
         !replaces_leader(detector, t),
@@ -129,7 +129,7 @@
         let (t, _) = tick_until_action(&mut detector, 9.95, 12.0, 0).unwrap();
         detector.record_store_reachable();
         for peer in ["b", "c"] {
-            detector.record_peer_report(peer.into(), TOKEN, true, migrations_per_peer);
+            detector.record_peer_answer(peer.into(), TOKEN, true, migrations_per_peer);
         }
         detector.record_probe(at(t), TOKEN, ProbeOutcome::ConnectionRefused);
         for (i, ago) in local_migrations {
@@ -163,7 +163,7 @@
     let mut detector = detector_with_regular_heartbeats();
     detector.tick(at(70.0));
     assert_eq!(detector.next_action(at(70.0), 0), Action::None);
-    assert!(!detector.confirms(at(70.0), TOKEN, Suspicion::Silent, true));
+    assert!(!detector.confirms_suspicion(at(70.0), TOKEN, Suspicion::Silent, true));
     let (t, _) = tick_until_action(&mut detector, 70.0, 75.0, 0).unwrap();
     assert!(t > 71.0, "{t}");
 }
@@ -184,7 +184,7 @@
                 assert_eq!(suspicion, Suspicion::StoreUnreachable);
                 detector.record_probe(at(t), TOKEN, ProbeOutcome::Answered);
                 for peer in ["b", "c"] {
-                    detector.record_peer_report(peer.into(), TOKEN, true, 0);
+                    detector.record_peer_answer(peer.into(), TOKEN, true, 0);
                 }
                 // In an outage the store answers no controller, and no leader is
                 // replaced.
@@ -216,7 +216,7 @@
                 detector.record_store_reachable();
                 detector.record_probe(at(t), TOKEN, ProbeOutcome::TimedOut);
                 for peer in ["b", "c"] {
-                    detector.record_peer_report(peer.into(), TOKEN, true, 0);
+                    detector.record_peer_answer(peer.into(), TOKEN, true, 0);
                 }
             }
             Action::ReplaceLeader(..) => replacement_times.push(t),
--- a/crates/controller/src/core/format_version/chunk_progress.rs
+++ b/crates/controller/src/core/format_version/chunk_progress.rs
@@ -180,7 +180,7 @@
     }
 
     /// Whether a stored record has the form that this format version writes.
-    pub fn is_of(stored: &Value, version: FormatVersion) -> bool {
+    pub fn has_form_of(stored: &Value, version: FormatVersion) -> bool {
         stored.get("m").is_some() == (version >= WITH_HISTORY)
     }
 }
--- a/crates/controller/src/core/format_version/chunk_progress/tests.rs
+++ b/crates/controller/src/core/format_version/chunk_progress/tests.rs
@@ -49,7 +49,7 @@
             "{version}"
         );
         assert_eq!(sample().write(version), stored, "{version}");
-        assert!(ChunkProgress::is_of(&stored, version), "{version}");
+        assert!(ChunkProgress::has_form_of(&stored, version), "{version}");
     }
     // A record that an older build wrote without stops.
     let old = serde_json::json!({"n": 1, "d": [], "p": []});
--- a/crates/controller/src/core/format_version/member_versions.rs
+++ b/crates/controller/src/core/format_version/member_versions.rs
@@ -19,7 +19,7 @@
 pub use activation::{Activation, ActivationBlocked};
 pub use records::{
     ACTIVE_VERSION_KEY, BUILD, LEADER_KEY, LEGACY_LEADER_KEY, MemberRecord, PREFIX,
-    REWRITTEN_VERSION_KEY, fence, legacy_leader_tombstone,
+    REWRITTEN_VERSION_KEY, legacy_leader_tombstone, version_precondition,
 };
 
 use super::{FENCED, FormatVersion, SupportedVersions, UNVERSIONED};
@@ -215,14 +215,17 @@
 
     /// The version of the active version's key. Every write whose form depends on the
     /// active version compares it. `None`: writes need not compare it.
-    pub fn fence(&self) -> Option<Version> {
+    pub fn version_fence(&self) -> Option<Version> {
         let compares = self.supported.is_some()
             && failpoints::enforced(SafetyCheck::WritesCompareFormatVersion);
         compares.then_some(self.active_key_version)
     }
 
     fn fence_conditions(&self) -> Vec<Precondition> {
-        self.fence().map(fence).into_iter().collect()
+        self.version_fence()
+            .map(version_precondition)
+            .into_iter()
+            .collect()
     }
 
     /// Whether this controller may answer requests and lead.
@@ -239,7 +242,7 @@
         if self.is_unreadable {
             return Err(NotServing::UnreadableVersion);
         }
-        if !supported.has(self.active) {
+        if !supported.contains(self.active) {
             return Err(NotServing::UnsupportedVersion(self.active, supported));
         }
         if !self.is_registered(own_record)
@@ -269,7 +272,7 @@
         let own_record = self.own_record.as_ref().filter(|_| self.is_loaded)?;
         let member = self.members.get(&self.node_id);
         let is_stored = member.is_some_and(|m| m.record.as_ref() == Some(own_record));
-        let supports_active = self.supported.is_some_and(|s| s.has(self.active));
+        let supports_active = self.supported.is_some_and(|s| s.contains(self.active));
         if is_stored || !supports_active || self.is_unreadable {
             return None;
         }
@@ -287,7 +290,7 @@
     }
 
     /// Records that this controller's registration was stored, at this version of its key.
-    pub fn registered(&mut self, version: Version) {
+    pub fn record_registration(&mut self, version: Version) {
         let member = StoredMember {
             record: self.own_record.clone(),
             version,
@@ -317,7 +320,7 @@
     /// that a build without format versions could misread. `keys` is the number of keys
     /// below [`PREFIX`] at this revision.
     pub fn store_is_empty(&self, revision: Version, keys: usize) -> bool {
-        self.supported.is_some_and(|s| s.has(FENCED))
+        self.supported.is_some_and(|s| s.contains(FENCED))
             && self.active_key_version == Version(0)
             && revision.0 == keys as u64
             && self.members.len() == keys
@@ -335,7 +338,7 @@
 
     /// Records that a transaction of this controller activated a format version.
     /// `key_version` is the new version of the active version's key.
-    pub fn activated(&mut self, active: FormatVersion, key_version: Version) {
+    pub fn record_activation(&mut self, active: FormatVersion, key_version: Version) {
         tracing::info!(version = %active, name = active.name(), "format version activated by this controller");
         self.active = active;
         self.active_key_version = key_version;
--- a/crates/controller/src/core/format_version/member_versions/activation.rs
+++ b/crates/controller/src/core/format_version/member_versions/activation.rs
@@ -106,7 +106,7 @@
     fn next_version(&self, max_version: FormatVersion) -> Result<FormatVersion, ActivationBlocked> {
         let supported = self.supported.ok_or(ActivationBlocked::Unversioned)?;
         let next = self.active.next();
-        if !supported.has(next) {
+        if !supported.contains(next) {
             return Err(ActivationBlocked::NewestOfBuild(self.active));
         }
         if next > max_version {
@@ -132,7 +132,7 @@
         else {
             return Err(ActivationBlocked::MemberUnknown(node_id.clone()));
         };
-        if !record.levels.has(next) {
+        if !record.levels.contains(next) {
             return Err(ActivationBlocked::MemberOutdated {
                 member: node_id.clone(),
                 build: record.build.clone(),
--- a/crates/controller/src/core/format_version/member_versions/records.rs
+++ b/crates/controller/src/core/format_version/member_versions/records.rs
@@ -83,7 +83,7 @@
 
 /// The precondition that the active format version is unchanged since its key had
 /// this version.
-pub fn fence(version: Version) -> Precondition {
+pub fn version_precondition(version: Version) -> Precondition {
     Precondition {
         key: ACTIVE_VERSION_KEY.into(),
         version,
--- a/crates/controller/src/core/format_version/member_versions/tests.rs
+++ b/crates/controller/src/core/format_version/member_versions/tests.rs
@@ -139,7 +139,7 @@
     r.apply(&change(Some(ACTIVE_VERSION_KEY), 1));
     r.apply(&change(None, 0));
     assert_eq!(
-        (r.active_version(), r.fence()),
+        (r.active_version(), r.version_fence()),
         (FormatVersion(2), Some(Version(0)))
     );
     let odd = registry(vec![entry(&format!("{MEMBER_PREFIX}c"), Value::Null, 9)]);
--- a/crates/controller/src/core/format_version/mod.rs
+++ b/crates/controller/src/core/format_version/mod.rs
@@ -101,7 +101,7 @@
     };
 
     /// Whether a version is in the range.
-    pub fn has(self, version: FormatVersion) -> bool {
+    pub fn contains(self, version: FormatVersion) -> bool {
         (self.low..=self.high).contains(&version)
     }
 }
--- a/crates/controller/src/core/format_version/tests.rs
+++ b/crates/controller/src/core/format_version/tests.rs
@@ -22,7 +22,7 @@
     }
     let leader = json!({"label": "node-1", "nonce": 7});
     let read = job_records::read_record::<LeaderRecord>(&leader).unwrap();
-    assert_eq!(job_records::leader_record(&read), leader);
+    assert_eq!(job_records::leader_record_value(&read), leader);
     assert!(
         job_records::read_record::<LeaderRecord>(&member_versions::legacy_leader_tombstone())
             .is_none()
@@ -30,9 +30,9 @@
     let text = r#"{"ref":"wk-1","lane":"train","crew":"red","shape":"ensemble","urgency":"urgent","pieces":2,"vcpus":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img","size_gb":6.2,"kinds_of_box":["g8"],"yard":null,"same_place":true,"scatter":false,"borrowed":true,"guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0}"#;
     let (one, two) = text.split_at(40);
     let mut parts = SubmissionAssembler::default();
-    parts.part("wk-1".into(), 1, &json!(two));
+    parts.add_part("wk-1".into(), 1, &json!(two));
     let stored = json!({"at": 5, "n": 2, "s": one});
-    let job = parts.job(&"wk-1".into(), Version(9), &stored).unwrap();
+    let job = parts.assemble(&"wk-1".into(), Version(9), &stored).unwrap();
     assert_eq!(
         (job.accepted_at, job.spec.tasks, job.is_gang()),
         (WallTime(5), 2, true)
@@ -53,7 +53,7 @@
     let came = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
     assert_eq!(
         ArrivalHistory::new(TimeSpan::secs(600.0))
-            .missing(&came)
+            .arrivals_missing_here(&came)
             .map(|m| m.len()),
         Some(1)
     );
--- a/crates/controller/src/core/garbage_collection.rs
+++ b/crates/controller/src/core/garbage_collection.rs
@@ -55,7 +55,7 @@
         return Some(job);
     }
     match keys::parse_watched_key(key) {
-        keys::Watched::Part(job, _) | keys::Watched::JobOutcome(job) => Some(job),
+        keys::WatchedKey::SubmissionPart(job, _) | keys::WatchedKey::JobOutcome(job) => Some(job),
         _ => None,
     }
 }
--- a/crates/controller/src/core/inputs.rs
+++ b/crates/controller/src/core/inputs.rs
@@ -57,7 +57,7 @@
     NotSent,
     /// The outcome is unknown: the other side may have executed the call, or may execute
     /// it later.
-    Lost,
+    OutcomeUnknown,
 }
 
 impl Reply {
--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -190,8 +190,11 @@
         mut txn: Transaction,
         step: Step,
     ) {
-        txn.conditions
-            .extend(effects.version_fence.map(member_versions::fence));
+        txn.conditions.extend(
+            effects
+                .version_fence
+                .map(member_versions::version_precondition),
+        );
         let now = effects.now.time;
         let writes = txn.ops.len() as f64;
         if !effects.user_calls.take(now, 1.0) || !effects.user_writes.take(now, writes) {
--- a/crates/controller/src/core/job_api/cancel.rs
+++ b/crates/controller/src/core/job_api/cancel.rs
@@ -72,7 +72,7 @@
                 self.record_header(&id, cancelled, Version(0));
                 self.answer_status(effects, request, &id, cancelled);
             }
-            Reply::Answer(409, _) | Reply::Lost if retries_left > 0 => {
+            Reply::Answer(409, _) | Reply::OutcomeUnknown if retries_left > 0 => {
                 self.read_for_cancel(effects, request, &id, retries_left - 1);
             }
             _ => refuse(effects, request, 503, STORE_UNREACHABLE),
--- a/crates/controller/src/core/job_api/poll.rs
+++ b/crates/controller/src/core/job_api/poll.rs
@@ -28,7 +28,9 @@
         if self.answer_if_finished(effects, request, &id) {
             return;
         }
-        if self.open_jobs.is_open(&id) && !failpoints::enforced(SafetyCheck::AnswersAreFresh) {
+        if self.open_jobs.is_open(&id)
+            && !failpoints::enforced(SafetyCheck::NonFinalAnswersAreFresh)
+        {
             let open = JobHeader {
                 stage: HeaderStage::Open,
                 task_count: 0,
--- a/crates/controller/src/core/job_api/submit.rs
+++ b/crates/controller/src/core/job_api/submit.rs
@@ -142,7 +142,9 @@
         reply: Reply,
     ) {
         let reply = match reply {
-            Reply::Lost if !failpoints::enforced(SafetyCheck::LostIsUnknown) => {
+            Reply::OutcomeUnknown
+                if !failpoints::enforced(SafetyCheck::LostTransactionIsUnknown) =>
+            {
                 Reply::Answer(200, wire::encode(&TransactionResponse::default()))
             }
             reply => reply,
@@ -156,10 +158,12 @@
             // The conflict may come from an earlier copy of this submission, from a
             // submission through another controller, or from a later end of the job: only
             // a read shows which.
-            Reply::Answer(409, _) if !failpoints::enforced(SafetyCheck::ConflictIsRead) => {
+            Reply::Answer(409, _)
+                if !failpoints::enforced(SafetyCheck::ConflictingSubmissionIsRead) =>
+            {
                 self.answer_status(effects, request, &id, open);
             }
-            Reply::Answer(409, _) | Reply::Lost => {
+            Reply::Answer(409, _) | Reply::OutcomeUnknown => {
                 self.read_header(effects, request, &id, Step::ReadAccepted(id.clone()));
             }
             Reply::Answer(..) | Reply::NotSent => refuse(effects, request, 503, STORE_UNREACHABLE),
--- a/crates/controller/src/core/job_records.rs
+++ b/crates/controller/src/core/job_records.rs
@@ -19,8 +19,8 @@
 pub use dirty_chunks::DirtyChunks;
 pub use header::{HeaderStage, JobHeader, JobOutcome, job_header_value};
 pub use index_ranges::IndexRanges;
-pub use job::{Chunk, Job, JobNotes};
-pub use leader_record::{LeaderRecord, leader_record};
+pub use job::{Chunk, Job, SchedulingState};
+pub use leader_record::{LeaderRecord, leader_record_value};
 pub use submission::{SubmissionAssembler, accept_transaction, cancel_transaction};
 pub use transaction::{
     BuiltTransaction, CommitItem, CommitPipeline, ConditionalWrite, TransactionBuilder,
--- a/crates/controller/src/core/job_records/dirty_chunks.rs
+++ b/crates/controller/src/core/job_records/dirty_chunks.rs
@@ -64,7 +64,7 @@
     }
 
     /// Removes a chunk that is being written or no longer needs to be written.
-    pub fn forget(&mut self, chunk: &(JobId, u32)) {
+    pub fn remove(&mut self, chunk: &(JobId, u32)) {
         self.chunks.remove(chunk);
     }
 }
--- a/crates/controller/src/core/job_records/job.rs
+++ b/crates/controller/src/core/job_records/job.rs
@@ -20,14 +20,14 @@
     /// Version of the stored record; 0 if no record is stored.
     pub version: Version,
     /// Number of changes made in memory. The changes are numbered from 1.
-    pub change: u64,
+    pub last_change: u64,
     /// Number of the last change that is stored; 0 if none of them is.
-    pub stored: u64,
+    pub last_stored_change: u64,
 }
 
 /// Scheduling state of a job that is kept in memory only and is lost on failover.
 #[derive(Clone, Debug, Default)]
-pub struct JobNotes {
+pub struct SchedulingState {
     /// Number of consecutive failures of the job's tasks.
     pub failures: u32,
     /// Earliest time at which tasks are placed (backoff after failures).
@@ -82,7 +82,7 @@
     /// and none of its records is written.
     pub unreadable: bool,
     /// Scheduling state that is kept in memory only.
-    pub notes: JobNotes,
+    pub scheduling: SchedulingState,
 }
 
 impl Job {
@@ -108,7 +108,7 @@
             unstored_done: BTreeMap::new(),
             attempt: Attempt(0),
             unreadable: false,
-            notes: JobNotes::default(),
+            scheduling: SchedulingState::default(),
         }
     }
 
@@ -130,15 +130,15 @@
     /// Counts a change of the chunk that contains a task. Returns the change's number.
     pub fn record_change(&mut self, size: ChunkSize, task: u32) -> u64 {
         let chunk = self.chunks.entry(size.of(task)).or_default();
-        chunk.change += 1;
-        chunk.change
+        chunk.last_change += 1;
+        chunk.last_change
     }
 
     /// Whether change number `change` of a task's chunk is stored.
     pub fn is_stored(&self, size: ChunkSize, task: u32, change: u64) -> bool {
         self.chunks
             .get(&size.of(task))
-            .is_some_and(|chunk| chunk.stored >= change)
+            .is_some_and(|chunk| chunk.last_stored_change >= change)
     }
 
     /// Whether the completion of a done task is stored, so that its agent may delete the
@@ -171,7 +171,7 @@
         self.chunks.insert(chunk, loaded);
         let progress = self.read_progress(stored);
         self.unreadable |=
-            progress.is_err() && failpoints::enforced(SafetyCheck::UnreadableIsLeftAlone);
+            progress.is_err() && failpoints::enforced(SafetyCheck::UnreadableJobIsNotWritten);
         self.apply_progress(progress?);
         Ok(())
     }
@@ -198,7 +198,7 @@
         }
         let stop = Stop {
             grace_s: self.spec.save_s,
-            at: Time(0),
+            decided_at: Time(0),
             change: None,
         };
         for (start, end) in progress.stops {
@@ -219,7 +219,10 @@
 
     /// Whether a chunk contains task starts that are neither stored nor sent.
     pub fn starts_in(&self, size: ChunkSize, chunk: u32) -> bool {
-        let stored = self.chunks.get(&chunk).map_or(0, |chunk| chunk.stored);
+        let stored = self
+            .chunks
+            .get(&chunk)
+            .map_or(0, |chunk| chunk.last_stored_change);
         self.assignments
             .range(size.tasks_of(chunk))
             .any(|(_, assignment)| assignment.is_unsent() && assignment.change > stored)
--- a/crates/controller/src/core/job_records/leader_record.rs
+++ b/crates/controller/src/core/job_records/leader_record.rs
@@ -18,6 +18,6 @@
 }
 
 /// The record as the value to write.
-pub fn leader_record(record: &LeaderRecord) -> Value {
+pub fn leader_record_value(record: &LeaderRecord) -> Value {
     to_value(record)
 }
--- a/crates/controller/src/core/job_records/submission.rs
+++ b/crates/controller/src/core/job_records/submission.rs
@@ -143,7 +143,7 @@
 impl SubmissionAssembler {
     /// Keeps a further part until the first part is read. A value other than a string is
     /// ignored, and the submission then stays incomplete.
-    pub fn part(&mut self, id: JobId, part: u32, value: &Value) {
+    pub fn add_part(&mut self, id: JobId, part: u32, value: &Value) {
         if let Value::String(text) = value {
             self.parts.insert((id, part), text.clone());
         }
@@ -151,7 +151,7 @@
 
     /// Creates the job of a submission whose first part is `value`, stored at `version`.
     /// Returns `None` if a part is missing or the assembled text is not a submission.
-    pub fn job(&mut self, id: &JobId, version: Version, value: &Value) -> Option<Job> {
+    pub fn assemble(&mut self, id: &JobId, version: Version, value: &Value) -> Option<Job> {
         let record: SubmissionRecord = read_record(value)?;
         let mut text = record.text;
         for part in 1..record.parts {
--- a/crates/controller/src/core/job_records/submission/tests.rs
+++ b/crates/controller/src/core/job_records/submission/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::job_records::json_len;
-use crate::core::keys::{Watched, parse_watched_key};
+use crate::core::keys::{WatchedKey, parse_watched_key};
 use crate::testing;
 use crate::wire::users::JobShape;
 
@@ -21,13 +21,13 @@
         };
         assert!(json_len(value) <= 2048, "{}", json_len(value));
         match parse_watched_key(key) {
-            Watched::Job(id) => first_part = Some((id, value.clone())),
-            Watched::Part(id, n) => assembler.part(id, n, value),
+            WatchedKey::Submission(id) => first_part = Some((id, value.clone())),
+            WatchedKey::SubmissionPart(id, n) => assembler.add_part(id, n, value),
             _ => assert_eq!(key, "job/wk-1"),
         }
     }
     let (id, first_value) = first_part.unwrap();
-    let job = assembler.job(&id, Version(9), &first_value).unwrap();
+    let job = assembler.assemble(&id, Version(9), &first_value).unwrap();
     assert_eq!((*job.spec).clone(), spec);
     assert_eq!(job.accepted_at, WallTime(5));
 }
--- a/crates/controller/src/core/job_records/transaction.rs
+++ b/crates/controller/src/core/job_records/transaction.rs
@@ -149,7 +149,7 @@
     }
 
     /// Number of further operations that the limits allow.
-    pub fn room(&self) -> usize {
+    pub fn remaining_operations(&self) -> usize {
         self.limits.ops - self.transaction.ops.len()
     }
 
@@ -159,7 +159,7 @@
         let operations: usize = write.operations.iter().map(operation_bytes).sum();
         let preconditions: usize = write.preconditions.iter().map(precondition_bytes).sum();
         let bytes = self.bytes + operations + preconditions;
-        if write.operations.len() > self.room() || bytes > MAX_TRANSACTION_BYTES {
+        if write.operations.len() > self.remaining_operations() || bytes > MAX_TRANSACTION_BYTES {
             return false;
         }
         self.bytes = bytes;
--- a/crates/controller/src/core/keys.rs
+++ b/crates/controller/src/core/keys.rs
@@ -19,20 +19,20 @@
 use crate::types::JobId;
 
 /// Prefix of the keys that the leader watches.
-pub const WATCHED: &str = "w/";
+pub const WATCHED_PREFIX: &str = "w/";
 /// Prefix of the records that a leader stores for its successors: intents, quarantines
 /// and the arrival history.
-pub const LEADER_RECORDS: &str = "d/";
+pub const LEADER_RECORDS_PREFIX: &str = "d/";
 /// Prefix of the records of chunks of tasks.
-pub const PROGRESS_RECORDS: &str = "r/";
+pub const PROGRESS_RECORDS_PREFIX: &str = "r/";
 /// The key of the machine types last read from the cloud.
-pub const MACHINE_TYPES: &str = "types";
+pub const MACHINE_TYPES_KEY: &str = "types";
 /// Prefix of submissions.
-pub const SUBMISSIONS: &str = "w/j/";
+pub const SUBMISSIONS_PREFIX: &str = "w/j/";
 /// Prefix of the second and further parts of long submissions.
-pub const SUBMISSION_PARTS: &str = "w/p/";
+pub const SUBMISSION_PARTS_PREFIX: &str = "w/p/";
 /// Prefix of the outcomes of jobs that still have records.
-pub const JOB_OUTCOMES: &str = "w/x/";
+pub const JOB_OUTCOMES_PREFIX: &str = "w/x/";
 
 /// The key of a job's header.
 pub fn job_header_key(id: &JobId) -> String {
@@ -41,60 +41,64 @@
 
 /// The key of a job's submission.
 pub fn submission_key(id: &JobId) -> String {
-    format!("{SUBMISSIONS}{id}")
+    format!("{SUBMISSIONS_PREFIX}{id}")
 }
 
 /// The key of a job's outcome.
 pub fn job_outcome_key(id: &JobId) -> String {
-    format!("{JOB_OUTCOMES}{id}")
+    format!("{JOB_OUTCOMES_PREFIX}{id}")
 }
 
 /// The key of the second or a further part of a submission.
 pub fn submission_part_key(id: &JobId, part: u32) -> String {
-    format!("{SUBMISSION_PARTS}{id}/{part}")
+    format!("{SUBMISSION_PARTS_PREFIX}{id}/{part}")
 }
 
 /// The key of the record of a chunk of tasks.
 pub fn chunk_key(id: &JobId, chunk: u32) -> String {
-    format!("{PROGRESS_RECORDS}{id}/{chunk}")
+    format!("{PROGRESS_RECORDS_PREFIX}{id}/{chunk}")
 }
 
 /// The subject of a watched key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchedKey {
     /// The leader's key, the active format version, or a controller's member record.
     Leadership,
     /// The submission of a job.
-    Job(JobId),
+    Submission(JobId),
     /// A further part of a submission, with the part's number.
-    Part(JobId, u32),
+    SubmissionPart(JobId, u32),
     /// The outcome of a job.
     JobOutcome(JobId),
     /// A key of none of these forms.
     Other,
 }
 
-/// Parses a key below [`WATCHED`].
-pub fn parse_watched_key(key: &str) -> Watched {
+/// Parses a key below [`WATCHED_PREFIX`].
+pub fn parse_watched_key(key: &str) -> WatchedKey {
     if key.starts_with(member_versions::PREFIX) {
-        return Watched::Leadership;
+        return WatchedKey::Leadership;
     }
-    if let Some(id) = key.strip_prefix(SUBMISSIONS) {
-        return Watched::Job(id.into());
+    if let Some(id) = key.strip_prefix(SUBMISSIONS_PREFIX) {
+        return WatchedKey::Submission(id.into());
     }
-    if let Some(id) = key.strip_prefix(JOB_OUTCOMES) {
-        return Watched::JobOutcome(id.into());
+    if let Some(id) = key.strip_prefix(JOB_OUTCOMES_PREFIX) {
+        return WatchedKey::JobOutcome(id.into());
     }
-    submission_part(key).unwrap_or(Watched::Other)
+    submission_part(key).unwrap_or(WatchedKey::Other)
 }
 
-fn submission_part(key: &str) -> Option<Watched> {
-    let (id, part) = key.strip_prefix(SUBMISSION_PARTS)?.rsplit_once('/')?;
-    Some(Watched::Part(id.into(), part.parse().ok()?))
+fn submission_part(key: &str) -> Option<WatchedKey> {
+    let (id, part) = key
+        .strip_prefix(SUBMISSION_PARTS_PREFIX)?
+        .rsplit_once('/')?;
+    Some(WatchedKey::SubmissionPart(id.into(), part.parse().ok()?))
 }
 
 /// Parses the key of a chunk's record into the job and the chunk's number.
 pub fn parse_chunk_key(key: &str) -> Option<(JobId, u32)> {
-    let (id, chunk) = key.strip_prefix(PROGRESS_RECORDS)?.rsplit_once('/')?;
+    let (id, chunk) = key
+        .strip_prefix(PROGRESS_RECORDS_PREFIX)?
+        .rsplit_once('/')?;
     Some((id.into(), chunk.parse().ok()?))
 }
--- a/crates/controller/src/core/leader.rs
+++ b/crates/controller/src/core/leader.rs
@@ -65,11 +65,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderTerm {
     /// The leader key. Its version is the fencing token.
-    pub holder: &'static str,
+    pub leader_key: &'static str,
     /// The fencing token: a later leader's token is higher.
     pub token: FencingToken,
     /// The lease of the key-value store to which the leader key is attached.
-    pub lease: u64,
+    pub lease_id: u64,
     /// The format version in force at the election.
     pub format_version: FormatVersion,
 }
@@ -80,14 +80,14 @@
     /// The fencing token of this term.
     pub token: FencingToken,
     /// The leader key. Its version is the fencing token.
-    pub holder: &'static str,
+    pub leader_key: &'static str,
     /// The format version in force. Records are written in its format.
     pub format_version: FormatVersion,
     /// Changes of the leader and format-version keys that the load or the watch showed
     /// and the controller has not processed yet.
     pub version_events: Vec<WatchEvent>,
     /// The lease of the key-value store to which the leader key is attached.
-    pub lease: u64,
+    pub lease_id: u64,
     /// Calls to the key-value store and the cloud that have no reply yet.
     pub pending_calls: PendingCalls<PendingCall>,
     /// When this leader's term began.
@@ -129,23 +129,23 @@
         machine_types: &MachineTypes,
     ) -> Leader {
         let LeaderTerm {
-            holder,
+            leader_key,
             token,
-            lease,
+            lease_id,
             format_version,
         } = term;
         let mut leader = Leader {
             token,
-            holder,
+            leader_key,
             format_version,
             version_events: Vec::new(),
-            lease,
+            lease_id,
             pending_calls: PendingCalls::default(),
             leading_since: now,
             authority: LeaderAuthority::new(AuthorityBounds::new(&settings.workers), now),
             next_health_check: now,
             records: RecordWatcher::new(now),
-            writer: TransactionWriter::new(holder, token, settings.state_limits.write_rps, now),
+            writer: TransactionWriter::new(leader_key, token, settings.state_limits.write_rps, now),
             scheduler: Scheduler::new(now),
             heartbeats: HeartbeatReconciler::new(now),
             commands: CommandDispatcher::new(token, now, settings.workers.report),
@@ -171,32 +171,32 @@
 
     /// Whether heartbeats may be answered: everything is loaded, and the last contact
     /// with the key-value store is recent enough.
-    pub fn may_answer(&self, now: Time) -> bool {
-        self.authority.may_answer(now)
+    pub fn may_answer_heartbeats(&self, now: Time) -> bool {
+        self.authority.may_answer_heartbeats(now)
     }
 
     /// Whether tasks may be started: everything is loaded, and the last contact with the
     /// key-value store is recent enough.
-    pub fn may_start(&self, now: Time) -> bool {
-        self.authority.may_start(now)
+    pub fn may_start_tasks(&self, now: Time) -> bool {
+        self.authority.may_start_tasks(now)
     }
 
     /// The number of machines that this leader has a record of, and the number of those
     /// that have sent a heartbeat with its token.
     pub fn count_reporting_machines(&self) -> (usize, usize) {
         let machines = self.cluster.machines.values();
-        let reporting = machines.filter(|machine| machine.our_token_since.is_some());
+        let reporting = machines.filter(|machine| machine.current_token_since.is_some());
         (self.cluster.machines.len(), reporting.count())
     }
 
     /// Whether the leader has a record of a machine.
-    pub fn knows(&self, machine: &MachineId) -> bool {
+    pub fn tracks_machine(&self, machine: &MachineId) -> bool {
         self.cluster.machines.contains_key(machine)
     }
 
     /// Whether another controller may hold this token, judged by how many changes the
     /// key-value store can have taken since the last contact.
-    pub fn may_be_replaced_by(&self, now: Time, token: FencingToken) -> bool {
+    pub fn may_have_been_issued(&self, now: Time, token: FencingToken) -> bool {
         let since_contact = self.authority.age(now);
         let write_rps = self.cluster.settings.state_limits.write_rps;
         self.records
@@ -226,7 +226,7 @@
     pub fn advance(&mut self, effects: &mut Effects) {
         let now = effects.now.time;
         self.scheduler.adjust_pace(now);
-        if self.scheduler.is_cycle_due(now) && self.may_start(now) {
+        if self.scheduler.is_cycle_due(now) && self.may_start_tasks(now) {
             self.run_cycle(effects.now);
         }
         self.submit_next_transaction(effects);
@@ -262,7 +262,7 @@
         sent: Time,
         reply: Reply,
     ) -> LeadershipOutcome {
-        let mut parts = self.records();
+        let mut parts = self.record_parts();
         parts
             .records
             .handle_read_reply(effects, &mut parts.context, sent, reply)
@@ -297,7 +297,7 @@
     ) -> LeadershipOutcome {
         if heartbeat.token > self.token {
             effects.answer_status(request, 421);
-            if self.may_be_replaced_by(effects.now.time, heartbeat.token) {
+            if self.may_have_been_issued(effects.now.time, heartbeat.token) {
                 return LeadershipOutcome::Deposed(heartbeat.token);
             }
             tracing::error!(machine = %heartbeat.machine, token = %heartbeat.token, "ignoring heartbeat with a fencing token that was never issued");
@@ -325,7 +325,7 @@
 
     /// A peer has confirmed to a user that a job is cancelled: its tasks must stop even
     /// while the key-value store cannot be read. No record is deleted on a peer's report.
-    pub fn record_announced_cancellation(&mut self, now: Time, id: &JobId) {
+    pub fn record_peer_cancellation(&mut self, now: Time, id: &JobId) {
         let job = self.cluster.jobs.get(id);
         let Some(job) = job.filter(|job| job.is_open()) else {
             return;
@@ -339,14 +339,14 @@
     }
 
     /// Task counts of a job, for its user; `None`: the job is not loaded.
-    pub fn counts(&self, id: &JobId) -> Option<TaskCounts> {
+    pub fn task_counts(&self, id: &JobId) -> Option<TaskCounts> {
         self.cluster.task_counts(id)
     }
 
     /// Counts of done and running tasks that changed since the last call, for at most
-    /// `limit` jobs.
-    pub fn changed_counts(&mut self, limit: usize) -> Vec<(JobId, u32, u32)> {
-        self.status.changed_counts(&self.cluster, limit)
+    /// `max_jobs` jobs.
+    pub fn changed_counts(&mut self, max_jobs: usize) -> Vec<(JobId, u32, u32)> {
+        self.status.changed_counts(&self.cluster, max_jobs)
     }
 
     /// Images cached on machines, with sizes in GB, where they changed since the last
@@ -356,12 +356,12 @@
     }
 
     /// Image fetch times, in milliseconds, that changed since the last call.
-    pub fn changed_fetches(&mut self) -> Vec<(Image, u64)> {
+    pub fn changed_fetch_times(&mut self) -> Vec<(Image, u64)> {
         self.status.changed_fetch_times(&self.cluster)
     }
 
     /// Broadcasts the whole status again, because a peer missed part of it.
-    pub fn restart_broadcast(&mut self) {
+    pub fn resend_everything(&mut self) {
         self.status.resend_everything();
     }
 
@@ -411,9 +411,9 @@
     fn check_machine_health(&mut self, at: Now) {
         self.expire_leases(at);
         self.cluster
-            .retire_machines(at.time, self.autoscaler.last_list);
+            .mark_unhealthy_machines(at.time, self.autoscaler.last_list);
         self.autoscaler
-            .record_releases(&self.cluster.machines, at.wall);
+            .record_terminations(&self.cluster.machines, at.wall);
     }
 
     /// Makes the next call to the cloud, if one is due.
@@ -421,7 +421,7 @@
         let cluster = &self.cluster;
         self.autoscaler
             .settle_intents(effects.now, cluster, &mut self.quarantine);
-        if self.may_start(effects.now.time) {
+        if self.may_start_tasks(effects.now.time) {
             self.autoscaler
                 .make_next_call(effects, cluster, self.token, &mut self.pending_calls);
         }
@@ -441,7 +441,7 @@
 
     /// Removes the tasks of machines whose leases have expired.
     fn expire_leases(&mut self, at: Now) {
-        let inherited_until = self.leading_since + self.authority.inherited();
+        let inherited_until = self.leading_since + self.authority.earlier_leader_window();
         let mut recorder = QuarantineRecorder {
             quarantine: &mut self.quarantine,
             pending_writes: &mut self.autoscaler.intents.pending_writes,
@@ -450,11 +450,11 @@
             .expire_leases(at, &mut recorder, inherited_until);
     }
 
-    fn records(&mut self) -> RecordParts<'_> {
+    fn record_parts(&mut self) -> RecordParts<'_> {
         RecordParts {
             records: &mut self.records,
             context: RecordContext {
-                leader_key: self.holder,
+                leader_key: self.leader_key,
                 token: self.token,
                 authority: &mut self.authority,
                 version_events: &mut self.version_events,
--- a/crates/controller/src/core/leader/arrival_recorder.rs
+++ b/crates/controller/src/core/leader/arrival_recorder.rs
@@ -95,7 +95,7 @@
             return;
         }
         self.store_due = at.time + STORE_INTERVAL;
-        let value = self.history(window).store(at.wall, value_bytes);
+        let value = self.history(window).to_stored(at.wall, value_bytes);
         if value != self.stored {
             self.stored = value.clone();
             pending_writes.put(arrival_history::ARRIVAL_HISTORY_KEY.into(), value);
@@ -105,7 +105,7 @@
     /// Adds the arrivals that an earlier leader stored and that the loaded jobs do not show:
     /// those of jobs that have ended.
     pub fn load(&mut self, stored: serde_json::Value, window: TimeSpan) {
-        match self.history(window).missing(&stored) {
+        match self.history(window).arrivals_missing_here(&stored) {
             Some(missing) => {
                 for arrival in missing {
                     self.insert(arrival);
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -166,7 +166,7 @@
 
     /// Records termination intents for the machines marked as terminating, before any call
     /// that terminates them.
-    pub(in crate::core) fn record_releases(
+    pub(in crate::core) fn record_terminations(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
         wall: WallTime,
@@ -280,7 +280,7 @@
                 None
             }
             Reply::Answer(status, body) => Some((status, body)),
-            Reply::NotSent | Reply::Lost => None,
+            Reply::NotSent | Reply::OutcomeUnknown => None,
         };
         let Some((status, body)) = answered.filter(|(status, _)| *status != 0) else {
             self.cloud_proxy.unanswered(now, via);
@@ -399,7 +399,7 @@
         self.intents.mark_terminated(&machines, now);
         for id in machines {
             let cluster = &mut context.cluster;
-            cluster.write_off_machine(now, &id, RemovalReason::MachineReleased);
+            cluster.write_off_machine(now, &id, RemovalReason::MachineTerminated);
             cluster.machines.remove(&id);
             context.heartbeats.forget_machine(&id);
         }
@@ -427,7 +427,7 @@
         machine.address = listed.addr.parse().ok();
         tasks_to_stop.extend(machine.tasks.iter().cloned());
     }
-    machine.listed = Some((listed.stage, TimeSpan::secs(listed.age_s)));
+    machine.cloud_listing = Some((listed.stage, TimeSpan::secs(listed.age_s)));
     machine.last_listed = Some(now);
     if listed.stage == MachineStage::Failed && machine.tasks.is_empty() {
         machine.mark_for_termination("failed");
--- a/crates/controller/src/core/leader/autoscaling/tests.rs
+++ b/crates/controller/src/core/leader/autoscaling/tests.rs
@@ -76,7 +76,7 @@
             .mark_for_termination("idle");
         leader
             .autoscaler
-            .record_releases(&leader.cluster.machines, WallTime(0));
+            .record_terminations(&leader.cluster.machines, WallTime(0));
         for (key, _) in leader.autoscaler.intents.pending_writes.take_puts(9) {
             leader.autoscaler.intents.mark_stored(&key);
         }
@@ -132,7 +132,7 @@
         .mark_for_termination("idle");
     predecessor
         .autoscaler
-        .record_releases(&predecessor.cluster.machines, WallTime(0));
+        .record_terminations(&predecessor.cluster.machines, WallTime(0));
     assert!(
         predecessor
             .autoscaler
@@ -147,7 +147,7 @@
         version: crate::types::Version(7),
     });
     successor
-        .records()
+        .record_parts()
         .context
         .load_leader_records(now, entries.collect());
     // The successor starts nothing on the machine, even if the machine is registered again.
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -9,7 +9,9 @@
 use crate::core::autoscaler::state::Autoscaler;
 use crate::core::machine::MachineLifecycle;
 use crate::core::placement_tables::{ImageCache, MachineRow};
-use crate::core::scheduling_cycle::{CycleParameters, PlacementRequest, SchedulingCycle, TeamUse};
+use crate::core::scheduling_cycle::{
+    CycleParameters, PlacementRequest, SchedulingCycle, TeamQuotaState,
+};
 use crate::settings::ObjectiveKind;
 use crate::types::{Class, MachineId, Team, Time, TimeSpan, WallTime, Zone};
 use crate::wire::cloud::{MachineType, ProvisionRequest};
@@ -122,7 +124,7 @@
         &self,
         cluster: &ClusterState,
         unplaced: &[PlacementRequest],
-        teams: &BTreeMap<Team, TeamUse>,
+        teams: &BTreeMap<Team, TeamQuotaState>,
         zones: &ZoneCounts,
     ) -> PoolDemand {
         let mut demand = PoolDemand::new();
@@ -380,12 +382,12 @@
     cluster: &ClusterState,
     unplaced: &[PlacementRequest],
     pending: &mut [MachineRow],
-    teams: &mut BTreeMap<Team, TeamUse>,
+    teams: &mut BTreeMap<Team, TeamQuotaState>,
 ) -> Vec<PlacementRequest> {
     let provision_after = TimeSpan::secs(cluster.policy.rent_after_s);
     let has_waited_enough = |request: &&PlacementRequest| {
         let job = cluster.jobs.get(&request.job);
-        let since = job.and_then(|job| job.notes.waiting_since);
+        let since = job.and_then(|job| job.scheduling.waiting_since);
         since.is_some_and(|since| now.since(since) >= provision_after)
     };
     let mut remaining: Vec<PlacementRequest> =
--- a/crates/controller/src/core/leader/cluster_state.rs
+++ b/crates/controller/src/core/leader/cluster_state.rs
@@ -127,7 +127,7 @@
     }
 
     /// The capacity of a machine's image cache, in GB; zero while the type is unknown.
-    pub fn cache_room_gb(&self, id: &MachineId) -> f64 {
+    pub fn cache_capacity_gb(&self, id: &MachineId) -> f64 {
         self.machines
             .get(id)
             .and_then(|machine| self.type_of(machine))
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -127,8 +127,8 @@
         id: &MachineId,
     ) {
         let now = effects.now.time;
-        if !authority.may_answer(now) {
-            effects.answer_later(request, 503, 1);
+        if !authority.may_answer_heartbeats(now) {
+            effects.answer_retry_after(request, 503, 1);
             return;
         }
         let commands = self.commands_for(now, cluster, authority, id);
@@ -161,9 +161,9 @@
         for task in reported {
             add_commands_for_reported_task(&mut list, &mut usage, cluster, id, task);
         }
-        if machine.has_our_token
+        if machine.has_current_token
             && let Some(machine_type) = cluster.type_of(machine)
-            && authority.may_start(now)
+            && authority.may_start_tasks(now)
         {
             let free = machine_type.has() - usage;
             add_starts(&mut list, now, cluster, authority, id, free);
@@ -261,7 +261,7 @@
             && assignment.epoch == machine.epoch
     });
     if reported.state == TaskState::Exited {
-        if machine.has_our_token && !is_placed && !must_be_retained(job, &task, &reported) {
+        if machine.has_current_token && !is_placed && !must_be_retained(job, &task, &reported) {
             list.forgets.push(reported.into_forget_command());
         }
         return;
--- a/crates/controller/src/core/leader/commit_effects.rs
+++ b/crates/controller/src/core/leader/commit_effects.rs
@@ -22,9 +22,9 @@
     };
     let mut stored_before = change;
     if let Some(stored) = job.chunks.get_mut(&chunk) {
-        stored_before = stored.stored;
+        stored_before = stored.last_stored_change;
         stored.version = revision;
-        stored.stored = stored.stored.max(change);
+        stored.last_stored_change = stored.last_stored_change.max(change);
     }
     let first = chunk * size.0;
     let assignments = job.assignments.range(first..first + size.0);
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -163,7 +163,10 @@
         add_pending_deletes(&mut builder, &mut context.intents.pending_writes);
         if builder.is_empty() {
             // Orphaned keys are deleted only when there is nothing else to write.
-            for (orphan, conditions, op) in self.garbage_collector.take_next(builder.room()) {
+            for (orphan, conditions, op) in self
+                .garbage_collector
+                .take_next(builder.remaining_operations())
+            {
                 let write = ConditionalWrite {
                     preconditions: conditions,
                     operations: vec![op],
@@ -209,8 +212,8 @@
                 self.pipeline.not_before = now + pause;
                 LeadershipOutcome::Continue
             }
-            Reply::Answer(..) | Reply::NotSent | Reply::Lost => {
-                self.pipeline.outcome_unknown |= matches!(reply, Reply::Lost);
+            Reply::Answer(..) | Reply::NotSent | Reply::OutcomeUnknown => {
+                self.pipeline.outcome_unknown |= matches!(reply, Reply::OutcomeUnknown);
                 self.pipeline.in_flight = Some(BuiltTransaction { transaction, items });
                 self.pipeline.not_before = now + pause;
                 LeadershipOutcome::Continue
@@ -283,7 +286,7 @@
         let is_cleanup = items
             .iter()
             .any(|item| matches!(item, CommitItem::DeleteOrphan(_)));
-        let is_progress = |key: &String| key.starts_with(job_records::PROGRESS_RECORDS);
+        let is_progress = |key: &String| key.starts_with(job_records::PROGRESS_RECORDS_PREFIX);
         if !is_cleanup && failed.iter().any(is_progress) {
             return LeadershipOutcome::StepDown("a record was changed by another writer");
         }
@@ -446,7 +449,7 @@
             _ => None,
         });
         let chunk = (id.clone(), chunk);
-        if value.is_some_and(|value| ChunkProgress::is_of(value, WITH_HISTORY)) {
+        if value.is_some_and(|value| ChunkProgress::has_form_of(value, WITH_HISTORY)) {
             self.outdated_chunks.remove(&chunk);
         } else {
             self.outdated_chunks.insert(chunk);
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -227,7 +227,7 @@
         .mark((id, 0), Time(0), true);
     let mut effects = crate::testing::effects_at(1.0);
     leader.submit_next_transaction(&mut effects);
-    leader.handle_commit_reply(&mut effects, Reply::Lost);
+    leader.handle_commit_reply(&mut effects, Reply::OutcomeUnknown);
     effects.now.time = effects.now.time + TimeSpan::secs(5.0);
     leader.submit_next_transaction(&mut effects);
     effects.take_outputs();
@@ -299,7 +299,7 @@
 #[test]
 fn repeated_commit_steps_down_on_any_other_write() {
     let steps_down = |leadership| matches!(leadership, LeadershipOutcome::StepDown(_));
-    let holder = leader().holder;
+    let holder = leader().leader_key;
     for failed in [&["job/wk-1"][..], &[holder, "r/wk-1/0"], &[]] {
         assert!(
             steps_down(leader_after_repeated_commit(failed).2),
@@ -343,7 +343,7 @@
             0 => Reply::Answer(404, Vec::new()),
             1 => Reply::Answer(200, wire::encode(&entry(value, 0))),
             2 => Reply::Answer(200, wire::encode(&entry(serde_json::json!({"a": 1}), 25))),
-            _ => Reply::Lost,
+            _ => Reply::OutcomeUnknown,
         };
         assert!(
             steps_down(leader.handle_own_write_read(&op, reply)),
--- a/crates/controller/src/core/leader/cycle_inputs.rs
+++ b/crates/controller/src/core/leader/cycle_inputs.rs
@@ -5,7 +5,7 @@
 use crate::core::machine::Machine;
 use crate::core::placement_tables::MachineRow;
 use crate::core::quota::usage::{QuotaUnits, QuotaUsage};
-use crate::core::scheduling_cycle::TeamUse;
+use crate::core::scheduling_cycle::TeamQuotaState;
 use crate::types::{MachineId, Resources, Team, Time};
 use std::collections::{BTreeMap, HashMap};
 
@@ -67,13 +67,13 @@
 
     /// The quota and usage of each team. A task counts on every machine where it may be
     /// running, tasks of ended jobs included.
-    pub fn team_use(&self) -> BTreeMap<Team, TeamUse> {
-        let without_usage = |share| TeamUse {
+    pub fn team_use(&self) -> BTreeMap<Team, TeamQuotaState> {
+        let without_usage = |share| TeamQuotaState {
             used: Resources::default(),
             share,
         };
         let teams = self.settings.teams.iter();
-        let mut teams: BTreeMap<Team, TeamUse> = teams
+        let mut teams: BTreeMap<Team, TeamQuotaState> = teams
             .map(|(team, share)| (team.clone(), without_usage(*share)))
             .collect();
         let count_ended_jobs = failpoints::enforced(SafetyCheck::EndedJobsCountForQuota);
--- a/crates/controller/src/core/leader/fleet_health.rs
+++ b/crates/controller/src/core/leader/fleet_health.rs
@@ -46,7 +46,7 @@
     /// Marks machines for termination that never came up, fell silent or failed, and removes
     /// entries of machines that never existed. `last_list`: when the last complete list was
     /// read.
-    pub fn retire_machines(&mut self, now: Time, last_list: Option<Time>) {
+    pub fn mark_unhealthy_machines(&mut self, now: Time, last_list: Option<Time>) {
         let check = HealthCheck {
             now,
             max_silence: self.max_silence(),
--- a/crates/controller/src/core/leader/heartbeat_reconciliation.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation.rs
@@ -88,7 +88,7 @@
         }
         let previous = PreviousHeartbeat {
             epoch: machine.epoch,
-            had_our_token: machine.has_our_token,
+            had_our_token: machine.has_current_token,
         };
         record_heartbeat(now, machine, heartbeat, self.token);
         Some(previous)
@@ -140,9 +140,9 @@
         let restarted = previous.epoch != AgentEpoch(0) && heartbeat.epoch > previous.epoch;
         let evidence = if restarted {
             DeliveryEvidence::NewEpoch
-        } else if machine.has_our_token && !previous.had_our_token {
+        } else if machine.has_current_token && !previous.had_our_token {
             DeliveryEvidence::Received
-        } else if !machine.has_our_token {
+        } else if !machine.has_current_token {
             DeliveryEvidence::OlderToken
         } else {
             starts
@@ -169,7 +169,7 @@
     fn is_idle(&self, now: Time, heartbeat: &Heartbeat) -> bool {
         let machine = self.cluster.machines.get(&heartbeat.machine);
         heartbeat.tasks.is_empty()
-            && self.authority.may_start(now)
+            && self.authority.may_start_tasks(now)
             && machine.is_some_and(|machine| {
                 machine.tasks.is_empty() && machine.is_schedulable(now, self.cluster.max_silence())
             })
@@ -218,18 +218,18 @@
             return;
         }
         // A heartbeat of a terminated machine was delayed by the network.
-        if !context.authority.may_answer(now) || context.intents.is_terminated(id) {
-            effects.answer_later(request, 503, 1);
+        if !context.authority.may_answer_heartbeats(now) || context.intents.is_terminated(id) {
+            effects.answer_retry_after(request, 503, 1);
             return;
         }
         let Some(previous) = context.update_machine(now, heartbeat) else {
             // The heartbeat was delayed by the network, and its sender no longer waits
             // for the answer.
-            effects.answer_later(request, 503, 1);
+            effects.answer_retry_after(request, 503, 1);
             return;
         };
         if let Some(superseded) = self.deferred.remove(id) {
-            effects.answer_later(superseded.request, 503, 1);
+            effects.answer_retry_after(superseded.request, 503, 1);
         }
         let freed_room = context.apply_heartbeat(effects.now, heartbeat, previous);
         self.answer_or_defer(effects, context, request, heartbeat, may_defer, freed_room);
@@ -254,7 +254,7 @@
             let wait = interval.scaled(IDLE_WAIT_INTERVALS).min(MAX_IDLE_WAIT);
             self.defer(id, request, now + wait, None);
         } else if freed_room
-            && context.authority.may_start(now)
+            && context.authority.may_start_tasks(now)
             && context.cluster.has_waiting_tasks()
         {
             // Placing and committing tasks takes a short time. The answer waits for it,
@@ -342,7 +342,7 @@
     /// agents retry.
     pub fn drop_deferred(&mut self, effects: &mut Effects) {
         for heartbeat in std::mem::take(&mut self.deferred).into_values() {
-            effects.answer_later(heartbeat.request, 503, 1);
+            effects.answer_retry_after(heartbeat.request, 503, 1);
         }
     }
 
@@ -367,9 +367,9 @@
     machine.epoch = heartbeat.epoch;
     machine.sequence = heartbeat.sequence;
     machine.last_heartbeat = Some(now);
-    machine.has_our_token = heartbeat.token == own_token;
-    if machine.has_our_token {
-        machine.our_token_since.get_or_insert(now);
+    machine.has_current_token = heartbeat.token == own_token;
+    if machine.has_current_token {
+        machine.current_token_since.get_or_insert(now);
     }
     machine.address = heartbeat.addr.parse().ok();
     machine.machine_type = Some(heartbeat.kind.clone());
--- a/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
+++ b/crates/controller/src/core/leader/heartbeat_reconciliation/tests.rs
@@ -22,7 +22,7 @@
     let task = TaskId::parse("wk-1/0").unwrap();
     m.assign(task, Resources::default());
     m.last_answer = Some(Time(10_000_000));
-    m.our_token_since = Some(Time(100_000_000));
+    m.current_token_since = Some(Time(100_000_000));
     let id = MachineId::from("host-1");
     leader.cluster.machines.insert(id.clone(), m);
     let mut presumed_dead_at = |secs: f64| {
@@ -60,7 +60,7 @@
         .chunks
         .values_mut()
     {
-        chunk.stored = chunk.change;
+        chunk.last_stored_change = chunk.last_change;
     }
     (leader, id)
 }
--- a/crates/controller/src/core/leader/inspection.rs
+++ b/crates/controller/src/core/leader/inspection.rs
@@ -147,7 +147,7 @@
             "orphans_left": collector.remaining(), "orphans_deleted": collector.deleted,
             "jobs_to_drop": self.cluster.unwritten.jobs_to_delete.len(),
             "records_to_write": pending_writes.len(),
-            "records_written": pending_writes.written,
+            "records_written": pending_writes.taken_total,
         })
     }
 
@@ -158,7 +158,7 @@
         let machines = cluster.machine_rows(self.at.time).len() as f64;
         let (share, window) = (cluster.policy.floor_share, cluster.policy.floor_window_s);
         let minimum_shares = MinimumShares::new(&services, machines, share, window);
-        let served = |group: &ShareGroup| services.get(group).map_or(1.0, |s| s.share());
+        let served = |group: &ShareGroup| services.get(group).map_or(1.0, |s| s.served_fraction());
         let usage = cluster.quota_usage();
         let teams: Vec<Value> = usage
             .teams()
@@ -170,7 +170,7 @@
                     "limit": {"cpus": held.share.cpus_max, "gpus": held.share.gpus_max},
                     "used": quota_json(held.used), "stopping": quota_json(held.stopping),
                     "lent": quota_json(held.beyond_guarantee()),
-                    "served": served(&group), "floor_machines": minimum_shares.of(&group),
+                    "served": served(&group), "floor_machines": minimum_shares.machines_for(&group),
                 })
             })
             .collect();
@@ -182,7 +182,7 @@
                 let group = ShareGroup::Class(class.clone());
                 json!({
                     "class": class, "served": served(&group),
-                    "floor_machines": minimum_shares.of(&group),
+                    "floor_machines": minimum_shares.machines_for(&group),
                 })
             })
             .collect();
@@ -223,8 +223,8 @@
             "job": id, "owner": job.spec.team, "class": job.spec.class,
             "priority": job.spec.priority, "tasks": job.spec.tasks, "done": job.done.len(),
             "placed": job.assignments.len(), "waiting": job.waiting.len(),
-            "waits_s": self.seconds_since(job.notes.waiting_since), "why": job.notes.waiting_reason,
-            "within_guarantee": job.notes.within_guarantee, "last_stop": job.notes.last_stop,
+            "waits_s": self.seconds_since(job.scheduling.waiting_since), "why": job.scheduling.waiting_reason,
+            "within_guarantee": job.scheduling.within_guarantee, "last_stop": job.scheduling.last_stop,
             "end": job.outcome.map(|end| end.to_string()),
         })
     }
--- a/crates/controller/src/core/leader/job_objectives.rs
+++ b/crates/controller/src/core/leader/job_objectives.rs
@@ -113,7 +113,7 @@
             .filter(|objective| objective.kind == ObjectiveKind::Wait)
             .filter_map(|objective| objective.within);
         let guarantee_limits = self.guarantees.iter().copied();
-        let guarantee_limits = guarantee_limits.filter(|_| job.notes.within_guarantee);
+        let guarantee_limits = guarantee_limits.filter(|_| job.scheduling.within_guarantee);
         let not_missed = class_limits
             .chain(guarantee_limits)
             .filter(|within| *within > age);
--- a/crates/controller/src/core/leader/placement_requests.rs
+++ b/crates/controller/src/core/leader/placement_requests.rs
@@ -15,14 +15,16 @@
 
 /// Most tasks in the placement request of a job that is not a gang.
 const MAX_TASKS_PER_REQUEST: usize = 512;
-/// After how many times the patience of the policy a job that is not a gang counts as aged.
+/// After how many times the patience of the policy a job that is not a gang is due for
+/// a reservation.
 const NON_GANG_PATIENCE_FACTOR: f64 = 10.0;
 
 /// What a request is computed from, besides the job.
 struct RequestInputs<'a> {
     at: Now,
     objectives: JobObjectives<'a>,
-    /// Waiting time after which a gang counts as aged, and any job as overdue.
+    /// Waiting time after which a gang is due for a reservation, and any job
+    /// counts as overdue.
     patience: TimeSpan,
     /// How long a gang's promised start stays valid after it has passed. After that a new
     /// start is predicted: the estimates were so wrong that machines would stay idle.
@@ -51,16 +53,16 @@
         let mut requests = Vec::new();
         let waiting = self.jobs.iter_mut();
         for (id, job) in waiting.filter(|(_, job)| job.is_open() && !job.waiting.is_empty()) {
-            job.notes.waiting_since.get_or_insert(at.time);
+            job.scheduling.waiting_since.get_or_insert(at.time);
             if let Some(reason) = blocking_reason(at.time, authority, id, job) {
-                job.notes.waiting_reason = reason;
+                job.scheduling.waiting_reason = reason;
                 continue;
             }
             let Some(tasks_in_zones) = tasks_in_zones(&self.machines, job) else {
-                job.notes.waiting_reason = "the zone of one of its tasks is not known yet";
+                job.scheduling.waiting_reason = "the zone of one of its tasks is not known yet";
                 continue;
             };
-            job.notes.waiting_reason = "no room";
+            job.scheduling.waiting_reason = "no room";
             requests.push(inputs.request(id, job, tasks_in_zones));
         }
         requests
@@ -80,7 +82,7 @@
             };
             let team_needs = needs_by_team.entry(job.spec.team.clone()).or_default();
             let with_job = *team_needs + job.spec.needs().times(f64::from(job.spec.tasks));
-            job.notes.within_guarantee = share.guarantees(&with_job);
+            job.scheduling.within_guarantee = share.guarantees(&with_job);
             *team_needs = with_job;
         }
     }
@@ -95,7 +97,7 @@
     ) -> PlacementRequest {
         let spec = &job.spec;
         let waited_longer_than = |span: TimeSpan| {
-            let since = job.notes.waiting_since;
+            let since = job.scheduling.waiting_since;
             since.is_some_and(|since| self.at.time.since(since) > span)
         };
         let aged_after = if job.is_gang() {
@@ -113,7 +115,7 @@
             tasks: tasks_to_place(job),
             gang: spec.shape == JobShape::Gang,
             priority: spec.priority,
-            within_guarantee: job.notes.within_guarantee,
+            within_guarantee: job.scheduling.within_guarantee,
             order: self.objectives.order(self.at.wall, job),
             machine_types: spec.kinds.clone(),
             zone: spec.zone.clone(),
@@ -123,7 +125,7 @@
             spot: spec.spot,
             run_time: (spec.shape != JobShape::Service).then(|| TimeSpan::secs(spec.estimate_s)),
             start_by: self.objectives.start_by(self.at.time, self.at.wall, job),
-            aged: waited_longer_than(aged_after),
+            reservation_due: waited_longer_than(aged_after),
             // The gate for cold images in the paper (see `scheduling_cycle`) has no time
             // limit: during a stream of urgent starts a cold fetch would wait for ever,
             // although machines have room. And where all machines are quarantined, a
@@ -131,14 +133,14 @@
             overdue: waited_longer_than(self.patience)
                 && failpoints::enforced(SafetyCheck::AgedWorkSkipsPreferences),
             promised_start: job
-                .notes
+                .scheduling
                 .promised_start
                 .filter(|promised| self.at.time <= *promised + self.promise_slack),
             held_back_too_long: job
-                .notes
+                .scheduling
                 .held_back_since
                 .is_some_and(|since| self.at.time.since(since) >= self.held_back_limit),
-            avoid: job.notes.failed_on.clone(),
+            avoid: job.scheduling.failed_on.clone(),
         }
     }
 }
@@ -166,7 +168,7 @@
     if authority.is_reported_cancelled(id) {
         return Some("it is cancelled, as a peer says");
     }
-    if now < job.notes.not_before {
+    if now < job.scheduling.not_before {
         return Some("it failed lately");
     }
     if job.is_gang() && !job.assignments.is_empty() {
--- a/crates/controller/src/core/leader/preemption_search.rs
+++ b/crates/controller/src/core/leader/preemption_search.rs
@@ -6,7 +6,7 @@
 use crate::core::assignment::{Assignment, AssignmentPhase};
 use crate::core::job_records::Job;
 use crate::core::placement_tables::MachineRow;
-use crate::core::preemption::{self, Eviction, Victim, Victims};
+use crate::core::preemption::{self, PreemptionPlan, Victim, Victims};
 use crate::core::quota::ReclaimLimits;
 use crate::core::scheduling_cycle::{PlacementRequest, SchedulingCycle};
 use crate::settings::ObjectiveKind;
@@ -104,11 +104,11 @@
         cluster: &ClusterState,
         cycle: &mut SchedulingCycle<'_>,
         request: &mut PlacementRequest,
-    ) -> Option<Eviction> {
+    ) -> Option<PreemptionPlan> {
         let candidates = self
             .candidates
             .get_or_insert_with(|| cluster.preemption_candidates(cycle.parameters.now, cycle.rows));
-        preemption::evict(
+        preemption::find_victims(
             cycle,
             request,
             candidates,
@@ -124,7 +124,7 @@
         &mut self,
         cycle: &mut SchedulingCycle<'_>,
         request: &mut PlacementRequest,
-        eviction: Eviction,
+        eviction: PreemptionPlan,
     ) {
         let Some(candidates) = &self.candidates else {
             return;
@@ -134,7 +134,8 @@
             let victim = &candidates[index];
             cycle.rows[victim.row].free += victim.need;
             if !victim.gang || gangs.insert(&victim.job) {
-                self.limits.take(&candidates.loss(index, request));
+                self.limits
+                    .record_stopping(&candidates.reclaim_candidate(index, request));
             }
         }
         self.chosen.extend(eviction.victims);
@@ -166,7 +167,7 @@
 fn is_known_to_fail(failed: &[FailedSearch], requests: &[PlacementRequest], index: usize) -> bool {
     let request = &requests[index];
     failed.iter().any(|earlier| {
-        request.tasks.len() >= earlier.tasks && request.is_like(&requests[earlier.request])
+        request.tasks.len() >= earlier.tasks && request.is_equivalent_to(&requests[earlier.request])
     })
 }
 
@@ -205,7 +206,7 @@
                     task,
                     team: job.spec.team.clone(),
                     class: job.spec.class.clone(),
-                    machines: share,
+                    machine_fraction: share,
                     priority: job.spec.priority,
                     need: job.spec.needs(),
                     gang: job.is_gang(),
@@ -240,7 +241,7 @@
     /// class, or the guaranteed quota.
     fn has_start_objective(&self, job: &Job) -> bool {
         let mut objectives = self.settings.objectives.iter();
-        job.notes.within_guarantee
+        job.scheduling.within_guarantee
             || objectives.any(|objective| {
                 objective.kind == ObjectiveKind::Wait
                     && objective.class.as_ref() == Some(&job.spec.class)
--- a/crates/controller/src/core/leader/record_load.rs
+++ b/crates/controller/src/core/leader/record_load.rs
@@ -11,7 +11,7 @@
 use crate::core::format_version::WITH_HISTORY;
 use crate::core::format_version::chunk_progress::ChunkProgress;
 use crate::core::job_records::{
-    self, HeaderStage, JobHeader, JobOutcome, SubmissionAssembler, Watched,
+    self, HeaderStage, JobHeader, JobOutcome, SubmissionAssembler, WatchedKey,
 };
 use crate::core::leader_authority::LeaderAuthority;
 use crate::core::machine::{Machine, MachineLifecycle};
@@ -52,12 +52,14 @@
         let mut holds_leader_key = false;
         for entry in entries {
             match job_records::parse_watched_key(&entry.key) {
-                Watched::Leadership => {
+                WatchedKey::Leadership => {
                     holds_leader_key |=
                         entry.key == self.leader_key && entry.version.0 == self.token.0;
                     self.version_events.push(to_watch_event(entry));
                 }
-                Watched::Part(id, number) => records.assembler.part(id, number, &entry.value),
+                WatchedKey::SubmissionPart(id, number) => {
+                    records.assembler.add_part(id, number, &entry.value);
+                }
                 _ => {}
             }
         }
@@ -65,7 +67,7 @@
             return false;
         }
         let submitted = |entry: &Entry| match job_records::parse_watched_key(&entry.key) {
-            Watched::Job(id) => Some(id),
+            WatchedKey::Submission(id) => Some(id),
             _ => None,
         };
         records.submitted = entries.iter().filter_map(submitted).collect();
@@ -75,12 +77,12 @@
             collector.check_key(&entry.key, entry.version, is_submitted);
         }
         for entry in entries {
-            if let Watched::Job(id) = job_records::parse_watched_key(&entry.key) {
+            if let WatchedKey::Submission(id) = job_records::parse_watched_key(&entry.key) {
                 self.add_job(&mut records.assembler, &id, entry.version, &entry.value);
             }
         }
         for entry in entries {
-            if let Watched::JobOutcome(id) = job_records::parse_watched_key(&entry.key) {
+            if let WatchedKey::JobOutcome(id) = job_records::parse_watched_key(&entry.key) {
                 self.load_outcome(&id, &entry.value);
             }
         }
@@ -98,7 +100,7 @@
         if self.cluster.jobs.contains_key(id) {
             return;
         }
-        let Some(job) = assembler.job(id, version, value) else {
+        let Some(job) = assembler.assemble(id, version, value) else {
             tracing::error!(job = %id, "submission record cannot be read");
             return;
         };
@@ -157,7 +159,7 @@
         let Some(job) = self.cluster.jobs.get_mut(&id) else {
             return;
         };
-        if !ChunkProgress::is_of(&entry.value, WITH_HISTORY) {
+        if !ChunkProgress::has_form_of(&entry.value, WITH_HISTORY) {
             self.writer.outdated_chunks.insert((id.clone(), chunk));
         }
         if let Err(error) = job.load_chunk(chunk, entry.version, &entry.value) {
@@ -199,7 +201,7 @@
         let Some((id, is_drained)) = self.quarantine.load(&entry.key, &entry.value) else {
             return;
         };
-        let remaining_pause = self.quarantine.pause_left(&id, at.wall);
+        let remaining_pause = self.quarantine.remaining_pause(&id, at.wall);
         let machine = self.cluster.register_machine(at.time, &id, self.intents);
         machine.quarantined_until = remaining_pause.map(|pause| at.time + pause);
         if is_drained && machine.lifecycle == MachineLifecycle::InService {
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -6,7 +6,7 @@
 use super::record_load::RecordContext;
 use crate::core::effects::{Effects, PendingCalls};
 use crate::core::failpoints::{self, SafetyCheck};
-use crate::core::job_records::{self, HeaderStage, Job, SubmissionAssembler, Watched};
+use crate::core::job_records::{self, HeaderStage, Job, SubmissionAssembler, WatchedKey};
 use crate::core::leader_authority::LeaderAuthority;
 use crate::core::{Now, Reply, Target, keys};
 use crate::types::{FencingToken, JobId, Time, TimeSpan, Version};
@@ -106,13 +106,18 @@
             return;
         }
         let (path, timeout) = match &self.phase {
-            LoadPhase::Watched(read) => (page_path(job_records::WATCHED, read), READ_TIMEOUT),
-            LoadPhase::ProgressRecords(read) => {
-                (page_path(job_records::PROGRESS_RECORDS, read), READ_TIMEOUT)
+            LoadPhase::Watched(read) => {
+                (page_path(job_records::WATCHED_PREFIX, read), READ_TIMEOUT)
+            }
+            LoadPhase::ProgressRecords(read) => (
+                page_path(job_records::PROGRESS_RECORDS_PREFIX, read),
+                READ_TIMEOUT,
+            ),
+            LoadPhase::LeaderRecords(read) => {
+                (page_path(keys::LEADER_RECORDS_PREFIX, read), READ_TIMEOUT)
             }
-            LoadPhase::LeaderRecords(read) => (page_path(keys::LEADER_RECORDS, read), READ_TIMEOUT),
             LoadPhase::Done => {
-                let hold = authority.watch(sent);
+                let hold = authority.next_watch_hold(sent);
                 (self.changes_path(hold), hold + READ_TIMEOUT)
             }
         };
@@ -124,7 +129,7 @@
     fn changes_path(&self, hold: TimeSpan) -> String {
         format!(
             "/changes?starts={}&since={}&hold_ms={}",
-            job_records::WATCHED,
+            job_records::WATCHED_PREFIX,
             self.revision,
             hold.as_millis()
         )
@@ -145,7 +150,7 @@
             // The watcher is behind by more changes than the store keeps: the leader must
             // load everything again.
             Reply::Answer(410, _) => return LeadershipOutcome::StepDown("changes were missed"),
-            Reply::Answer(..) | Reply::NotSent | Reply::Lost => {
+            Reply::Answer(..) | Reply::NotSent | Reply::OutcomeUnknown => {
                 let jitter = effects.jitter();
                 let pause = self
                     .backoff
@@ -222,7 +227,7 @@
 
     /// Completes the load once its last page, requested at `sent`, has been applied.
     fn finish_load(&mut self, context: &mut RecordContext<'_>, sent: Time, last_revision: Version) {
-        if !failpoints::enforced(SafetyCheck::FollowsFromTheFirstPage) {
+        if !failpoints::enforced(SafetyCheck::WatchStartsAtFirstPage) {
             self.revision = last_revision;
         }
         context.authority.record_load_complete(sent);
@@ -239,8 +244,8 @@
     ) -> LeadershipOutcome {
         for event in &changes.events {
             let written = event.put.as_deref().map(job_records::parse_watched_key);
-            if let Some(Watched::Part(id, number)) = written {
-                self.assembler.part(id, number, &event.value);
+            if let Some(WatchedKey::SubmissionPart(id, number)) = written {
+                self.assembler.add_part(id, number, &event.value);
             }
         }
         for event in &changes.events {
@@ -269,18 +274,18 @@
             return LeadershipOutcome::Continue;
         };
         match job_records::parse_watched_key(key) {
-            Watched::Leadership => {
+            WatchedKey::Leadership => {
                 context.version_events.push(event.clone());
                 if key == context.leader_key && event.version.0 != context.token.0 {
                     return LeadershipOutcome::Deposed(FencingToken(event.version.0));
                 }
             }
-            Watched::Job(id) => {
+            WatchedKey::Submission(id) => {
                 context.add_job(&mut self.assembler, &id, event.version, &event.value);
                 let machines = context.cluster.machines.len();
                 context.scheduler.request_cycle(now, machines);
             }
-            Watched::JobOutcome(id) => {
+            WatchedKey::JobOutcome(id) => {
                 let header = job_records::read_record::<job_records::JobHeader>(&event.value);
                 if header.is_some_and(|header| header.stage == HeaderStage::Cancelled) {
                     context.cancel_job(now, &id);
--- a/crates/controller/src/core/leader/scheduler.rs
+++ b/crates/controller/src/core/leader/scheduler.rs
@@ -110,7 +110,10 @@
     ) -> CycleResult {
         let mut requests = cluster.placement_requests(at, authority);
         let mut rows = cluster.machine_rows(at.time);
-        if requests.iter().any(|request| request.aged && request.gang) {
+        if requests
+            .iter()
+            .any(|request| request.reservation_due && request.gang)
+        {
             cluster.predict_availability(at.time, &mut rows);
         }
         let mut teams = cluster.team_use();
@@ -131,7 +134,7 @@
         preemption.make_room(cluster, &mut cycle, &mut requests, Priority::Low);
         let starts = std::mem::take(&mut cycle.starts);
         let reservations = std::mem::take(&mut cycle.reservations);
-        let held_back = std::mem::take(&mut cycle.held_back);
+        let held_back = std::mem::take(&mut cycle.jobs_held_back);
         record_promised_starts(at.time, cluster, &requests, &reservations);
         record_held_back(at.time, cluster, &requests, &starts, &held_back);
         assign_starts(at.time, cluster, starts, &rows);
@@ -203,11 +206,11 @@
         };
         let start = starts.get(&request.job).copied();
         let promised = start.map(|start| request.promised_start.unwrap_or(start));
-        if promised.is_some() && job.notes.promised_start != promised {
+        if promised.is_some() && job.scheduling.promised_start != promised {
             let in_s = start.map(|start| start.since(now).as_secs());
             tracing::info!(job = %request.job, in_s, "machines reserved for a gang");
         }
-        job.notes.promised_start = promised;
+        job.scheduling.promised_start = promised;
     }
 }
 
@@ -227,11 +230,11 @@
             continue;
         };
         if started.contains(&request.job) {
-            job.notes.held_back_since = None;
+            job.scheduling.held_back_since = None;
         }
         if held_back.contains(&request.job) && !request.tasks.is_empty() {
-            job.notes.waiting_reason = "the room is reserved for a gang that has waited long";
-            job.notes.held_back_since.get_or_insert(now);
+            job.scheduling.waiting_reason = "the room is reserved for a gang that has waited long";
+            job.scheduling.held_back_since.get_or_insert(now);
         }
     }
 }
@@ -257,7 +260,10 @@
         let machine = rows[start.row].id.clone();
         let fetch_s = cluster.machines.get(&machine).map(|machine| {
             let image = &cluster.jobs[&task.job].spec.image;
-            machine.cache.remaining(image, now).map(TimeSpan::as_secs)
+            machine
+                .cache
+                .remaining_fetch_time(image, now)
+                .map(TimeSpan::as_secs)
         });
         tracing::debug!(task = %task, %machine, ?fetch_s, "task placed");
         cluster.place_task(now, &task, &machine, *attempt);
@@ -268,9 +274,9 @@
 fn clear_waiting_notes(cluster: &mut ClusterState) {
     let jobs = cluster.jobs.values_mut();
     for job in jobs.filter(|job| job.waiting.is_empty()) {
-        job.notes.waiting_since = None;
-        job.notes.promised_start = None;
-        job.notes.held_back_since = None;
-        job.notes.waiting_reason = "";
+        job.scheduling.waiting_since = None;
+        job.scheduling.promised_start = None;
+        job.scheduling.held_back_since = None;
+        job.scheduling.waiting_reason = "";
     }
 }
--- a/crates/controller/src/core/leader/service_levels.rs
+++ b/crates/controller/src/core/leader/service_levels.rs
@@ -4,7 +4,7 @@
 use super::arrival_recorder::{Arrival, ArrivalRecorder};
 use super::cluster_state::ClusterState;
 use crate::core::job_records::Job;
-use crate::core::quota::minimum_share::{Service, ShareGroup};
+use crate::core::quota::minimum_share::{ServiceLevel, ShareGroup};
 use crate::types::{Class, Resources, Team, TimeSpan, WallTime};
 use std::collections::BTreeMap;
 
@@ -16,15 +16,15 @@
 struct PairService<'a> {
     class: &'a Class,
     team: &'a Team,
-    service: Service,
+    service: ServiceLevel,
 }
 
 impl<'a> PairServices<'a> {
     /// The service level of a pair, inserted if missing.
-    fn entry(&mut self, class: &'a Class, team: &'a Team) -> &mut Service {
+    fn entry(&mut self, class: &'a Class, team: &'a Team) -> &mut ServiceLevel {
         let is_pair = |pair: &PairService<'_>| pair.class == class && pair.team == team;
         let index = self.0.iter().position(is_pair).unwrap_or_else(|| {
-            let service = Service::default();
+            let service = ServiceLevel::default();
             self.0.push(PairService {
                 class,
                 team,
@@ -36,10 +36,10 @@
     }
 
     /// The sums for each class and for each team.
-    fn by_group(self) -> BTreeMap<ShareGroup, Service> {
-        let mut groups: BTreeMap<ShareGroup, Service> = BTreeMap::new();
+    fn by_group(self) -> BTreeMap<ShareGroup, ServiceLevel> {
+        let mut groups: BTreeMap<ShareGroup, ServiceLevel> = BTreeMap::new();
         for pair in self.0 {
-            for group in ShareGroup::both(pair.class, pair.team) {
+            for group in ShareGroup::of_job(pair.class, pair.team) {
                 groups.entry(group).or_default().add(&pair.service);
             }
         }
@@ -55,7 +55,7 @@
         &self,
         wall: WallTime,
         arrivals: &ArrivalRecorder,
-    ) -> BTreeMap<ShareGroup, Service> {
+    ) -> BTreeMap<ShareGroup, ServiceLevel> {
         let window = TimeSpan::secs(self.policy.floor_window_s);
         let overdue_after = window.scaled(1.0 - self.policy.floor_share);
         let age = |at: WallTime| TimeSpan::millis(wall.0.saturating_sub(at.0));
@@ -74,7 +74,7 @@
             let is_recent = |arrival: &&Arrival| age(arrival.at) < window;
             for arrival in arrivals.iter().filter(is_recent) {
                 let service = pairs.entry(class, &arrival.team);
-                service.arrived += arrival.machines * arrival.run_s;
+                service.arrived_machine_seconds += arrival.machines * arrival.run_s;
             }
         }
         for job in self.jobs.values().filter(|job| job.is_open()) {
@@ -95,13 +95,14 @@
 
 /// Adds the machines that an open job uses, and its waiting work if the job is overdue. Tasks
 /// that are being stopped are not counted.
-fn add_job(service: &mut Service, job: &Job, machine: &Resources, is_overdue: bool) {
+fn add_job(service: &mut ServiceLevel, job: &Job, machine: &Resources, is_overdue: bool) {
     let machines_per_task = job.spec.needs().share_of(machine);
     let assignments = job.assignments.values();
     let remaining = assignments.filter(|a| a.stop.is_none()).count();
-    service.used += remaining as f64 * machines_per_task;
+    service.used_machines += remaining as f64 * machines_per_task;
     if is_overdue {
-        service.overdue += f64::from(job.waiting.len()) * machines_per_task * job.spec.estimate_s;
+        service.overdue_machine_seconds +=
+            f64::from(job.waiting.len()) * machines_per_task * job.spec.estimate_s;
         service.priority = service.priority.max(Some(job.spec.priority));
     }
 }
--- a/crates/controller/src/core/leader/status_broadcast.rs
+++ b/crates/controller/src/core/leader/status_broadcast.rs
@@ -83,11 +83,14 @@
     /// Images whose fetch time changed since the last call, with that time in milliseconds.
     pub fn changed_fetch_times(&mut self, cluster: &ClusterState) -> Vec<(Image, u64)> {
         let sent = &mut self.sent_fetch_times;
-        let changed = cluster.fetch_estimates.all().filter_map(|(image, took)| {
-            let took_ms = took.as_millis();
-            let is_changed = sent.get(image) != Some(&took_ms);
-            is_changed.then(|| (image.clone(), took_ms))
-        });
+        let changed = cluster
+            .fetch_estimates
+            .recorded()
+            .filter_map(|(image, took)| {
+                let took_ms = took.as_millis();
+                let is_changed = sent.get(image) != Some(&took_ms);
+                is_changed.then(|| (image.clone(), took_ms))
+            });
         let changed: Vec<(Image, u64)> = changed.take(MAX_FETCH_TIMES_PER_CALL).collect();
         sent.extend(changed.iter().cloned());
         changed
@@ -127,7 +130,7 @@
             .or_insert_with(|| Machine::new(now));
         for (image, gb) in images {
             // An entry that this leader already has is newer.
-            if machine.cache.remaining(image, now).is_none() {
+            if machine.cache.remaining_fetch_time(image, now).is_none() {
                 machine.cache.record_fetched(image, *gb, now, f64::INFINITY);
             }
         }
--- a/crates/controller/src/core/leader/task_completion.rs
+++ b/crates/controller/src/core/leader/task_completion.rs
@@ -95,7 +95,7 @@
             }
             StopReason::NoRoom | StopReason::Busy => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.notes.not_before = now + NO_ROOM_PAUSE;
+                    job.scheduling.not_before = now + NO_ROOM_PAUSE;
                 }
             }
             StopReason::Done | StopReason::Stopped | StopReason::Peers | StopReason::Alone => {}
@@ -203,7 +203,7 @@
             };
             tracing::info!(machine = %id, %reason, tasks = machine.tasks.len(), "machine presumed dead");
             machine.presumed_dead = true;
-            machine.has_our_token = false;
+            machine.has_current_token = false;
             machine.cache.clear();
             let id = id.clone();
             expired.push(ExpiredMachine { id, reason });
@@ -251,12 +251,12 @@
 /// must not exhaust the machines: only its latest few failures exclude machines for it,
 /// and a single job never makes a machine suspect.
 fn back_off(now: Time, job: &mut Job, id: &MachineId) {
-    job.notes.failures += 1;
-    let exponent = job.notes.failures.min(MAX_BACKOFF_EXPONENT);
-    job.notes.not_before = now + TimeSpan::secs(f64::from(1 << exponent) / 2.0);
-    job.notes.failed_on.insert(id.clone());
-    if job.notes.failed_on.len() > MAX_FAILED_MACHINES_PER_JOB {
-        job.notes.failed_on.clear();
+    job.scheduling.failures += 1;
+    let exponent = job.scheduling.failures.min(MAX_BACKOFF_EXPONENT);
+    job.scheduling.not_before = now + TimeSpan::secs(f64::from(1 << exponent) / 2.0);
+    job.scheduling.failed_on.insert(id.clone());
+    if job.scheduling.failed_on.len() > MAX_FAILED_MACHINES_PER_JOB {
+        job.scheduling.failed_on.clear();
     }
 }
 
@@ -271,12 +271,12 @@
     if machine.listed_as_failed() {
         return Some(RemovalReason::MachineFailed);
     }
-    let lease = if failpoints::enforced(SafetyCheck::LeaseExpiryBeforeGivingUp) {
+    let lease = if failpoints::enforced(SafetyCheck::AbandonOnlyAfterLeaseExpiry) {
         lease.scaled(LEASE_DRIFT_FACTOR) + LEASE_SLACK
     } else {
         TimeSpan::secs(3.0)
     };
-    let (due, reason) = if let Some(since) = machine.our_token_since {
+    let (due, reason) = if let Some(since) = machine.current_token_since {
         // An agent that has received this leader's token drops the answers of older
         // leaders, so that only this leader renews the agent's lease. Before that, an
         // older leader may have renewed it: a direct command can deliver the token
--- a/crates/controller/src/core/leader/task_lifecycle.rs
+++ b/crates/controller/src/core/leader/task_lifecycle.rs
@@ -48,7 +48,7 @@
     /// The cloud lists the machine as failed.
     MachineFailed,
     /// The cloud has terminated the machine.
-    MachineReleased,
+    MachineTerminated,
 }
 
 impl fmt::Display for RemovalReason {
@@ -65,7 +65,7 @@
             RemovalReason::LeaseExpired => "lease expired",
             RemovalReason::SilentSincePreviousLeader => "silent since before this leader",
             RemovalReason::MachineFailed => "machine listed as failed",
-            RemovalReason::MachineReleased => "machine terminated",
+            RemovalReason::MachineTerminated => "machine terminated",
         })
     }
 }
@@ -80,7 +80,10 @@
             return;
         };
         let spec = job.spec.clone();
-        let cached = machine.cache.remaining(&spec.image, now).is_some();
+        let cached = machine
+            .cache
+            .remaining_fetch_time(&spec.image, now)
+            .is_some();
         let machine_type = machine.machine_type.as_ref();
         let fetch_rate = machine_type
             .and_then(|name| self.machine_types.get(name))
@@ -125,7 +128,7 @@
             return;
         }
         job.waiting.remove(task.index);
-        job.notes.failures = 0;
+        job.scheduling.failures = 0;
         let change = job.record_change(self.chunk_size, task.index);
         job.unstored_done.insert(task.index, change);
         let chunk = (task.job.clone(), self.chunk_size.of(task.index));
@@ -228,7 +231,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.notes.last_stop = Some(why);
+        job.scheduling.last_stop = Some(why);
         let mut unsent = Vec::new();
         for &index in tasks {
             let task = TaskId {
@@ -277,7 +280,7 @@
         let is_stored_first = durability == StopDurability::StoredBeforeSent;
         assignment.stop = Some(Stop {
             grace_s,
-            at: now,
+            decided_at: now,
             change: change.filter(|_| is_stored_first),
         });
         if is_stored_first && failpoints::enforced(SafetyCheck::StopsAreStored) {
--- a/crates/controller/src/core/leader/task_reconciliation.rs
+++ b/crates/controller/src/core/leader/task_reconciliation.rs
@@ -244,11 +244,11 @@
         image_gb: f64,
         fetch_began: Option<Time>,
     ) {
-        let room_gb = self.cache_room_gb(id);
+        let room_gb = self.cache_capacity_gb(id);
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        if machine.cache.remaining(image, now) == Some(TimeSpan::ZERO) {
+        if machine.cache.remaining_fetch_time(image, now) == Some(TimeSpan::ZERO) {
             return;
         }
         machine.cache.record_fetched(image, image_gb, now, room_gb);
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -38,7 +38,10 @@
     }
     assert!(leader.is_loaded());
     let now = Time(0) + TimeSpan::secs(t);
-    let (answers, starts) = (leader.may_answer(now), leader.may_start(now));
+    let (answers, starts) = (
+        leader.may_answer_heartbeats(now),
+        leader.may_start_tasks(now),
+    );
     (leader.authority.age(now).as_secs(), answers, starts)
 }
 
@@ -50,7 +53,7 @@
     assert_eq!(authority_after_load(0.1), (0.3, true, true));
     let (age, answers, starts) = authority_after_load(20.0);
     assert!(age > 59.0 && !answers && !starts);
-    disable_check(&[SafetyCheck::LoadIsAsOldAsItsFirstRead]);
+    disable_check(&[SafetyCheck::LoadAgeCountsFromFirstRead]);
     let (_, answers, _) = authority_after_load(20.0);
     disable_check(&[]);
     assert!(answers, "a load that takes too long must be detected");
@@ -70,7 +73,7 @@
         version: Version(8),
     };
     leader
-        .records()
+        .record_parts()
         .context
         .load_progress_records(Time(0), &submitted, vec![record]);
     leader
@@ -87,7 +90,7 @@
         let m = leader
             .cluster
             .register_machine(Time(0), &id, &leader.autoscaler.intents);
-        (m.has_our_token, m.epoch) = (true, crate::types::AgentEpoch(1));
+        (m.has_current_token, m.epoch) = (true, crate::types::AgentEpoch(1));
         let task = ReportedTaskState {
             name: "wk-1/1".into(),
             attempt: Attempt(1),
@@ -118,7 +121,7 @@
         )
     };
     assert_eq!(load_and_act(unknown_format.clone()), (false, false, 3.0));
-    disable_check(&[SafetyCheck::UnreadableIsLeftAlone]);
+    disable_check(&[SafetyCheck::UnreadableJobIsNotWritten]);
     let without_check = load_and_act(unknown_format);
     disable_check(&[]);
     assert_eq!(without_check, (true, true, 0.0));
--- a/crates/controller/src/core/leader/transaction_contents.rs
+++ b/crates/controller/src/core/leader/transaction_contents.rs
@@ -17,7 +17,7 @@
     builder: &mut TransactionBuilder,
     pending_writes: &mut PendingWrites,
 ) {
-    for (key, value) in pending_writes.take_puts(builder.room() / 2) {
+    for (key, value) in pending_writes.take_puts(builder.remaining_operations() / 2) {
         let op = Operation::Put {
             key: key.clone(),
             value: value.clone(),
@@ -63,8 +63,8 @@
 ) {
     let dirty_chunks = &mut cluster.unwritten.dirty_chunks;
     // Some chunks need no writing any more, so twice as many as fit are examined.
-    for due in dirty_chunks.due(now, builder.room() * 2) {
-        if builder.room() == 0 {
+    for due in dirty_chunks.due(now, builder.remaining_operations() * 2) {
+        if builder.remaining_operations() == 0 {
             break;
         }
         let (id, chunk) = due.clone();
@@ -72,9 +72,9 @@
         // unreadable record are not written.
         let job = cluster.jobs.get(&id);
         let job = job.filter(|job| job.is_open() && !job.unreadable);
-        let state = job.and_then(|job| Some((job, job.chunks.get(&chunk)?.change)));
+        let state = job.and_then(|job| Some((job, job.chunks.get(&chunk)?.last_change)));
         let Some((job, change)) = state else {
-            dirty_chunks.forget(&due);
+            dirty_chunks.remove(&due);
             continue;
         };
         let write = job.write_chunk(cluster.chunk_size, chunk, format);
@@ -86,7 +86,7 @@
         if !builder.add(item, write) {
             break;
         }
-        dirty_chunks.forget(&due);
+        dirty_chunks.remove(&due);
     }
 }
 
@@ -94,7 +94,7 @@
 /// as fit are examined.
 pub(super) fn add_job_deletions(builder: &mut TransactionBuilder, cluster: &mut ClusterState) {
     let mut postponed = None;
-    while builder.room() > 1
+    while builder.remaining_operations() > 1
         && let Some(id) = cluster.unwritten.jobs_to_delete.pop_first()
     {
         let Some(job) = cluster.jobs.get(&id) else {
@@ -109,7 +109,7 @@
         if !is_outcome_stored || !job.assignments.is_empty() {
             continue;
         }
-        let (ops, is_last) = job.delete_records(builder.room());
+        let (ops, is_last) = job.delete_records(builder.remaining_operations());
         let item = CommitItem::DeleteRecords(id.clone(), is_last);
         if ops.is_empty() || !builder.add(item, ops.into()) {
             postponed = Some(id);
@@ -124,7 +124,11 @@
     builder: &mut TransactionBuilder,
     pending_writes: &mut PendingWrites,
 ) {
-    for key in pending_writes.take_deletes(builder.room().min(MAX_SETTLED_INTENT_DELETES)) {
+    for key in pending_writes.take_deletes(
+        builder
+            .remaining_operations()
+            .min(MAX_SETTLED_INTENT_DELETES),
+    ) {
         let op = Operation::Delete { key: key.clone() };
         builder.add(CommitItem::LeaderRecord(key, None), vec![op].into());
     }
--- a/crates/controller/src/core/leader_announcement.rs
+++ b/crates/controller/src/core/leader_announcement.rs
@@ -45,7 +45,7 @@
     /// When announcements end.
     ends_at: Time,
     /// Announcements sent so far.
-    pub announced: u64,
+    pub announced_total: u64,
 }
 
 impl LeaderAnnouncer {
@@ -62,7 +62,7 @@
             credit: 0.0,
             credit_at: now,
             ends_at,
-            announced: 0,
+            announced_total: 0,
         }
     }
 
@@ -78,10 +78,11 @@
         }
     }
 
-    /// Removes and returns the machines whose agents get the announcement now. `machines`
-    /// is the number of all machines that the leader tracks, which sets the rate.
-    pub fn take_due(&mut self, now: Time, machines: usize) -> Vec<MachineId> {
-        let rate = (machines as f64 / TARGET_DURATION_S).clamp(MIN_PER_SECOND, MAX_PER_SECOND);
+    /// Removes and returns the machines whose agents get the announcement now.
+    /// `machine_count` is the number of all machines that the leader tracks, which sets the
+    /// rate.
+    pub fn take_due(&mut self, now: Time, machine_count: usize) -> Vec<MachineId> {
+        let rate = (machine_count as f64 / TARGET_DURATION_S).clamp(MIN_PER_SECOND, MAX_PER_SECOND);
         let elapsed = now.since(self.credit_at).as_secs();
         self.credit_at = now;
         // Credit is capped, since accumulated credit would allow a large burst.
@@ -97,7 +98,7 @@
             self.credit -= 1.0;
             due.push(machine);
         }
-        self.announced += due.len() as u64;
+        self.announced_total += due.len() as u64;
         due
     }
 }
--- a/crates/controller/src/core/leader_authority.rs
+++ b/crates/controller/src/core/leader_authority.rs
@@ -83,7 +83,7 @@
     /// For how long after a failover the answers of an earlier leader may keep alive
     /// the tasks on a machine that sends no heartbeats to this leader.
     pub fn earlier_leader_window(&self) -> TimeSpan {
-        match failpoints::enforced(SafetyCheck::EarlierLeadersAnswersCount) {
+        match failpoints::enforced(SafetyCheck::EarlierLeadersAnswersExtendLeases) {
             true => self.hold + self.lease,
             false => TimeSpan::ZERO,
         }
@@ -92,7 +92,7 @@
     /// How long the store may hold the leader's watch open. Contact must be younger than
     /// H most of the time; otherwise the leader refuses heartbeats although the key-value
     /// store is healthy.
-    pub fn watch(&self) -> TimeSpan {
+    pub fn max_watch_hold(&self) -> TimeSpan {
         self.hold.scaled(WATCH_SHARE_OF_HOLD).min(MAX_WATCH)
     }
 }
@@ -133,7 +133,7 @@
     /// the pages, however recent the last page is.
     pub fn record_load_complete(&mut self, sent: Time) {
         self.loaded = true;
-        self.last_contact = match failpoints::enforced(SafetyCheck::LoadIsAsOldAsItsFirstRead) {
+        self.last_contact = match failpoints::enforced(SafetyCheck::LoadAgeCountsFromFirstRead) {
             true => self.load_started_at.unwrap_or(sent),
             false => sent,
         };
@@ -165,28 +165,28 @@
     }
 
     /// Whether the leader may answer heartbeats.
-    pub fn may_answer(&self, now: Time) -> bool {
+    pub fn may_answer_heartbeats(&self, now: Time) -> bool {
         let within_hold =
             self.age(now) < self.bounds.hold || !failpoints::enforced(SafetyCheck::BoundedHold);
         self.loaded && within_hold
     }
 
     /// Whether the leader may start tasks.
-    pub fn may_start(&self, now: Time) -> bool {
+    pub fn may_start_tasks(&self, now: Time) -> bool {
         self.loaded && self.age(now) < MAX_CONTACT_AGE_TO_START
     }
 
     /// How long the store may hold the next read open. Without recent contact the read
     /// must return immediately.
-    pub fn watch(&self, now: Time) -> TimeSpan {
-        match self.may_start(now) {
-            true => self.bounds.watch(),
+    pub fn next_watch_hold(&self, now: Time) -> TimeSpan {
+        match self.may_start_tasks(now) {
+            true => self.bounds.max_watch_hold(),
             false => TimeSpan::ZERO,
         }
     }
 
     /// For how long after a failover the answers of earlier leaders may keep tasks alive.
-    pub fn inherited(&self) -> TimeSpan {
+    pub fn earlier_leader_window(&self) -> TimeSpan {
         self.bounds.earlier_leader_window()
     }
 
--- a/crates/controller/src/core/leader_authority/tests.rs
+++ b/crates/controller/src/core/leader_authority/tests.rs
@@ -36,7 +36,8 @@
         );
         // The answer to a read that is held open for the maximum time is still in time.
         assert!(
-            bounds.watch() < bounds.hold().scaled(0.5) && bounds.watch() >= TimeSpan::millis(100)
+            bounds.max_watch_hold() < bounds.hold().scaled(0.5)
+                && bounds.max_watch_hold() >= TimeSpan::millis(100)
         );
         // Tasks that an earlier leader kept alive have ended before they are presumed
         // to have ended.
@@ -56,9 +57,9 @@
     let late = TimeSpan::millis(300);
     for _ in 0..20 {
         let sent = authority.last_contact() + late;
-        let answered = sent + authority.watch(sent) + late;
+        let answered = sent + authority.next_watch_hold(sent) + late;
         assert!(
-            authority.may_answer(answered),
+            authority.may_answer_heartbeats(answered),
             "{:?}",
             authority.age(answered)
         );
@@ -76,28 +77,31 @@
             overrun > 0.0 && overrun + cancel < 22.0 * 1.001 + 3.6,
             "{overrun}"
         );
-        assert!(bounds.watch() <= TimeSpan::millis(500) && bounds.hold() == TimeSpan::millis(1500));
+        assert!(
+            bounds.max_watch_hold() <= TimeSpan::millis(500)
+                && bounds.hold() == TimeSpan::millis(1500)
+        );
     }
 }
 
 #[test]
 fn only_processed_reads_count_as_contact() {
     let mut authority = LeaderAuthority::new(AuthorityBounds::new(&times(10.0, 40.0)), at(0.0));
-    assert!(!authority.may_answer(at(0.1)) && !authority.may_start(at(0.1)));
+    assert!(!authority.may_answer_heartbeats(at(0.1)) && !authority.may_start_tasks(at(0.1)));
     authority.record_load_page(at(0.0));
     authority.record_load_page(at(30.0));
     // Neither a page nor, before the load is complete, a read of changes counts.
     authority.record_read(at(30.0));
-    assert!(!authority.may_answer(at(30.0)));
+    assert!(!authority.may_answer_heartbeats(at(30.0)));
     authority.record_load_complete(at(60.0));
     assert_eq!(
         authority.last_contact(),
         at(0.0),
         "contact is as old as the first page"
     );
-    assert!(!authority.may_answer(at(60.0)));
+    assert!(!authority.may_answer_heartbeats(at(60.0)));
     authority.record_read(at(60.5));
-    assert!(authority.may_answer(at(60.6)));
+    assert!(authority.may_answer_heartbeats(at(60.6)));
     // Answers arrive in any order.
     authority.record_read(at(59.0));
     assert_eq!(authority.last_contact(), at(60.5));
@@ -108,15 +112,18 @@
     let hold = AuthorityBounds::new(&times(10.0, 40.0)).hold();
     let authority = loaded();
     let late = authority.last_contact() + hold;
-    assert!(authority.may_answer(late - TimeSpan(1)) && !authority.may_answer(late));
+    assert!(
+        authority.may_answer_heartbeats(late - TimeSpan(1))
+            && !authority.may_answer_heartbeats(late)
+    );
     disable_check(&[SafetyCheck::BoundedHold]);
-    let unbounded = authority.may_answer(late);
+    let unbounded = authority.may_answer_heartbeats(late);
     disable_check(&[]);
     assert!(unbounded, "disabling the check made no difference");
-    assert!(authority.may_start(at(3.9)) && !authority.may_start(at(4.1)));
+    assert!(authority.may_start_tasks(at(3.9)) && !authority.may_start_tasks(at(4.1)));
     // Without recent contact the read of changes must return immediately.
-    assert_eq!(authority.watch(at(1.0)), TimeSpan::millis(1000));
-    assert_eq!(authority.watch(at(5.0)), TimeSpan::ZERO);
+    assert_eq!(authority.next_watch_hold(at(1.0)), TimeSpan::millis(1000));
+    assert_eq!(authority.next_watch_hold(at(5.0)), TimeSpan::ZERO);
 }
 
 // A peer's report stops a job's tasks. If the report counted as proof, or were never
--- a/crates/controller/src/core/machine.rs
+++ b/crates/controller/src/core/machine.rs
@@ -43,9 +43,9 @@
     /// lease; `None`: never.
     pub last_answer: Option<Time>,
     /// Whether the newest heartbeat carried this leader's fencing token.
-    pub has_our_token: bool,
+    pub has_current_token: bool,
     /// When the first heartbeat with this leader's token arrived.
-    pub our_token_since: Option<Time>,
+    pub current_token_since: Option<Time>,
     /// Whether the agent receives the answers to its heartbeats.
     pub delivery: DeliveryMonitor,
     /// Resources of tasks that run on the machine without an assignment to it.
@@ -53,7 +53,7 @@
     /// When the cloud terminates the machine, if it has announced that.
     pub termination_notice_at: Option<Time>,
     /// The machine's state and age in the cloud's last list that contained it.
-    pub listed: Option<(MachineStage, TimeSpan)>,
+    pub cloud_listing: Option<(MachineStage, TimeSpan)>,
     /// When a list of the cloud last contained the machine.
     pub last_listed: Option<Time>,
     /// When this leader first received any information about the machine.
@@ -93,12 +93,12 @@
             sequence: HeartbeatSequence(0),
             last_heartbeat: None,
             last_answer: None,
-            has_our_token: false,
-            our_token_since: None,
+            has_current_token: false,
+            current_token_since: None,
             delivery: DeliveryMonitor::default(),
             unrecorded_usage: Resources::default(),
             termination_notice_at: None,
-            listed: None,
+            cloud_listing: None,
             last_listed: None,
             first_seen: now,
             presumed_dead: false,
@@ -115,9 +115,9 @@
     }
 
     /// Marks the machine for termination. The first reason given remains.
-    pub fn mark_for_termination(&mut self, why: &'static str) {
+    pub fn mark_for_termination(&mut self, reason: &'static str) {
         if self.lifecycle != MachineLifecycle::Terminating {
-            (self.lifecycle, self.termination_reason) = (MachineLifecycle::Terminating, why);
+            (self.lifecycle, self.termination_reason) = (MachineLifecycle::Terminating, reason);
         }
     }
 
@@ -141,7 +141,7 @@
 
     /// Whether the cloud's list shows the machine as failed.
     pub fn listed_as_failed(&self) -> bool {
-        matches!(self.listed, Some((MachineStage::Failed, _)))
+        matches!(self.cloud_listing, Some((MachineStage::Failed, _)))
     }
 
     /// Whether the machine is quarantined.
@@ -158,7 +158,7 @@
     /// Whether new tasks may be assigned to the machine if no other machine fits: the
     /// machine is healthy now, even if it is quarantined for earlier failures.
     pub fn is_healthy(&self, now: Time, silence: TimeSpan) -> bool {
-        self.has_our_token
+        self.has_current_token
             && self.delivery.answers_arrive()
             && !self.presumed_dead
             && self.lifecycle == MachineLifecycle::InService
--- a/crates/controller/src/core/node.rs
+++ b/crates/controller/src/core/node.rs
@@ -183,7 +183,7 @@
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
         self.effects.now = now;
         self.last_store_answer.get_or_insert(now.time);
-        self.effects.version_fence = self.election.member_versions.fence();
+        self.effects.version_fence = self.election.member_versions.version_fence();
         match input {
             Input::Tick => self.tick(),
             Input::Request(id, listener, request) => self.handle_request(id, listener, request),
@@ -206,7 +206,7 @@
         self.election.tick(&mut self.effects);
         if let Some(leader) = &mut self.leader {
             self.election
-                .keep_lease_alive(&mut self.effects, leader.lease, leader.token);
+                .keep_lease_alive(&mut self.effects, leader.lease_id, leader.token);
             leader.tick(&mut self.effects);
         }
         self.job_api.send_shared_read(&mut self.effects);
@@ -217,7 +217,7 @@
             self.advance_format_version();
         }
         self.read_machine_types_if_due();
-        self.effects.forget_abandoned_requests();
+        self.effects.drop_abandoned_requests();
     }
 
     fn begin_shutdown(&mut self) {
@@ -226,7 +226,7 @@
     }
 
     fn handle_lease_expiry(&mut self, lease: u64) {
-        if self.leader.as_ref().is_some_and(|l| l.lease == lease) {
+        if self.leader.as_ref().is_some_and(|l| l.lease_id == lease) {
             self.end_leadership(LeadershipOutcome::StepDown("the lease expired"));
         }
     }
@@ -235,7 +235,7 @@
 /// Queries by the driver and the simulator.
 impl Node {
     /// Whether this controller leads and has loaded all records from the key-value store.
-    pub fn leads(&self) -> bool {
+    pub fn is_loaded_leader(&self) -> bool {
         self.leader.as_ref().is_some_and(Leader::is_loaded)
     }
 
@@ -271,14 +271,16 @@
 
     /// The number of machines that this leader tracks, and how many of them have sent it
     /// a heartbeat under its fencing token. `None` if this controller does not lead.
-    pub fn machine_counts(&self) -> Option<(usize, usize)> {
+    pub fn reporting_machine_counts(&self) -> Option<(usize, usize)> {
         self.leader.as_ref().map(Leader::count_reporting_machines)
     }
 
     /// Whether this controller leads and tracks the machine. The simulator counts
     /// machines that no controller tracks.
-    pub fn knows_machine(&self, machine: &MachineId) -> bool {
-        self.leader.as_ref().is_some_and(|l| l.knows(machine))
+    pub fn tracks_machine(&self, machine: &MachineId) -> bool {
+        self.leader
+            .as_ref()
+            .is_some_and(|l| l.tracks_machine(machine))
     }
 }
 
--- a/crates/controller/src/core/node/cloud_proxy.rs
+++ b/crates/controller/src/core/node/cloud_proxy.rs
@@ -50,7 +50,7 @@
                 self.effects.answer(id, answer);
             }
             Reply::NotSent => self.effects.answer_status(id, BAD_GATEWAY),
-            Reply::Lost => self.effects.answer_status(id, GATEWAY_TIMEOUT),
+            Reply::OutcomeUnknown => self.effects.answer_status(id, GATEWAY_TIMEOUT),
         }
     }
 }
--- a/crates/controller/src/core/node/format_version.rs
+++ b/crates/controller/src/core/node/format_version.rs
@@ -45,7 +45,7 @@
         }
         let is_rewritten = leader.is_rewritten();
         let holder = Precondition {
-            key: leader.holder.into(),
+            key: leader.leader_key.into(),
             version: Version(leader.token.0),
         };
         let token = leader.token;
@@ -138,7 +138,7 @@
         };
         self.election
             .member_versions
-            .activated(version, response.revision);
+            .record_activation(version, response.revision);
         if let Some(leader) = &mut self.leader {
             leader.format_version = version;
         }
--- a/crates/controller/src/core/node/inspect.rs
+++ b/crates/controller/src/core/node/inspect.rs
@@ -25,7 +25,7 @@
             "zone": self.settings.zone,
             "ready": self.is_ready(),
             "state_ok": self.is_store_reachable(),
-            "leads": self.leads(),
+            "leads": self.is_loaded_leader(),
             "standing": self.election.state.to_string(),
             "leader": leader.map(|(node_id, _)| node_id),
             "late_share": self.self_health.late_share,
--- a/crates/controller/src/core/node/leader_supervision.rs
+++ b/crates/controller/src/core/node/leader_supervision.rs
@@ -39,7 +39,7 @@
             Action::Investigate(suspicion) => self.investigate_leader(&leader, token, suspicion),
             Action::ReplaceLeader(token, suspicion) => {
                 tracing::info!(%leader, %token, ?suspicion, "replacing suspected leader");
-                self.election.challenge(Version(token.0));
+                self.election.claim_from_leader(Version(token.0));
             }
         }
     }
@@ -111,7 +111,7 @@
             node_id: self.settings.node_id.clone(),
             token: query.token,
             agrees: self.is_serving()
-                && detector.confirms(now, query.token, suspicion, store_reachable),
+                && detector.confirms_suspicion(now, query.token, suspicion, store_reachable),
             came: detector.recent_agent_migrations(now),
         };
         self.effects.answer_body(id, wire::encode(&report));
@@ -125,7 +125,7 @@
         }
         let outcome = match reply {
             Reply::Answer(..) => ProbeOutcome::Answered,
-            Reply::NotSent | Reply::Lost => {
+            Reply::NotSent | Reply::OutcomeUnknown => {
                 if now.since(sent) >= PROBE_TIMEOUT.scaled(MIN_TIMED_OUT_SHARE) {
                     ProbeOutcome::TimedOut
                 } else {
@@ -144,7 +144,7 @@
         };
         let mut peers = self.settings.peers.iter();
         if peers.any(|peer| peer.node_id == report.node_id) {
-            self.failure_detector.record_peer_report(
+            self.failure_detector.record_peer_answer(
                 report.node_id,
                 report.token,
                 report.agrees,
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -41,16 +41,16 @@
         };
         previous.drop_deferred_heartbeats(&mut self.effects);
         self.election
-            .release_lease(&mut self.effects, previous.lease, previous.token);
+            .release_lease(&mut self.effects, previous.lease_id, previous.token);
         self.election.restart_keep_alive();
     }
 
     fn new_leader(&self, token: FencingToken, lease: u64) -> Leader {
         let no_types = MachineTypes::default();
         let term = LeaderTerm {
-            holder: self.election.holder_key(),
+            leader_key: self.election.holder_key(),
             token,
-            lease,
+            lease_id: lease,
             format_version: self.election.member_versions.active_version(),
         };
         Leader::new(
@@ -103,7 +103,7 @@
             LeadershipOutcome::Continue => {}
         }
         self.election
-            .release_lease(&mut self.effects, leader.lease, token);
+            .release_lease(&mut self.effects, leader.lease_id, token);
         self.election.reset(self.effects.now.time);
     }
 }
--- a/crates/controller/src/core/node/leadership_transfer.rs
+++ b/crates/controller/src/core/node/leadership_transfer.rs
@@ -84,7 +84,7 @@
         let Some(LeadershipTransfer { token }) = wire::decode(body) else {
             return self.effects.answer_status(id, 400);
         };
-        self.election.challenge(Version(token.0));
+        self.election.claim_from_leader(Version(token.0));
         self.election.tick(&mut self.effects);
         self.effects.answer_status(id, 200);
     }
--- a/crates/controller/src/core/node/machine_type_cache.rs
+++ b/crates/controller/src/core/node/machine_type_cache.rs
@@ -23,7 +23,7 @@
             return;
         }
         self.is_reading_machine_types = true;
-        let prefix = job_records::MACHINE_TYPES;
+        let prefix = job_records::MACHINE_TYPES_KEY;
         let path = format!("/keys?starts={prefix}/&most={MAX_KEYS_PER_READ}");
         let call = self
             .effects
@@ -68,14 +68,14 @@
             .enumerate()
             .take(limits.txn_ops)
             .map(|(i, chunk)| Operation::Put {
-                key: format!("{}/{i:03}", job_records::MACHINE_TYPES),
+                key: format!("{}/{i:03}", job_records::MACHINE_TYPES_KEY),
                 value: serde_json::to_value(chunk).unwrap_or_default(),
                 lease: None,
             })
             .collect();
         let txn = Transaction {
             conditions: vec![Precondition {
-                key: leader.holder.into(),
+                key: leader.leader_key.into(),
                 version: Version(leader.token.0),
             }],
             ops,
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -67,7 +67,7 @@
             node_id: self.settings.node_id.clone(),
             token,
             leads: self.leader.is_some(),
-            loaded: self.leads() || self.peers.values().any(is_loaded_leader),
+            loaded: self.is_loaded_leader() || self.peers.values().any(is_loaded_leader),
             cancelled: self.cancellations.newest(),
             state_ok: self.is_store_reachable(),
             strained: self.self_health.is_overloaded || self.shutdown_since.is_some(),
@@ -88,7 +88,7 @@
         self.cancellations.remove_expired(now);
         for job in std::mem::take(&mut self.job_api.confirmed_cancellations) {
             if let Some(leader) = &mut self.leader {
-                leader.record_announced_cancellation(now, &job);
+                leader.record_peer_cancellation(now, &job);
             }
             self.cancellations.add(job, now);
             let soonest = self.last_peer_heartbeat + MIN_HEARTBEAT_INTERVAL;
@@ -102,12 +102,12 @@
         let counts = leader.map(|l| l.changed_counts(MAX_COUNTS_PER_HEARTBEAT));
         let mut heartbeat = self.own_heartbeat(counts.unwrap_or_default());
         if let Some(leader) = &mut self.leader {
-            let known = self.cache_hints.take_known(|id| leader.knows(id));
+            let known = self.cache_hints.take_known(|id| leader.tracks_machine(id));
             for (machine, images) in known {
                 leader.inherit_cache(self.effects.now.time, &machine, &images);
             }
             heartbeat.caches = leader.changed_caches();
-            heartbeat.fetches = leader.changed_fetches();
+            heartbeat.fetches = leader.changed_fetch_times();
         }
         let body = wire::encode(&heartbeat);
         for peer in &self.settings.peers {
@@ -136,7 +136,7 @@
         if self.unreached_peers.remove(&peer)
             && let Some(leader) = &mut self.leader
         {
-            leader.restart_broadcast();
+            leader.resend_everything();
         }
     }
 
@@ -164,7 +164,7 @@
         let controllers = self.settings.peers.len() as f64 + 1.0;
         answer.caches = self
             .cache_hints
-            .next_part(token, position as f64 / controllers);
+            .next_transfer_part(token, position as f64 / controllers);
         if !answer.caches.is_empty() {
             answer.fetches = self.fetch_times();
         }
@@ -207,10 +207,10 @@
                 leader
                     .cluster
                     .fetch_estimates
-                    .restore(image, TimeSpan::millis(*ms));
+                    .adopt_if_absent(image, TimeSpan::millis(*ms));
             }
             for job in &heartbeat.cancelled {
-                leader.record_announced_cancellation(now, job);
+                leader.record_peer_cancellation(now, job);
             }
         }
         self.cache_hints
@@ -228,7 +228,7 @@
         let is_replaced = |leader: &Leader| {
             peer.token > leader.token
                 && peer.leader_is_loaded
-                && leader.may_be_replaced_by(now, peer.token)
+                && leader.may_have_been_issued(now, peer.token)
         };
         if self.leader.as_ref().is_some_and(is_replaced) {
             self.end_leadership(LeadershipOutcome::Deposed(peer.token));
--- a/crates/controller/src/core/node/requests.rs
+++ b/crates/controller/src/core/node/requests.rs
@@ -29,7 +29,9 @@
         if let Some(kind) = route.timed_kind()
             && !self.effects.start_request(id, kind)
         {
-            return self.effects.answer_later(id, 503, RETRY_WHEN_OVERLOADED_S);
+            return self
+                .effects
+                .answer_retry_after(id, 503, RETRY_WHEN_OVERLOADED_S);
         }
         if let Some(why) = self.not_serving()
             && let Some(service) = VersionedService::from_path(listener, &segments)
@@ -69,7 +71,8 @@
         match service {
             VersionedService::CloudProxy => self.effects.answer_status(id, BAD_GATEWAY),
             VersionedService::AgentHeartbeats => {
-                self.effects.answer_later(id, 503, RETRY_HEARTBEAT_AFTER_S);
+                self.effects
+                    .answer_retry_after(id, 503, RETRY_HEARTBEAT_AFTER_S);
             }
             VersionedService::Jobs => {
                 self.job_api.refuse(&mut self.effects, id, &why.to_string());
@@ -84,7 +87,7 @@
             return;
         };
         let id = JobId::from(job);
-        if let Some(TaskCounts { done, running }) = leader.counts(&id) {
+        if let Some(TaskCounts { done, running }) = leader.task_counts(&id) {
             self.job_api.record_task_counts(vec![(id, done, running)]);
         }
     }
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -166,7 +166,7 @@
     leader.record_peer_heartbeat(answer);
     leader.send_peer_heartbeats();
     assert!(
-        !leader.knows_machine(&id),
+        !leader.tracks_machine(&id),
         "a hint does not add a removed machine"
     );
     let state = leader.leader.as_mut().unwrap();
@@ -212,7 +212,7 @@
                 (answer.token, answer.leads) = (FencingToken(0), false);
                 Reply::Answer(200, wire::encode(&answer))
             } else {
-                Reply::Lost
+                Reply::OutcomeUnknown
             };
             node.handle_peer_heartbeat_reply(node_id, &reply);
         }
@@ -316,7 +316,7 @@
     leader.cluster.jobs.insert(id.clone(), job);
     leader.authority.record_load_page(Time(0));
     leader.authority.record_load_complete(Time(0));
-    leader.record_announced_cancellation(Time(5_000_000), &id);
+    leader.record_peer_cancellation(Time(5_000_000), &id);
     assert!(leader.authority.is_reported_cancelled(&id));
     let job = &leader.cluster.jobs[&id];
     assert!(job.is_open() && !leader.cluster.unwritten.jobs_to_delete.contains(&id));
--- a/crates/controller/src/core/pending_writes.rs
+++ b/crates/controller/src/core/pending_writes.rs
@@ -12,7 +12,7 @@
     deletes: BTreeSet<String>,
     /// Number of changes taken out for a transaction so far, including any that were put
     /// back later. `/inspect` shows it.
-    pub written: u64,
+    pub taken_total: u64,
 }
 
 impl PendingWrites {
@@ -32,7 +32,7 @@
     /// deletions, since actions wait until these records are stored.
     pub fn take_puts(&mut self, limit: usize) -> Vec<(String, Value)> {
         let keys: Vec<String> = self.puts.keys().take(limit).cloned().collect();
-        self.written += keys.len() as u64;
+        self.taken_total += keys.len() as u64;
         keys.into_iter()
             .filter_map(|key| self.puts.remove_entry(&key))
             .collect()
@@ -41,7 +41,7 @@
     /// Takes out at most `limit` keys to delete. No action waits for a deletion.
     pub fn take_deletes(&mut self, limit: usize) -> Vec<String> {
         let keys: Vec<String> = self.deletes.iter().take(limit).cloned().collect();
-        self.written += keys.len() as u64;
+        self.taken_total += keys.len() as u64;
         for key in &keys {
             self.deletes.remove(key);
         }
--- a/crates/controller/src/core/placement_tables/fetch_estimates.rs
+++ b/crates/controller/src/core/placement_tables/fetch_estimates.rs
@@ -36,14 +36,14 @@
 
     /// Adopts a fetch time that an earlier leader observed, unless this leader has
     /// recorded one for the image.
-    pub fn restore(&mut self, image: &Image, fetch_time: TimeSpan) {
+    pub fn adopt_if_absent(&mut self, image: &Image, fetch_time: TimeSpan) {
         if !self.latest.contains_key(image) {
             self.record(image, fetch_time);
         }
     }
 
     /// All images with a recorded fetch time.
-    pub fn all(&self) -> impl Iterator<Item = (&Image, TimeSpan)> {
+    pub fn recorded(&self) -> impl Iterator<Item = (&Image, TimeSpan)> {
         self.latest
             .iter()
             .map(|(image, fetch_time)| (image, *fetch_time))
--- a/crates/controller/src/core/placement_tables/image_cache.rs
+++ b/crates/controller/src/core/placement_tables/image_cache.rs
@@ -32,7 +32,7 @@
 
     /// Remaining fetch time: zero for an image in the cache, `None` for an image that is
     /// neither in the cache nor being fetched.
-    pub fn remaining(&self, image: &Image, now: Time) -> Option<TimeSpan> {
+    pub fn remaining_fetch_time(&self, image: &Image, now: Time) -> Option<TimeSpan> {
         let remaining = match self.find(image)?.fetch_ends_at {
             Some(ends_at) => ends_at.since(now).max(MIN_REMAINING_FETCH),
             None => TimeSpan::ZERO,
--- a/crates/controller/src/core/placement_tables/image_cache/tests.rs
+++ b/crates/controller/src/core/placement_tables/image_cache/tests.rs
@@ -23,13 +23,16 @@
     let a = Image::from("a");
     cache.record_use(&a, 6.0, Time(0), TimeSpan::secs(10.0));
     assert_eq!(
-        cache.remaining(&a, Time(4_000_000)),
+        cache.remaining_fetch_time(&a, Time(4_000_000)),
         Some(TimeSpan::secs(6.0))
     );
     assert_eq!(
-        cache.remaining(&a, Time(60_000_000)),
+        cache.remaining_fetch_time(&a, Time(60_000_000)),
         Some(TimeSpan::secs(1.0))
     );
     cache.record_fetched(&a, 6.0, Time(61_000_000), 40.0);
-    assert_eq!(cache.remaining(&a, Time(62_000_000)), Some(TimeSpan::ZERO));
+    assert_eq!(
+        cache.remaining_fetch_time(&a, Time(62_000_000)),
+        Some(TimeSpan::ZERO)
+    );
 }
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -14,7 +14,7 @@
 /// The tasks to stop for a request, and the machines on which the request's tasks then
 /// start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Eviction {
+pub struct PreemptionPlan {
     /// Indices into [`Victims`] of the tasks to stop.
     pub victims: BTreeSet<usize>,
     /// Row index of the machine for each task of the request, one entry per task.
@@ -62,14 +62,14 @@
 /// Finds the cheapest set of tasks to stop so that `request` fits: all tasks of a gang,
 /// and at most `max_tasks` tasks of other jobs. `already_chosen` holds the victims that
 /// are being stopped for other requests. Returns `None` if no allowed set is enough.
-pub fn evict(
+pub fn find_victims(
     cycle: &SchedulingCycle<'_>,
     request: &PlacementRequest,
     victims: &Victims,
     already_chosen: &BTreeSet<usize>,
     reclaim_limits: &ReclaimLimits,
     max_tasks: u32,
-) -> Option<Eviction> {
+) -> Option<PreemptionPlan> {
     let limit = if request.gang { u32::MAX } else { max_tasks };
     let search = EvictionSearch {
         cycle,
@@ -140,7 +140,7 @@
             let victim = &self.victims[victim_index];
             // A gang counts once against the limits, with the first of its tasks.
             if !victim.gang || gangs.insert(&victim.job) {
-                let loss = self.victims.loss(victim_index, self.request);
+                let loss = self.victims.reclaim_candidate(victim_index, self.request);
                 if !self.reclaim_limits.allows(&reclaimed, &loss) {
                     continue;
                 }
@@ -192,7 +192,7 @@
     /// The cheapest combination of plans that makes room for enough tasks: all tasks of a
     /// gang, at least one task of other jobs. If the request needs one zone, the
     /// combination lies within one zone.
-    fn cheapest_combination(&self, plans: &[RowPlan]) -> Option<Eviction> {
+    fn cheapest_combination(&self, plans: &[RowPlan]) -> Option<PreemptionPlan> {
         let zones: Vec<Option<&Zone>> = if self.request.one_zone {
             self.cycle.zones().iter().map(Some).collect()
         } else {
@@ -247,7 +247,7 @@
             if is_counted {
                 continue;
             }
-            let loss = self.victims.loss(index, self.request);
+            let loss = self.victims.reclaim_candidate(index, self.request);
             if !self.reclaim_limits.allows(&reclaimed, &loss) {
                 return false;
             }
@@ -260,7 +260,7 @@
 
     /// Adds all other tasks of each gang that has a task among the victims, since the
     /// tasks of a gang stop together.
-    fn include_whole_gangs(&self, eviction: &mut Eviction) {
+    fn include_whole_gangs(&self, eviction: &mut PreemptionPlan) {
         let gangs: BTreeSet<&JobId> = eviction
             .victims
             .iter()
@@ -279,7 +279,7 @@
 
 /// A combination of row plans.
 struct CombinedPlan<'a> {
-    eviction: Eviction,
+    eviction: PreemptionPlan,
     /// Total cost of the plans, in machine seconds.
     cost: f64,
     /// Number of requested tasks that still have no room.
@@ -293,7 +293,7 @@
 impl CombinedPlan<'_> {
     fn new(requested_tasks: u32) -> Self {
         CombinedPlan {
-            eviction: Eviction::default(),
+            eviction: PreemptionPlan::default(),
             cost: 0.0,
             tasks_left: requested_tasks,
             reclaimed: ReclaimUsage::default(),
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::core::placement_tables::{FetchEstimates, ImageCache, MachineRow};
 use crate::core::quota::usage::{QuotaUnits, QuotaUsage};
-use crate::core::scheduling_cycle::{CycleParameters, TeamUse};
+use crate::core::scheduling_cycle::{CycleParameters, TeamQuotaState};
 use crate::settings::TeamShare;
 use crate::types::{Resources, Team, Time, TimeSpan};
 use crate::wire::users::Priority;
@@ -54,7 +54,7 @@
         spot: true,
         run_time: Some(TimeSpan::secs(60.0)),
         start_by: None,
-        aged: false,
+        reservation_due: false,
         overdue: false,
         promised_start: None,
         held_back_too_long: false,
@@ -98,7 +98,7 @@
             task: number as u32,
             team: lender(),
             class: "any".into(),
-            machines: 0.25,
+            machine_fraction: 0.25,
             priority: Priority::Normal,
             need: equal_amounts(f64::from(self.gpus)),
             gang,
@@ -184,7 +184,7 @@
         minimum_shares: Default::default(),
     };
     let victims = Victims::new(fleet.victims, fleet.rows.len());
-    let mut teams = BTreeMap::from([(lender(), TeamUse::default())]);
+    let mut teams = BTreeMap::from([(lender(), TeamQuotaState::default())]);
     let estimates = FetchEstimates::new(TimeSpan::secs(1.0));
     let parameters = CycleParameters {
         now: NOW,
@@ -196,7 +196,7 @@
     let mut stopped = 0.0;
     let mut served = 0;
     for request in requests {
-        let found = evict(
+        let found = find_victims(
             &cycle,
             request,
             &victims,
@@ -231,7 +231,7 @@
     reclaim_limits: &mut ReclaimLimits,
     victims: &Victims,
     request: &PlacementRequest,
-    eviction: &Eviction,
+    eviction: &PreemptionPlan,
 ) -> f64 {
     let mut stopped = 0.0;
     let mut gangs = BTreeSet::new();
@@ -240,13 +240,17 @@
         stopped += victim.need.gpus;
         cycle.rows[victim.row].free += victim.need;
         if !victim.gang || gangs.insert(victim.job.clone()) {
-            reclaim_limits.take(&victims.loss(index, request));
+            reclaim_limits.record_stopping(&victims.reclaim_candidate(index, request));
         }
     }
     stopped
 }
 
-fn start_tasks(cycle: &mut SchedulingCycle<'_>, request: &PlacementRequest, eviction: &Eviction) {
+fn start_tasks(
+    cycle: &mut SchedulingCycle<'_>,
+    request: &PlacementRequest,
+    eviction: &PreemptionPlan,
+) {
     let mut request = request.clone();
     for &row in &eviction.rows {
         let task = request.tasks.remove(0);
--- a/crates/controller/src/core/preemption/victims.rs
+++ b/crates/controller/src/core/preemption/victims.rs
@@ -19,7 +19,7 @@
     /// The job's class, which can have a minimum share.
     pub class: Class,
     /// Part of its machine that the task occupies, from 0 to 1.
-    pub machines: f64,
+    pub machine_fraction: f64,
     /// The job's priority.
     pub priority: Priority,
     /// Resources that the task occupies.
@@ -80,7 +80,11 @@
 
     /// The work that a team and a class lose when a task is stopped for `request`. For a
     /// task of a gang that is the whole gang.
-    pub fn loss(&self, index: usize, request: &PlacementRequest) -> ReclaimCandidate<'_> {
+    pub fn reclaim_candidate(
+        &self,
+        index: usize,
+        request: &PlacementRequest,
+    ) -> ReclaimCandidate<'_> {
         let victim = &self.tasks[index];
         let lost_tasks = match self.gang_of(victim) {
             Some(gang) => gang.members.len() as f64,
@@ -90,7 +94,7 @@
             team: &victim.team,
             class: &victim.class,
             resources: victim.need.times(lost_tasks),
-            machines: victim.machines * lost_tasks,
+            machines: victim.machine_fraction * lost_tasks,
             for_guarantee: victim.priority >= request.priority,
         }
     }
--- a/crates/controller/src/core/quarantine.rs
+++ b/crates/controller/src/core/quarantine.rs
@@ -2,7 +2,7 @@
 //! that doubles each time, and a machine on which several jobs failed is drained. Both are
 //! stored for a successor. Quarantine never stops running tasks.
 
-use crate::core::keys::LEADER_RECORDS;
+use crate::core::keys::LEADER_RECORDS_PREFIX;
 use crate::core::pending_writes::PendingWrites;
 use crate::types::{MachineId, TimeSpan, WallTime};
 use serde::{Deserialize, Serialize};
@@ -61,7 +61,7 @@
 }
 
 fn record_key(machine: &MachineId) -> String {
-    format!("{LEADER_RECORDS}m/{machine}")
+    format!("{LEADER_RECORDS_PREFIX}m/{machine}")
 }
 
 fn store(pending_writes: &mut PendingWrites, machine: &MachineId, record: &MachineRecord) {
@@ -74,7 +74,9 @@
     /// Loads a record that an earlier leader stored. Returns the machine, and whether it is
     /// drained; `None` if `key` is not the key of such a record, or the record cannot be read.
     pub fn load(&mut self, key: &str, stored: &Value) -> Option<(MachineId, bool)> {
-        let id = key.strip_prefix(LEADER_RECORDS)?.strip_prefix("m/")?;
+        let id = key
+            .strip_prefix(LEADER_RECORDS_PREFIX)?
+            .strip_prefix("m/")?;
         let record = MachineRecord::deserialize(stored).ok()?;
         let id = MachineId::from(id);
         let drained = record.drained;
@@ -123,11 +125,11 @@
     /// Whether a machine gets no work now, because of a pause or because it is drained.
     pub fn is_quarantined(&self, machine: &MachineId, wall: WallTime) -> bool {
         let is_drained = self.records.get(machine).is_some_and(|r| r.drained);
-        is_drained || self.pause_left(machine, wall).is_some()
+        is_drained || self.remaining_pause(machine, wall).is_some()
     }
 
     /// The remaining time of a machine's pause; `None`: it has no pause, or the pause is over.
-    pub fn pause_left(&self, machine: &MachineId, wall: WallTime) -> Option<TimeSpan> {
+    pub fn remaining_pause(&self, machine: &MachineId, wall: WallTime) -> Option<TimeSpan> {
         let record = self.records.get(machine)?;
         let until = record.last_missed.0 + record.pause()?.as_millis();
         let remaining = TimeSpan::millis(until.saturating_sub(wall.0));
--- a/crates/controller/src/core/quota/arrival_history.rs
+++ b/crates/controller/src/core/quota/arrival_history.rs
@@ -123,7 +123,7 @@
 
     /// The stored form of the history over the window before `now`, in at most `max_bytes`
     /// bytes. The oldest intervals are left out until the size fits.
-    pub fn store(&self, now: WallTime, max_bytes: usize) -> Value {
+    pub fn to_stored(&self, now: WallTime, max_bytes: usize) -> Value {
         let mut oldest = self.interval_at(now).saturating_sub(INTERVALS_PER_WINDOW);
         loop {
             let stored = self.since_interval(oldest);
@@ -154,7 +154,7 @@
     /// The arrivals of a stored history that are missing here, as single jobs; `None` if
     /// the stored history cannot be read. Each job recorded here either is part of the
     /// stored history or arrived later, so only the excess of each interval counts.
-    pub fn missing(&self, stored: &Value) -> Option<Vec<MissingArrival>> {
+    pub fn arrivals_missing_here(&self, stored: &Value) -> Option<Vec<MissingArrival>> {
         let stored = StoredHistory::deserialize(stored).ok()?;
         let mut missing = Vec::new();
         for (class, team, intervals) in stored.groups {
--- a/crates/controller/src/core/quota/arrival_history/tests.rs
+++ b/crates/controller/src/core/quota/arrival_history/tests.rs
@@ -24,9 +24,9 @@
 #[test]
 fn successor_restores_ended_arrivals_without_double_counting() {
     let now = WallTime(1_600_000);
-    let stored = sample_history().store(now, 8192);
+    let stored = sample_history().to_stored(now, 8192);
     let mut successor = ArrivalHistory::new(TimeSpan::secs(600.0));
-    let missing_before = successor.missing(&stored).unwrap();
+    let missing_before = successor.arrivals_missing_here(&stored).unwrap();
     assert!(
         (total_machine_seconds(&missing_before) - 200.0 * 60.0).abs() < 1.0,
         "{}",
@@ -38,7 +38,7 @@
         let at = WallTime(1_000_000 + i * 3_000);
         successor.record(at, &class, &"red".into(), 2.0, 30.0);
     }
-    let missing_after = successor.missing(&stored).unwrap();
+    let missing_after = successor.arrivals_missing_here(&stored).unwrap();
     assert!(
         (total_machine_seconds(&missing_after) - 190.0 * 60.0).abs() < 1.0,
         "{}",
@@ -48,7 +48,10 @@
         missing_after.iter().all(|m| m.machines < 2.1),
         "a reconstructed job is larger than any arrived job"
     );
-    assert_eq!(sample_history().missing(&stored), Some(Vec::new()));
+    assert_eq!(
+        sample_history().arrivals_missing_here(&stored),
+        Some(Vec::new())
+    );
 }
 
 #[test]
@@ -66,14 +69,17 @@
             );
         }
     }
-    let stored = history.store(WallTime(1_600_000), 8192);
+    let stored = history.to_stored(WallTime(1_600_000), 8192);
     assert!(stored.to_string().len() <= 8192);
     assert!(
         !history
-            .missing(&stored)
+            .arrivals_missing_here(&stored)
             .unwrap()
             .iter()
             .any(|m| m.machines > 0.1)
     );
-    assert_eq!(history.missing(&serde_json::json!({"t": 1})), None);
+    assert_eq!(
+        history.arrivals_missing_here(&serde_json::json!({"t": 1})),
+        None
+    );
 }
--- a/crates/controller/src/core/quota/minimum_share.rs
+++ b/crates/controller/src/core/quota/minimum_share.rs
@@ -21,7 +21,7 @@
 
 impl ShareGroup {
     /// The two groups that a job belongs to.
-    pub fn both(class: &Class, team: &Team) -> [ShareGroup; 2] {
+    pub fn of_job(class: &Class, team: &Team) -> [ShareGroup; 2] {
         [
             ShareGroup::Class(class.clone()),
             ShareGroup::Team(team.clone()),
@@ -35,33 +35,36 @@
 
 /// Demand, delay and usage of a group within the window of [`MinimumShares::new`].
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Service {
+pub struct ServiceLevel {
     /// Work that arrived within the window, in machine seconds.
-    pub arrived: f64,
+    pub arrived_machine_seconds: f64,
     /// Waiting work that is overdue, in machine seconds.
-    pub overdue: f64,
+    pub overdue_machine_seconds: f64,
     /// Number of machines that the group's tasks occupy.
-    pub used: f64,
+    pub used_machines: f64,
     /// Highest priority of the overdue work; `None` without overdue work.
     pub priority: Option<Priority>,
 }
 
-impl Service {
+impl ServiceLevel {
     /// Adds the figures of a part of the group.
-    pub fn add(&mut self, part: &Service) {
-        self.arrived += part.arrived;
-        self.overdue += part.overdue;
-        self.used += part.used;
+    pub fn add(&mut self, part: &ServiceLevel) {
+        self.arrived_machine_seconds += part.arrived_machine_seconds;
+        self.overdue_machine_seconds += part.overdue_machine_seconds;
+        self.used_machines += part.used_machines;
         self.priority = self.priority.max(part.priority);
     }
 
     /// The fraction, from 0 to 1, of the window's work that was served, estimated from the
     /// overdue work.
-    pub fn share(&self) -> f64 {
-        if self.overdue <= 0.0 {
+    pub fn served_fraction(&self) -> f64 {
+        if self.overdue_machine_seconds <= 0.0 {
             return 1.0;
         }
-        1.0 - self.overdue / self.arrived.max(self.overdue)
+        1.0 - self.overdue_machine_seconds
+            / self
+                .arrived_machine_seconds
+                .max(self.overdue_machine_seconds)
     }
 }
 
@@ -100,7 +103,7 @@
     /// (0 to 1) of the work arriving within `window_s` seconds that is to be served; 0
     /// disables minimum shares.
     pub fn new(
-        services: &BTreeMap<ShareGroup, Service>,
+        services: &BTreeMap<ShareGroup, ServiceLevel>,
         fleet: f64,
         share: f64,
         window_s: f64,
@@ -111,18 +114,20 @@
         }
         let (teams, classes): (Vec<_>, Vec<_>) = services
             .iter()
-            .filter(|(_, service)| service.overdue > 0.0)
+            .filter(|(_, service)| service.overdue_machine_seconds > 0.0)
             .partition(|(group, _)| group.is_team());
         for overdue in [classes, teams] {
             let starved = starved_groups(overdue, share);
-            let needed = |s: &Service| share * (s.arrived + s.overdue) / window_s;
+            let needed = |s: &ServiceLevel| {
+                share * (s.arrived_machine_seconds + s.overdue_machine_seconds) / window_s
+            };
             let requested = starved.iter().map(|(_, s)| needed(s)).collect();
             let largest = largest_fair_amount(fleet * MAX_FLEET_FRACTION, requested);
             for (group, service) in starved {
                 let minimum = MinimumShare {
                     // The largest fair amount caps the groups that need more.
                     entitled_machines: needed(service).min(largest),
-                    used: service.used,
+                    used: service.used_machines,
                 };
                 shares.groups.insert(group.clone(), minimum);
             }
@@ -161,16 +166,16 @@
     }
 
     /// A group's minimum share as a number of machines; `None` if none is in force.
-    pub fn of(&self, group: &ShareGroup) -> Option<f64> {
+    pub fn machines_for(&self, group: &ShareGroup) -> Option<f64> {
         self.groups.get(group).map(|share| share.entitled_machines)
     }
 }
 
 /// The groups with overdue work whose served fraction is below `share`.
 fn starved_groups<'a>(
-    overdue: Vec<(&'a ShareGroup, &'a Service)>,
+    overdue: Vec<(&'a ShareGroup, &'a ServiceLevel)>,
     share: f64,
-) -> Vec<(&'a ShareGroup, &'a Service)> {
+) -> Vec<(&'a ShareGroup, &'a ServiceLevel)> {
     // Groups of the highest priority are placed first anyway and need no minimum share,
     // unless all groups have the same priority.
     let highest = overdue.iter().filter_map(|(_, s)| s.priority).max();
@@ -178,7 +183,7 @@
     overdue
         .into_iter()
         .filter(|(_, s)| same_priority || s.priority < highest)
-        .filter(|(_, s)| s.share() < share)
+        .filter(|(_, s)| s.served_fraction() < share)
         .collect()
 }
 
--- a/crates/controller/src/core/quota/reclaim.rs
+++ b/crates/controller/src/core/quota/reclaim.rs
@@ -52,7 +52,7 @@
         {
             return false;
         }
-        let groups = ShareGroup::both(loss.class, loss.team);
+        let groups = ShareGroup::of_job(loss.class, loss.team);
         groups.iter().all(|group| {
             let before = reclaimed.groups.get(group).copied().unwrap_or(0.0);
             self.minimum_shares
@@ -70,16 +70,16 @@
     pub fn count_reclaimed(&self, reclaimed: &mut ReclaimUsage, loss: &ReclaimCandidate<'_>) {
         let team = reclaimed.teams.entry(loss.team.clone()).or_default();
         *team = *team + QuotaUnits::of(&loss.resources);
-        for group in ShareGroup::both(loss.class, loss.team) {
+        for group in ShareGroup::of_job(loss.class, loss.team) {
             *reclaimed.groups.entry(group).or_default() += loss.machines;
         }
     }
 
     /// Counts work as being stopped, for all later searches.
-    pub fn take(&mut self, loss: &ReclaimCandidate<'_>) {
+    pub fn record_stopping(&mut self, loss: &ReclaimCandidate<'_>) {
         self.usage
             .add_stopping(loss.team, QuotaUnits::of(&loss.resources));
-        for group in ShareGroup::both(loss.class, loss.team) {
+        for group in ShareGroup::of_job(loss.class, loss.team) {
             self.minimum_shares.subtract_used(&group, loss.machines);
         }
     }
--- a/crates/controller/src/core/read_coalescing.rs
+++ b/crates/controller/src/core/read_coalescing.rs
@@ -200,7 +200,7 @@
         match reply {
             Reply::Answer(200, _) => confirm_open(comparison),
             Reply::Answer(409, body) => self.split_by_change(comparison, body),
-            Reply::Lost => self.requeue_recent(now, comparison),
+            Reply::OutcomeUnknown => self.requeue_recent(now, comparison),
             // The store refused the comparison, and would refuse one for the waiting
             // polls too.
             Reply::Answer(..) | Reply::NotSent => {
--- a/crates/controller/src/core/read_coalescing/tests.rs
+++ b/crates/controller/src/core/read_coalescing/tests.rs
@@ -93,14 +93,14 @@
         [7],
         "a late reply does not block other polls"
     );
-    let result = coalescer.handle_reply(ms(700), TimeSpan(0), lost, &Reply::Lost);
+    let result = coalescer.handle_reply(ms(700), TimeSpan(0), lost, &Reply::OutcomeUnknown);
     assert_eq!(result, ComparisonResult::default());
     let (_, again) = coalescer.next_comparison(ms(700), 192).unwrap();
     assert_eq!(ids(&again.reads), [0, 1, 2]);
     // No poll is kept for longer than its user waits.
-    let result = coalescer.handle_reply(ms(1400), TimeSpan(0), again, &Reply::Lost);
+    let result = coalescer.handle_reply(ms(1400), TimeSpan(0), again, &Reply::OutcomeUnknown);
     assert_eq!(ids(&result.failed), [0, 1, 2]);
-    coalescer.handle_reply(ms(1400), TimeSpan(0), second, &Reply::Lost);
+    coalescer.handle_reply(ms(1400), TimeSpan(0), second, &Reply::OutcomeUnknown);
     assert!(coalescer.enqueue(ms(1400), RequestId(8), &"a".into()));
     assert!(coalescer.take_overdue(ms(2800)).is_empty());
     assert_eq!(ids(&coalescer.take_overdue(ms(2900))), [8]);
--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -46,7 +46,7 @@
 
 /// A team's resource usage and quota within one cycle.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TeamUse {
+pub struct TeamQuotaState {
     /// Resources of all assigned tasks of the team, whether or not a task is confirmed
     /// to be running.
     pub used: Resources,
@@ -76,7 +76,7 @@
     pub rows: &'a mut [MachineRow],
     /// Usage and quota of each team. A cycle places no task of
     /// a team that is missing here.
-    pub teams: &'a mut BTreeMap<Team, TeamUse>,
+    pub teams: &'a mut BTreeMap<Team, TeamQuotaState>,
     /// Estimated fetch times of images.
     pub estimates: &'a FetchEstimates,
     /// The starts decided so far, in the order of the decisions.
@@ -84,7 +84,7 @@
     /// Rows reserved for gangs that have waited long, by row index.
     pub reservations: BTreeMap<usize, ReservedRow>,
     /// Jobs that found room only on rows reserved for other jobs.
-    pub held_back: BTreeSet<JobId>,
+    pub jobs_held_back: BTreeSet<JobId>,
     /// Rows that had room for the smallest request at the last search. Where most
     /// machines are full, scanning the full ones would be the main cost of a cycle.
     open_rows: Vec<usize>,
@@ -136,7 +136,7 @@
     pub fn new(
         parameters: CycleParameters,
         rows: &'a mut [MachineRow],
-        teams: &'a mut BTreeMap<Team, TeamUse>,
+        teams: &'a mut BTreeMap<Team, TeamQuotaState>,
         estimates: &'a FetchEstimates,
     ) -> SchedulingCycle<'a> {
         SchedulingCycle {
@@ -151,7 +151,7 @@
             estimates,
             starts: Vec::new(),
             reservations: BTreeMap::new(),
-            held_back: BTreeSet::new(),
+            jobs_held_back: BTreeSet::new(),
         }
     }
 
@@ -203,7 +203,7 @@
         shares: &mut MinimumShares,
         largest_machine: &Resources,
     ) {
-        let groups = ShareGroup::both(&request.class, &request.team);
+        let groups = ShareGroup::of_job(&request.class, &request.team);
         let shortfall_machines = groups
             .iter()
             .map(|g| shares.shortfall(g))
@@ -286,7 +286,7 @@
         // the same size or larger fails too and is skipped. Under load hundreds of such
         // requests wait.
         let mut without_reservation: Vec<PlacementRequest> = Vec::new();
-        for request in requests.iter_mut().filter(|r| r.aged) {
+        for request in requests.iter_mut().filter(|r| r.reservation_due) {
             self.place(request, PlacementScope::Any);
             if self.may_reserve(request, &without_reservation) && !self.reserve(request) {
                 without_reservation.push(request.clone());
--- a/crates/controller/src/core/scheduling_cycle/backfill.rs
+++ b/crates/controller/src/core/scheduling_cycle/backfill.rs
@@ -76,11 +76,11 @@
         ends_at > reserved.backfill_until
     }
 
-    /// Adds the request's job to `held_back` if the only room for it is reserved for
+    /// Adds the request's job to `jobs_held_back` if the only room for it is reserved for
     /// other jobs. Gangs that have waited long are excluded, since machines are reserved
     /// for them too.
     pub(super) fn note_held_back(&mut self, request: &PlacementRequest, room_index: usize) {
-        if request.gang && request.aged {
+        if request.gang && request.reservation_due {
             return;
         }
         let is_reserved_room = |&row: &usize| {
@@ -94,7 +94,7 @@
             .iter()
             .any(is_reserved_room)
         {
-            self.held_back.insert(request.job.clone());
+            self.jobs_held_back.insert(request.job.clone());
         }
     }
 
@@ -104,7 +104,7 @@
     pub(super) fn place_held_back(&mut self, requests: &mut [PlacementRequest]) {
         let reservations = std::mem::take(&mut self.reservations);
         for request in requests.iter_mut() {
-            if !request.held_back_too_long || !self.held_back.contains(&request.job) {
+            if !request.held_back_too_long || !self.jobs_held_back.contains(&request.job) {
                 continue;
             }
             let tasks = if request.gang { request.tasks.len() } else { 1 };
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -108,7 +108,7 @@
     /// Time that a task of this request would wait for its image on a row.
     pub fn fetch_time(&self, request: &PlacementRequest, row: &MachineRow) -> TimeSpan {
         row.cache
-            .remaining(&request.image, self.parameters.now)
+            .remaining_fetch_time(&request.image, self.parameters.now)
             .unwrap_or_else(|| {
                 self.estimates
                     .estimate(&request.image, request.image_gb, Some(row.fetch_rate))
@@ -124,7 +124,7 @@
     ) -> bool {
         let is_holder = || {
             row.cache
-                .remaining(&request.image, self.parameters.now)
+                .remaining_fetch_time(&request.image, self.parameters.now)
                 .is_some()
         };
         match scope {
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -183,7 +183,11 @@
             None => machine.reservable -= request.need,
         }
         self.rows_by_availability.clear();
-        if machine.cache.remaining(&request.image, now).is_none() {
+        if machine
+            .cache
+            .remaining_fetch_time(&request.image, now)
+            .is_none()
+        {
             *self.holder_counts.entry(request.image.clone()).or_default() += 1;
         }
         machine
--- a/crates/controller/src/core/scheduling_cycle/request.rs
+++ b/crates/controller/src/core/scheduling_cycle/request.rs
@@ -53,7 +53,7 @@
     /// Latest start that still meets the job's next objective; `None` without one.
     pub start_by: Option<Time>,
     /// Whether the job has waited long enough for machines to be reserved for it.
-    pub aged: bool,
+    pub reservation_due: bool,
     /// Whether the job has waited so long that the rules which only delay work until a
     /// better machine is free no longer apply: the limit on cold fetches on machines
     /// with recent high-priority starts, and the quarantine of machines.
@@ -117,7 +117,7 @@
 
     /// Whether the two requests can be placed on the same machines, regardless of their
     /// images and numbers of tasks.
-    pub fn is_like(&self, other: &PlacementRequest) -> bool {
+    pub fn is_equivalent_to(&self, other: &PlacementRequest) -> bool {
         self.priority == other.priority
             && self.within_guarantee == other.within_guarantee
             && self.gang == other.gang
--- a/crates/controller/src/core/scheduling_cycle/reservation.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation.rs
@@ -38,7 +38,7 @@
         without_reservation: &[PlacementRequest],
     ) -> bool {
         let is_at_least_as_large = |failed: &PlacementRequest| {
-            request.tasks.len() >= failed.tasks.len() && request.is_like(failed)
+            request.tasks.len() >= failed.tasks.len() && request.is_equivalent_to(failed)
         };
         request.gang
             && !request.tasks.is_empty()
--- a/crates/controller/src/core/scheduling_cycle/reservation_tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation_tests.rs
@@ -69,7 +69,7 @@
         spot: true,
         run_time: run_s.map(|s| TimeSpan::secs(f64::from(s))),
         start_by: None,
-        aged: false,
+        reservation_due: false,
         overdue: false,
         promised_start: None,
         held_back_too_long: false,
@@ -80,7 +80,7 @@
 fn aged_gang(job: &str, tasks: u32, one_zone: bool) -> PlacementRequest {
     PlacementRequest {
         gang: true,
-        aged: true,
+        reservation_due: true,
         one_zone,
         ..request(job, tasks, gpus(4), Some(30))
     }
@@ -104,7 +104,7 @@
         ..Default::default()
     };
     let used = Resources::default();
-    let mut teams = BTreeMap::from([(Team::from("team"), TeamUse { used, share })]);
+    let mut teams = BTreeMap::from([(Team::from("team"), TeamQuotaState { used, share })]);
     let estimates = FetchEstimates::new(TimeSpan::secs(30.0));
     let parameters = CycleParameters {
         now: NOW,
@@ -114,7 +114,7 @@
     let mut cycle = SchedulingCycle::new(parameters, &mut rows, &mut teams, &estimates);
     cycle.run(requests);
     let (starts, reservations) = (cycle.starts, cycle.reservations);
-    let held_back = cycle.held_back;
+    let held_back = cycle.jobs_held_back;
     CycleResult {
         held_back,
         rows,
--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -74,7 +74,7 @@
         spot,
         run_time: Some(TimeSpan::secs(30.0)),
         start_by: None,
-        aged: false,
+        reservation_due: false,
         overdue,
         promised_start: None,
         held_back_too_long: false,
@@ -96,14 +96,19 @@
     fn cost(&self, request: &PlacementRequest, machine: &MachineRow) -> TimeSpan {
         machine
             .cache
-            .remaining(&request.image, NOW)
+            .remaining_fetch_time(&request.image, NOW)
             .unwrap_or(TimeSpan::secs(request.image_gb))
     }
 
     fn holders(&self, request: &PlacementRequest) -> usize {
         self.rows
             .iter()
-            .filter(|machine| machine.cache.remaining(&request.image, NOW).is_some())
+            .filter(|machine| {
+                machine
+                    .cache
+                    .remaining_fetch_time(&request.image, NOW)
+                    .is_some()
+            })
             .count()
     }
 
@@ -113,7 +118,10 @@
         machine: &MachineRow,
         scope: PlacementScope,
     ) -> bool {
-        let holds = machine.cache.remaining(&request.image, NOW).is_some();
+        let holds = machine
+            .cache
+            .remaining_fetch_time(&request.image, NOW)
+            .is_some();
         let is_quiet = machine
             .last_high_priority_start
             .is_none_or(|t| NOW.since(t).as_secs() * 2.0 > self.cost(request, machine).as_secs());
@@ -316,7 +324,7 @@
             rows: rows.clone(), used: team_names.iter().map(|t| (t.clone(), 0.0)).collect(), starts: Vec::new(),
         };
         model.run(&mut requests.clone());
-        let mut teams = team_names.iter().map(|t| (t.clone(), TeamUse { used: Resources::default(), share })).collect();
+        let mut teams = team_names.iter().map(|t| (t.clone(), TeamQuotaState { used: Resources::default(), share })).collect();
         let mut rows_after = rows.clone();
         let estimates = FetchEstimates::new(TimeSpan::secs(30.0));
         let parameters = CycleParameters { now: NOW, max_fetch_skew: TimeSpan::secs(20.0), backfill_margin: 1.5 };
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -111,7 +111,7 @@
         match timeout(limit, exchange).await {
             Ok(Ok(response)) => Reply::Answer(response.status, response.body),
             Ok(Err(_)) | Err(_) if !sent.get() => Reply::NotSent,
-            _ => Reply::Lost,
+            _ => Reply::OutcomeUnknown,
         }
     }
 
--- a/crates/controller/src/testing.rs
+++ b/crates/controller/src/testing.rs
@@ -76,9 +76,9 @@
     let kinds = vec![machine_type()];
     let types = MachineTypes { kinds };
     let term = LeaderTerm {
-        holder: member_versions::LEGACY_LEADER_KEY,
+        leader_key: member_versions::LEGACY_LEADER_KEY,
         token: FencingToken(5),
-        lease: 1,
+        lease_id: 1,
         format_version: UNVERSIONED,
     };
     Leader::new(settings, Rc::new(policy), term, Time(0), &types)
--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -12,7 +12,7 @@
 use pebblefold_controller::core::job_records::{
     self, HeaderStage, JobHeader, LeaderRecord, SubmissionAssembler, TransactionLimits,
 };
-use pebblefold_controller::core::keys::{self, Watched};
+use pebblefold_controller::core::keys::{self, WatchedKey};
 use pebblefold_controller::core::pending_writes::PendingWrites;
 use pebblefold_controller::core::quarantine::Quarantine;
 use pebblefold_controller::core::quota::arrival_history::{self, ArrivalHistory};
@@ -70,13 +70,13 @@
     assert_eq!(keys::job_outcome_key(&id), "w/x/wk-1");
     assert_eq!(keys::chunk_key(&id, 7), "r/wk-1/7");
     let prefixes = [
-        keys::WATCHED,
-        keys::PROGRESS_RECORDS,
-        keys::MACHINE_TYPES,
-        keys::SUBMISSIONS,
-        keys::SUBMISSION_PARTS,
-        keys::JOB_OUTCOMES,
-        keys::LEADER_RECORDS,
+        keys::WATCHED_PREFIX,
+        keys::PROGRESS_RECORDS_PREFIX,
+        keys::MACHINE_TYPES_KEY,
+        keys::SUBMISSIONS_PREFIX,
+        keys::SUBMISSION_PARTS_PREFIX,
+        keys::JOB_OUTCOMES_PREFIX,
+        keys::LEADER_RECORDS_PREFIX,
         arrival_history::ARRIVAL_HISTORY_KEY,
     ];
     assert_eq!(
@@ -87,22 +87,22 @@
 
 #[test]
 fn watched_keys_are_told_apart() {
-    assert_eq!(keys::parse_watched_key("w/leader"), Watched::Leadership);
+    assert_eq!(keys::parse_watched_key("w/leader"), WatchedKey::Leadership);
     assert_eq!(
         keys::parse_watched_key("w/leader/at/node-0"),
-        Watched::Leadership
+        WatchedKey::Leadership
     );
     assert_eq!(
         keys::parse_watched_key("w/j/wk-1"),
-        Watched::Job("wk-1".into())
+        WatchedKey::Submission("wk-1".into())
     );
     assert_eq!(
         keys::parse_watched_key("w/p/wk-1/3"),
-        Watched::Part("wk-1".into(), 3)
+        WatchedKey::SubmissionPart("wk-1".into(), 3)
     );
     assert_eq!(
         keys::parse_watched_key("w/x/wk-1"),
-        Watched::JobOutcome("wk-1".into())
+        WatchedKey::JobOutcome("wk-1".into())
     );
     assert_eq!(keys::parse_chunk_key("r/wk-1/7"), Some(("wk-1".into(), 7)));
 }
@@ -157,7 +157,7 @@
         ]})
     );
     let stored = json!({"at": 5, "n": 1, "s": SUBMITTED});
-    let job = SubmissionAssembler::default().job(&"wk-1".into(), Version(9), &stored);
+    let job = SubmissionAssembler::default().assemble(&"wk-1".into(), Version(9), &stored);
     let job = job.expect("it is read");
     assert_eq!((job.accepted_at, &*job.spec), (WallTime(5), &submission()));
 }
@@ -180,10 +180,10 @@
         ])
     );
     let mut parts = SubmissionAssembler::default();
-    parts.part("wk-1".into(), 1, &json!(two));
-    parts.part("wk-1".into(), 2, &json!(three));
+    parts.add_part("wk-1".into(), 1, &json!(two));
+    parts.add_part("wk-1".into(), 2, &json!(three));
     let stored = json!({"at": 5, "n": 3, "s": one});
-    let job = parts.job(&"wk-1".into(), Version(9), &stored);
+    let job = parts.assemble(&"wk-1".into(), Version(9), &stored);
     assert_eq!(*job.expect("it is read").spec, submission());
 }
 /// Where the parts of the sample end.
@@ -228,7 +228,7 @@
         node_id: "node-1".into(),
         nonce: 7,
     };
-    assert_eq!(job_records::leader_record(&leader), stored);
+    assert_eq!(job_records::leader_record_value(&leader), stored);
     assert_eq!(job_records::read_record(&stored), Some(leader));
     assert_eq!(
         member_versions::legacy_leader_tombstone(),
@@ -354,7 +354,7 @@
             "apply": [{"write": "w/leader/level", "value": {"level": 2}}],
         })
     );
-    registry.activated(WITH_HISTORY, Version(8));
+    registry.record_activation(WITH_HISTORY, Version(8));
     assert_eq!(
         sent(&registry.rewrite_completion().expect("it is to be said")),
         json!({"if": [{"key": "w/leader/level", "touched": 8}],
@@ -412,7 +412,7 @@
     let mut memory = ArrivalHistory::new(TimeSpan::secs(600.0));
     memory.record(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
     let stored = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
-    assert_eq!(memory.store(WallTime(40_000), 8192), stored);
-    let missing = ArrivalHistory::new(TimeSpan::secs(600.0)).missing(&stored);
+    assert_eq!(memory.to_stored(WallTime(40_000), 8192), stored);
+    let missing = ArrivalHistory::new(TimeSpan::secs(600.0)).arrivals_missing_here(&stored);
     assert_eq!(missing.map(|m| m.len()), Some(1));
 }
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -3,7 +3,7 @@
 //! `cargo bench -p pebblefold-rehearsal --bench detection [-- SEEDS]`; simulated.
 
 use pebblefold_controller::core::cache_hints::CacheHints;
-use pebblefold_controller::core::failure_detector::accrual::Accrual;
+use pebblefold_controller::core::failure_detector::accrual::PhiAccrual;
 use pebblefold_controller::core::failure_detector::detector::FailureDetector;
 use pebblefold_controller::core::leader_announcement::{AnnouncementPriority, LeaderAnnouncer};
 use pebblefold_controller::policy::DEFAULT_SCRIPT;
@@ -136,7 +136,7 @@
 }
 
 fn leader(world: &Simulated) -> Option<(usize, FencingToken)> {
-    let all = world.nodes().filter(|(_, n)| n.leads());
+    let all = world.nodes().filter(|(_, n)| n.is_loaded_leader());
     all.filter_map(|(n, node)| Some((n, node.token()?)))
         .max_by_key(|(_, t)| *t)
 }
@@ -176,7 +176,7 @@
                 found.started.get_or_insert(after);
             }
             let node = world.nodes().find(|(m, _)| *m == n);
-            let machines = node.and_then(|(_, node)| node.machine_counts());
+            let machines = node.and_then(|(_, node)| node.reporting_machine_counts());
             if machines.is_some_and(|(all, heard)| heard * 100 >= all.max(30) * 95) {
                 found.heard.get_or_insert(after);
             }
@@ -252,7 +252,7 @@
         let arrivals = noise(&mut StdRng::seed_from_u64(seed));
         let gaps: Vec<f64> = arrivals.windows(2).map(|w| w[1] - w[0]).collect();
         let fixed = limits.map(|l| gaps.iter().filter(|g| **g > l).count());
-        let mut accrual = Accrual::default();
+        let mut accrual = PhiAccrual::default();
         let mut doubts = 0;
         for w in arrivals.windows(2) {
             let t = |s: f64| Time(0) + TimeSpan::secs(s + 1.0);
@@ -368,7 +368,7 @@
         let begun = Instant::now();
         let (mut parts, mut bytes) = (0u32, 0);
         loop {
-            let part = kept.next_part(FencingToken(2), 0.25);
+            let part = kept.next_transfer_part(FencingToken(2), 0.25);
             if part.is_empty() {
                 break;
             }
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -283,7 +283,7 @@
 
     /// A call of a controller is lost at once.
     fn lose(&mut self, node: usize, life: u32, id: CallId) {
-        let reply = Reply::Lost;
+        let reply = Reply::OutcomeUnknown;
         let back = Message::Reply {
             node,
             life,
@@ -585,7 +585,7 @@
                     };
                     let reply = match returned {
                         Returned::Answer(status, body) => Reply::Answer(status, body),
-                        Returned::Silence => Reply::Lost,
+                        Returned::Silence => Reply::OutcomeUnknown,
                         Returned::Refused => Reply::NotSent,
                     };
                     let message = Message::Reply {
@@ -688,8 +688,10 @@
                     self.drain();
                     if self.stand.tally().is_due(t) {
                         let nodes = self.slots.iter().filter_map(|s| s.node.as_ref());
-                        let leader = nodes.filter(|n| n.leads()).max_by_key(|n| n.token());
-                        let knows = leader.map(|l| |m: &MachineId| l.knows_machine(m));
+                        let leader = nodes
+                            .filter(|n| n.is_loaded_leader())
+                            .max_by_key(|n| n.token());
+                        let knows = leader.map(|l| |m: &MachineId| l.tracks_machine(m));
                         self.stand.look_for_unknown(t, knows);
                     }
                     self.at(t + TICK, Event::Stand);
@@ -700,7 +702,7 @@
                 Event::Arrive(to, message) => self.arrive(to, message),
                 Event::Timeout(n, life, id) => {
                     if self.slots[n].life == life && self.slots[n].open.remove(&id) {
-                        self.reply(n, id, Reply::Lost);
+                        self.reply(n, id, Reply::OutcomeUnknown);
                     }
                 }
                 Event::LeaseKeepAlive(n, life) if self.slots[n].life == life => self.renew(n),
--- a/crates/simulator/src/stand.rs
+++ b/crates/simulator/src/stand.rs
@@ -113,7 +113,7 @@
         self.changes += txn.ops.len() as u64;
         for op in &txn.ops {
             if let Operation::Put { key, value, .. } = op
-                && key.starts_with(job_records::PROGRESS_RECORDS)
+                && key.starts_with(job_records::PROGRESS_RECORDS_PREFIX)
             {
                 self.records += 1;
                 self.bytes += (key.len() + job_records::json_len(value)) as u64;
@@ -632,7 +632,7 @@
             let Operation::Put { key, value, .. } = op else {
                 continue;
             };
-            if let Some(job) = key.strip_prefix(job_records::SUBMISSIONS) {
+            if let Some(job) = key.strip_prefix(job_records::SUBMISSIONS_PREFIX) {
                 out.push(Noted {
                     moment: Moment::Accepted,
                     job: job.into(),
@@ -640,7 +640,7 @@
                 });
             }
             let Some((job, _)) = key
-                .strip_prefix(job_records::PROGRESS_RECORDS)
+                .strip_prefix(job_records::PROGRESS_RECORDS_PREFIX)
                 .and_then(|k| k.split_once('/'))
             else {
                 continue;
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -317,7 +317,7 @@
 #[test]
 fn writing_off_early_is_caught() {
     caught(
-        &[SafetyCheck::LeaseExpiryBeforeGivingUp],
+        &[SafetyCheck::AbandonOnlyAfterLeaseExpiry],
         "ran_twice",
         rough,
     );
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -372,7 +372,7 @@
     let job = JobId::from("wk-1");
     let accepted = [
         job_records::submission_key(&job),
-        format!("{}{job}/1", job_records::SUBMISSION_PARTS),
+        format!("{}{job}/1", job_records::SUBMISSION_PARTS_PREFIX),
     ];
     // The acceptance lands before the first page, before the second, or
     // before the sweep.
@@ -387,7 +387,7 @@
         accept(&mut store, 0);
         let jobs: BTreeSet<String> = store
             .keys()
-            .filter(|k| k.starts_with(job_records::SUBMISSIONS))
+            .filter(|k| k.starts_with(job_records::SUBMISSIONS_PREFIX))
             .cloned()
             .collect();
         accept(&mut store, 1);
--- a/crates/simulator/tests/gap.rs
+++ b/crates/simulator/tests/gap.rs
@@ -274,7 +274,7 @@
             Flight::Heartbeat(age, to) => {
                 if let Side::Leads(shown, knows, _) = self.sides[to]
                     && to >= self.token
-                    && contact(shown).may_answer(now())
+                    && contact(shown).may_answer_heartbeats(now())
                 {
                     let flight = Flight::Answer(age, to, knows);
                     step(World { flight, ..*self });
@@ -313,7 +313,7 @@
 fn explore(wrong: Wrong) -> (usize, bool, bool) {
     disable_check(match wrong {
         Wrong::NoBound => &[SafetyCheck::BoundedHold],
-        Wrong::LastPage => &[SafetyCheck::LoadIsAsOldAsItsFirstRead],
+        Wrong::LastPage => &[SafetyCheck::LoadAgeCountsFromFirstRead],
         _ => &[],
     });
     let first = World {
--- a/crates/simulator/tests/late_writes.rs
+++ b/crates/simulator/tests/late_writes.rs
@@ -237,7 +237,7 @@
     /// What a leader reads when it takes office.
     fn load(&self) -> Option<Job> {
         let (value, version) = self.keys.get(&job_records::submission_key(&id()))?;
-        let mut job = SubmissionAssembler::default().job(&id(), Version(*version), value)?;
+        let mut job = SubmissionAssembler::default().assemble(&id(), Version(*version), value)?;
         if let Some((value, version)) = self.keys.get(&job_records::chunk_key(&id(), 0)) {
             job.load_chunk(0, Version(*version), value).ok()?;
         }
@@ -291,7 +291,7 @@
             Kind::Chunk(change) => {
                 let c = job.chunks.entry(0).or_default();
                 c.version = Version(revision);
-                c.stored = c.stored.max(change);
+                c.last_stored_change = c.last_stored_change.max(change);
                 job.unstored_done.retain(|_, n| *n > change);
             }
             Kind::Finish => job.outcome = Some(JobOutcome::Done { written: true }),
@@ -349,12 +349,12 @@
                 let (ops, last) = job.delete_records(room);
                 (Vec::new(), ops, Kind::Drop(last))
             }
-            None if chunk.change > chunk.stored => {
+            None if chunk.last_change > chunk.last_stored_change => {
                 let write = job.write_chunk(SIZE, 0, level);
                 (
                     write.preconditions,
                     write.operations,
-                    Kind::Chunk(chunk.change),
+                    Kind::Chunk(chunk.last_change),
                 )
             }
             _ => return None,
--- a/crates/simulator/tests/levels.rs
+++ b/crates/simulator/tests/levels.rs
@@ -4,7 +4,7 @@
 
 use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::core::format_version::member_versions::{
-    ACTIVE_VERSION_KEY, BUILD, LEADER_KEY, MemberVersions, fence,
+    ACTIVE_VERSION_KEY, BUILD, LEADER_KEY, MemberVersions, version_precondition,
 };
 use pebblefold_controller::core::format_version::{FormatVersion, SupportedVersions};
 use pebblefold_controller::types::{NodeId, Time, TimeSpan, Version};
@@ -101,7 +101,7 @@
 
     fn look(&mut self) {
         let level = FormatVersion(self.level());
-        let reads = |n: &Node| n.registry.check_serving().is_err() || n.range.has(level);
+        let reads = |n: &Node| n.registry.check_serving().is_err() || n.range.contains(level);
         if !self.nodes.iter().all(reads) {
             self.broken = Some("a node serves what it cannot read");
         }
@@ -161,9 +161,9 @@
             if self.writes > 0 && n > 0 {
                 step(&|w| {
                     w.writes -= 1;
-                    let compared = node.registry.fence();
+                    let compared = node.registry.version_fence();
                     let txn = Transaction {
-                        conditions: compared.map(fence).into_iter().collect(),
+                        conditions: compared.map(version_precondition).into_iter().collect(),
                         ops: vec![Operation::Put {
                             key: DATA.into(),
                             value: serde_json::json!({ "level": node.registry.active_version() }),
@@ -312,7 +312,7 @@
         version: Version(1),
     };
     alone.load(&[level(ACTIVE_VERSION_KEY, 2), level("w/leader/done", 1)]);
-    alone.registered(Version(2));
+    alone.record_registration(Version(2));
     let rises = |r: &MemberVersions| r.next_activation(Time(0), &[], FormatVersion(9)).is_ok();
     assert!(!rises(&alone));
     disable_check(&[SafetyCheck::RewrittenBeforeActivation]);
@@ -320,6 +320,6 @@
     disable_check(&[]);
     assert!(early, "the decision was not missed");
     alone.load(&[level(ACTIVE_VERSION_KEY, 2), level("w/leader/done", 2)]);
-    alone.registered(Version(2));
+    alone.record_registration(Version(2));
     assert!(rises(&alone));
 }
--- a/crates/simulator/tests/meetings/answers.rs
+++ b/crates/simulator/tests/meetings/answers.rs
@@ -73,7 +73,7 @@
             close_answers(w, 5) > 200
         })
     };
-    guarded(SafetyCheck::AnswersAreFresh, "went_back", 1..4, day);
+    guarded(SafetyCheck::NonFinalAnswersAreFresh, "went_back", 1..4, day);
 }
 
 // Who submits again after a cancellation finds the job there. That was once no reason to
@@ -85,7 +85,12 @@
             close_answers(w, 5) > 200
         })
     };
-    guarded(SafetyCheck::ConflictIsRead, "went_back", 1..4, day);
+    guarded(
+        SafetyCheck::ConflictingSubmissionIsRead,
+        "went_back",
+        1..4,
+        day,
+    );
 }
 
 /// Transactions without an answer, carried out at once or late, while users look closely.
@@ -120,7 +125,12 @@
             w.stand().answers_lost() > 30 && close_answers(w, 50) > 100
         })
     };
-    guarded(SafetyCheck::ConflictIsRead, "went_back", 1..4, day);
+    guarded(
+        SafetyCheck::ConflictingSubmissionIsRead,
+        "went_back",
+        1..4,
+        day,
+    );
 }
 
 // And where it may not have been carried out after all: what nobody has answered is not
@@ -132,7 +142,12 @@
             close_answers(w, 50) > 100
         })
     };
-    guarded(SafetyCheck::LostIsUnknown, "forgotten", 1..4, day);
+    guarded(
+        SafetyCheck::LostTransactionIsUnknown,
+        "forgotten",
+        1..4,
+        day,
+    );
 }
 
 // A cancellation, a question or a repeated submission meets the end of a job's last task,
@@ -177,7 +192,7 @@
             close_answers(w, 5) > 50 && cancelled(w).len() > 8
         })
     };
-    guarded(SafetyCheck::AnswersAreFresh, "went_back", 1..4, day);
+    guarded(SafetyCheck::NonFinalAnswersAreFresh, "went_back", 1..4, day);
 }
 
 // Repeats of unfinished jobs, also without a field, cancels of jobs that are done, and jobs
--- a/crates/simulator/tests/meetings/cancels.rs
+++ b/crates/simulator/tests/meetings/cancels.rs
@@ -73,7 +73,12 @@
             .push(at(40.0, cut(Side::Controllers, zone, CutMode::Lose, 25.0)));
         broken(s, seed, 300.0, 41.9, |w| full_teams(w) == 2)
     };
-    guarded(SafetyCheck::EarlierLeadersAnswersCount, "quota", 1..6, day);
+    guarded(
+        SafetyCheck::EarlierLeadersAnswersExtendLeases,
+        "quota",
+        1..6,
+        day,
+    );
 }
 
 /// Cancellations in the seconds in which a controller's work changes hands, planned and
@@ -113,7 +118,7 @@
 #[test]
 fn a_cancellation_during_a_load_is_not_missed() {
     guarded(
-        SafetyCheck::FollowsFromTheFirstPage,
+        SafetyCheck::WatchStartsAtFirstPage,
         "ran_cancelled",
         1..6,
         changes_hands,
--- a/crates/simulator/tests/meetings/machines.rs
+++ b/crates/simulator/tests/meetings/machines.rs
@@ -106,7 +106,7 @@
         })
     };
     guarded(
-        SafetyCheck::EarlierLeadersAnswersCount,
+        SafetyCheck::EarlierLeadersAnswersExtendLeases,
         "ran_twice",
         1..6,
         day,
@@ -140,7 +140,7 @@
         })
     };
     guarded(
-        SafetyCheck::LeaseExpiryBeforeGivingUp,
+        SafetyCheck::AbandonOnlyAfterLeaseExpiry,
         "ran_twice",
         1..6,
         day,
@@ -227,7 +227,7 @@
         })
     };
     guarded(
-        SafetyCheck::LeaseExpiryBeforeGivingUp,
+        SafetyCheck::AbandonOnlyAfterLeaseExpiry,
         "ran_twice",
         1..6,
         day,
@@ -297,7 +297,7 @@
         })
     };
     guarded(
-        SafetyCheck::LeaseExpiryBeforeGivingUp,
+        SafetyCheck::AbandonOnlyAfterLeaseExpiry,
         "ran_twice",
         1..6,
         day,
--- a/crates/simulator/tests/meetings/main.rs
+++ b/crates/simulator/tests/meetings/main.rs
@@ -144,7 +144,7 @@
             s.faults.push(at(22.0, cut(a, b, CutMode::Lose, 90.0)));
         }
         broken(s, seed, 150.0, 45.0, |w| {
-            let old = w.nodes().filter(|(_, n)| n.leads()).count();
+            let old = w.nodes().filter(|(_, n)| n.is_loaded_leader()).count();
             let others = cancelled(w).len();
             old > 1 && others > 2 && !unwanted(w).is_empty()
         })
@@ -179,7 +179,7 @@
         })
     };
     guarded(
-        SafetyCheck::LeaseExpiryBeforeGivingUp,
+        SafetyCheck::AbandonOnlyAfterLeaseExpiry,
         "ran_twice",
         1..5,
         day,
@@ -209,14 +209,14 @@
         ));
         s.faults.push(at(41.0, kill(0.2)));
         broken(s, seed, 200.0, 27.0, |w| {
-            let leads = w.nodes().any(|(_, n)| n.leads());
+            let leads = w.nodes().any(|(_, n)| n.is_loaded_leader());
             let workers = w.stand().fleet().workers().values();
             let there = workers.filter(|w| w.machine.zone.as_str() == "z1");
             leads && there.into_iter().any(|w| !w.tasks.is_empty())
         })
     };
     guarded(
-        SafetyCheck::EarlierLeadersAnswersCount,
+        SafetyCheck::EarlierLeadersAnswersExtendLeases,
         "ran_twice",
         1..5,
         day,
--- a/crates/simulator/tests/suspicion.rs
+++ b/crates/simulator/tests/suspicion.rs
@@ -21,7 +21,7 @@
 }
 
 fn leader(world: &Simulated) -> Option<(usize, FencingToken)> {
-    let all = world.nodes().filter(|(_, n)| n.leads());
+    let all = world.nodes().filter(|(_, n)| n.is_loaded_leader());
     let all = all.filter_map(|(n, node)| Some((n, node.token()?)));
     all.max_by_key(|(_, t)| *t)
 }
