--- a/crates/controller/tests/stored_format.rs
+++ b/crates/controller/tests/stored_format.rs
@@ -423,7 +423,7 @@
     let mut history = ArrivalHistory::new(TimeSpan::secs(600.0));
     history.record(WallTime(31_000), &"low".into(), &"red".into(), 2.0, 30.0);
     let stored = json!({"t": 30000, "c": [["low", "red", [[1, [2.0, 60.0, 1]]]]]});
-    assert_eq!(history.store(WallTime(40_000), 8192), stored);
-    let missing = ArrivalHistory::new(TimeSpan::secs(600.0)).missing(&stored);
+    assert_eq!(history.to_stored(WallTime(40_000), 8192), stored);
+    let missing = ArrivalHistory::new(TimeSpan::secs(600.0)).arrivals_missing_here(&stored);
     assert_eq!(missing.map(|m| m.len()), Some(1));
 }
