--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -325,7 +325,7 @@
                     used += j.needs();
                 }
             }
-            if !used.fits(&self.capacity) {
+            if !used.fits_within(&self.capacity) {
                 self.end(&key, StopReason::NoRoom, None);
                 continue;
             }
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -4,7 +4,7 @@
 
 use crate::attempts::{AttemptKey, Effect, Record, RecoveredState, Timeouts};
 use crate::journal::{Change, Journal, JournalError};
-use crate::link::{Link, PATIENCE};
+use crate::link::{HEARTBEAT_TIMEOUT, Link};
 use crate::process::{boot_id, find_marked, kill_all};
 use crate::resume::{self, LeaseRefusal};
 use crate::settings::Settings;
@@ -13,8 +13,8 @@
     ShimInfo, StopRequest, boottime_us,
 };
 use crate::store::{NEXT_CHECKPOINT_DIR, SharedDir};
-use crate::worker::{Worker, pace};
-use pebblefold_net::{Client, Sent, answer_connections};
+use crate::worker::{Worker, link_times};
+use pebblefold_net::{Client, SentFlag, answer_connections};
 use pebblefold_wire::command::CommandSpec;
 use pebblefold_wire::http::{Request, Response};
 use pebblefold_wire::types::{Time, TimeSpan};
@@ -277,7 +277,7 @@
                 memory: task_limits.memory.then_some(memory),
                 files: task_limits.files,
                 output: task_limits.output_mb * 1024 * 1024,
-                time_s: spec.limit_s,
+                time_s: spec.time_limit_s,
                 ..Limits::default()
             },
             lease: Some(self.settings.dir.join(LEASE_FILE)),
@@ -487,11 +487,11 @@
         let Some(c) = self.settings.controllers.get(controller) else {
             return;
         };
-        let (body, sent) = (encode(&heartbeat), Sent::default());
+        let (body, sent) = (encode(&heartbeat), SentFlag::default());
         let response = self
             .client
             .exchange(c.addr, "POST", "/checkin", &body, &sent);
-        let patience = Duration::from_micros(PATIENCE.0);
+        let patience = Duration::from_micros(HEARTBEAT_TIMEOUT.0);
         let answer = match timeout(patience, response).await {
             Ok(Ok(r)) => Some((r.status, r.body)),
             Ok(Err(_)) | Err(_) => None,
@@ -662,9 +662,9 @@
     let boot = boot_id().map_err(io_error("boot id"))?;
     let lease = shim::read_json::<Lease>(&dir.join(LEASE_FILE)).map_err(|e| e.to_string());
     let times = settings.times;
-    let pace = pace(times.report_s, times.lease_s);
+    let link_times = link_times(times.report_s, times.lease_s);
     let start_time = now();
-    let start = resume::decide_start(&contents, lease, &boot, start_time, pace);
+    let start = resume::decide_start(&contents, lease, &boot, start_time, link_times);
     let epoch = start.link.epoch;
     match &start.refusal {
         None | Some(LeaseRefusal::FirstStart) => {}
@@ -683,7 +683,13 @@
     }
     let mut rng = StdRng::seed_from_u64(rand::random());
     let controller_count = settings.controllers.len();
-    let link = Link::resumed(pace, controller_count, start_time, start.link, &mut rng);
+    let link = Link::resumed(
+        link_times,
+        controller_count,
+        start_time,
+        start.link,
+        &mut rng,
+    );
     let timeouts = Timeouts {
         gang_wait: TimeSpan::secs(times.gang_wait_s),
     };
--- a/crates/agent/src/resume.rs
+++ b/crates/agent/src/resume.rs
@@ -5,7 +5,7 @@
 //! never goes back, and it advances while the machine sleeps.
 
 use crate::journal::JournalContents;
-use crate::link::{LinkState, Pace};
+use crate::link::{LinkState, LinkTimes};
 use crate::shim::Lease;
 use pebblefold_wire::types::{AgentEpoch, HeartbeatSequence, Time};
 
@@ -69,15 +69,15 @@
     lease: Result<Lease, String>,
     boot: &str,
     now: Time,
-    pace: Pace,
+    link_times: LinkTimes,
 ) -> StartDecision {
-    match usable_lease(contents, lease, boot, now, pace) {
+    match usable_lease(contents, lease, boot, now, link_times) {
         Ok((epoch, until_us)) => StartDecision {
             link: LinkState {
                 epoch,
                 token: contents.token,
                 // The lease is resumed with its remaining time, and not extended.
-                lease_start: Time(until_us.saturating_sub(pace.lease.0)),
+                lease_start: Time(until_us.saturating_sub(link_times.lease_duration.0)),
                 // Earlier heartbeats of this epoch were numbered, and the controllers
                 // ignore a number that isn't higher than the last. Numbers rise by one a
                 // message, and a message takes longer than a microsecond: none had a number
@@ -104,7 +104,7 @@
     lease: Result<Lease, String>,
     boot: &str,
     now: Time,
-    pace: Pace,
+    link_times: LinkTimes,
 ) -> Result<(AgentEpoch, u64), LeaseRefusal> {
     let epoch = contents.epoch.ok_or(LeaseRefusal::FirstStart)?;
     let lease = lease.map_err(LeaseRefusal::Unreadable)?;
@@ -125,7 +125,7 @@
         let now_us = now.0;
         return Err(LeaseRefusal::Expired { until_us, now_us });
     }
-    let max_us = (now + pace.lease).0;
+    let max_us = (now + link_times.lease_duration).0;
     if until_us > max_us {
         return Err(LeaseRefusal::TooLong { until_us, max_us });
     }
--- a/crates/agent/src/worker.rs
+++ b/crates/agent/src/worker.rs
@@ -2,7 +2,7 @@
 //! responses, direct commands, agent epochs and the task attempts on the machine.
 
 use crate::attempts::{Attempts, Effect, Timeouts};
-use crate::link::{Link, Pace};
+use crate::link::{Link, LinkTimes};
 use pebblefold_wire::decode;
 use pebblefold_wire::types::{MachineId, MachineTypeName, NodeId, Resources, Time, Zone};
 use pebblefold_wire::workers::{
@@ -75,7 +75,7 @@
     /// Handles the cloud's notice that it terminates the machine at this instant.
     pub fn termination_notice(&mut self, at: Time) {
         if self.terminates_at.replace(at) != Some(at) {
-            self.link.touch();
+            self.link.note_change();
         }
     }
 
@@ -93,7 +93,7 @@
             zone: m.zone.clone(),
             spot: m.spot,
             epoch: self.link.epoch(),
-            sequence: self.link.count(),
+            sequence: self.link.next_sequence(),
             token: self.link.token(),
             notice_s: self.terminates_at.map(|t| t.since(now).as_secs()),
             tasks: self.attempts.reported_tasks(),
@@ -109,13 +109,13 @@
         rng: &mut impl Rng,
     ) -> Option<(usize, Heartbeat)> {
         if self.attempts.take_changed() {
-            self.link.touch();
+            self.link.note_change();
         }
-        if !self.link.due(now, request_id, rng) {
+        if !self.link.begin_heartbeat(now, request_id, rng) {
             return None;
         }
         let heartbeat = self.build_heartbeat(now)?;
-        Some((self.link.node(), heartbeat))
+        Some((self.link.controller(), heartbeat))
     }
 
     /// Handles the response (status and body) to the heartbeat with this request id;
@@ -127,25 +127,25 @@
         answer: Option<(u16, &[u8])>,
         rng: &mut impl Rng,
     ) {
-        if !self.link.awaits(request_id) {
+        if !self.link.is_in_flight(request_id) {
             return;
         }
         match answer {
             Some((200, body)) => match decode::<HeartbeatResponse>(body) {
                 Some(a) => {
                     let previous_token = self.link.token();
-                    if self.link.answered(now, a.token) {
+                    if self.link.handle_response(now, a.token) {
                         self.execute(now, previous_token, &a.commands);
                     }
                 }
-                None => self.link.sent_away(now, None, rng),
+                None => self.link.redirect(now, None, rng),
             },
             Some((421, body)) => {
                 let leader = decode::<LeaderRedirect>(body).and_then(|e| e.report_to);
                 let to = leader.and_then(|l| self.controller_ids.iter().position(|k| *k == l));
-                self.link.sent_away(now, to, rng);
+                self.link.redirect(now, to, rng);
             }
-            _ => self.link.sent_away(now, None, rng),
+            _ => self.link.redirect(now, None, rng),
         }
     }
 
@@ -156,7 +156,7 @@
             return 400;
         };
         let previous_token = self.link.token();
-        if !self.link.takes(now, d.token, d.epoch) {
+        if !self.link.accepts_commands(now, d.token, d.epoch) {
             return 409;
         }
         self.execute(now, previous_token, &d.commands);
@@ -182,7 +182,7 @@
     /// Advances the time. Once the lease has expired the next epoch begins: its record
     /// follows the proof that all processes of the last epoch are gone.
     pub fn advance(&mut self, now: Time) {
-        if self.link.renewed(now) {
+        if self.link.begin_epoch_if_expired(now) {
             let epoch = self.link.epoch();
             tracing::info!(machine = %self.machine.id, epoch = epoch.0, "lease expired, next epoch begins");
             self.attempts.lease_expired(epoch);
@@ -191,10 +191,10 @@
     }
 }
 
-/// The pace of a link, from times in seconds.
-pub fn pace(report_s: f64, lease_s: f64) -> Pace {
-    Pace {
-        report: pebblefold_wire::types::TimeSpan::secs(report_s),
-        lease: pebblefold_wire::types::TimeSpan::secs(lease_s),
+/// The times of a link, from times in seconds.
+pub fn link_times(report_s: f64, lease_s: f64) -> LinkTimes {
+    LinkTimes {
+        heartbeat_interval: pebblefold_wire::types::TimeSpan::secs(report_s),
+        lease_duration: pebblefold_wire::types::TimeSpan::secs(lease_s),
     }
 }
--- a/crates/agent/tests/epochs.rs
+++ b/crates/agent/tests/epochs.rs
@@ -2,7 +2,7 @@
 //! next.
 
 use pebblefold_agent::attempts::{AttemptKey, Effect, Timeouts};
-use pebblefold_agent::link::{Link, Pace};
+use pebblefold_agent::link::{Link, LinkTimes};
 use pebblefold_agent::shim::Exit;
 use pebblefold_agent::worker::{Machine, Worker};
 use pebblefold_wire::encode;
@@ -114,12 +114,12 @@
         spot: false,
         capacity,
     };
-    let pace = Pace {
-        report: TimeSpan::millis(500),
-        lease: LEASE,
+    let link_times = LinkTimes {
+        heartbeat_interval: TimeSpan::millis(500),
+        lease_duration: LEASE,
     };
     let mut rng = StdRng::seed_from_u64(1);
-    let link = Link::new(pace, 1, at(0.0), &mut rng);
+    let link = Link::new(link_times, 1, at(0.0), &mut rng);
     let gang_wait = TimeSpan::secs(9.0);
     Worker::new(machine, vec!["c0".into()], link, Timeouts { gang_wait })
 }
--- a/crates/agent/tests/journal.rs
+++ b/crates/agent/tests/journal.rs
@@ -78,9 +78,9 @@
 #[test]
 fn acknowledged_writes_survive_power_loss_at_any_write() {
     let whole = new_disk();
-    let before = whole.operations();
+    let before = whole.operation_count();
     assert_eq!(run(&whole), changes().len());
-    let (all, operations) = (changes(), whole.operations());
+    let (all, operations) = (changes(), whole.operation_count());
     assert!(operations > before + 2 * all.len() as u64);
     let mut cuts = 0;
     for at in before + 1..=operations {
@@ -92,9 +92,9 @@
         ];
         for unsynced in variants {
             let disk = new_disk();
-            disk.fail_at(at, unsynced);
+            disk.schedule_power_failure(at, unsynced);
             let acknowledged = run(&disk);
-            disk.power_on();
+            disk.restore_power();
             let contents = Journal::with_storage(disk.open()).unwrap().read().unwrap();
             // Acknowledged changes are present; the change in progress is whole or absent.
             let next = (acknowledged + 1).min(all.len());
--- a/crates/agent/tests/lease.rs
+++ b/crates/agent/tests/lease.rs
@@ -1,6 +1,6 @@
 //! The lease of an agent whose process is stopped in the middle of a step.
 
-use pebblefold_agent::link::{Link, Pace};
+use pebblefold_agent::link::{Link, LinkTimes};
 use pebblefold_wire::types::{AgentEpoch, FencingToken, Time, TimeSpan};
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -18,30 +18,36 @@
 // so.
 #[test]
 fn does_not_renew_lease_expired_within_step() {
-    let pace = Pace {
-        report: TimeSpan::millis(500),
-        lease: TimeSpan::millis(2000),
+    let link_times = LinkTimes {
+        heartbeat_interval: TimeSpan::millis(500),
+        lease_duration: TimeSpan::millis(2000),
     };
     let mut rng = StdRng::seed_from_u64(1);
-    let mut link = Link::new(pace, 1, at(0.0), &mut rng);
-    assert!(!link.renewed(at(1.0)), "the lease lasts for two seconds");
+    let mut link = Link::new(link_times, 1, at(0.0), &mut rng);
+    assert!(
+        !link.begin_epoch_if_expired(at(1.0)),
+        "the lease lasts for two seconds"
+    );
 
     // The process was stopped from 1 s to 5 s.
-    if link.due(at(5.0), 1, &mut rng) {
-        link.answered(at(5.0), FencingToken(1));
+    if link.begin_heartbeat(at(5.0), 1, &mut rng) {
+        link.handle_response(at(5.0), FencingToken(1));
     }
 
-    assert!(link.renewed(at(5.0)), "the lease expired at 2 s");
+    assert!(
+        link.begin_epoch_if_expired(at(5.0)),
+        "the lease expired at 2 s"
+    );
 }
 
 /// A link whose lease of two seconds began at 0 s, with a heartbeat in flight since 1 s.
 fn link_with_heartbeat_in_flight(rng: &mut StdRng) -> Link {
-    let pace = Pace {
-        report: TimeSpan::millis(500),
-        lease: TimeSpan::millis(2000),
+    let link_times = LinkTimes {
+        heartbeat_interval: TimeSpan::millis(500),
+        lease_duration: TimeSpan::millis(2000),
     };
-    let mut link = Link::new(pace, 1, at(0.0), rng);
-    assert!(link.due(at(1.0), 1, rng));
+    let mut link = Link::new(link_times, 1, at(0.0), rng);
+    assert!(link.begin_heartbeat(at(1.0), 1, rng));
     link
 }
 
@@ -52,16 +58,16 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut link = link_with_heartbeat_in_flight(&mut rng);
     assert!(
-        !link.answered(at(2.5), FencingToken(1)),
+        !link.handle_response(at(2.5), FencingToken(1)),
         "expired since 2 s"
     );
     assert_eq!(link.token(), FencingToken(0));
-    assert!(link.renewed(at(2.5)));
+    assert!(link.begin_epoch_if_expired(at(2.5)));
 
     let mut link = link_with_heartbeat_in_flight(&mut rng);
-    assert!(link.answered(at(1.9), FencingToken(1)));
-    assert!(!link.renewed(at(2.9)), "renewed from 1 s on");
-    assert!(link.renewed(at(3.1)));
+    assert!(link.handle_response(at(1.9), FencingToken(1)));
+    assert!(!link.begin_epoch_if_expired(at(2.9)), "renewed from 1 s on");
+    assert!(link.begin_epoch_if_expired(at(3.1)));
 }
 
 #[test]
@@ -69,11 +75,14 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut link = link_with_heartbeat_in_flight(&mut rng);
     let (token, epoch) = (FencingToken(1), link.epoch());
-    assert!(link.takes(at(2.0), token, epoch));
-    assert!(!link.takes(at(2.1), token, epoch));
-    assert!(link.renewed(at(2.1)));
-    assert!(!link.takes(at(2.2), token, epoch), "the previous epoch");
-    assert!(link.takes(at(2.2), token, link.epoch()));
+    assert!(link.accepts_commands(at(2.0), token, epoch));
+    assert!(!link.accepts_commands(at(2.1), token, epoch));
+    assert!(link.begin_epoch_if_expired(at(2.1)));
+    assert!(
+        !link.accepts_commands(at(2.2), token, epoch),
+        "the previous epoch"
+    );
+    assert!(link.accepts_commands(at(2.2), token, link.epoch()));
 }
 
 /// One use of the link, at an instant of its own.
@@ -119,9 +128,9 @@
     fn nothing_counts_after_lease_expiry(
         steps in proptest::collection::vec((step(), 0u64..1500), 1..40),
     ) {
-        let pace = Pace { report: TimeSpan::millis(500), lease: TimeSpan::millis(2000) };
+        let link_times = LinkTimes { heartbeat_interval: TimeSpan::millis(500), lease_duration: TimeSpan::millis(2000) };
         let mut rng = StdRng::seed_from_u64(1);
-        let mut link = Link::new(pace, 2, Time(0), &mut rng);
+        let mut link = Link::new(link_times, 2, Time(0), &mut rng);
         let mut model = LeaseModel { start_ms: 0, sent_ms: None, token: 0, epoch: 1 };
         let mut now_ms = 0;
         for (step, pause_ms) in steps {
@@ -130,14 +139,14 @@
             let valid = model.is_valid(now_ms);
             match step {
                 Step::Heartbeat => {
-                    if link.due(now, now_ms, &mut rng) {
+                    if link.begin_heartbeat(now, now_ms, &mut rng) {
                         prop_assert!(valid, "a heartbeat of an expired epoch");
                         model.sent_ms = Some(now_ms);
                     }
                 }
                 Step::Answer { token } => {
                     let counts = model.sent_ms.is_some() && token >= model.token && valid;
-                    prop_assert_eq!(link.answered(now, FencingToken(token)), counts);
+                    prop_assert_eq!(link.handle_response(now, FencingToken(token)), counts);
                     let sent_ms = model.sent_ms.take();
                     if counts {
                         model.token = token;
@@ -147,13 +156,13 @@
                 Step::Command { token, epochs_back } => {
                     let counts = token >= model.token && epochs_back == 0 && valid;
                     let epoch = AgentEpoch(model.epoch - epochs_back);
-                    prop_assert_eq!(link.takes(now, FencingToken(token), epoch), counts);
+                    prop_assert_eq!(link.accepts_commands(now, FencingToken(token), epoch), counts);
                     if counts {
                         model.token = token;
                     }
                 }
                 Step::CheckLease => {
-                    prop_assert_eq!(link.renewed(now), !valid);
+                    prop_assert_eq!(link.begin_epoch_if_expired(now), !valid);
                     if !valid {
                         model.epoch += 1;
                         model.start_ms = now_ms;
--- a/crates/agent/tests/resume.rs
+++ b/crates/agent/tests/resume.rs
@@ -1,16 +1,16 @@
 //! Which stored leases a restarted agent resumes.
 
 use pebblefold_agent::journal::JournalContents;
-use pebblefold_agent::link::Pace;
+use pebblefold_agent::link::LinkTimes;
 use pebblefold_agent::resume::{LeaseRefusal, decide_start};
 use pebblefold_agent::shim::Lease;
 use pebblefold_wire::types::{AgentEpoch, FencingToken, Time, TimeSpan};
 
 const BOOT: &str = "boot-1";
 const NOW: Time = Time(60_000_000);
-const PACE: Pace = Pace {
-    report: TimeSpan::millis(500),
-    lease: TimeSpan::millis(2000),
+const PACE: LinkTimes = LinkTimes {
+    heartbeat_interval: TimeSpan::millis(500),
+    lease_duration: TimeSpan::millis(2000),
 };
 
 fn journal_at_epoch_three() -> JournalContents {
@@ -36,7 +36,10 @@
     assert_eq!(start.refusal, None);
     assert_eq!(start.link.epoch, AgentEpoch(3));
     assert_eq!(start.link.token, FencingToken(7));
-    assert_eq!(start.link.lease_start + PACE.lease, Time(lease().until_us));
+    assert_eq!(
+        start.link.lease_start + PACE.lease_duration,
+        Time(lease().until_us)
+    );
     assert_eq!(start.link.sequence.0, NOW.0);
 }
 
--- a/crates/client/src/attempts.rs
+++ b/crates/client/src/attempts.rs
@@ -99,7 +99,7 @@
 }
 
 /// The attempts of one call, as a state machine: [`Attempts::next`] returns what to do,
-/// [`Attempts::failed`] records an attempt that has to be repeated.
+/// [`Attempts::record_failure`] records an attempt that has to be repeated.
 #[derive(Debug)]
 pub struct Attempts {
     kind: RequestKind,
@@ -174,7 +174,7 @@
             .map(|a| a.attempt)
             .collect();
         for attempt in timed_out {
-            self.failed(now, attempt, None);
+            self.record_failure(now, attempt, None);
         }
         let mut actions = Vec::new();
         if self.in_flight.is_empty() && now >= self.pause_until {
@@ -224,7 +224,7 @@
     /// Records that an attempt failed or that its response requires a retry. The next
     /// attempt waits for the backoff or for `Retry-After`, whichever is longer, and is
     /// sent to another controller. An attempt that is no longer in flight is ignored.
-    pub fn failed(&mut self, now: Time, attempt: u32, retry_after_s: Option<u32>) {
+    pub fn record_failure(&mut self, now: Time, attempt: u32, retry_after_s: Option<u32>) {
         let Some(i) = self.in_flight.iter().position(|a| a.attempt == attempt) else {
             return;
         };
@@ -234,7 +234,7 @@
         }
         let jitter = self.rng.random();
         let (initial, limit) = (self.policy.first_pause, self.policy.max_pause);
-        let backoff_pause = self.backoff.failed(initial, limit, jitter);
+        let backoff_pause = self.backoff.next_pause(initial, limit, jitter);
         // Jitter of up to a quarter spreads the retries of many clients that received
         // the same `Retry-After`; none of them retries earlier.
         let requested_pause = retry_after_s.map_or(TimeSpan::ZERO, |s| {
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::answer_cache::AnswerCache;
 use crate::attempts::{Action, Attempts, ReplyClass, RequestKind, RetryPolicy};
-use pebblefold_net::{Client as HttpClient, Sent};
+use pebblefold_net::{Client as HttpClient, SentFlag};
 use pebblefold_wire::http::Response;
 use pebblefold_wire::rate_limit::TokenBucket;
 use pebblefold_wire::types::{JobId, Time, TimeSpan};
@@ -192,7 +192,7 @@
         loop {
             let now = shared.now();
             let actions = attempts.next(now, &mut |now| {
-                shared.retry_budget.borrow_mut().take(now, 1.0)
+                shared.retry_budget.borrow_mut().try_take(now, 1.0)
             });
             for action in actions {
                 match action {
@@ -228,7 +228,7 @@
                     retry_after_s,
                 } => {
                     last = format!("{}: {reason}", shared.nodes[finished.node]);
-                    attempts.failed(shared.now(), finished.attempt, retry_after_s);
+                    attempts.record_failure(shared.now(), finished.attempt, retry_after_s);
                 }
             }
         }
@@ -320,7 +320,7 @@
         path: &str,
         body: &[u8],
     ) -> Result<Response, String> {
-        let sent = Sent::default();
+        let sent = SentFlag::default();
         let exchange_future = self
             .http
             .exchange(self.nodes[node], method, path, body, &sent);
--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -107,7 +107,7 @@
             seed,
         );
         attempts.next(at_ms(0), &mut |_| true);
-        attempts.failed(at_ms(10), 0, Some(4));
+        attempts.record_failure(at_ms(10), 0, Some(4));
         let resent_at_ms = (0..30_000)
             .find(|ms| {
                 matches!(
--- a/crates/controller/src/core/election.rs
+++ b/crates/controller/src/core/election.rs
@@ -167,8 +167,8 @@
     }
 
     /// The leader's key under the active format version.
-    pub fn holder_key(&self) -> &'static str {
-        self.member_versions.holder_key()
+    pub fn leader_key(&self) -> &'static str {
+        self.member_versions.leader_key()
     }
 
     /// Starts a claim of the key from its present holder. The claim compares the key's
@@ -246,7 +246,9 @@
     /// Delays the next call after a failed one.
     fn back_off(&mut self, effects: &mut Effects) {
         let jitter = effects.jitter();
-        let delay = self.backoff.failed(INITIAL_BACKOFF, MAX_BACKOFF, jitter);
+        let delay = self
+            .backoff
+            .next_pause(INITIAL_BACKOFF, MAX_BACKOFF, jitter);
         self.not_before = effects.now.time + delay;
     }
 
--- a/crates/controller/src/core/election/claim.rs
+++ b/crates/controller/src/core/election/claim.rs
@@ -55,18 +55,18 @@
     /// The transaction that writes the leader's key bound to this lease, if the key
     /// still has this version.
     fn claim_transaction(&mut self, version: Version, lease: u64) -> Transaction {
-        let holder_key = self.holder_key();
+        let leader_key = self.leader_key();
         let mut txn = Transaction {
             conditions: vec![Precondition {
-                key: holder_key.into(),
+                key: leader_key.into(),
                 version,
             }],
             ops: Vec::new(),
         };
         self.claimed_version = None;
-        let mut new_holder_key = holder_key;
+        let mut new_leader_key = leader_key;
         if let Some(activation) = self.activation.take() {
-            new_holder_key = member_versions::LEADER_KEY;
+            new_leader_key = member_versions::LEADER_KEY;
             self.claimed_version = Some(activation.to);
             txn.conditions.extend(activation.conditions);
             txn.ops = activation.ops;
@@ -79,12 +79,12 @@
             let fence = self.member_versions.fence();
             txn.conditions.extend(fence.map(member_versions::fence));
             if self.store_is_empty {
-                new_holder_key = member_versions::LEADER_KEY;
+                new_leader_key = member_versions::LEADER_KEY;
                 self.claimed_version = Some(FENCED);
                 txn.ops = self.member_versions.initial_operations();
             }
         }
-        txn.ops.push(self.put_leader_record(new_holder_key, lease));
+        txn.ops.push(self.put_leader_record(new_leader_key, lease));
         txn
     }
 
--- a/crates/controller/src/core/election/leader_key.rs
+++ b/crates/controller/src/core/election/leader_key.rs
@@ -86,7 +86,7 @@
             && self
                 .member_versions
                 .store_is_empty(page.revision, page.items.len());
-        let holder_key = self.holder_key();
+        let holder_key = self.leader_key();
         let entry = page.items.into_iter().find(|e| e.key == holder_key);
         let leader_key = entry.map(|e| LeaderKey {
             record: job_records::read_record(&e.value),
@@ -131,7 +131,7 @@
             self.member_versions.apply(event);
         }
         // Must follow the loop above: an activation among the events changes the key.
-        let holder_key = self.holder_key();
+        let holder_key = self.leader_key();
         let mut events = changes.events.into_iter();
         let Some(last) = events.rfind(|event| concerns_key(event, holder_key)) else {
             return;
--- a/crates/controller/src/core/election/tests.rs
+++ b/crates/controller/src/core/election/tests.rs
@@ -78,7 +78,7 @@
         election.handle_reply(effects, pending, Reply::Answer(200, answer));
     }
     assert_eq!(
-        (election.state, election.holder_key()),
+        (election.state, election.leader_key()),
         (ElectionState::Leading, member_versions::LEGACY_LEADER_KEY)
     );
     let activation = election
@@ -135,7 +135,7 @@
             assert_eq!(
                 (
                     election.member_versions.active_version(),
-                    election.holder_key()
+                    election.leader_key()
                 ),
                 (FENCED, member_versions::LEADER_KEY)
             );
@@ -144,7 +144,7 @@
             assert_eq!(
                 (
                     election.member_versions.active_version(),
-                    election.holder_key()
+                    election.leader_key()
                 ),
                 (UNVERSIONED, member_versions::LEGACY_LEADER_KEY)
             );
--- a/crates/controller/src/core/failure_detector/detector.rs
+++ b/crates/controller/src/core/failure_detector/detector.rs
@@ -241,7 +241,7 @@
         self.agent_migrations.clear();
         self.last_heartbeat = now;
         self.store_silence = TimeSpan::millis(heartbeat.store_contact_age_ms);
-        self.leader_lag = TimeSpan::millis(heartbeat.work_delay_ms);
+        self.leader_lag = TimeSpan::millis(heartbeat.event_loop_delay_ms);
         let current = self.investigation.as_ref();
         if current.is_some_and(|i| i.suspicion == Suspicion::Silent) {
             self.refute();
--- a/crates/controller/src/core/failure_detector/detector/tests.rs
+++ b/crates/controller/src/core/failure_detector/detector/tests.rs
@@ -11,7 +11,7 @@
         node_id: "a".into(),
         token: TOKEN,
         store_contact_age_ms,
-        work_delay_ms: 0,
+        event_loop_delay_ms: 0,
     }
 }
 
--- a/crates/controller/src/core/format_version/member_versions.rs
+++ b/crates/controller/src/core/format_version/member_versions.rs
@@ -205,7 +205,7 @@
     }
 
     /// The leader's key under the active format version.
-    pub fn holder_key(&self) -> &'static str {
+    pub fn leader_key(&self) -> &'static str {
         if self.active_version() >= FENCED {
             LEADER_KEY
         } else {
--- a/crates/controller/src/core/job_api.rs
+++ b/crates/controller/src/core/job_api.rs
@@ -171,7 +171,7 @@
             _ => 0.0,
         };
         let now = effects.now.time;
-        if effects.user_calls.level(now) < reserved || !effects.user_calls.take(now, 1.0) {
+        if effects.user_calls.level(now) < reserved || !effects.user_calls.try_take(now, 1.0) {
             return refuse(effects, request, 503, "too many requests");
         }
         let path = format!("/keys/{}", job_records::job_header_key(id));
@@ -194,7 +194,7 @@
             .extend(effects.version_fence.map(member_versions::fence));
         let now = effects.now.time;
         let writes = txn.ops.len() as f64;
-        if !effects.user_calls.take(now, 1.0) || !effects.user_writes.take(now, writes) {
+        if !effects.user_calls.try_take(now, 1.0) || !effects.user_writes.try_take(now, writes) {
             return refuse(effects, request, 503, "too many requests");
         }
         let body = wire::encode(&txn);
--- a/crates/controller/src/core/job_api/poll.rs
+++ b/crates/controller/src/core/job_api/poll.rs
@@ -53,7 +53,7 @@
         let Some((txn, comparison)) = next else {
             return;
         };
-        if !effects.user_calls.take(now, 1.0) {
+        if !effects.user_calls.try_take(now, 1.0) {
             return self.handle_shared_read(effects, comparison, &Reply::NotSent);
         }
         let call = effects.call(
--- a/crates/controller/src/core/job_api/submit.rs
+++ b/crates/controller/src/core/job_api/submit.rs
@@ -35,7 +35,7 @@
         let zone = job.zone.as_ref();
         names.is_none_or(|names| names.contains(&machine_type.name))
             && zone.is_none_or(|zone| machine_type.zones.contains(zone))
-            && task.fits(&machine_type.has())
+            && task.fits_within(&machine_type.has())
     });
     if !fits_somewhere {
         return Some("a task fits no allowed machine type");
@@ -60,7 +60,7 @@
         let Some(job) = wire::decode::<Submission>(body) else {
             return self.reject_undecodable(effects, request, body);
         };
-        if let Some(field) = job.fault() {
+        if let Some(field) = job.first_invalid_field() {
             let why = format!("{field} is invalid");
             if !is_valid_job_id(job.id.as_str()) {
                 return refuse(effects, request, 400, &why);
--- a/crates/controller/src/core/leader/arrival_recorder.rs
+++ b/crates/controller/src/core/leader/arrival_recorder.rs
@@ -54,7 +54,7 @@
         let needs = job.spec.needs();
         let tasks_per_machine = machine_types
             .values()
-            .map(|machine_type| needs.count_in(&machine_type.has(), u32::MAX))
+            .map(|machine_type| needs.max_count_in(&machine_type.has(), u32::MAX))
             .max()
             .unwrap_or(1)
             .max(1);
--- a/crates/controller/src/core/leader/autoscaling.rs
+++ b/crates/controller/src/core/leader/autoscaling.rs
@@ -106,7 +106,7 @@
         let Some(call) = self.next_call(now, cluster.machine_types.is_empty()) else {
             return;
         };
-        self.rate_limit.take(now, 1.0);
+        self.rate_limit.try_take(now, 1.0);
         self.call_in_flight = true;
         let CloudRequest { method, path, body } = self.request_for(&call);
         let via = self.cloud_proxy.peer(now).cloned();
@@ -299,7 +299,7 @@
     /// Handles a failed call: pauses all calls, and keeps or drops a provision intent.
     fn handle_failure(&mut self, effects: &mut Effects, call: CloudCall, answer: &CloudAnswer) {
         let jitter = effects.jitter();
-        let pause = self.backoff.failed(MIN_BACKOFF, MAX_BACKOFF, jitter);
+        let pause = self.backoff.next_pause(MIN_BACKOFF, MAX_BACKOFF, jitter);
         self.not_before = effects.now.time + pause;
         if let CloudCall::Provision(request) = call {
             // A refused request was not carried out. A request without an answer may have
--- a/crates/controller/src/core/leader/capacity_planning.rs
+++ b/crates/controller/src/core/leader/capacity_planning.rs
@@ -171,7 +171,7 @@
         for machine_type in cluster.machine_types.values() {
             let tasks = request
                 .need
-                .count_in(&machine_type.has(), MAX_TASKS_PER_MACHINE);
+                .max_count_in(&machine_type.has(), MAX_TASKS_PER_MACHINE);
             let allowed = request.machine_types.as_ref();
             if tasks == 0 || allowed.is_some_and(|allowed| !allowed.contains(&machine_type.name)) {
                 continue;
@@ -358,7 +358,8 @@
             let idle_for = now.since(*machine.idle_since.get_or_insert(now));
             let is_usable = || {
                 let mut requests = unplaced.iter();
-                requests.any(|request| request.allows(row) && request.need.fits(&row.capacity))
+                requests
+                    .any(|request| request.allows(row) && request.need.fits_within(&row.capacity))
             };
             let is_overdue = idle_for >= idle_limit.scaled(USABLE_IDLE_FACTOR);
             let may_terminate = idle_for >= idle_limit && (is_overdue || !is_usable());
--- a/crates/controller/src/core/leader/command_dispatch.rs
+++ b/crates/controller/src/core/leader/command_dispatch.rs
@@ -317,7 +317,7 @@
         // Write-ahead: a start may be sent only once it is stored.
         let is_stored = job.is_stored(size, task.index, assignment.change)
             || !failpoints::enforced(SafetyCheck::WriteAhead);
-        if !is_current || !is_stored || !should_run || !needs.fits(&free) {
+        if !is_current || !is_stored || !should_run || !needs.fits_within(&free) {
             continue;
         }
         free -= needs;
--- a/crates/controller/src/core/leader/commit_pipeline.rs
+++ b/crates/controller/src/core/leader/commit_pipeline.rs
@@ -127,7 +127,7 @@
         let Some(BuiltTransaction { transaction, .. }) = &self.pipeline.in_flight else {
             return;
         };
-        if !effects.leader_calls.take(now, 1.0) {
+        if !effects.leader_calls.try_take(now, 1.0) {
             self.pipeline.not_before = now + RATE_LIMITED_PAUSE;
             return;
         }
@@ -173,7 +173,7 @@
         }
         let built = builder.finish()?;
         self.write_tokens
-            .take(now, built.transaction.ops.len() as f64);
+            .try_take(now, built.transaction.ops.len() as f64);
         Some(built)
     }
 
@@ -192,7 +192,7 @@
         };
         let pause = self
             .backoff
-            .failed(SHORTEST_BACKOFF, LONGEST_BACKOFF, effects.jitter());
+            .next_pause(SHORTEST_BACKOFF, LONGEST_BACKOFF, effects.jitter());
         match reply {
             Reply::Answer(200, body) => {
                 self.handle_committed(now, context, &transaction, items, &body)
--- a/crates/controller/src/core/leader/commit_pipeline/tests.rs
+++ b/crates/controller/src/core/leader/commit_pipeline/tests.rs
@@ -36,7 +36,10 @@
     let mut now = Time(0) + TimeSpan::secs(1.0);
     while leader.cluster.jobs.contains_key(&id) {
         let level = leader.writer.write_tokens.level(now);
-        leader.writer.write_tokens.take(now, level - room as f64);
+        leader
+            .writer
+            .write_tokens
+            .try_take(now, level - room as f64);
         let mut parts = leader.writer_parts();
         let Some(BuiltTransaction {
             transaction: txn,
--- a/crates/controller/src/core/leader/record_watch.rs
+++ b/crates/controller/src/core/leader/record_watch.rs
@@ -149,7 +149,7 @@
                 let jitter = effects.jitter();
                 let pause = self
                     .backoff
-                    .failed(SHORTEST_BACKOFF, LONGEST_BACKOFF, jitter);
+                    .next_pause(SHORTEST_BACKOFF, LONGEST_BACKOFF, jitter);
                 self.next_read = now + pause;
                 return LeadershipOutcome::Continue;
             }
--- a/crates/controller/src/core/leader/service_levels.rs
+++ b/crates/controller/src/core/leader/service_levels.rs
@@ -89,7 +89,7 @@
         let types = self.machine_types.values();
         types
             .map(|machine_type| machine_type.has())
-            .reduce(|a, b| a.most(&b))
+            .reduce(|a, b| a.component_max(&b))
     }
 }
 
--- a/crates/controller/src/core/leader/tests.rs
+++ b/crates/controller/src/core/leader/tests.rs
@@ -174,7 +174,7 @@
     leader.format_version = WITH_HISTORY;
     assert!(!leader.is_rewritten());
     let level = leader.writer.write_tokens.level(Time(2_000_000));
-    leader.writer.write_tokens.take(Time(2_000_000), level);
+    leader.writer.write_tokens.try_take(Time(2_000_000), level);
     assert!(!written(&mut leader, 2.0), "the write rate is in use");
     leader.writer.write_tokens = TokenBucket::new(50.0, 50.0);
     assert!(
--- a/crates/controller/src/core/lease_keep_alive.rs
+++ b/crates/controller/src/core/lease_keep_alive.rs
@@ -48,7 +48,7 @@
             node_id: node_id.clone(),
             token: self.token,
             store_contact_age_ms: store_silence.as_millis(),
-            work_delay_ms: core_lag.as_millis(),
+            event_loop_delay_ms: core_lag.as_millis(),
         }
     }
 
--- a/crates/controller/src/core/node/leader_supervision.rs
+++ b/crates/controller/src/core/node/leader_supervision.rs
@@ -8,7 +8,7 @@
 use crate::settings::Peer;
 use crate::types::{FencingToken, NodeId, Time, TimeSpan, Version};
 use crate::wire;
-use crate::wire::peers::{LeaderHeartbeat, SuspicionQuery, SuspicionReport};
+use crate::wire::peers::{LeaderHeartbeat, SuspicionQuery, SuspicionVote};
 use std::rc::Rc;
 
 /// Contact with the key-value store within this time counts as proof that the store
@@ -64,7 +64,7 @@
                 self.call_peer(peer, SUSPICION_QUERY, query.clone(), pending);
             }
         }
-        let path = format!("/keys/{}", self.election.holder_key());
+        let path = format!("/keys/{}", self.election.leader_key());
         let call = self
             .effects
             .call(Target::Store, "GET", path, Vec::new(), PROBE_TIMEOUT);
@@ -107,12 +107,12 @@
             Suspicion::Silent
         };
         let detector = &self.failure_detector;
-        let report = SuspicionReport {
+        let report = SuspicionVote {
             node_id: self.settings.node_id.clone(),
             token: query.token,
             agrees: self.is_serving()
                 && detector.confirms(now, query.token, suspicion, store_reachable),
-            came: detector.recent_agent_migrations(now),
+            recent_agent_migrations: detector.recent_agent_migrations(now),
         };
         self.effects.answer_body(id, wire::encode(&report));
     }
@@ -139,7 +139,7 @@
     /// Handles a peer's answer to a suspicion query. Answers under names other than the
     /// configured peers' are ignored.
     pub(super) fn handle_suspicion_report(&mut self, reply: &Reply) {
-        let Some(report) = reply.decode_success::<SuspicionReport>() else {
+        let Some(report) = reply.decode_success::<SuspicionVote>() else {
             return;
         };
         let mut peers = self.settings.peers.iter();
@@ -148,7 +148,7 @@
                 report.node_id,
                 report.token,
                 report.agrees,
-                report.came,
+                report.recent_agent_migrations,
             );
         }
     }
--- a/crates/controller/src/core/node/leadership.rs
+++ b/crates/controller/src/core/node/leadership.rs
@@ -48,7 +48,7 @@
     fn new_leader(&self, token: FencingToken, lease: u64) -> Leader {
         let no_types = MachineTypes::default();
         let term = LeaderTerm {
-            holder: self.election.holder_key(),
+            holder: self.election.leader_key(),
             token,
             lease,
             format_version: self.election.member_versions.active_version(),
--- a/crates/controller/src/core/node/peer_heartbeat.rs
+++ b/crates/controller/src/core/node/peer_heartbeat.rs
@@ -70,7 +70,7 @@
             loaded: self.leads() || self.peers.values().any(is_loaded_leader),
             cancelled: self.cancellations.newest(),
             state_ok: self.is_store_reachable(),
-            strained: self.self_health.is_overloaded || self.shutdown_since.is_some(),
+            is_overloaded: self.self_health.is_overloaded || self.shutdown_since.is_some(),
             effort_us: self.self_health.calibration_us,
             levels: self.election.member_versions.own_build(),
             counts,
@@ -195,7 +195,7 @@
             is_leader: heartbeat.leads,
             leader_is_loaded: heartbeat.loaded,
             store_reachable: heartbeat.state_ok,
-            is_overloaded: heartbeat.strained,
+            is_overloaded: heartbeat.is_overloaded,
             calibration_us: heartbeat.effort_us,
         };
         self.job_api.record_task_counts(heartbeat.counts);
--- a/crates/controller/src/core/node/tests.rs
+++ b/crates/controller/src/core/node/tests.rs
@@ -22,7 +22,7 @@
         loaded: false,
         cancelled: Vec::new(),
         state_ok,
-        strained: false,
+        is_overloaded: false,
         effort_us: 0,
         levels: None,
         counts: Vec::new(),
@@ -48,7 +48,7 @@
     node.record_peer_heartbeat(peer(true));
     assert!(!node.is_ready(), "a slow follower sheds users to peers");
     node.record_peer_heartbeat(PeerHeartbeat {
-        strained: true,
+        is_overloaded: true,
         ..peer(true)
     });
     assert!(node.is_ready(), "only to peers with spare processor time");
@@ -237,7 +237,7 @@
         loaded,
         cancelled: Vec::new(),
         state_ok: true,
-        strained: false,
+        is_overloaded: false,
         effort_us: 0,
         levels: None,
         counts: Vec::new(),
--- a/crates/controller/src/core/preemption.rs
+++ b/crates/controller/src/core/preemption.rs
@@ -112,10 +112,10 @@
         let row = &self.cycle.rows[index];
         let request = self.request;
         let has_victims = !self.victims.by_row[index].is_empty();
-        (has_victims || request.need.fits(&row.free))
+        (has_victims || request.need.fits_within(&row.free))
             && self.cycle.may_use(index, &request.job)
             && request.allows(row)
-            && request.need.fits(&row.capacity)
+            && request.need.fits_within(&row.capacity)
             && request.zone_room(&row.zone) != 0
     }
 
@@ -134,7 +134,7 @@
         let mut reclaimed = ReclaimUsage::default();
         let mut gangs: BTreeSet<&JobId> = BTreeSet::new();
         for (cost, victim_index) in self.victims_by_cost(index) {
-            if need.fits(&free) {
+            if need.fits_within(&free) {
                 break;
             }
             let victim = &self.victims[victim_index];
@@ -151,7 +151,7 @@
             plan.cost += cost;
         }
         let limit = self.requested_tasks.min(self.request.zone_room(&row.zone));
-        plan.tasks = need.count_in(&free, limit);
+        plan.tasks = need.max_count_in(&free, limit);
         if plan.tasks == 0 {
             return None;
         }
--- a/crates/controller/src/core/preemption/tests.rs
+++ b/crates/controller/src/core/preemption/tests.rs
@@ -151,7 +151,7 @@
 
     fn run_task(&mut self, task: Victim) {
         let free = &mut self.rows[task.row].free;
-        if !task.need.fits(free) {
+        if !task.need.fits_within(free) {
             return;
         }
         *free -= task.need;
--- a/crates/controller/src/core/scheduling_cycle.rs
+++ b/crates/controller/src/core/scheduling_cycle.rs
@@ -189,7 +189,7 @@
         requests.sort_by_cached_key(PlacementRequest::rank);
         self.find_open_rows(requests);
         let sizes = self.rows.iter().map(|row| row.capacity);
-        let Some(largest_machine) = sizes.reduce(|a, b| a.most(&b)) else {
+        let Some(largest_machine) = sizes.reduce(|a, b| a.component_max(&b)) else {
             return;
         };
         for request in requests.iter_mut().filter(|r| !r.tasks.is_empty()) {
--- a/crates/controller/src/core/scheduling_cycle/backfill.rs
+++ b/crates/controller/src/core/scheduling_cycle/backfill.rs
@@ -38,7 +38,7 @@
         let free = self.rows[row].free;
         match self.reservations.get(&row) {
             Some(reserved) if self.would_delay(request, row, reserved) => {
-                free.least(&reserved.spare)
+                free.component_min(&reserved.spare)
             }
             _ => free,
         }
@@ -84,10 +84,10 @@
             return;
         }
         let is_reserved_room = |&row: &usize| {
-            request.need.fits(&self.rows[row].free)
+            request.need.fits_within(&self.rows[row].free)
                 && request.allows(&self.rows[row])
                 && request.zone_room(&self.rows[row].zone) > 0
-                && !request.need.fits(&self.usable(request, row))
+                && !request.need.fits_within(&self.usable(request, row))
         };
         if self.rows_with_room[room_index]
             .rows
--- a/crates/controller/src/core/scheduling_cycle/candidates.rs
+++ b/crates/controller/src/core/scheduling_cycle/candidates.rs
@@ -59,11 +59,11 @@
             .iter()
             .filter(|request| !request.tasks.is_empty())
             .map(|request| request.need);
-        let smallest_need = needs.reduce(|a, b| a.least(&b));
+        let smallest_need = needs.reduce(|a, b| a.component_min(&b));
         self.rows_with_room.clear();
         self.open_rows = match smallest_need {
             Some(need) => (0..self.rows.len())
-                .filter(|&row| need.fits(&self.rows[row].free))
+                .filter(|&row| need.fits_within(&self.rows[row].free))
                 .collect(),
             None => Vec::new(),
         };
@@ -79,7 +79,7 @@
         if let Some(index) = known_index {
             // Removes rows that have filled up since the search.
             let (rows, list) = (&self.rows, &mut self.rows_with_room[index].rows);
-            list.retain(|&row| need.fits(&rows[row].free));
+            list.retain(|&row| need.fits_within(&rows[row].free));
             return index;
         }
         let found = self.search_open_rows(need);
@@ -90,11 +90,11 @@
     fn search_open_rows(&self, need: Resources) -> RowsWithRoom {
         let open = self.open_rows.iter().copied();
         let rows: Vec<usize> = open
-            .filter(|&row| need.fits(&self.rows[row].free))
+            .filter(|&row| need.fits_within(&self.rows[row].free))
             .collect();
         let mut tasks_by_zone: HashMap<&Zone, u64> = HashMap::new();
         for row in rows.iter().map(|&row| &self.rows[row]) {
-            let tasks = need.count_in(&row.free, u32::MAX);
+            let tasks = need.max_count_in(&row.free, u32::MAX);
             *tasks_by_zone.entry(&row.zone).or_default() += u64::from(tasks);
         }
         RowsWithRoom {
@@ -162,8 +162,8 @@
             .iter()
             .map(|&index| (index, &self.rows[index]))
             .filter(|(_, row)| zone.is_none_or(|zone| zone == &row.zone))
-            .filter(|(_, row)| request.need.fits(&row.free) && request.allows(row))
-            .filter(|(index, _)| request.need.fits(&self.usable(request, *index)))
+            .filter(|(_, row)| request.need.fits_within(&row.free) && request.allows(row))
+            .filter(|(index, _)| request.need.fits_within(&self.usable(request, *index)))
             .filter(|(_, row)| self.is_in_scope(request, row, scope))
             .map(|(index, row)| {
                 let free_after = (row.free - request.need).share_of(&row.capacity);
--- a/crates/controller/src/core/scheduling_cycle/placement.rs
+++ b/crates/controller/src/core/scheduling_cycle/placement.rs
@@ -106,7 +106,7 @@
             gpus: unused(team.share.gpus_max, team.used.gpus),
             memory_gb: f64::INFINITY,
         };
-        request.need.count_in(&room, request.tasks.len() as u32)
+        request.need.max_count_in(&room, request.tasks.len() as u32)
     }
 
     /// Distributes at most `limit` tasks over the candidates: each row receives as many
@@ -138,7 +138,9 @@
             let in_zone = tasks_in_zones.entry(&row.zone).or_default();
             let zone_room = request.zone_room(&row.zone).saturating_sub(*in_zone);
             let usable = self.usable(request, index);
-            let tasks = request.need.count_in(&usable, tasks_left.min(zone_room));
+            let tasks = request
+                .need
+                .max_count_in(&usable, tasks_left.min(zone_room));
             if tasks > 0 {
                 *in_zone += tasks;
                 tasks_left -= tasks;
--- a/crates/controller/src/core/scheduling_cycle/reservation.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation.rs
@@ -108,7 +108,7 @@
             let zone_room = request.zone_room(&row.zone).saturating_sub(*in_zone);
             let tasks = request
                 .need
-                .count_in(&row.reservable, tasks_left.min(zone_room));
+                .max_count_in(&row.reservable, tasks_left.min(zone_room));
             if tasks > 0 {
                 *in_zone += tasks;
                 tasks_left -= tasks;
--- a/crates/controller/src/core/scheduling_cycle/reservation_tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/reservation_tests.rs
@@ -334,7 +334,7 @@
                     room -= request.need;
                 }
             }
-            prop_assert!(gpus(4).fits(&room), "row {row}: {room:?} at {:?}", reserved.starts_at);
+            prop_assert!(gpus(4).fits_within(&room), "row {row}: {room:?} at {:?}", reserved.starts_at);
         }
         for (row, before) in result.rows.iter().zip(&before) {
             prop_assert!(row.free.gpus >= 0.0 && row.free.gpus <= before.free.gpus);
--- a/crates/controller/src/core/scheduling_cycle/tests.rs
+++ b/crates/controller/src/core/scheduling_cycle/tests.rs
@@ -133,7 +133,7 @@
         zone: Option<&Zone>,
     ) -> Option<usize> {
         let fits = |machine: &MachineRow| {
-            request.need.fits(&machine.free)
+            request.need.fits_within(&machine.free)
                 && (request.spot || !machine.spot)
                 && zone.is_none_or(|z| *z == machine.zone)
         };
--- a/crates/controller/src/driver.rs
+++ b/crates/controller/src/driver.rs
@@ -15,7 +15,7 @@
 use crate::types::{Time, WallTime};
 use lease_keeper::LeaseKeeper;
 use listener::Connections;
-use pebblefold_net::{Client, Sent};
+use pebblefold_net::{Client, SentFlag};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -104,13 +104,13 @@
             Target::Host(addr) => addr,
         };
         let limit = Duration::from_micros(call.timeout.0);
-        let sent = Sent::default();
+        let sent = SentFlag::default();
         let exchange = self
             .client
             .exchange(addr, call.method, &call.path, &call.body, &sent);
         match timeout(limit, exchange).await {
             Ok(Ok(response)) => Reply::Answer(response.status, response.body),
-            Ok(Err(_)) | Err(_) if !sent.get() => Reply::NotSent,
+            Ok(Err(_)) | Err(_) if !sent.may_have_arrived() => Reply::NotSent,
             _ => Reply::Lost,
         }
     }
--- a/crates/controller/src/driver/lease_keeper.rs
+++ b/crates/controller/src/driver/lease_keeper.rs
@@ -8,7 +8,7 @@
 use crate::core::node::routes;
 use crate::types::{NodeId, Time};
 use crate::wire::encode;
-use pebblefold_net::{Client, Sent};
+use pebblefold_net::{Client, SentFlag};
 use std::cell::Cell;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -140,7 +140,7 @@
     /// Renews a lease once; the status of the answer, 0 if there is none.
     async fn renew(&self, client: &Client, keep_alive: &LeaseKeepAlive) -> u16 {
         let limit = Duration::from_micros(keep_alive.timeout().0);
-        let (path, sent) = (keep_alive.path(), Sent::default());
+        let (path, sent) = (keep_alive.path(), SentFlag::default());
         let renewal = client.exchange(self.state, "POST", &path, &[], &sent);
         match timeout(limit, renewal).await {
             Ok(Ok(response)) => response.status,
@@ -186,7 +186,7 @@
     body: Vec<u8>,
     busy: Rc<Cell<bool>>,
 ) {
-    let sent = Sent::default();
+    let sent = SentFlag::default();
     let path = routes::path(routes::LEADER_HEARTBEAT);
     let exchange = client.exchange(peer, "POST", &path, &body, &sent);
     // If it fails, the next one says the same.
--- a/crates/controller/src/driver/listener.rs
+++ b/crates/controller/src/driver/listener.rs
@@ -5,7 +5,7 @@
 use crate::core::node::routes;
 use crate::core::{Answer, Input, Listener, RequestId};
 use crate::http::{self, HttpError, Request, Response};
-use pebblefold_net::{Next, next_request, sender_is_gone};
+use pebblefold_net::{NextRequest, next_request, sender_has_closed};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -83,11 +83,11 @@
         let mut buffer: Vec<u8> = Vec::new();
         loop {
             let request = match next_request(&mut stream, &mut buffer).await {
-                Next::Request(request) => request,
-                Next::Closed => return,
-                Next::Bad(error) => return refuse_malformed(&mut stream, error).await,
+                NextRequest::Request(request) => request,
+                NextRequest::Closed => return,
+                NextRequest::Invalid(error) => return refuse_malformed(&mut stream, error).await,
             };
-            if self.is_behind.get() && sender_is_gone(&stream) {
+            if self.is_behind.get() && sender_has_closed(&stream) {
                 return;
             }
             let is_users =
--- a/crates/kvstore/benches/state.rs
+++ b/crates/kvstore/benches/state.rs
@@ -7,7 +7,7 @@
     ClientId, Disk, Limits, Memory, PersistedState, RequestId, Service, Storage, StoredKey,
     StoredValue,
 };
-use pebblefold_kvstore::{Counters, backup};
+use pebblefold_kvstore::{Counters, snapshot};
 use pebblefold_wire::encode;
 use pebblefold_wire::http::Request;
 use pebblefold_wire::kvstore::{Operation, Transaction};
@@ -121,9 +121,9 @@
 /// process's memory would distort the result.
 fn measure_start_up(dir: &Path, keys: u64) {
     let path = dir.join(format!("store-{keys}"));
-    let mut disk = Disk::at(&path);
+    let mut disk = Disk::in_file(&path);
     disk.load().expect("a new store loads");
-    backup::write_state(&mut disk, &state_with_keys(keys)).expect("there is room");
+    snapshot::write_state(&mut disk, &state_with_keys(keys)).expect("there is room");
     drop(disk);
     let program = std::env::current_exe().expect("this program has a path");
     let status = std::process::Command::new(program)
@@ -136,13 +136,13 @@
 fn measure_open(path: &Path, keys: u64) {
     let before = resident_bytes();
     let t = Instant::now();
-    let s = Service::open(Disk::at(path), LIMITS, Time(1)).expect("just written");
+    let s = Service::open(Disk::in_file(path), LIMITS, Time(1)).expect("just written");
     let start_time = t.elapsed();
     let memory = resident_bytes().saturating_sub(before) / keys;
     let file = std::fs::metadata(path).map_or(0, |m| m.len()) / keys;
     let t = Instant::now();
     let snapshot_path = path.with_extension("snapshot");
-    backup::save(&s.state(), &snapshot_path).expect("there is room");
+    snapshot::save(&s.clone_state(), &snapshot_path).expect("there is room");
     let snapshot_time = t.elapsed();
     let size = std::fs::metadata(&snapshot_path).map_or(0, |m| m.len()) / keys;
     println!(
@@ -159,7 +159,7 @@
     let dir = std::env::temp_dir().join(format!("pebblefold-bench-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a directory for the measurement");
     let mut memory = Service::open(Memory::default(), LIMITS, Time(1)).expect("memory opens");
-    let mut disk = Service::open(Disk::at(dir.join("store")), LIMITS, Time(1)).expect("opens");
+    let mut disk = Service::open(Disk::in_file(dir.join("store")), LIMITS, Time(1)).expect("opens");
     for group in [1, 8, 64] {
         measure("commits of 4 puts, in memory,", &mut memory, group, commit);
         measure("commits of 4 puts, on disk,", &mut disk, group, commit);
--- a/crates/kvstore/src/disk.rs
+++ b/crates/kvstore/src/disk.rs
@@ -91,7 +91,7 @@
 impl Disk {
     /// Storage in the file at `path`. The first load opens the file, or creates it if it
     /// does not exist.
-    pub fn at(path: impl Into<PathBuf>) -> Disk {
+    pub fn in_file(path: impl Into<PathBuf>) -> Disk {
         let path = path.into();
         Disk {
             name: path.display().to_string(),
@@ -102,7 +102,7 @@
 
     /// Storage on the backend that `backend` returns; it is called each time that the
     /// database is opened.
-    pub fn on<B: StorageBackend>(mut backend: impl FnMut() -> B + 'static) -> Disk {
+    pub fn on_backend<B: StorageBackend>(mut backend: impl FnMut() -> B + 'static) -> Disk {
         Disk {
             name: "backend".into(),
             open: Box::new(move || {
--- a/crates/kvstore/src/driver.rs
+++ b/crates/kvstore/src/driver.rs
@@ -81,7 +81,7 @@
     }
 
     /// Calls `f` with the service and the current time, then wakes [`Server::run`].
-    pub fn with<T>(&self, f: impl FnOnce(&mut Service<S>, Time) -> T) -> T {
+    pub fn with_service<T>(&self, f: impl FnOnce(&mut Service<S>, Time) -> T) -> T {
         let now = self.0.now();
         let result = f(&mut self.0.service.borrow_mut(), now);
         self.0.work_available.notify_one();
@@ -112,7 +112,7 @@
 
     /// Accepts connections without end and handles all their requests as those of
     /// `client`. [`Server::run`] has to run at the same time.
-    pub async fn listen(self, listener: TcpListener, client: ClientId) {
+    pub async fn serve_connections(self, listener: TcpListener, client: ClientId) {
         answer_connections(listener, move |request| {
             let server = self.clone();
             async move {
--- a/crates/kvstore/src/faulty_disk.rs
+++ b/crates/kvstore/src/faulty_disk.rs
@@ -134,7 +134,7 @@
 
     /// Opens the disk; operations through an earlier opening fail from now on. Of writes
     /// that are unsynced at this time, all survive. Without power, all operations fail
-    /// until [`FaultyDisk::power_on`] and another opening.
+    /// until [`FaultyDisk::restore_power`] and another opening.
     pub fn open(&self) -> OpenDisk {
         let mut state = self.inner();
         if state.power_off {
@@ -161,26 +161,26 @@
     /// Schedules a power failure at the operation of this number. Writes, syncs and
     /// changes of length count, from 1 at the disk's creation. The disk has power until
     /// then.
-    pub fn fail_at(&self, operation: u64, unsynced_writes: UnsyncedWrites) {
+    pub fn schedule_power_failure(&self, operation: u64, unsynced_writes: UnsyncedWrites) {
         let mut state = self.inner();
         state.power_off = false;
         state.fail_at = Some((operation, unsynced_writes));
     }
 
     /// Restores the power and cancels a scheduled power failure.
-    pub fn power_on(&self) {
+    pub fn restore_power(&self) {
         let mut state = self.inner();
         state.power_off = false;
         state.fail_at = None;
     }
 
     /// Whether the power has failed and has not been restored.
-    pub fn is_off(&self) -> bool {
+    pub fn is_power_off(&self) -> bool {
         self.inner().power_off
     }
 
     /// Number of writes, syncs and changes of length so far.
-    pub fn operations(&self) -> u64 {
+    pub fn operation_count(&self) -> u64 {
         self.inner().operations
     }
 
--- a/crates/kvstore/src/lib.rs
+++ b/crates/kvstore/src/lib.rs
@@ -6,15 +6,15 @@
 //! - [`Storage`] makes batches durable: [`Disk`] stores them in an embedded database that
 //!   survives power loss; [`Memory`] keeps nothing beyond the process.
 //! - [`driver`] serves a [`Service`] on sockets.
-//! - [`backup`] writes the whole store to one snapshot file and restores it.
+//! - [`snapshot`] writes the whole store to one snapshot file and restores it.
 //! - [`faulty_disk`] is a simulated disk whose power fails at a numbered operation.
 
-pub mod backup;
 mod disk;
 pub mod driver;
 pub mod faulty_disk;
 mod persisted_state;
 mod service;
+pub mod snapshot;
 mod storage;
 
 pub use disk::Disk;
--- a/crates/kvstore/src/service/mod.rs
+++ b/crates/kvstore/src/service/mod.rs
@@ -44,7 +44,7 @@
     pub txn_ops: usize,
 }
 
-/// Identifies a client of the service. Only [`Service::refuse`], which simulates a fault,
+/// Identifies a client of the service. Only [`Service::set_client_refused`], which simulates a fault,
 /// tells clients apart; all clients share the same limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u32);
@@ -131,7 +131,7 @@
     /// Begins or ends a simulated outage. During an outage all requests get 503, open
     /// watches stay open, and no lease expires; when it ends, each lease has its
     /// full time to live again.
-    pub fn set_out(&mut self, now: Time, unavailable: bool) {
+    pub fn set_outage(&mut self, now: Time, unavailable: bool) {
         if self.outage && !unavailable {
             self.renew_all_leases(now);
         }
@@ -141,7 +141,7 @@
 
     /// Starts or stops refusing one client's requests with 503. Leases that the
     /// client has been granted expire as they otherwise would.
-    pub fn refuse(&mut self, client: ClientId, refused: bool) {
+    pub fn set_client_refused(&mut self, client: ClientId, refused: bool) {
         if refused {
             self.refused_clients.insert(client);
         } else {
@@ -150,19 +150,19 @@
         self.watches_outdated = true;
     }
 
-    /// A copy of the whole state, for a backup that is written while the service
+    /// A copy of the whole state, for a snapshot that is written while the service
     /// continues. Changes that are not flushed yet are included.
-    pub fn state(&self) -> PersistedState {
+    pub fn clone_state(&self) -> PersistedState {
         self.state.clone()
     }
 
     /// The store's current revision and its number of keys.
-    pub fn size(&self) -> (Version, usize) {
+    pub fn revision_and_key_count(&self) -> (Version, usize) {
         (Version(self.state.counters.revision), self.state.keys.len())
     }
 
     /// The number of keys that begin with `prefix`.
-    pub fn count(&self, prefix: &str) -> usize {
+    pub fn count_keys_with_prefix(&self, prefix: &str) -> usize {
         let candidates = self.state.keys.range(prefix.to_string()..);
         candidates
             .take_while(|(key, _)| key.starts_with(prefix))
@@ -187,7 +187,7 @@
             self.outage || self.storage_fault.is_some() || self.refused_clients.contains(&client);
         let reply = if refused {
             Some(Reply::empty(503))
-        } else if !self.request_limiter.take(now, 1.0) {
+        } else if !self.request_limiter.try_take(now, 1.0) {
             Some(Reply::empty(429))
         } else {
             self.route(now, client, request_id, request)
--- a/crates/kvstore/src/service/transaction.rs
+++ b/crates/kvstore/src/service/transaction.rs
@@ -31,7 +31,10 @@
         let transaction: wire::Transaction =
             decode(body).ok_or_else(|| Reply::error(400, "not a transaction in MessagePack"))?;
         self.check_transaction(&transaction)?;
-        if !self.write_limiter.take(now, transaction.ops.len() as f64) {
+        if !self
+            .write_limiter
+            .try_take(now, transaction.ops.len() as f64)
+        {
             return Err(Reply::empty(429));
         }
         let failed = self.failed_preconditions(&transaction);
--- a/crates/kvstore/src/backup.rs
+++ b/crates/kvstore/src/snapshot.rs
@@ -29,7 +29,7 @@
 
 /// A failure to save, read or restore a snapshot.
 #[derive(Debug, thiserror::Error)]
-pub enum BackupError {
+pub enum SnapshotError {
     /// An I/O error on the file at this path.
     #[error("{0}: {1}")]
     Io(PathBuf, std::io::Error),
@@ -70,7 +70,7 @@
 
 /// Contents of a snapshot, for the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct BackupSummary {
+pub struct SnapshotSummary {
     /// Revision of the store in the snapshot, or of the store after a restore.
     pub revision: u64,
     /// Number of keys.
@@ -81,10 +81,10 @@
     pub changes: u64,
 }
 
-impl BackupSummary {
+impl SnapshotSummary {
     /// Counts the records of `state`.
-    pub fn of(state: &PersistedState) -> BackupSummary {
-        BackupSummary {
+    pub fn from_state(state: &PersistedState) -> SnapshotSummary {
+        SnapshotSummary {
             revision: state.counters.revision,
             keys: state.keys.len() as u64,
             leases: state.leases.len() as u64,
@@ -97,8 +97,8 @@
 ///
 /// # Errors
 /// The file cannot be written; a file that existed at `path` is unchanged.
-pub fn save(state: &PersistedState, path: &Path) -> Result<BackupSummary, BackupError> {
-    let io = |e| BackupError::Io(path.into(), e);
+pub fn save(state: &PersistedState, path: &Path) -> Result<SnapshotSummary, SnapshotError> {
+    let io = |e| SnapshotError::Io(path.into(), e);
     let mut temporary_path = path.as_os_str().to_owned();
     temporary_path.push(".part");
     let temporary_path = PathBuf::from(temporary_path);
@@ -124,7 +124,7 @@
     let file = file.into_inner().map_err(|e| io(e.into_error()))?;
     file.sync_all().map_err(io)?;
     std::fs::rename(&temporary_path, path).map_err(io)?;
-    Ok(BackupSummary::of(state))
+    Ok(SnapshotSummary::from_state(state))
 }
 
 /// Appends one file to the archive.
@@ -230,12 +230,12 @@
 /// # Errors
 /// The file cannot be read, or the snapshot is incomplete or damaged; the error names the
 /// part.
-pub fn read(path: &Path) -> Result<PersistedState, BackupError> {
-    let damaged = |reason: String| BackupError::Damaged {
+pub fn read(path: &Path) -> Result<PersistedState, SnapshotError> {
+    let damaged = |reason: String| SnapshotError::Damaged {
         file: path.into(),
         reason,
     };
-    let file = File::open(path).map_err(|e| BackupError::Io(path.into(), e))?;
+    let file = File::open(path).map_err(|e| SnapshotError::Io(path.into(), e))?;
     let decompressed = zstd::Decoder::new(BufReader::new(file))
         .map_err(|e| damaged(format!("not a snapshot: {e}")))?;
     let mut tar = tar::Archive::new(decompressed);
@@ -305,28 +305,28 @@
 /// # Errors
 /// The snapshot is incomplete or damaged, a file exists at `path`, or the store cannot be
 /// written.
-pub fn restore(snapshot: &Path, path: &Path) -> Result<BackupSummary, BackupError> {
+pub fn restore(snapshot: &Path, path: &Path) -> Result<SnapshotSummary, SnapshotError> {
     let mut state = read(snapshot)?;
     state.counters.revision += RESTORE_GAP;
     state.counters.lease += RESTORE_GAP;
     state.counters.compacted_revision = state.counters.revision;
     state.changes.clear();
     if path.exists() {
-        return Err(BackupError::Exists(path.into()));
+        return Err(SnapshotError::Exists(path.into()));
     }
     let mut temporary_path = path.as_os_str().to_owned();
     temporary_path.push(".part");
     let temporary_path = PathBuf::from(temporary_path);
-    let io = |e| BackupError::Io(temporary_path.clone(), e);
+    let io = |e| SnapshotError::Io(temporary_path.clone(), e);
     if temporary_path.exists() {
         std::fs::remove_file(&temporary_path).map_err(io)?;
     }
-    let mut disk = crate::Disk::at(&temporary_path);
+    let mut disk = crate::Disk::in_file(&temporary_path);
     disk.load()?;
     write_state(&mut disk, &state)?;
     drop(disk);
-    std::fs::rename(&temporary_path, path).map_err(|e| BackupError::Io(path.into(), e))?;
-    Ok(BackupSummary::of(&state))
+    std::fs::rename(&temporary_path, path).map_err(|e| SnapshotError::Io(path.into(), e))?;
+    Ok(SnapshotSummary::from_state(&state))
 }
 
 /// Writes a whole state into empty storage, in several batches.
--- a/crates/kvstore/tests/power.rs
+++ b/crates/kvstore/tests/power.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use pebblefold_kvstore::backup::{self, BackupError};
 use pebblefold_kvstore::faulty_disk::{FaultyDisk, UnsyncedWrites};
+use pebblefold_kvstore::snapshot::{self, SnapshotError};
 use pebblefold_kvstore::{ClientId, Disk, RequestId, RequestOutcome, Service};
 
 /// A disk with an empty store, whose creation is complete.
@@ -15,7 +15,7 @@
 
 fn storage_on(disk: &FaultyDisk) -> Disk {
     let disk = disk.clone();
-    Disk::on(move || disk.open())
+    Disk::on_backend(move || disk.open())
 }
 
 /// The acknowledged changes of a run.
@@ -78,10 +78,10 @@
 
 /// Restores the power and checks what must hold then.
 fn check_after_power_loss(disk: &FaultyDisk, acked: &Acknowledged, at: &str) {
-    disk.power_on();
+    disk.restore_power();
     let mut s =
         Service::open(storage_on(disk), LIMITS, at_ms(0)).unwrap_or_else(|e| panic!("{at}: {e}"));
-    let (revision, _) = s.size();
+    let (revision, _) = s.revision_and_key_count();
     let last = acked.commits.last().copied().unwrap_or((0, 0));
     assert!(revision.0 >= last.1, "{at}: the revision decreased");
     let present: Vec<bool> = (1..=acked.sent)
@@ -131,13 +131,13 @@
 #[test]
 fn power_loss_at_any_write_keeps_acknowledged_changes() {
     let undisturbed = disk_with_empty_store();
-    let before = undisturbed.operations();
+    let before = undisturbed.operation_count();
     let acked = run_requests(&undisturbed);
     assert_eq!(
         (acked.commits.len() as u64, acked.leases.len()),
         (acked.sent, 3)
     );
-    let operations = undisturbed.operations();
+    let operations = undisturbed.operation_count();
     assert!(operations > before + 40, "{operations}");
     for n in before + 1..=operations {
         for unsynced_writes in [
@@ -147,7 +147,7 @@
             UnsyncedWrites::Torn(n * 104_729),
         ] {
             let disk = disk_with_empty_store();
-            disk.fail_at(n, unsynced_writes);
+            disk.schedule_power_failure(n, unsynced_writes);
             let acked = run_requests(&disk);
             check_after_power_loss(
                 &disk,
@@ -163,10 +163,10 @@
 fn power_loss_during_repair_keeps_acknowledged_changes() {
     for n in (5..60).step_by(5) {
         let disk = disk_with_empty_store();
-        disk.fail_at(disk.operations() + n, UnsyncedWrites::Torn(n));
+        disk.schedule_power_failure(disk.operation_count() + n, UnsyncedWrites::Torn(n));
         let acked = run_requests(&disk);
         for k in 1..4 {
-            disk.fail_at(disk.operations() + k, UnsyncedWrites::Torn(n + k));
+            disk.schedule_power_failure(disk.operation_count() + k, UnsyncedWrites::Torn(n + k));
             drop(Service::open(storage_on(&disk), LIMITS, at_ms(0)));
         }
         check_after_power_loss(
@@ -184,10 +184,10 @@
     let dir = std::env::temp_dir().join(format!("pebblefold-making-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     std::fs::write(dir.join("store.new"), b"redb cut").unwrap();
-    let mut s = Service::open(Disk::at(dir.join("store")), LIMITS, at_ms(0)).unwrap();
+    let mut s = Service::open(Disk::in_file(dir.join("store")), LIMITS, at_ms(0)).unwrap();
     assert_eq!(commit(&mut s, 0, txn(&[], vec![put("a", 1, None)])).0, 200);
     // The file must not be opened a second time.
-    let second = Service::open(Disk::at(dir.join("store")), LIMITS, at_ms(0));
+    let second = Service::open(Disk::in_file(dir.join("store")), LIMITS, at_ms(0));
     assert!(second.is_err_and(|e| e.to_string().contains("in use")));
     std::fs::remove_dir_all(&dir).unwrap();
 }
@@ -239,23 +239,23 @@
     let disk = FaultyDisk::default();
     run_requests(&disk);
     let mut s = Service::open(storage_on(&disk), LIMITS, at_ms(0)).unwrap();
-    let (revision, keys) = s.size();
-    let saved = backup::save(&s.state(), &snapshot_path).unwrap();
+    let (revision, keys) = s.revision_and_key_count();
+    let saved = snapshot::save(&s.clone_state(), &snapshot_path).unwrap();
     assert_eq!((saved.revision, saved.keys), (revision.0, keys as u64));
     // The snapshot was written while the service runs; later changes are not in it.
     commit(&mut s, 0, txn(&[], vec![put("later", 1, None)]));
     let store = dir.join("store");
-    backup::restore(&snapshot_path, &store).unwrap();
-    let mut restored = Service::open(Disk::at(&store), LIMITS, at_ms(0)).unwrap();
+    snapshot::restore(&snapshot_path, &store).unwrap();
+    let mut restored = Service::open(Disk::in_file(&store), LIMITS, at_ms(0)).unwrap();
     assert!(get(&mut restored, 0, "later").is_none());
     assert_eq!(read_page(&mut restored, 0, "starts=").items.len(), keys);
     // Versions must not be issued twice, and watches from before the restore must fail.
     assert_eq!(read_changes(&mut restored, 0, revision.0).unwrap_err(), 410);
     let next = commit(&mut restored, 0, txn(&[], vec![put("later", 2, None)])).1;
-    assert!(next.revision > s.size().0);
+    assert!(next.revision > s.revision_and_key_count().0);
     assert!(matches!(
-        backup::restore(&snapshot_path, &store),
-        Err(BackupError::Exists(_))
+        snapshot::restore(&snapshot_path, &store),
+        Err(SnapshotError::Exists(_))
     ));
 
     let bytes = std::fs::read(&snapshot_path).unwrap();
@@ -264,7 +264,7 @@
         let truncated = if n % 3 == 0 { &bytes[..n] } else { continue };
         std::fs::write(&bad, truncated).unwrap();
         assert!(
-            matches!(backup::read(&bad), Err(BackupError::Damaged { .. })),
+            matches!(snapshot::read(&bad), Err(SnapshotError::Damaged { .. })),
             "truncated at byte {n}"
         );
     }
@@ -273,12 +273,12 @@
         damaged[n] ^= 0x10;
         std::fs::write(&bad, &damaged).unwrap();
         // A flipped bit is detected, unless it lies in bytes that do not affect the contents.
-        if let Ok(read) = backup::read(&bad) {
-            assert_eq!(read, backup::read(&snapshot_path).unwrap(), "byte {n}");
+        if let Ok(read) = snapshot::read(&bad) {
+            assert_eq!(read, snapshot::read(&snapshot_path).unwrap(), "byte {n}");
         }
     }
     std::fs::write(&bad, &bytes[..bytes.len() / 2]).unwrap();
-    let message = backup::restore(&bad, &dir.join("never"))
+    let message = snapshot::restore(&bad, &dir.join("never"))
         .unwrap_err()
         .to_string();
     assert!(
--- a/crates/kvstore/tests/protocol.rs
+++ b/crates/kvstore/tests/protocol.rs
@@ -308,13 +308,13 @@
     commit(&mut s, 0, txn(&[], vec![put("free", 2, None)]));
     s.tick(at_ms(1000));
     assert!(get(&mut s, 1000, "held").is_some());
-    s.set_out(at_ms(1000), true);
+    s.set_outage(at_ms(1000), true);
     s.tick(at_ms(9000));
     assert_eq!(
         reply_to(&mut s, 9000, "GET", "/keys/held", Vec::new()).status,
         503
     );
-    s.set_out(at_ms(9000), false);
+    s.set_outage(at_ms(9000), false);
     s.tick(at_ms(9999));
     assert_eq!(get(&mut s, 9999, "held").unwrap().lease, Some(id));
     s.tick(at_ms(10_050));
@@ -330,7 +330,7 @@
 #[test]
 fn watch_sees_every_change_and_reports_compaction() {
     let mut s = service();
-    s.refuse(ClientId(2), false);
+    s.set_client_refused(ClientId(2), false);
     let open = |s: &mut Service<Memory>, ms, client, request_id| {
         let r = request("GET", "/changes?starts=c/&since=0&hold_ms=1000", Vec::new());
         s.handle(at_ms(ms), ClientId(client), RequestId(request_id), &r);
@@ -338,7 +338,7 @@
     };
     assert_eq!((open(&mut s, 0, 1, 1), open(&mut s, 0, 2, 2)), (0, 0));
     commit(&mut s, 10, txn(&[], vec![put("other", 1, None)]));
-    s.refuse(ClientId(2), true);
+    s.set_client_refused(ClientId(2), true);
     s.handle(
         at_ms(20),
         ClientId(1),
@@ -351,7 +351,7 @@
     );
     let answered: Vec<u64> = s.flush(at_ms(20)).into_iter().map(|(id, _)| id.0).collect();
     assert_eq!(answered, [9, 1], "a refused client's watch stays open");
-    s.refuse(ClientId(2), false);
+    s.set_client_refused(ClientId(2), false);
     s.tick(at_ms(1500));
     assert_eq!(s.flush(at_ms(1500)).len(), 1);
     for _ in 0..250 {
--- a/crates/kvstore/tests/stored_format.rs
+++ b/crates/kvstore/tests/stored_format.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{LIMITS, at_ms, reply_to};
-use pebblefold_kvstore::backup::{self, BackupSummary, RESTORE_GAP};
+use pebblefold_kvstore::snapshot::{self, RESTORE_GAP, SnapshotSummary};
 use pebblefold_kvstore::{
     ChangeRecord, Counters, Disk, Memory, PersistedState, Service, Storage, StoredKey, StoredValue,
 };
@@ -203,7 +203,7 @@
         let got = exchange(&mut s, method, target, body);
         assert_eq!(got, (status, json!({"error": error})), "{method} {target}");
     }
-    s.set_out(at_ms(0), true);
+    s.set_outage(at_ms(0), true);
     assert_eq!(
         exchange(&mut s, "GET", "/keys/a", none.clone()),
         (503, none)
@@ -258,7 +258,7 @@
 #[test]
 fn snapshot_keeps_its_parts_and_their_bytes() {
     let path = unused_path("written.snapshot");
-    let summary = backup::save(&state(), &path).expect("the snapshot is written");
+    let summary = snapshot::save(&state(), &path).expect("the snapshot is written");
     let compressed = std::fs::File::open(&path).expect("the snapshot exists");
     let mut tar = tar::Archive::new(zstd::Decoder::new(compressed).expect("zstd"));
     let mut parts = Vec::new();
@@ -318,7 +318,7 @@
 
 #[test]
 fn reads_snapshot_of_earlier_build() {
-    let read = backup::read(&write_literal_snapshot("earlier.snapshot"))
+    let read = snapshot::read(&write_literal_snapshot("earlier.snapshot"))
         .expect("the snapshot is complete");
     assert_eq!(read, state());
 }
@@ -326,17 +326,17 @@
 #[test]
 fn restores_earlier_snapshot_with_increased_versions() {
     let store = unused_path("restored.store");
-    let summary = backup::restore(&write_literal_snapshot("moved.snapshot"), &store)
+    let summary = snapshot::restore(&write_literal_snapshot("moved.snapshot"), &store)
         .expect("the snapshot is complete");
     let revision = 9 + (1 << 32);
-    let expected = BackupSummary {
+    let expected = SnapshotSummary {
         revision,
         keys: 2,
         leases: 1,
         changes: 0,
     };
     assert_eq!((summary, RESTORE_GAP), (expected, 1 << 32));
-    let restored = Disk::at(&store).load().expect("the store is loaded");
+    let restored = Disk::in_file(&store).load().expect("the store is loaded");
     assert_eq!(
         (restored.keys, restored.leases),
         (state().keys, state().leases)
@@ -348,7 +348,7 @@
 fn refused_snapshot_keeps_its_error_text() {
     let path = unused_path("none.snapshot");
     std::fs::write(&path, b"nothing").expect("the file is written");
-    let e = backup::read(&path)
+    let e = snapshot::read(&path)
         .expect_err("the file is not a snapshot")
         .to_string();
     assert!(e.starts_with(&format!("{}: ", path.display())), "{e}");
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -20,11 +20,11 @@
 /// Whether a request may have reached the server. As long as it is not set, the request
 /// certainly has not.
 #[derive(Debug, Default)]
-pub struct Sent(Cell<bool>);
+pub struct SentFlag(Cell<bool>);
 
-impl Sent {
+impl SentFlag {
     /// Whether the request may have reached the server.
-    pub fn get(&self) -> bool {
+    pub fn may_have_arrived(&self) -> bool {
         self.0.get()
     }
 }
@@ -66,7 +66,7 @@
         method: &str,
         path: &str,
         body: &[u8],
-        sent: &Sent,
+        sent: &SentFlag,
     ) -> Result<Response> {
         let request = http::write_request(method, &addr.to_string(), path, body);
         if let Some(stream) = self.take_idle(addr) {
@@ -111,7 +111,7 @@
         let mut received = Vec::with_capacity(1024);
         loop {
             let n = stream.read_buf(&mut received).await?;
-            let parsed = http::read_response(&received, n == 0)
+            let parsed = http::parse_response(&received, n == 0)
                 .map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
             if let Some((response, consumed)) = parsed {
                 if !response.close && n > 0 && consumed == received.len() {
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -21,19 +21,19 @@
 
 /// What [`next_request`] read from a connection.
 #[derive(Debug)]
-pub enum Next {
+pub enum NextRequest {
     /// A complete request.
     Request(Request),
     /// The sender closed the connection, reading failed, or a time limit was exceeded.
     Closed,
     /// The sender sent something other than a valid request.
-    Bad(HttpError),
+    Invalid(HttpError),
 }
 
 /// Whether the sender has closed the connection since it sent its request, so that it no
 /// longer waits for the response. An overloaded server can skip such a request. The check
 /// costs one system call; if that call fails, the sender counts as waiting.
-pub fn sender_is_gone(stream: &TcpStream) -> bool {
+pub fn sender_has_closed(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     // The socket is non-blocking, so `peek` returns immediately.
     matches!(SockRef::from(stream).peek(&mut byte), Ok(0))
@@ -41,12 +41,12 @@
 
 /// Reads the next request. `data` holds the bytes that were received but not yet parsed; the
 /// caller passes the same buffer in each call for a connection.
-pub async fn next_request(stream: &mut TcpStream, data: &mut Vec<u8>) -> Next {
+pub async fn next_request(stream: &mut TcpStream, data: &mut Vec<u8>) -> NextRequest {
     loop {
-        match http::read_request(data) {
+        match http::parse_request(data) {
             Ok(Some((request, consumed))) => {
                 data.drain(..consumed);
-                return Next::Request(request);
+                return NextRequest::Request(request);
             }
             Ok(None) => {
                 let read_timeout = if data.is_empty() {
@@ -56,10 +56,10 @@
                 };
                 match timeout(read_timeout, stream.read_buf(data)).await {
                     Ok(Ok(n)) if n > 0 => {}
-                    _ => return Next::Closed,
+                    _ => return NextRequest::Closed,
                 }
             }
-            Err(e) => return Next::Bad(e),
+            Err(e) => return NextRequest::Invalid(e),
         }
     }
 }
@@ -85,7 +85,7 @@
             let mut data = Vec::new();
             loop {
                 let response = match next_request(&mut stream, &mut data).await {
-                    Next::Request(request) => {
+                    NextRequest::Request(request) => {
                         let close = request.close;
                         let Some(mut response) = handle(request).await else {
                             return;
@@ -93,8 +93,8 @@
                         response.close |= close;
                         response
                     }
-                    Next::Closed => return,
-                    Next::Bad(e) => Response {
+                    NextRequest::Closed => return,
+                    NextRequest::Invalid(e) => Response {
                         status: e.status(),
                         retry_after: None,
                         body: Vec::new(),
--- a/crates/net/src/server/tests.rs
+++ b/crates/net/src/server/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{Client, Sent};
+use crate::{Client, SentFlag};
 use std::cell::Cell;
 use tokio::task::LocalSet;
 
@@ -21,16 +21,16 @@
         client.write_all(&request).await.unwrap();
         let mut data = Vec::new();
         let next = next_request(&mut server, &mut data).await;
-        assert!(matches!(next, Next::Request(_)));
-        assert!(!sender_is_gone(&server));
+        assert!(matches!(next, NextRequest::Request(_)));
+        assert!(!sender_has_closed(&server));
         // A second request is no sign that the sender closed the connection.
         client.write_all(&request).await.unwrap();
         server.readable().await.unwrap();
-        assert!(!sender_is_gone(&server));
+        assert!(!sender_has_closed(&server));
         let next = next_request(&mut server, &mut data).await;
-        assert!(matches!(next, Next::Request(_)));
+        assert!(matches!(next, NextRequest::Request(_)));
         drop(client);
-        while !sender_is_gone(&server) {
+        while !sender_has_closed(&server) {
             tokio::task::yield_now().await;
         }
     });
@@ -65,7 +65,7 @@
         let client = Client::default();
         let exchange_body = async |method, body: &[u8]| {
             client
-                .exchange(addr, method, "/", body, &Sent::default())
+                .exchange(addr, method, "/", body, &SentFlag::default())
                 .await
                 .map(|r| r.body)
                 .ok()
--- a/crates/pebblectl/benches/steps.rs
+++ b/crates/pebblectl/benches/steps.rs
@@ -4,7 +4,7 @@
 //! `cargo bench -p pebblectl -- 2000`. The figures are of the machine at hand.
 
 use pebblefold_client::{Client, RetryPolicy};
-use pebblefold_net::{Client as Net, Sent};
+use pebblefold_net::{Client as Net, SentFlag};
 use pebblefold_simulator::loopback::{Loopback, Options as Cluster};
 use pebblefold_simulator::script::Script;
 use pebblefold_wire::command::CommandSpec;
@@ -91,7 +91,7 @@
             ..CommandSpec::default()
         };
         let path = format!("/descriptions/{id}");
-        let sent = Sent::default();
+        let sent = SentFlag::default();
         net.exchange(front, "POST", &path, &encode(&d), &sent)
             .await
             .expect("the cluster is up");
--- a/crates/pebblectl/src/ask.rs
+++ b/crates/pebblectl/src/ask.rs
@@ -2,7 +2,7 @@
 
 use crate::output::Failure;
 use pebblefold_client::{Client, ClientError, RetryPolicy};
-use pebblefold_net::{Client as Net, Sent};
+use pebblefold_net::{Client as Net, SentFlag};
 use pebblefold_simulator::loopback::LoopbackError;
 use pebblefold_wire::decode;
 use pebblefold_wire::types::TimeSpan;
@@ -34,7 +34,7 @@
     let wanted = "a job in the users' form is wanted, as deploy/job.json";
     let job: Submission =
         serde_json::from_str(&text).map_err(|e| named(format!("{e}; {wanted}")))?;
-    match job.fault() {
+    match job.first_invalid_field() {
         None => Ok(job),
         Some(field) => Err(named(format!(
             "{field}: its value cannot be used; {wanted}"
@@ -76,7 +76,7 @@
 
 /// Asks one node what it knows.
 async fn ask(node: SocketAddrV4, path: &str) -> Result<Value, Failure> {
-    let sent = Sent::default();
+    let sent = SentFlag::default();
     let net = Net::default();
     let told = |e: String| Failure::Unreachable(format!("{node}: {e}"));
     match timeout(PATIENCE, net.exchange(node, "GET", path, &[], &sent)).await {
--- a/crates/pebblectl/src/state.rs
+++ b/crates/pebblectl/src/state.rs
@@ -3,8 +3,8 @@
 use crate::args::Serve;
 use crate::output::Failure;
 use pebblefold_kvstore::driver::Server;
-use pebblefold_kvstore::{ClientId, Disk, Limits, Service, backup};
-use pebblefold_net::{Client, Sent, answer_connections};
+use pebblefold_kvstore::{ClientId, Disk, Limits, Service, snapshot};
+use pebblefold_net::{Client, SentFlag, answer_connections};
 use pebblefold_wire::http::{Request, Response};
 use pebblefold_wire::users::ErrorResponse;
 use pebblefold_wire::{decode, encode};
@@ -28,19 +28,19 @@
         txn_ops: s.txn_ops,
     };
     let store = s.dir.join(STORE);
-    let server = Server::new(|now| Service::open(Disk::at(store), limits, now))
+    let server = Server::new(|now| Service::open(Disk::in_file(store), limits, now))
         .map_err(|e| Failure::Failed(format!("{dir}: {e}")))?;
     let bind = async |addr: SocketAddrV4| {
         let bound = TcpListener::bind(addr).await;
         bound.map_err(|e| Failure::Failed(format!("{addr}: {e}")))
     };
     let (listener, admin) = (bind(s.listen).await?, bind(s.admin).await?);
-    let (revision, keys) = server.with(|s, _| s.size());
+    let (revision, keys) = server.with_service(|s, _| s.revision_and_key_count());
     println!(
         "state service at {}, {keys} keys at version {revision}, store in {dir}",
         s.listen
     );
-    spawn_local(server.clone().listen(listener, ClientId(0)));
+    spawn_local(server.clone().serve_connections(listener, ClientId(0)));
     let administered = server.clone();
     spawn_local(answer_connections(admin, move |r| {
         let server = administered.clone();
@@ -69,9 +69,9 @@
     };
     // The image shares its values with the service, which goes on serving while
     // another thread writes it out.
-    let state = server.with(|s, _| s.state());
+    let state = server.with_service(|s, _| s.clone_state());
     let (tx, rx) = tokio::sync::oneshot::channel();
-    std::thread::spawn(move || tx.send(backup::save(&state, &file)));
+    std::thread::spawn(move || tx.send(snapshot::save(&state, &file)));
     match rx.await {
         Ok(Ok(summary)) => answer(200, encode(&summary)),
         Ok(Err(e)) => refuse(500, e.to_string()),
@@ -82,7 +82,7 @@
 /// Asks a service to save everything.
 pub async fn save(admin: SocketAddrV4, file: &Path) -> Result<Value, Failure> {
     let path = std::path::absolute(file).map_err(Failure::input)?;
-    let sent = Sent::default();
+    let sent = SentFlag::default();
     let client = Client::default();
     let r = client
         .exchange(admin, "POST", "/snapshot", &encode(&path), &sent)
@@ -97,13 +97,13 @@
 }
 
 /// Restores a snapshot into a new store.
-pub fn restore(file: &Path, dir: &Path) -> Result<backup::BackupSummary, Failure> {
+pub fn restore(file: &Path, dir: &Path) -> Result<snapshot::SnapshotSummary, Failure> {
     std::fs::create_dir_all(dir).map_err(|e| Failure::Input(format!("{}: {e}", dir.display())))?;
-    backup::restore(file, &dir.join(STORE)).map_err(Failure::input)
+    snapshot::restore(file, &dir.join(STORE)).map_err(Failure::input)
 }
 
 /// Reads a snapshot whole.
-pub fn check(file: &Path) -> Result<backup::BackupSummary, Failure> {
-    let state = backup::read(file).map_err(Failure::input)?;
-    Ok(backup::BackupSummary::of(&state))
+pub fn check(file: &Path) -> Result<snapshot::SnapshotSummary, Failure> {
+    let state = snapshot::read(file).map_err(Failure::input)?;
+    Ok(snapshot::SnapshotSummary::from_state(&state))
 }
--- a/crates/pebblectl/src/workflow.rs
+++ b/crates/pebblectl/src/workflow.rs
@@ -331,7 +331,7 @@
         seen.insert(s.path.clone());
         let took = mark
             .as_ref()
-            .map(|m| (m.ended_ms - m.began_ms.min(m.ended_ms)) as f64 / 1000.0);
+            .map(|m| (m.ended_at_ms - m.started_at_ms.min(m.ended_at_ms)) as f64 / 1000.0);
         rows.push(json!({
             "step": s.path, "job": s.job, "stage": stage,
             "machine": mark.as_ref().map(|m| m.machine.clone()),
--- a/crates/pebblectl/tests/output_format.rs
+++ b/crates/pebblectl/tests/output_format.rs
@@ -1,9 +1,9 @@
 //! Pins what programs read of `pebblectl`: names in its JSON, and its exit statuses, as
 //! literals.
 
-use pebblefold_kvstore::{PersistedState, backup};
+use pebblefold_kvstore::{PersistedState, snapshot};
 use pebblefold_wire::encode;
-use pebblefold_wire::http::{Response, read_request, write_response};
+use pebblefold_wire::http::{Response, parse_request, write_response};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -45,7 +45,7 @@
             let (mut got, mut piece) = (Vec::new(), [0; 4096]);
             while let Ok(n) = stream.read(&mut piece) {
                 got.extend_from_slice(&piece[..n]);
-                let Ok(Some((r, _))) = read_request(&got) else {
+                let Ok(Some((r, _))) = parse_request(&got) else {
                     if n == 0 {
                         break;
                     }
@@ -138,7 +138,7 @@
 #[test]
 fn snapshot_check_keeps_its_names() {
     let path = file("store.snapshot", b"");
-    backup::save(&PersistedState::default(), path.as_ref()).expect("it is saved");
+    snapshot::save(&PersistedState::default(), path.as_ref()).expect("it is saved");
     let output = pebblectl(&["state", "snapshot", "check", &path]);
     assert_eq!(
         told(&output),
--- a/crates/pebblectl/tests/state.rs
+++ b/crates/pebblectl/tests/state.rs
@@ -1,7 +1,7 @@
 //! The state service as a process with a real file: killed while it is written to,
 //! saved while it serves, restored.
 
-use pebblefold_net::{Client, Sent};
+use pebblefold_net::{Client, SentFlag};
 use pebblefold_wire::http::Response;
 use pebblefold_wire::kvstore::{
     EntryPage, LeaseGrant, LeaseGrantRequest, Operation, Transaction, TransactionResponse,
@@ -59,7 +59,7 @@
     }
 
     async fn ask(&self, method: &str, path: &str, body: Vec<u8>) -> Option<Response> {
-        let (client, sent) = (Client::default(), Sent::default());
+        let (client, sent) = (Client::default(), SentFlag::default());
         let asked = client.exchange(self.addr, method, path, &body, &sent);
         timeout(Duration::from_secs(20), asked).await.ok()?.ok()
     }
--- a/crates/simulator/benches/detection.rs
+++ b/crates/simulator/benches/detection.rs
@@ -9,7 +9,7 @@
 use pebblefold_controller::policy::DEFAULT_SCRIPT;
 use pebblefold_controller::types::{FencingToken, MachineId, NodeId, Time, TimeSpan};
 use pebblefold_controller::wire::encode;
-use pebblefold_controller::wire::peers::{LeaderHeartbeat, SuspicionQuery, SuspicionReport};
+use pebblefold_controller::wire::peers::{LeaderHeartbeat, SuspicionQuery, SuspicionVote};
 use pebblefold_simulator::script::{CutMode, Fault, Nodes, PowerLoss, Script, Side, What};
 use pebblefold_simulator::simulated::Simulated;
 use rand::rngs::StdRng;
@@ -312,17 +312,17 @@
         node_id: label.clone(),
         token,
         store_contact_age_ms: 250,
-        work_delay_ms: 50,
+        event_loop_delay_ms: 50,
     };
     let ask = SuspicionQuery {
         token,
         store_unreachable: false,
     };
-    let opinion = SuspicionReport {
+    let opinion = SuspicionVote {
         node_id: label.clone(),
         token,
         agrees: true,
-        came: 3,
+        recent_agent_migrations: 3,
     };
     let bytes = [
         encode(&beat).len(),
--- a/crates/simulator/src/cloud.rs
+++ b/crates/simulator/src/cloud.rs
@@ -200,7 +200,7 @@
         if self.out {
             return error(503, "trouble");
         }
-        if !self.calls.take(now, 1.0) {
+        if !self.calls.try_take(now, 1.0) {
             return error(429, "too many calls");
         }
         match (r.method.as_str(), r.path.as_str()) {
--- a/crates/simulator/src/commands.rs
+++ b/crates/simulator/src/commands.rs
@@ -126,9 +126,9 @@
                     let m = ExitRecord {
                         code,
                         dir: p.dir.display().to_string(),
-                        began_ms: p.began_ms,
-                        ended_ms: now_ms(),
-                        too_long,
+                        started_at_ms: p.began_ms,
+                        ended_at_ms: now_ms(),
+                        timed_out: too_long,
                         ..mark_of(place)
                     };
                     write_mark(Path::new(&d.dir), EXIT_FILE, &m);
@@ -271,7 +271,9 @@
             f.write_all(place.machine.as_bytes())?;
             f.sync_all()?;
         }
-        Err(e) if e.kind() == ErrorKind::AlreadyExists && d.again == RestartPolicy::Never => {
+        Err(e)
+            if e.kind() == ErrorKind::AlreadyExists && d.restart_policy == RestartPolicy::Never =>
+        {
             write_mark(dir, REFUSED_FILE, &mark_of(place));
             return Ok(Running::Nothing);
         }
@@ -279,7 +281,7 @@
         Err(e) => return Err(e),
     }
     let own = own_directory(dir, place)?;
-    for p in &d.put {
+    for p in &d.staged_files {
         put(&own, p)?;
     }
     let (program, arguments) = d
@@ -304,7 +306,7 @@
         .stderr(file(&d.stderr)?)
         .process_group(0)
         .spawn()?;
-    let limit = d.limit_s.filter(|s| s.is_finite() && *s >= 0.0);
+    let limit = d.time_limit_s.filter(|s| s.is_finite() && *s >= 0.0);
     Ok(Running::Process(Process {
         child,
         dir: own,
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -19,7 +19,7 @@
 use pebblefold_controller::wire::users::{JobStatus, Submission, is_valid_job_id};
 use pebblefold_controller::wire::{decode, encode};
 use pebblefold_kvstore::StorageError;
-use pebblefold_net::{Client, Sent, answer_connections};
+use pebblefold_net::{Client, SentFlag, answer_connections};
 use pebblefold_wire::http::{Request, Response};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -238,7 +238,7 @@
         }
         let addr = self.layout.internal[to].parse().ok()?;
         let path = full_path(&r);
-        let sent = Sent::default();
+        let sent = SentFlag::default();
         let asked = self.client.exchange(addr, &r.method, &path, &r.body, &sent);
         let response = timeout(PEER, asked).await.ok()?.ok()?;
         if let Err(fate) = self.travel(&b, &a).await {
@@ -270,7 +270,7 @@
         let Ok(addr) = self.layout.api[node].parse() else {
             return;
         };
-        let sent = Sent::default();
+        let sent = SentFlag::default();
         let asked = self.client.exchange(addr, method, &path, &body, &sent);
         match timeout(Duration::from_micros(patience.0), asked).await {
             Ok(Ok(r)) => match self.travel(&to, &from).await {
@@ -469,7 +469,7 @@
         let submits = r.method == "POST" && r.path == "/submissions";
         let spec = submits.then(|| decode::<Submission>(&r.body)).flatten();
         if let Some(spec) = &spec
-            && spec.fault().is_none()
+            && spec.first_invalid_field().is_none()
         {
             self.upload(spec);
         }
@@ -496,7 +496,7 @@
             if self.travel(&Host::Users, &node).await.is_err() {
                 continue;
             }
-            let sent = Sent::default();
+            let sent = SentFlag::default();
             let asked = self.client.exchange(addr, &r.method, &path, &r.body, &sent);
             match timeout(FRONT, asked).await {
                 Ok(Ok(a)) if a.status < 500 => {
@@ -506,7 +506,7 @@
                 Ok(Ok(a)) => last = Some(a),
                 // It may have been executed: asking another node is the user's
                 // own decision, except where nothing is changed.
-                _ if sent.get() && r.method != "GET" => break,
+                _ if sent.may_have_arrived() && r.method != "GET" => break,
                 _ => {}
             }
         }
--- a/crates/simulator/src/script/check.rs
+++ b/crates/simulator/src/script/check.rs
@@ -92,7 +92,7 @@
             if j.run_s.least() < 0.0 || j.run_s.most() < j.run_s.least() {
                 bad(path!["jobs", i, "run_s"], "the least first".into());
             }
-            if !c.kinds.iter().any(|k| j.needs().fits(&k.has())) {
+            if !c.kinds.iter().any(|k| j.needs().fits_within(&k.has())) {
                 bad(
                     path!["jobs", i, "cpus"],
                     "a task fits no machine type".into(),
--- a/crates/simulator/src/stand.rs
+++ b/crates/simulator/src/stand.rs
@@ -13,7 +13,7 @@
 use crate::tally::Tally;
 use crate::users::{Planned, UserRequest, Users, plan};
 use crate::waiting::{Waiting, could_start};
-use crate::worker::{PATIENCE, Times, job_of};
+use crate::worker::{HEARTBEAT_TIMEOUT, Times, job_of};
 use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
 use pebblefold_controller::core::format_version::member_versions;
 use pebblefold_controller::core::job_records;
@@ -60,9 +60,9 @@
         match self {
             Store::Memory(disk) => {
                 let disk = disk.clone();
-                Disk::on(move || disk.open())
+                Disk::on_backend(move || disk.open())
             }
-            Store::File(path) => Disk::at(path),
+            Store::File(path) => Disk::in_file(path),
         }
     }
 }
@@ -666,7 +666,7 @@
         };
         let answers = state.flush(now);
         if let (Store::Memory(disk), Some(down)) = (&self.store, self.dying)
-            && disk.is_off()
+            && disk.is_power_off()
         {
             // Its process dies with the write: nothing of this is heard.
             return self.end_state(now, down);
@@ -907,7 +907,7 @@
                 method: "POST",
                 path: "/checkin".into(),
                 body: s.body,
-                patience: PATIENCE,
+                patience: HEARTBEAT_TIMEOUT,
             });
         }
     }
--- a/crates/simulator/src/stand/faults.rs
+++ b/crates/simulator/src/stand/faults.rs
@@ -4,7 +4,7 @@
 use crate::checker::Seen;
 use crate::links::{Group, Host};
 use crate::script::{LastWrite, Moment, Nodes, PowerLoss, Side, What};
-use crate::worker::PATIENCE;
+use crate::worker::HEARTBEAT_TIMEOUT;
 use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_kvstore::faulty_disk::UnsyncedWrites;
 use pebblefold_kvstore::{ClientId, RequestId};
@@ -274,7 +274,10 @@
                             LastWrite::Torn => UnsyncedWrites::Torn(self.rng.random()),
                             _ => UnsyncedWrites::Kept,
                         };
-                        disk.fail_at(disk.operations() + self.rng.random_range(1..6), left);
+                        disk.schedule_power_failure(
+                            disk.operation_count() + self.rng.random_range(1..6),
+                            left,
+                        );
                         self.dying = Some(down);
                     }
                     _ => self.end_state(now, down),
@@ -284,7 +287,7 @@
                 let nodes = self.pick_nodes(nodes, about);
                 for n in &nodes {
                     if let Some(s) = &mut self.state {
-                        s.refuse(ClientId(*n as u32), true);
+                        s.set_client_refused(ClientId(*n as u32), true);
                     }
                 }
                 self.heal_at(until(*for_s), Heal::StateRefuses(nodes));
@@ -355,7 +358,7 @@
 
     pub(super) fn state_out(&mut self, now: Time, for_s: f64, heal: Heal) {
         if let Some(s) = &mut self.state {
-            s.set_out(now, true);
+            s.set_outage(now, true);
         }
         self.heal_at(now + TimeSpan::secs(for_s), heal);
     }
@@ -369,12 +372,12 @@
             }
             Heal::StateOut => {
                 if let Some(s) = &mut self.state {
-                    s.set_out(now, false);
+                    s.set_outage(now, false);
                 }
             }
             Heal::StateBack => {
                 if let Store::Memory(disk) = &self.store {
-                    disk.power_on();
+                    disk.restore_power();
                 }
                 match self.open_state(now) {
                     Ok(s) => self.state = Some(s),
@@ -392,7 +395,7 @@
             Heal::StateRefuses(nodes) => {
                 for n in nodes {
                     if let Some(s) = &mut self.state {
-                        s.refuse(ClientId(n as u32), false);
+                        s.set_client_refused(ClientId(n as u32), false);
                     }
                 }
             }
@@ -416,7 +419,7 @@
                     method: "POST",
                     path: "/checkin".into(),
                     body,
-                    patience: PATIENCE,
+                    patience: HEARTBEAT_TIMEOUT,
                 });
             }
             Heal::Silence(call, node) => self.give(call, Host::State, node, Returned::Silence),
--- a/crates/simulator/src/waiting.rs
+++ b/crates/simulator/src/waiting.rs
@@ -62,7 +62,7 @@
     };
     let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
     for r in rooms.iter().filter(allowed) {
-        *by_zone.entry(&r.zone).or_default() += need.count_in(&r.free, u32::MAX);
+        *by_zone.entry(&r.zone).or_default() += need.max_count_in(&r.free, u32::MAX);
     }
     let most = if spec.spread {
         spec.tasks.div_ceil(2)
--- a/crates/simulator/src/worker.rs
+++ b/crates/simulator/src/worker.rs
@@ -2,7 +2,7 @@
 //! rotation among controllers, commands, images. What its tasks do together,
 //! and how long they take, is the [`crate::fleet`]'s.
 
-use pebblefold_agent::link::{Link, Pace};
+use pebblefold_agent::link::{Link, LinkTimes};
 use pebblefold_controller::types::{AgentEpoch, Attempt, FencingToken, Resources, Time, TimeSpan};
 use pebblefold_controller::wire::cloud::{ListedMachine, MachineType};
 use pebblefold_controller::wire::users::{JobShape, Submission};
@@ -13,7 +13,7 @@
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use pebblefold_agent::link::PATIENCE;
+pub use pebblefold_agent::link::HEARTBEAT_TIMEOUT;
 
 /// Times of all workers.
 #[derive(Clone, Copy, Debug)]
@@ -122,16 +122,16 @@
         now: Time,
         rng: &mut StdRng,
     ) -> Worker {
-        let pace = Pace {
-            report: times.report,
-            lease: times.lease,
+        let link_times = LinkTimes {
+            heartbeat_interval: times.report,
+            lease_duration: times.lease,
         };
         Worker {
             machine,
             has: kind.has(),
             cache_gb: kind.cache_gb,
             fetch_gb_per_s: kind.fetch_gb_per_s * rng.random_range(0.7..1.3),
-            link: Link::new(pace, nodes, now, rng),
+            link: Link::new(link_times, nodes, now, rng),
             hung: None,
             deaf: None,
             mute: None,
@@ -160,7 +160,7 @@
 
     /// Its report now.
     pub fn report(&mut self, now: Time) -> Heartbeat {
-        let sequence = self.link.count();
+        let sequence = self.link.next_sequence();
         let one = |((task, attempt), t): (&Key, &Task)| ReportedTask {
             task: task.clone(),
             attempt: Attempt(*attempt),
@@ -184,7 +184,7 @@
 
     /// Whether it has anything to do before its next report.
     pub fn idles(&self, now: Time) -> bool {
-        self.tasks.is_empty() && self.link.idles(now)
+        self.tasks.is_empty() && self.link.is_idle(now)
     }
 
     /// Whether time does anything to it: it has tasks or fetches, or its lease is
@@ -195,23 +195,23 @@
 
     /// The controller it reports to.
     pub fn node(&self) -> usize {
-        self.link.node()
+        self.link.controller()
     }
 
     /// Begins a report under this ticket, if one is due.
     pub fn due(&mut self, now: Time, ticket: u64, rng: &mut StdRng) -> Option<Heartbeat> {
-        let due = self.link.due(now, ticket, rng);
+        let due = self.link.begin_heartbeat(now, ticket, rng);
         due.then(|| self.report(now))
     }
 
     /// Whether this ticket's report is the one in flight.
     pub fn awaits(&self, ticket: u64) -> bool {
-        self.link.awaits(ticket)
+        self.link.is_in_flight(ticket)
     }
 
     /// An answer that carries a token; `sent`: when its report was sent.
     pub fn answered(&mut self, now: Time, token: FencingToken, commands: Vec<Command>) -> Heard {
-        if self.link.answered(now, token) {
+        if self.link.handle_response(now, token) {
             Heard::Commands(commands)
         } else {
             Heard::Nothing
@@ -220,17 +220,17 @@
 
     /// It is told to report to another node, or the node cannot help.
     pub fn sent_away(&mut self, now: Time, to: Option<usize>, rng: &mut StdRng) {
-        self.link.sent_away(now, to, rng);
+        self.link.redirect(now, to, rng);
     }
 
     /// Whether direct commands count, by their token and session.
     pub fn takes(&mut self, now: Time, token: FencingToken, epoch: AgentEpoch) -> bool {
-        self.link.takes(now, token, epoch)
+        self.link.accepts_commands(now, token, epoch)
     }
 
     /// Ends the session if the lease is over; returns what was on the machine.
     pub fn lease_over(&mut self, now: Time) -> BTreeMap<Key, Task> {
-        if !self.link.renewed(now) {
+        if !self.link.begin_epoch_if_expired(now) {
             return BTreeMap::new();
         }
         std::mem::take(&mut self.tasks)
@@ -242,7 +242,7 @@
         if self.tasks.contains_key(&key) {
             return;
         }
-        self.link.touch();
+        self.link.note_change();
         let live = |t: &Task| t.state != TaskState::Exited;
         let job = jobs.get(job_of(task));
         let mut used = Resources::default();
@@ -255,7 +255,7 @@
         let refused = match job {
             None => Some(StopReason::Unknown),
             Some(_) if busy(task) => Some(StopReason::Busy),
-            Some(j) if !(used + j.needs()).fits(&self.has) => Some(StopReason::NoRoom),
+            Some(j) if !(used + j.needs()).fits_within(&self.has) => Some(StopReason::NoRoom),
             Some(j) => {
                 let image = j.image.to_string();
                 match self.cache.get_mut(&image) {
@@ -292,13 +292,13 @@
             .is_some_and(|t| t.state == TaskState::Exited)
         {
             self.tasks.remove(&key);
-            self.link.touch();
+            self.link.note_change();
         }
     }
 
     /// Notes that something changed that is worth a report.
     pub fn touch(&mut self) {
-        self.link.touch();
+        self.link.note_change();
     }
 
     /// Lets images come in; returns tasks whose image is there now.
@@ -352,7 +352,7 @@
             }
         }
         if !ready.is_empty() {
-            self.link.touch();
+            self.link.note_change();
         }
         ready
     }
--- a/crates/simulator/tests/commands.rs
+++ b/crates/simulator/tests/commands.rs
@@ -30,7 +30,7 @@
         argv,
         dir: dir.display().to_string(),
         stdout: Some("out".into()),
-        again,
+        restart_policy: again,
         env,
         ..CommandSpec::default()
     };
@@ -156,7 +156,7 @@
         dir: dir.display().to_string(),
         stdout: Some("sub/out".into()),
         env: [("PATH".to_string(), "/usr/bin:/bin".to_string())].into(),
-        put: vec![
+        staged_files: vec![
             StagedFile::Link {
                 from: from.clone(),
                 to: "link".into(),
@@ -193,7 +193,7 @@
     c.describe(
         "wk-1".into(),
         CommandSpec {
-            put,
+            staged_files: put,
             dir: place_of,
             ..d
         },
@@ -216,7 +216,7 @@
             .to_vec(),
         dir: dir.display().to_string(),
         env: [("PATH".to_string(), "/usr/bin:/bin".to_string())].into(),
-        put: vec![StagedFile::Link {
+        staged_files: vec![StagedFile::Link {
             from: "/".into(),
             to: "root".into(),
         }],
@@ -240,14 +240,14 @@
         argv: ["sleep", "60"].map(String::from).to_vec(),
         dir: dir.display().to_string(),
         env: [("PATH".to_string(), "/usr/bin:/bin".to_string())].into(),
-        limit_s: Some(0.05),
+        time_limit_s: Some(0.05),
         ..CommandSpec::default()
     };
     c.describe("wk-1".into(), d);
     assert!(until_ended(&mut c, &[place("host-1", 1)]));
     let m = mark(&dir);
     assert!(
-        m.too_long && m.code == 128 + 9 && m.ended_ms >= m.began_ms,
+        m.timed_out && m.code == 128 + 9 && m.ended_at_ms >= m.started_at_ms,
         "{m:?}"
     );
     std::fs::remove_dir_all(&dir).unwrap();
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -26,9 +26,11 @@
     // Ended jobs leave one small key each and nothing that a new leader would
     // have to read.
     let state = world.stand().state().unwrap();
-    assert_eq!(state.count("job/"), 30);
+    assert_eq!(state.count_keys_with_prefix("job/"), 30);
     assert_eq!(
-        state.count("w/j/") + state.count("r/") + state.count("w/x/"),
+        state.count_keys_with_prefix("w/j/")
+            + state.count_keys_with_prefix("r/")
+            + state.count_keys_with_prefix("w/x/"),
         0
     );
 }
@@ -153,7 +155,11 @@
         world.play(Time(0) + TimeSpan::secs(220.0), false);
         assert!(world.stand().checker().breaches().is_empty());
         assert_eq!(
-            world.stand().state().unwrap().count("w/j/"),
+            world
+                .stand()
+                .state()
+                .unwrap()
+                .count_keys_with_prefix("w/j/"),
             0,
             "seed {seed}"
         );
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -506,10 +506,11 @@
         assert!(breaches.is_empty(), "night {night}: {breaches:?}");
         let state = world.stand().state().unwrap();
         let keys = ["d/", "r/", "w/j/", "w/p/", "w/x/"];
-        let keys: usize = keys.iter().map(|k| state.count(k)).sum();
+        let keys: usize = keys.iter().map(|k| state.count_keys_with_prefix(k)).sum();
         // What came of late is one key, written over and over.
-        let kept =
-            state.count(pebblefold_controller::core::quota::arrival_history::ARRIVAL_HISTORY_KEY);
+        let kept = state.count_keys_with_prefix(
+            pebblefold_controller::core::quota::arrival_history::ARRIVAL_HISTORY_KEY,
+        );
         assert!(kept <= 1, "night {night}: {kept}");
         out.push((keys - kept, world.stand().fleet().workers().len()));
     }
--- a/crates/wire/src/backoff.rs
+++ b/crates/wire/src/backoff.rs
@@ -14,7 +14,7 @@
     /// `initial` after the first failure, doubles with each further one, and is at most
     /// `limit`; the returned one lies between half of it (`jitter` 0) and all of it
     /// (`jitter` 1).
-    pub fn failed(&mut self, initial: TimeSpan, limit: TimeSpan, jitter: f64) -> TimeSpan {
+    pub fn next_pause(&mut self, initial: TimeSpan, limit: TimeSpan, jitter: f64) -> TimeSpan {
         let full_pause = TimeSpan(initial.0 << self.failures.min(16)).min(limit);
         self.failures = self.failures.saturating_add(1);
         full_pause.scaled(0.5 + jitter / 2.0)
--- a/crates/wire/src/backoff/tests.rs
+++ b/crates/wire/src/backoff/tests.rs
@@ -5,7 +5,7 @@
     let mut backoff = Backoff::default();
     let pause = |backoff: &mut Backoff| {
         backoff
-            .failed(TimeSpan::millis(100), TimeSpan::millis(500), 1.0)
+            .next_pause(TimeSpan::millis(100), TimeSpan::millis(500), 1.0)
             .as_millis()
     };
     assert_eq!(
--- a/crates/wire/src/command.rs
+++ b/crates/wire/src/command.rs
@@ -54,7 +54,7 @@
 }
 
 /// The command of a job, uploaded under the id of the job. The simulator's loopback clusters
-/// use all fields; the agent uses `argv`, `env` and `limit_s`, and runs attempts in
+/// use all fields; the agent uses `argv`, `env` and `time_limit_s`, and runs attempts in
 /// directories of the machine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CommandSpec {
@@ -76,14 +76,14 @@
     #[serde(default)]
     pub env: BTreeMap<String, String>,
     /// Whether the command may be run again after its machine was lost.
-    #[serde(default)]
-    pub again: RestartPolicy,
+    #[serde(rename = "again", default)]
+    pub restart_policy: RestartPolicy,
     /// Files that are created in the working directory before the command starts.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub put: Vec<StagedFile>,
+    #[serde(rename = "put", default, skip_serializing_if = "Vec::is_empty")]
+    pub staged_files: Vec<StagedFile>,
     /// Time limit in seconds, after which the command is killed; `None`: no limit.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub limit_s: Option<f64>,
+    #[serde(rename = "limit_s", default, skip_serializing_if = "Option::is_none")]
+    pub time_limit_s: Option<f64>,
 }
 
 /// Name of the file with the [`ExitRecord`] of a command, in [`CommandSpec::dir`].
@@ -107,15 +107,19 @@
     #[serde(default)]
     pub attempt: u64,
     /// Start time, in milliseconds since 1970 by the machine's clock.
-    #[serde(default)]
-    pub began_ms: u64,
+    #[serde(rename = "began_ms", default)]
+    pub started_at_ms: u64,
     /// End time, in milliseconds since 1970 by the machine's clock.
-    #[serde(default)]
-    pub ended_ms: u64,
+    #[serde(rename = "ended_ms", default)]
+    pub ended_at_ms: u64,
     /// Why the command could not be started; `None`: it was started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub not_started: Option<String>,
     /// Whether the command was killed because it exceeded its time limit.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub too_long: bool,
+    #[serde(
+        rename = "too_long",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
+    pub timed_out: bool,
 }
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -195,7 +195,7 @@
 ///
 /// # Errors
 /// The message is malformed or exceeds a limit; the connection cannot be used any longer.
-pub fn read_request(data: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
+pub fn parse_request(data: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut head = httparse::Request::new(&mut headers);
     let head_length = match head.parse(data) {
@@ -241,7 +241,7 @@
 ///
 /// # Errors
 /// The message is malformed or exceeds a limit; the connection cannot be used any longer.
-pub fn read_response(data: &[u8], at_eof: bool) -> Result<Option<(Response, usize)>, HttpError> {
+pub fn parse_response(data: &[u8], at_eof: bool) -> Result<Option<(Response, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; 48];
     let mut head = httparse::Response::new(&mut headers);
     let head_length = match head.parse(data) {
--- a/crates/wire/src/http/tests.rs
+++ b/crates/wire/src/http/tests.rs
@@ -6,12 +6,12 @@
     let request_bytes = b"POST /a?b=1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: u\r\n\r\nGET";
     for cut in 0..request_bytes.len() - 3 {
         assert_eq!(
-            read_request(&request_bytes[..cut]),
+            parse_request(&request_bytes[..cut]),
             Ok(None),
             "cut at {cut}"
         );
     }
-    let (r, consumed) = read_request(request_bytes).unwrap().unwrap();
+    let (r, consumed) = parse_request(request_bytes).unwrap().unwrap();
     assert_eq!((r.path.as_str(), r.query.as_str()), ("/a", "b=1"));
     assert_eq!(r.body, b"abcde");
     assert_eq!(&request_bytes[consumed..], b"GET");
@@ -47,10 +47,10 @@
         ),
     ];
     for (bytes, error) in cases {
-        assert_eq!(read_request(bytes), Err(error));
+        assert_eq!(parse_request(bytes), Err(error));
     }
     let oversized_head = [b"GET / HTTP/1.1\r\nX: ".as_slice(), &[b'a'; MAX_HEAD_BYTES]].concat();
-    assert_eq!(read_request(&oversized_head), Err(HttpError::HeadTooLarge));
+    assert_eq!(parse_request(&oversized_head), Err(HttpError::HeadTooLarge));
 }
 
 proptest! {
@@ -63,16 +63,16 @@
         body in proptest::collection::vec(any::<u8>(), 0..300), close: bool) {
         let r = Response { status, retry_after: after, body, close };
         let bytes = write_response(&r);
-        prop_assert_eq!(read_response(&bytes, false), Ok(Some((r, bytes.len()))));
+        prop_assert_eq!(parse_response(&bytes, false), Ok(Some((r, bytes.len()))));
     }
 
     #[test]
     fn parser_never_panics(body in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = read_request(&body);
-        let _ = read_response(&body, true);
+        let _ = parse_request(&body);
+        let _ = parse_response(&body, true);
         let mut chunked = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         chunked.extend(&body);
-        if let Ok(Some((r, consumed))) = read_request(&chunked) {
+        if let Ok(Some((r, consumed))) = parse_request(&chunked) {
             prop_assert!(consumed <= chunked.len() && r.body.len() <= body.len());
         }
     }
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -18,7 +18,7 @@
     pub store_contact_age_ms: u64,
     /// Milliseconds since the leader's event loop last ran.
     #[serde(rename = "late_ms")]
-    pub work_delay_ms: u64,
+    pub event_loop_delay_ms: u64,
 }
 
 /// Request of a leader that shuts down: the receiving peer is to take over the leader key.
@@ -41,7 +41,7 @@
 
 /// A peer's vote on a suspected leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SuspicionReport {
+pub struct SuspicionVote {
     /// Name of the peer that votes.
     #[serde(rename = "label")]
     pub node_id: NodeId,
@@ -51,8 +51,8 @@
     pub agrees: bool,
     /// Number of agents that recently switched from the suspected leader to this peer,
     /// counted only as far as the decision needs the number.
-    #[serde(default)]
-    pub came: u32,
+    #[serde(rename = "came", default)]
+    pub recent_agent_migrations: u32,
 }
 
 /// The build that a controller runs and the format versions that the build supports.
@@ -90,8 +90,8 @@
     /// Whether the key-value store answers the sender.
     pub state_ok: bool,
     /// Whether the sender is overloaded or shutting down.
-    #[serde(default)]
-    pub strained: bool,
+    #[serde(rename = "strained", default)]
+    pub is_overloaded: bool,
     /// Microseconds that a fixed piece of work takes on the sender's processor; 0: not
     /// measured.
     #[serde(default)]
--- a/crates/wire/src/rate_limit.rs
+++ b/crates/wire/src/rate_limit.rs
@@ -43,7 +43,7 @@
 
     /// Takes `n` tokens and returns true if the bucket holds that many; otherwise takes none
     /// and returns false.
-    pub fn take(&mut self, now: Time, n: f64) -> bool {
+    pub fn try_take(&mut self, now: Time, n: f64) -> bool {
         self.refill(now);
         let is_allowed = self.level + 1e-9 >= n;
         if is_allowed {
--- a/crates/wire/src/types.rs
+++ b/crates/wire/src/types.rs
@@ -226,7 +226,7 @@
 
 impl Resources {
     /// Whether these resources are within `available`.
-    pub fn fits(&self, available: &Resources) -> bool {
+    pub fn fits_within(&self, available: &Resources) -> bool {
         self.cpus <= available.cpus + TOLERANCE
             && self.gpus <= available.gpus + TOLERANCE
             && self.memory_gb <= available.memory_gb + TOLERANCE
@@ -250,7 +250,7 @@
     }
     /// The component-wise maximum of both.
     #[must_use]
-    pub fn most(&self, other: &Resources) -> Resources {
+    pub fn component_max(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.max(other.cpus),
             gpus: self.gpus.max(other.gpus),
@@ -259,7 +259,7 @@
     }
     /// The component-wise minimum of both.
     #[must_use]
-    pub fn least(&self, other: &Resources) -> Resources {
+    pub fn component_min(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
@@ -267,7 +267,7 @@
         }
     }
     /// How many times these resources fit into `available`, at most `limit`.
-    pub fn count_in(&self, available: &Resources, limit: u32) -> u32 {
+    pub fn max_count_in(&self, available: &Resources, limit: u32) -> u32 {
         let ratio = |need: f64, have: f64| {
             if need <= TOLERANCE {
                 f64::from(limit)
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -122,7 +122,7 @@
 
     /// Returns the name of the first field with an invalid value, spelled as in the message;
     /// `None` if all are valid.
-    pub fn fault(&self) -> Option<&'static str> {
+    pub fn first_invalid_field(&self) -> Option<&'static str> {
         let is_valid_amount = |v: f64| v.is_finite() && (0.0..=1e9).contains(&v);
         let is_valid_name = |s: &str| (1..=200).contains(&s.len());
         let checks = [
--- a/crates/wire/tests/services_format.rs
+++ b/crates/wire/tests/services_format.rs
@@ -243,8 +243,8 @@
         stdout: Some(text("out")),
         stderr: Some(text("err")),
         env: [(text("HOME"), text("/h"))].into(),
-        again: command::RestartPolicy::Never,
-        put: vec![
+        restart_policy: command::RestartPolicy::Never,
+        staged_files: vec![
             command::StagedFile::Link {
                 from: text("a"),
                 to: text("b"),
@@ -259,7 +259,7 @@
             },
             command::StagedFile::Directory { to: text("b") },
         ],
-        limit_s: Some(60.0),
+        time_limit_s: Some(60.0),
         ..minimal.clone()
     };
     assert_round_trip(
@@ -295,10 +295,10 @@
     };
     let full = command::ExitRecord {
         attempt: 4,
-        began_ms: 1000,
-        ended_ms: 2000,
+        started_at_ms: 1000,
+        ended_at_ms: 2000,
         not_started: Some("no program".into()),
-        too_long: true,
+        timed_out: true,
         ..minimal.clone()
     };
     assert_round_trip(
--- a/crates/wire/tests/users_format.rs
+++ b/crates/wire/tests/users_format.rs
@@ -152,7 +152,7 @@
     for (field, invalidate) in cases {
         let mut s = submission();
         invalidate(&mut s);
-        assert_eq!(s.fault(), Some(field));
+        assert_eq!(s.first_invalid_field(), Some(field));
     }
 }
 
--- a/crates/wire/tests/wire_format.rs
+++ b/crates/wire/tests/wire_format.rs
@@ -45,7 +45,7 @@
         node_id: "node-0".into(),
         token: FencingToken(5),
         store_contact_age_ms: 120,
-        work_delay_ms: 7,
+        event_loop_delay_ms: 7,
     };
     assert_round_trip(
         &heartbeat,
@@ -71,17 +71,17 @@
         store_unreachable: true,
     };
     assert_round_trip(&query, json!({"token": 5, "no_state": true}));
-    let mut vote = peers::SuspicionReport {
+    let mut vote = peers::SuspicionVote {
         node_id: "node-1".into(),
         token: FencingToken(5),
         agrees: true,
-        came: 12,
+        recent_agent_migrations: 12,
     };
     assert_round_trip(
         &vote,
         json!({"label": "node-1", "token": 5, "agrees": true, "came": 12}),
     );
-    vote.came = 0;
+    vote.recent_agent_migrations = 0;
     assert_decodes(
         &vote,
         json!({"label": "node-1", "token": 5, "agrees": true}),
@@ -95,7 +95,7 @@
         leads: true,
         loaded: true,
         state_ok: false,
-        strained: false,
+        is_overloaded: false,
         effort_us: 0,
         levels: None,
         cancelled: Vec::new(),
@@ -115,7 +115,7 @@
     };
     let full = peers::PeerHeartbeat {
         loaded: false,
-        strained: true,
+        is_overloaded: true,
         effort_us: 350,
         levels: Some(build_info),
         cancelled: vec!["wk-1".into()],
--- a/crates/workflow/src/records.rs
+++ b/crates/workflow/src/records.rs
@@ -4,7 +4,7 @@
 //! it meanwhile. What a step brought forth stands beside its files.
 
 use crate::engine::TaskPath;
-use pebblefold_net::{Client, Sent};
+use pebblefold_net::{Client, SentFlag};
 use pebblefold_wire::kvstore::{
     EntryPage, LeaseGrant, LeaseGrantRequest, Operation, Precondition, Transaction,
     TransactionResponse,
@@ -333,7 +333,7 @@
     ) -> Result<(u16, Vec<u8>), RecordError> {
         let mut last = String::new();
         for _ in 0..self.tries {
-            let sent = Sent::default();
+            let sent = SentFlag::default();
             let asked = self.net.exchange(self.addr, method, path, body, &sent);
             match timeout(PATIENCE, asked).await {
                 Ok(Ok(r)) if matches!(r.status, 200 | 404 | 409) => return Ok((r.status, r.body)),
--- a/crates/workflow/src/runner.rs
+++ b/crates/workflow/src/runner.rs
@@ -12,7 +12,7 @@
 use crate::records::{Claim, End, Entry, RecordError, Records};
 use crate::tool::{CommandLine, Ended, command_line, ended, inputs, outputs, reusable};
 use pebblefold_client::{Client, ClientError, RetryPolicy};
-use pebblefold_net::{Client as Net, Sent};
+use pebblefold_net::{Client as Net, SentFlag};
 use pebblefold_wire::command::{
     CommandSpec, EXIT_FILE, ExitRecord, REFUSED_FILE, RestartPolicy, StagedFile,
     WORKING_DIR_PLACEHOLDER,
@@ -590,11 +590,11 @@
         let mark: ExitRecord = read_json(&dir.join(EXIT_FILE)).map_err(named)?;
         let lost = match &mark {
             m if m.not_started.is_some() => Lost::NotStarted,
-            m if m.too_long => Lost::TooLong,
+            m if m.timed_out => Lost::TooLong,
             m => Lost::Exit(ended(task, m.code)),
         };
         if lost != Lost::Exit(Ended::Success) {
-            let text = match (&mark.not_started, mark.too_long) {
+            let text = match (&mark.not_started, mark.timed_out) {
                 (Some(why), _) => format!("not started on {}: {why}", mark.machine),
                 (None, true) => format!("ended for its ToolTimeLimit, on {}", mark.machine),
                 (None, false) => format!(
@@ -738,12 +738,12 @@
             stdin: line.stdin.clone(),
             stdout: line.stdout.clone(),
             stderr: line.stderr.clone(),
-            again: match retry {
+            restart_policy: match retry {
                 Retry::Never | Retry::IfNotStarted => RestartPolicy::Never,
                 Retry::OnFailure(_) => RestartPolicy::Allowed,
             },
-            put,
-            limit_s: line.limit_s,
+            staged_files: put,
+            time_limit_s: line.limit_s,
         }
     }
 
@@ -751,7 +751,7 @@
         let (path, body) = (format!("/descriptions/{id}"), encode(d));
         let mut last = String::new();
         for _ in 0..UPLOADS {
-            let sent = Sent::default();
+            let sent = SentFlag::default();
             let asked = self
                 .net
                 .exchange(self.options.front, "POST", &path, &body, &sent);
