--- a/crates/pebblectl/src/up.rs
+++ b/crates/pebblectl/src/up.rs
@@ -5,7 +5,7 @@
 use crate::output::{Failure, Show};
 use crate::rehearse::{controller_program, load};
 use pebblefold_controller::cli::ServeError;
-use pebblefold_simulator::checker::{Breach, Rule};
+use pebblefold_simulator::checker::{Breach, Invariant};
 use pebblefold_simulator::loopback::{Loopback, Options};
 use pebblefold_simulator::script::Script;
 use pebblefold_wire::types::TimeSpan;
@@ -70,7 +70,7 @@
         loop {
             cluster.step().await;
             // A cluster whose controllers end is of no use; why is told below.
-            let ended = |b: &Breach| b.rule == Rule::Protocol;
+            let ended = |b: &Breach| b.rule == Invariant::Protocol;
             if cluster.with(|s| s.checker().breaches().iter().any(ended)) {
                 return;
             }
@@ -106,7 +106,7 @@
     let broken: Vec<String> = cluster.with(|s| {
         let all = s.checker().breaches().iter();
         // What is open goes on with the next `up`.
-        all.filter(|b| b.rule != Rule::Unfinished)
+        all.filter(|b| b.rule != Invariant::Unfinished)
             .map(|b| format!("rule broken: {} {}: {}", b.rule, b.job, b.what))
             .collect()
     });
--- a/crates/pebblectl/tests/equal.rs
+++ b/crates/pebblectl/tests/equal.rs
@@ -1,7 +1,7 @@
 //! No back door: a workflow and the same jobs submitted by hand, on the same seed
 //! against the stand-ins, have one history, to the last event.
 
-use pebblefold_simulator::checker::{Ask, Seen};
+use pebblefold_simulator::checker::{HistoryEvent, RequestKind};
 use pebblefold_simulator::script::Script;
 use pebblefold_simulator::simulated::Simulated;
 use pebblefold_simulator::users::Planned;
@@ -232,9 +232,9 @@
         world.play(now, false);
         let history = world.stand().checker().history();
         for (_, seen) in &history[heard..] {
-            if let Seen::Told {
+            if let HistoryEvent::RequestOutcome {
                 job,
-                what: Ask::Poll,
+                what: RequestKind::Poll,
                 stage: Some(JobStage::Done),
                 ..
             } = seen
@@ -250,7 +250,7 @@
     assert!(breaches.is_empty(), "{breaches:?}");
     let history = world.stand().checker().history();
     let runs = history.iter().filter_map(|(t, s)| match s {
-        Seen::Runs { task } => Some(format!("{:.3} {task}", t.0 as f64 / 1e6)),
+        HistoryEvent::TaskRunning { task } => Some(format!("{:.3} {task}", t.0 as f64 / 1e6)),
         _ => None,
     });
     let all = history.iter().map(|(t, s)| format!("{} {s:?}", t.0));
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -1,7 +1,7 @@
-//! The verdict. The checker hears what users were told, what ran on machines
-//! and what the cloud rented, and never a controller's own word. It knows the
-//! rules of the users' protocol and one more: every accepted job ends in
-//! exactly one final answer.
+//! The checker records a history of events as users, machines and the cloud saw
+//! them, and reports violated invariants. It never uses a controller's internal
+//! state. Besides the rules of the users' protocol it checks that every accepted
+//! job ends in exactly one final answer.
 
 use crate::script::{Cluster, Team};
 use pebblefold_controller::types::{Resources, Time, TimeSpan};
@@ -10,345 +10,364 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// For how long every poll for a job may fail while most others are answered.
-const FORGOTTEN_AFTER: TimeSpan = TimeSpan::millis(90_000);
+/// How long every poll for a job may fail, while most polls are answered, before the job
+/// counts as forgotten.
+const POLL_FAILURE_LIMIT: TimeSpan = TimeSpan::millis(90_000);
 
-/// Time between looks for jobs that nobody answers for.
-const LOOK: TimeSpan = TimeSpan::millis(1000);
+/// Time between two checks for jobs whose polls all fail.
+const FORGOTTEN_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(1000);
 
-/// What a user asks.
+/// Kind of a user's request about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
-    /// Takes the job.
+pub enum RequestKind {
+    /// Submits the job.
     Submit,
-    /// How is it?
+    /// Reads the job's status.
     Poll,
-    /// Ends the job.
+    /// Cancels the job.
     Cancel,
 }
 
-/// Something that users, machines or cloud saw.
+/// An event as users, machines or the cloud saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
-    /// A machine is there, with its zone, type and kind.
-    Machine {
-        /// Its name.
+pub enum HistoryEvent {
+    /// A machine came up.
+    MachineUp {
+        /// Name of the machine.
         machine: String,
-        /// Its zone.
+        /// Zone of the machine.
         zone: String,
-        /// Its type.
+        /// Machine type.
         kind: String,
-        /// Spot or ordinary.
+        /// Whether the machine is a spot machine.
         spot: bool,
     },
-    /// A user asked.
-    Asked {
-        /// The job.
+    /// A user sent a request.
+    RequestSent {
+        /// The job that the request names.
         job: String,
-        /// What.
-        what: Ask,
+        /// Kind of the request.
+        what: RequestKind,
     },
-    /// A user got an answer; `None`: none came in time.
-    Told {
-        /// The job.
+    /// A user's request was answered or timed out.
+    RequestOutcome {
+        /// The job that the request named.
         job: String,
-        /// To what.
-        what: Ask,
-        /// When it was asked.
+        /// Kind of the request.
+        what: RequestKind,
+        /// When the request was sent.
         asked: Time,
-        /// The status.
+        /// HTTP status of the answer; `None` if no answer came in time.
         status: Option<u16>,
-        /// The stage that the answer names.
+        /// The job's stage in the answer; `None` if the answer has no stage.
         stage: Option<JobStage>,
     },
-    /// A request that is to be refused was answered.
-    Odd {
-        /// The job that it names.
+    /// A request that the controllers must refuse was answered or timed out.
+    InvalidRequestOutcome {
+        /// The job that the request named.
         job: String,
-        /// With which status.
+        /// HTTP status that the refusal must have.
         wanted: u16,
-        /// How it was; `None`: no answer came in time.
+        /// HTTP status of the answer; `None` if no answer came in time.
         status: Option<u16>,
     },
-    /// A user waits no longer for a submission to be taken.
-    GaveUp {
-        /// The job.
+    /// A user stopped retrying a submission that no controller had accepted.
+    SubmissionAbandoned {
+        /// The job that was not accepted.
         job: String,
     },
-    /// A task has its image and is on its machine from now on.
-    On {
-        /// The machine.
+    /// A task has its image and occupies its machine from this time on.
+    TaskPlaced {
+        /// Name of the machine.
         machine: String,
-        /// The task.
+        /// The task as `job/index`.
         task: String,
-        /// The attempt.
+        /// Number of the task attempt.
         attempt: u64,
     },
-    /// It is not any more.
-    Off {
-        /// The machine.
+    /// A task no longer occupies its machine.
+    TaskRemoved {
+        /// Name of the machine.
         machine: String,
-        /// The task.
+        /// The task as `job/index`.
         task: String,
-        /// The attempt.
+        /// Number of the task attempt.
         attempt: u64,
-        /// Why.
+        /// Why the task was removed, for the history in a report.
         why: &'static str,
     },
-    /// It runs: at once, or with its gang.
-    Runs {
-        /// The task.
+    /// A task began to run: an array's or a service's once it is on its machine, a
+    /// gang's together with the other tasks of the gang.
+    TaskRunning {
+        /// The task as `job/index`.
         task: String,
     },
-    /// Its work is complete.
-    Done {
-        /// The task.
+    /// A task's work is complete.
+    TaskCompleted {
+        /// The task as `job/index`.
         task: String,
     },
-    /// Something went wrong on purpose.
-    Fault {
-        /// What.
+    /// The scenario injected a fault.
+    FaultInjected {
+        /// Description of the fault.
         what: String,
     },
 }
 
-/// A rule.
+/// An invariant that the history must hold to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rule {
-    /// A task starts on one machine while it is on another.
+pub enum Invariant {
+    /// A task was placed on one machine while it was on another.
     RanTwice,
-    /// A team's tasks use more than its limit.
+    /// A team's tasks use more than the team's maximum.
     Quota,
-    /// A task starts where its job does not allow it.
+    /// A task was placed on a machine type, market or zone that its job does not allow.
     WrongPlace,
-    /// A cancelled job's task is on a machine too late.
+    /// A task is on a machine longer than `cancel_s` after its job was confirmed as cancelled.
     RanCancelled,
-    /// An accepted job is not known any more.
+    /// The controllers no longer answer for an accepted job.
     Forgotten,
-    /// A job that nobody submitted is known.
+    /// A job that was never submitted, or that cannot run, was answered as accepted.
     Invented,
-    /// A job is called done before its tasks are.
+    /// A job was reported done before all its tasks were complete.
     NotDone,
-    /// A final answer is taken back.
+    /// A final answer changed, or a job that its user did not cancel was reported cancelled.
     WentBack,
-    /// Nothing was started.
+    /// No task was started in the whole run.
     NothingRan,
-    /// A job waits beside room that fits, long after the last trouble.
+    /// A job stayed pending although free capacity fits it, long after the last fault.
     LeftWaiting,
-    /// An accepted job has no final answer at the end.
+    /// An accepted job has no final answer at the end of the run.
     Unfinished,
-    /// The interfaces are not used as agreed.
+    /// A call or an answer violated an interface's contract.
     Protocol,
 }
 
-impl fmt::Display for Rule {
+impl fmt::Display for Invariant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = serde_json::to_value(self).unwrap_or_default();
         f.write_str(name.as_str().unwrap_or_default())
     }
 }
 
-/// A rule that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
-    /// Which.
-    pub rule: Rule,
-    /// When, in seconds.
+    /// The invariant that was violated.
+    pub rule: Invariant,
+    /// When the violation was found, in seconds since the start.
     pub at_s: f64,
-    /// The job, if it is about one.
+    /// The job concerned; empty if the breach concerns no job. For a protocol breach, the
+    /// text of `what`.
     pub job: String,
-    /// What happened.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// A job as the checker follows it.
+/// What the history says so far about one job.
 #[derive(Debug)]
-struct Followed {
+struct JobState {
     spec: Submission,
-    /// It comes from an earlier life of the stand-ins: what was done then was
-    /// not seen.
-    earlier: bool,
+    /// The job comes from an earlier run of the simulated users and machines, whose events
+    /// are not in this history.
+    preexisting: bool,
     accepted: bool,
-    /// When its user first knew that it is accepted.
-    known: Option<Time>,
-    given_up: bool,
-    submitted: Option<Time>,
-    asked_cancel: bool,
-    /// The final answer and when it was heard.
-    last: Option<(JobStage, Time)>,
-    done: BTreeSet<u32>,
-    on: BTreeMap<u32, BTreeSet<String>>,
-    first_run: Option<Time>,
-    running: BTreeSet<u32>,
-    finished: Option<Time>,
-    failing_since: Option<Time>,
-    /// When a poll was last answered.
-    answered: Option<Time>,
-    seen: Vec<usize>,
+    /// When the user first received an answer that the job is accepted.
+    accepted_at: Option<Time>,
+    abandoned: bool,
+    submitted_at: Option<Time>,
+    cancel_requested: bool,
+    /// The final answer and when the user received it.
+    final_answer: Option<(JobStage, Time)>,
+    /// Indices of the complete tasks.
+    completed_tasks: BTreeSet<u32>,
+    /// Names of the machines that each task, by index, is on.
+    machines_by_task: BTreeMap<u32, BTreeSet<String>>,
+    /// When all tasks first ran together or, of an array, the first task ran.
+    started_at: Option<Time>,
+    /// Indices of the tasks that run.
+    running_tasks: BTreeSet<u32>,
+    /// When the last of the tasks was complete.
+    finished_at: Option<Time>,
+    /// When the first of the polls that have all failed since was sent; `None` after an
+    /// answered poll.
+    polls_failing_since: Option<Time>,
+    /// When a poll for the job was last answered.
+    last_answered_poll: Option<Time>,
+    /// Indices of the job's events in [`Checker::history`].
+    event_indices: Vec<usize>,
 }
 
 #[derive(Clone, Debug)]
-struct Place {
+struct MachineInfo {
     zone: String,
     kind: String,
     spot: bool,
 }
 
-/// How a job went, for reports.
+/// Times and outcome of a job, for reports.
 #[derive(Clone, Debug, Serialize)]
 pub struct JobRecord {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// Its class.
+    /// Class of the job.
     pub class: String,
-    /// Its team.
+    /// Team that the job's usage counts for.
     pub team: String,
-    /// When it was first submitted, in seconds.
+    /// When the user first submitted the job, in seconds since the start.
     pub submitted_s: f64,
-    /// Whether it was accepted.
+    /// Whether the user received an answer that the job is accepted.
     pub accepted: bool,
-    /// When its tasks first ran all together or, of an array, the first ran.
+    /// When all tasks first ran together or, of an array, the first task ran, in seconds;
+    /// `None` if that never happened.
     pub started_s: Option<f64>,
-    /// When its user heard of its end.
+    /// When the user received the final answer, in seconds; `None` if there was none.
     pub ended_s: Option<f64>,
-    /// The final answer.
+    /// The final answer: done or cancelled.
     pub end: Option<JobStage>,
 }
 
-/// The checker.
+/// Records a history of events and checks invariants on it.
 #[derive(Debug)]
 pub struct Checker {
     teams: Vec<Team>,
-    cancel: TimeSpan,
-    jobs: BTreeMap<String, Followed>,
-    machines: BTreeMap<String, Place>,
-    history: Vec<(Time, Seen)>,
+    /// How long a task may stay on its machine after its job was confirmed as cancelled.
+    cancel_limit: TimeSpan,
+    jobs: BTreeMap<String, JobState>,
+    machines: BTreeMap<String, MachineInfo>,
+    history: Vec<(Time, HistoryEvent)>,
     breaches: Vec<Breach>,
-    /// Polls answered and not, lately.
-    polls: VecDeque<(Time, bool)>,
-    cancelled: BTreeMap<String, Time>,
-    late: BTreeSet<(String, String)>,
-    /// When polls that fail are next looked through.
-    look: Time,
+    /// Polls of the last [`POLL_FAILURE_LIMIT`]: when each ended and whether it was answered.
+    recent_polls: VecDeque<(Time, bool)>,
+    /// When each cancelled job's user received the confirmation.
+    cancelled_at: BTreeMap<String, Time>,
+    /// Jobs and machines for which a task that stayed too long was already reported.
+    reported_late: BTreeSet<(String, String)>,
+    /// When the next check for forgotten jobs is due.
+    next_forgotten_check: Time,
+    /// Number of task starts.
     starts: u64,
-    /// Tasks that came on a machine after their job was confirmed as cancelled.
+    /// Number of task placements after the job was confirmed as cancelled.
     starts_after_cancel: u64,
-    used: BTreeMap<String, Resources>,
+    usage_by_team: BTreeMap<String, Resources>,
 }
 
-fn parts(task: &str) -> (&str, u32) {
+/// Splits `job/index` into the job's id and the task's index.
+fn split_task_id(task: &str) -> (&str, u32) {
     let (job, index) = task.rsplit_once('/').unwrap_or((task, "0"));
     (job, index.parse().unwrap_or(0))
 }
 
 impl Checker {
-    /// A checker for a cluster's teams and times.
+    /// Creates a checker with the cluster's team limits and its `cancel_s`.
     pub fn new(cluster: &Cluster) -> Checker {
         Checker {
             teams: cluster.teams.clone(),
-            cancel: TimeSpan::secs(cluster.workers.cancel_s),
+            cancel_limit: TimeSpan::secs(cluster.workers.cancel_s),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
             history: Vec::new(),
             breaches: Vec::new(),
-            polls: VecDeque::new(),
-            cancelled: BTreeMap::new(),
-            late: BTreeSet::new(),
-            look: Time(0),
+            recent_polls: VecDeque::new(),
+            cancelled_at: BTreeMap::new(),
+            reported_late: BTreeSet::new(),
+            next_forgotten_check: Time(0),
             starts: 0,
             starts_after_cancel: 0,
-            used: BTreeMap::new(),
+            usage_by_team: BTreeMap::new(),
         }
     }
 
-    /// Makes a job known, as its user means to submit it.
-    pub fn expect(&mut self, spec: Submission) {
-        self.follow(spec, false);
+    /// Adds a job that a user is going to submit.
+    pub fn add_job(&mut self, spec: Submission) {
+        self.insert_job(spec, false);
     }
 
-    /// Makes a job known that may have run before anybody watched.
-    pub fn expect_again(&mut self, spec: Submission) {
-        self.follow(spec, true);
+    /// Adds a job that may have run before this history began. Its tasks may have been
+    /// completed then, so [`Invariant::NotDone`] is not checked for the job.
+    pub fn add_preexisting_job(&mut self, spec: Submission) {
+        self.insert_job(spec, true);
     }
 
-    fn follow(&mut self, spec: Submission, earlier: bool) {
-        let job = Followed {
-            earlier,
+    fn insert_job(&mut self, spec: Submission, preexisting: bool) {
+        let job = JobState {
+            preexisting,
             accepted: false,
-            known: None,
-            given_up: false,
-            submitted: None,
-            asked_cancel: false,
-            last: None,
-            done: BTreeSet::new(),
-            on: BTreeMap::new(),
-            first_run: None,
-            running: BTreeSet::new(),
-            finished: None,
-            failing_since: None,
-            answered: None,
-            seen: Vec::new(),
+            accepted_at: None,
+            abandoned: false,
+            submitted_at: None,
+            cancel_requested: false,
+            final_answer: None,
+            completed_tasks: BTreeSet::new(),
+            machines_by_task: BTreeMap::new(),
+            started_at: None,
+            running_tasks: BTreeSet::new(),
+            finished_at: None,
+            polls_failing_since: None,
+            last_answered_poll: None,
+            event_indices: Vec::new(),
             spec,
         };
         self.jobs.insert(job.spec.id.to_string(), job);
     }
 
-    /// Rules broken so far.
+    /// Violated invariants so far, at most one per invariant and job.
     pub fn breaches(&self) -> &[Breach] {
         &self.breaches
     }
 
-    /// Tasks that began to run.
+    /// Number of task starts: a task that runs again counts again.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
-    /// Tasks that came on a machine after their job's user was told that it is
-    /// cancelled: within `cancel_s` no rule is broken, and nobody wants them.
+    /// Number of task placements after the job's user received the confirmation that the
+    /// job is cancelled. Within `cancel_s` they violate no invariant, but are wasted work.
     pub fn starts_after_cancel(&self) -> u64 {
         self.starts_after_cancel
     }
 
-    /// Jobs that are accepted and not over, with how many of their tasks are done; not
-    /// those that their users have asked to cancel.
-    pub fn open(&self) -> impl Iterator<Item = (&Submission, u32)> {
-        let open = |j: &&Followed| {
-            j.accepted && j.last.is_none() && j.finished.is_none() && !j.asked_cancel
+    /// Accepted jobs without a final answer and with incomplete tasks, each with the number
+    /// of its complete tasks. Jobs whose users have requested cancellation are left out.
+    pub fn open_jobs(&self) -> impl Iterator<Item = (&Submission, u32)> {
+        let open = |j: &&JobState| {
+            j.accepted && j.final_answer.is_none() && j.finished_at.is_none() && !j.cancel_requested
         };
         let jobs = self.jobs.values().filter(open);
-        jobs.map(|j| (&j.spec, j.done.len() as u32))
+        jobs.map(|j| (&j.spec, j.completed_tasks.len() as u32))
     }
 
-    /// A job has waited for so long although it could have started, with no trouble left.
-    pub fn left_waiting(&mut self, now: Time, job: &str, waited: TimeSpan) {
+    /// Reports a job that could have started for the time `waited` and did not, with no
+    /// fault pending.
+    pub fn report_left_waiting(&mut self, now: Time, job: &str, waited: TimeSpan) {
         let text = format!("could start for {} s, and did not", waited.as_secs());
-        self.breach(now, Rule::LeftWaiting, job, text);
+        self.breach(now, Invariant::LeftWaiting, job, text);
     }
 
-    /// Teams and their limits.
+    /// Teams and their resource limits.
     pub fn teams(&self) -> &[Team] {
         &self.teams
     }
 
     /// Whether the work of all of a job's tasks is complete.
     pub fn is_complete(&self, job: &str) -> bool {
-        self.jobs.get(job).is_some_and(|j| j.finished.is_some())
+        self.jobs.get(job).is_some_and(|j| j.finished_at.is_some())
     }
 
-    /// What each team's tasks take now, on machines that can be reached or not.
-    pub fn used(&self) -> &BTreeMap<String, Resources> {
-        &self.used
+    /// Resources that each team's tasks occupy, on reachable and unreachable machines.
+    pub fn usage_by_team(&self) -> &BTreeMap<String, Resources> {
+        &self.usage_by_team
     }
 
-    /// Everything heard.
-    pub fn history(&self) -> &[(Time, Seen)] {
+    /// All recorded events in order, each with the time of its recording.
+    pub fn history(&self) -> &[(Time, HistoryEvent)] {
         &self.history
     }
 
-    fn breach(&mut self, now: Time, rule: Rule, job: &str, what: String) {
-        // A rule broken again on the same job tells nothing new.
+    fn breach(&mut self, now: Time, rule: Invariant, job: &str, what: String) {
+        // A repeated violation of the same invariant for the same job adds no information.
         if self.breaches.iter().any(|b| b.rule == rule && b.job == job) {
             return;
         }
@@ -360,178 +379,195 @@
         });
     }
 
-    /// Notes a use of an interface that is not as agreed.
-    pub fn protocol(&mut self, now: Time, what: String) {
+    /// Reports a call that violates an interface's contract. Each distinct text is reported
+    /// once.
+    pub fn report_protocol_breach(&mut self, now: Time, what: String) {
         let job = what.clone();
-        self.breach(now, Rule::Protocol, &job, what);
-    }
-
-    /// Hears of something.
-    pub fn hear(&mut self, now: Time, seen: Seen) {
-        let job = match &seen {
-            Seen::Asked { job, .. } | Seen::Told { job, .. } | Seen::GaveUp { job } => {
-                Some(job.clone())
-            }
-            Seen::On { task, .. }
-            | Seen::Off { task, .. }
-            | Seen::Runs { task }
-            | Seen::Done { task } => Some(parts(task).0.to_string()),
-            Seen::Machine { .. } | Seen::Fault { .. } | Seen::Odd { .. } => None,
+        self.breach(now, Invariant::Protocol, &job, what);
+    }
+
+    /// Appends an event to the history and checks the invariants that it concerns.
+    pub fn record(&mut self, now: Time, event: HistoryEvent) {
+        let job = match &event {
+            HistoryEvent::RequestSent { job, .. }
+            | HistoryEvent::RequestOutcome { job, .. }
+            | HistoryEvent::SubmissionAbandoned { job } => Some(job.clone()),
+            HistoryEvent::TaskPlaced { task, .. }
+            | HistoryEvent::TaskRemoved { task, .. }
+            | HistoryEvent::TaskRunning { task }
+            | HistoryEvent::TaskCompleted { task } => Some(split_task_id(task).0.to_string()),
+            HistoryEvent::MachineUp { .. }
+            | HistoryEvent::FaultInjected { .. }
+            | HistoryEvent::InvalidRequestOutcome { .. } => None,
         };
-        let place = self.history.len();
+        let event_index = self.history.len();
         if let Some(j) = job.as_deref().and_then(|j| self.jobs.get_mut(j)) {
-            j.seen.push(place);
+            j.event_indices.push(event_index);
         }
-        self.history.push((now, seen.clone()));
-        match seen {
-            Seen::Machine {
+        self.history.push((now, event.clone()));
+        match event {
+            HistoryEvent::MachineUp {
                 machine,
                 zone,
                 kind,
                 spot,
             } => {
-                self.machines.insert(machine, Place { zone, kind, spot });
+                self.machines
+                    .insert(machine, MachineInfo { zone, kind, spot });
             }
-            Seen::Asked { job, what } => self.asked(now, &job, what),
-            Seen::Told {
+            HistoryEvent::RequestSent { job, what } => self.record_request(now, &job, what),
+            HistoryEvent::RequestOutcome {
                 job,
                 what,
                 asked,
                 status,
                 stage,
-            } => self.told(now, &job, what, asked, status, stage),
-            Seen::GaveUp { job } => {
+            } => self.record_outcome(now, &job, what, asked, status, stage),
+            HistoryEvent::SubmissionAbandoned { job } => {
                 if let Some(j) = self.jobs.get_mut(&job) {
-                    j.given_up = true;
+                    j.abandoned = true;
                 }
             }
-            Seen::On { machine, task, .. } => self.on(now, &machine, &task),
-            Seen::Off { machine, task, .. } => self.off(&machine, &task),
-            Seen::Runs { task } => self.runs(now, &task),
-            Seen::Done { task } => {
-                let (job, index) = parts(&task);
+            HistoryEvent::TaskPlaced { machine, task, .. } => {
+                self.record_placement(now, &machine, &task)
+            }
+            HistoryEvent::TaskRemoved { machine, task, .. } => self.record_removal(&machine, &task),
+            HistoryEvent::TaskRunning { task } => self.record_running(now, &task),
+            HistoryEvent::TaskCompleted { task } => {
+                let (job, index) = split_task_id(&task);
                 if let Some(j) = self.jobs.get_mut(job) {
-                    j.done.insert(index);
-                    if j.done.len() as u32 == j.spec.tasks {
-                        j.finished.get_or_insert(now);
+                    j.completed_tasks.insert(index);
+                    if j.completed_tasks.len() as u32 == j.spec.tasks {
+                        j.finished_at.get_or_insert(now);
                     }
                 }
             }
-            Seen::Odd {
+            HistoryEvent::InvalidRequestOutcome {
                 job,
                 wanted,
                 status,
-            } => self.odd(now, &job, wanted, status),
-            Seen::Fault { .. } => {}
+            } => self.check_invalid_request(now, &job, wanted, status),
+            HistoryEvent::FaultInjected { .. } => {}
         }
     }
 
-    /// A request that is to be refused: at once, or by a node that cannot tell now.
-    fn odd(&mut self, now: Time, job: &str, wanted: u16, status: Option<u16>) {
+    /// Checks the answer to a request that must be refused. Besides the expected status, 429
+    /// and a 5xx of a controller that cannot decide at the moment are allowed.
+    fn check_invalid_request(&mut self, now: Time, job: &str, wanted: u16, status: Option<u16>) {
         match status {
             Some(s @ (200 | 201)) => {
                 let text = format!("answered {s}, and it cannot run");
-                self.breach(now, Rule::Invented, job, text);
+                self.breach(now, Invariant::Invented, job, text);
             }
             Some(s @ 400..500) if s != wanted && s != 429 => {
                 let text = format!("refused with {s} instead of {wanted}");
-                self.breach(now, Rule::Protocol, job, text);
+                self.breach(now, Invariant::Protocol, job, text);
             }
             _ => {}
         }
     }
 
-    fn asked(&mut self, now: Time, job: &str, what: Ask) {
+    fn record_request(&mut self, now: Time, job: &str, what: RequestKind) {
         let Some(j) = self.jobs.get_mut(job) else {
             return;
         };
         match what {
-            Ask::Submit => {
-                j.submitted.get_or_insert(now);
+            RequestKind::Submit => {
+                j.submitted_at.get_or_insert(now);
             }
-            Ask::Cancel => j.asked_cancel = true,
-            Ask::Poll => {}
+            RequestKind::Cancel => j.cancel_requested = true,
+            RequestKind::Poll => {}
         }
     }
 
-    fn told(
+    fn record_outcome(
         &mut self,
         now: Time,
         job: &str,
-        what: Ask,
+        what: RequestKind,
         asked: Time,
         status: Option<u16>,
         stage: Option<JobStage>,
     ) {
         let answered = matches!(status, Some(200 | 201 | 404));
-        if what == Ask::Poll {
-            self.polls.push_back((now, answered));
+        if what == RequestKind::Poll {
+            self.recent_polls.push_back((now, answered));
         }
         let Some(j) = self.jobs.get_mut(job) else {
             if status == Some(200) {
                 self.breach(
                     now,
-                    Rule::Invented,
+                    Invariant::Invented,
                     job,
                     "a job nobody submitted is known".into(),
                 );
             }
             return;
         };
-        let mut broken: Vec<(Rule, String)> = Vec::new();
-        if what == Ask::Poll {
+        let mut broken: Vec<(Invariant, String)> = Vec::new();
+        if what == RequestKind::Poll {
             if answered {
-                j.failing_since = None;
-                j.answered = Some(now);
-            } else if j.accepted && j.answered.is_none_or(|t| t < asked) {
-                // Of several at once one may have been answered: then not every one since
-                // it was asked has failed.
-                j.failing_since.get_or_insert(asked);
+                j.polls_failing_since = None;
+                j.last_answered_poll = Some(now);
+            } else if j.accepted && j.last_answered_poll.is_none_or(|t| t < asked) {
+                // Several polls may be in flight. If another one was answered after
+                // this one was sent, not every poll since then has failed.
+                j.polls_failing_since.get_or_insert(asked);
             }
         }
         match (status, stage) {
             (Some(200 | 201), Some(stage)) => {
                 j.accepted = true;
-                j.known.get_or_insert(now);
-                // Only what was asked after the user knew may not be older.
-                if let Some((last, known)) = j.last
-                    && last != stage
-                    && asked > known
+                j.accepted_at.get_or_insert(now);
+                // An answer to a request sent before the user received the final answer may
+                // be older than the final answer.
+                if let Some((final_stage, received_at)) = j.final_answer
+                    && final_stage != stage
+                    && asked > received_at
                 {
-                    let text = format!("called {last:?}, later {stage:?}");
-                    broken.push((Rule::WentBack, text));
+                    let text = format!("called {final_stage:?}, later {stage:?}");
+                    broken.push((Invariant::WentBack, text));
                 }
                 match stage {
-                    JobStage::Done if !j.earlier && (j.done.len() as u32) < j.spec.tasks => {
-                        let text = format!("{} of {} tasks are done", j.done.len(), j.spec.tasks);
-                        broken.push((Rule::NotDone, text));
+                    JobStage::Done
+                        if !j.preexisting && (j.completed_tasks.len() as u32) < j.spec.tasks =>
+                    {
+                        let text = format!(
+                            "{} of {} tasks are done",
+                            j.completed_tasks.len(),
+                            j.spec.tasks
+                        );
+                        broken.push((Invariant::NotDone, text));
                     }
-                    JobStage::Cancelled if !j.asked_cancel => {
+                    JobStage::Cancelled if !j.cancel_requested => {
                         let text = "called cancelled, and its user did not cancel it";
-                        broken.push((Rule::WentBack, text.into()));
+                        broken.push((Invariant::WentBack, text.into()));
                     }
                     _ => {}
                 }
-                if matches!(stage, JobStage::Done | JobStage::Cancelled) && j.last.is_none() {
-                    j.last = Some((stage, now));
+                if matches!(stage, JobStage::Done | JobStage::Cancelled) && j.final_answer.is_none()
+                {
+                    j.final_answer = Some((stage, now));
                     if stage == JobStage::Cancelled {
-                        self.cancelled.insert(job.into(), now);
+                        self.cancelled_at.insert(job.into(), now);
                     }
                 }
             }
-            (Some(404), _) if j.known.is_some_and(|k| asked > k) && what != Ask::Submit => {
-                broken.push((Rule::Forgotten, "accepted, later answered 404".into()));
+            (Some(404), _)
+                if j.accepted_at.is_some_and(|k| asked > k) && what != RequestKind::Submit =>
+            {
+                broken.push((Invariant::Forgotten, "accepted, later answered 404".into()));
             }
-            (Some(s @ (400 | 422)), _) if what == Ask::Submit => {
+            (Some(s @ (400 | 422)), _) if what == RequestKind::Submit => {
                 let text = if j.accepted {
                     format!("submitted again: answered {s}")
                 } else {
                     format!("a valid job is answered {s}")
                 };
                 let rule = if j.accepted {
-                    Rule::Forgotten
+                    Invariant::Forgotten
                 } else {
-                    Rule::Protocol
+                    Invariant::Protocol
                 };
                 broken.push((rule, text));
             }
@@ -542,35 +578,35 @@
         }
     }
 
-    fn on(&mut self, now: Time, machine: &str, task: &str) {
-        let (job, index) = parts(task);
+    fn record_placement(&mut self, now: Time, machine: &str, task: &str) {
+        let (job, index) = split_task_id(task);
         let Some(j) = self.jobs.get_mut(job) else {
             return self.breach(
                 now,
-                Rule::Protocol,
+                Invariant::Protocol,
                 job,
                 format!("{task}: a job nobody submitted runs"),
             );
         };
-        let mut broken: Vec<(Rule, String)> = Vec::new();
-        let here = j.on.entry(index).or_default();
-        if let Some(other) = here.iter().find(|m| *m != machine) {
+        let mut broken: Vec<(Invariant, String)> = Vec::new();
+        let task_machines = j.machines_by_task.entry(index).or_default();
+        if let Some(other) = task_machines.iter().find(|m| *m != machine) {
             broken.push((
-                Rule::RanTwice,
+                Invariant::RanTwice,
                 format!("{task} starts on {machine} while on {other}"),
             ));
         }
-        let added = here.insert(machine.into());
+        let added = task_machines.insert(machine.into());
         let spec = j.spec.clone();
-        let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        for m in j.on.values().flatten() {
+        let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
+        for m in j.machines_by_task.values().flatten() {
             if let Some(p) = self.machines.get(m) {
-                *zones.entry(&p.zone).or_default() += 1;
+                *tasks_by_zone.entry(&p.zone).or_default() += 1;
             }
         }
         if let Some(p) = self.machines.get(machine) {
-            let most = zones.values().max().copied().unwrap_or(0);
-            let wrong = if p.spot && !spec.spot {
+            let max_per_zone = tasks_by_zone.values().max().copied().unwrap_or(0);
+            let violation = if p.spot && !spec.spot {
                 Some("a spot machine".to_string())
             } else if spec
                 .kinds
@@ -580,238 +616,257 @@
                 Some(format!("type {}", p.kind))
             } else if spec.zone.as_ref().is_some_and(|z| z.as_str() != p.zone) {
                 Some(format!("zone {}", p.zone))
-            } else if spec.one_zone && zones.len() > 1 {
-                Some(format!("{} zones at once", zones.len()))
-            } else if spec.spread && most > spec.tasks.div_ceil(2) {
-                Some(format!("{most} of {} tasks in one zone", spec.tasks))
+            } else if spec.one_zone && tasks_by_zone.len() > 1 {
+                Some(format!("{} zones at once", tasks_by_zone.len()))
+            } else if spec.spread && max_per_zone > spec.tasks.div_ceil(2) {
+                Some(format!(
+                    "{max_per_zone} of {} tasks in one zone",
+                    spec.tasks
+                ))
             } else {
                 None
             };
-            if let Some(why) = wrong {
+            if let Some(reason) = violation {
                 broken.push((
-                    Rule::WrongPlace,
-                    format!("{task} starts on {machine}: {why}"),
+                    Invariant::WrongPlace,
+                    format!("{task} starts on {machine}: {reason}"),
                 ));
             }
         } else {
-            broken.push((Rule::Protocol, format!("{task} on unknown {machine}")));
+            broken.push((Invariant::Protocol, format!("{task} on unknown {machine}")));
         }
         if added {
-            let used = self.used.entry(spec.team.to_string()).or_default();
+            let used = self.usage_by_team.entry(spec.team.to_string()).or_default();
             *used += spec.needs();
             let used = *used;
-            let limit = self.teams.iter().find(|t| t.name == spec.team.as_str());
+            let team = self.teams.iter().find(|t| t.name == spec.team.as_str());
             let over = |limit: f64, used: f64| limit > 0.0 && used > limit + 1e-6;
-            if limit.is_some_and(|l| over(l.gpus_max, used.gpus) || over(l.cpus_max, used.cpus)) {
+            if team.is_some_and(|t| over(t.gpus_max, used.gpus) || over(t.cpus_max, used.cpus)) {
                 let text = format!("{} uses {} GPUs, {} CPUs", spec.team, used.gpus, used.cpus);
-                broken.push((Rule::Quota, text));
+                broken.push((Invariant::Quota, text));
             }
         }
-        self.starts_after_cancel += u64::from(self.cancelled.contains_key(job));
+        self.starts_after_cancel += u64::from(self.cancelled_at.contains_key(job));
         if self
-            .cancelled
+            .cancelled_at
             .get(job)
-            .is_some_and(|at| now.since(*at) > self.cancel)
+            .is_some_and(|at| now.since(*at) > self.cancel_limit)
         {
-            broken.push((Rule::RanCancelled, format!("{task} starts on {machine}")));
+            broken.push((
+                Invariant::RanCancelled,
+                format!("{task} starts on {machine}"),
+            ));
         }
         for (rule, text) in broken {
             self.breach(now, rule, job, text);
         }
     }
 
-    fn off(&mut self, machine: &str, task: &str) {
-        let (job, index) = parts(task);
+    fn record_removal(&mut self, machine: &str, task: &str) {
+        let (job, index) = split_task_id(task);
         let Some(j) = self.jobs.get_mut(job) else {
             return;
         };
-        j.running.remove(&index);
-        if j.on.get_mut(&index).is_some_and(|m| m.remove(machine)) {
-            if j.on.get(&index).is_some_and(BTreeSet::is_empty) {
-                j.on.remove(&index);
+        j.running_tasks.remove(&index);
+        if j.machines_by_task
+            .get_mut(&index)
+            .is_some_and(|m| m.remove(machine))
+        {
+            if j.machines_by_task
+                .get(&index)
+                .is_some_and(BTreeSet::is_empty)
+            {
+                j.machines_by_task.remove(&index);
             }
             let needs = j.spec.needs();
-            if let Some(used) = self.used.get_mut(j.spec.team.as_str()) {
+            if let Some(used) = self.usage_by_team.get_mut(j.spec.team.as_str()) {
                 *used -= needs;
             }
         }
     }
 
-    fn runs(&mut self, now: Time, task: &str) {
+    fn record_running(&mut self, now: Time, task: &str) {
         self.starts += 1;
-        let (job, index) = parts(task);
+        let (job, index) = split_task_id(task);
         if let Some(j) = self.jobs.get_mut(job) {
-            j.running.insert(index);
-            let whole = j.running.len() as u32 == j.spec.tasks;
-            if whole || j.spec.shape == JobShape::Array {
-                j.first_run.get_or_insert(now);
+            j.running_tasks.insert(index);
+            let all_running = j.running_tasks.len() as u32 == j.spec.tasks;
+            if all_running || j.spec.shape == JobShape::Array {
+                j.started_at.get_or_insert(now);
             }
         }
     }
 
-    /// Lets time pass: looks for what is wrong by its lasting too long.
-    pub fn pass(&mut self, now: Time) {
-        if now >= self.look {
-            self.look = now + LOOK;
-            self.find_forgotten(now);
+    /// Checks the invariants that bound how long a state may last. Called at every step.
+    pub fn check_elapsed(&mut self, now: Time) {
+        if now >= self.next_forgotten_check {
+            self.next_forgotten_check = now + FORGOTTEN_CHECK_INTERVAL;
+            self.check_forgotten_jobs(now);
         }
         let mut late = Vec::new();
-        for (id, at) in &self.cancelled {
-            if now.since(*at) <= self.cancel {
+        for (id, at) in &self.cancelled_at {
+            if now.since(*at) <= self.cancel_limit {
                 continue;
             }
             for m in self
                 .jobs
                 .get(id)
                 .into_iter()
-                .flat_map(|j| j.on.values().flatten())
+                .flat_map(|j| j.machines_by_task.values().flatten())
             {
                 late.push((id.clone(), m.clone()));
             }
         }
         for (id, machine) in late {
-            if self.late.insert((id.clone(), machine.clone())) {
-                self.breach(now, Rule::RanCancelled, &id, format!("still on {machine}"));
+            if self.reported_late.insert((id.clone(), machine.clone())) {
+                self.breach(
+                    now,
+                    Invariant::RanCancelled,
+                    &id,
+                    format!("still on {machine}"),
+                );
             }
         }
     }
 
-    fn find_forgotten(&mut self, now: Time) {
+    fn check_forgotten_jobs(&mut self, now: Time) {
         while self
-            .polls
+            .recent_polls
             .front()
-            .is_some_and(|(t, _)| now.since(*t) > FORGOTTEN_AFTER)
+            .is_some_and(|(t, _)| now.since(*t) > POLL_FAILURE_LIMIT)
         {
-            self.polls.pop_front();
+            self.recent_polls.pop_front();
         }
-        let answered = self.polls.iter().filter(|(_, ok)| *ok).count();
-        let most_answered = answered * 2 > self.polls.len();
+        let answered = self.recent_polls.iter().filter(|(_, ok)| *ok).count();
+        let most_answered = answered * 2 > self.recent_polls.len();
         let forgotten: Vec<String> = self
             .jobs
             .iter()
             .filter(|(_, j)| {
                 most_answered
-                    && j.failing_since
-                        .is_some_and(|t| now.since(t) > FORGOTTEN_AFTER)
+                    && j.polls_failing_since
+                        .is_some_and(|t| now.since(t) > POLL_FAILURE_LIMIT)
             })
             .map(|(id, _)| id.clone())
             .collect();
         for id in forgotten {
             self.breach(
                 now,
-                Rule::Forgotten,
+                Invariant::Forgotten,
                 &id,
                 "every poll failed for 90 s".into(),
             );
         }
     }
 
-    /// Whether every job has its final answer.
-    pub fn all_over(&self) -> bool {
+    /// Whether every job has its final answer or was abandoned by its user unaccepted.
+    pub fn all_jobs_final(&self) -> bool {
         self.jobs
             .values()
-            .all(|j| j.last.is_some() || (j.given_up && !j.accepted))
+            .all(|j| j.final_answer.is_some() || (j.abandoned && !j.accepted))
     }
 
-    /// The end: what is still open counts.
+    /// Ends the history: reports accepted jobs without a final answer, and a run without any
+    /// task start.
     pub fn finish(&mut self, now: Time) {
-        self.pass(now);
+        self.check_elapsed(now);
         if self.starts == 0 {
-            self.breach(now, Rule::NothingRan, "", "no task was started".into());
+            self.breach(now, Invariant::NothingRan, "", "no task was started".into());
         }
         let open: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.accepted && j.last.is_none())
+            .filter(|(_, j)| j.accepted && j.final_answer.is_none())
             .map(|(id, _)| id.clone())
             .collect();
         for id in open {
             self.breach(
                 now,
-                Rule::Unfinished,
+                Invariant::Unfinished,
                 &id,
                 "accepted, and no final answer".into(),
             );
         }
     }
 
-    /// Jobs accepted, done, cancelled, and given up by their users.
+    /// Numbers of jobs accepted, done, cancelled, and abandoned by their users unaccepted.
     pub fn counts(&self) -> (usize, usize, usize, usize) {
         let ended = |s: JobStage| {
             self.jobs
                 .values()
-                .filter(|j| j.last.is_some_and(|l| l.0 == s))
+                .filter(|j| j.final_answer.is_some_and(|l| l.0 == s))
                 .count()
         };
         let accepted = self.jobs.values().filter(|j| j.accepted).count();
-        let given_up = self
+        let abandoned = self
             .jobs
             .values()
-            .filter(|j| j.given_up && !j.accepted)
+            .filter(|j| j.abandoned && !j.accepted)
             .count();
         (
             accepted,
             ended(JobStage::Done),
             ended(JobStage::Cancelled),
-            given_up,
+            abandoned,
         )
     }
 
-    /// Jobs of each class that wait and run, by what their users and machines
-    /// saw.
-    pub fn by_class(&self) -> BTreeMap<String, (u32, u32)> {
-        let mut out: BTreeMap<String, (u32, u32)> = BTreeMap::new();
+    /// Numbers of pending and of running jobs by class, as their users and machines saw them.
+    pub fn job_counts_by_class(&self) -> BTreeMap<String, (u32, u32)> {
+        let mut counts: BTreeMap<String, (u32, u32)> = BTreeMap::new();
         for j in self.jobs.values() {
-            let n = out.entry(j.spec.class.to_string()).or_default();
-            if j.submitted.is_none() || j.last.is_some() || j.finished.is_some() {
+            let n = counts.entry(j.spec.class.to_string()).or_default();
+            if j.submitted_at.is_none() || j.final_answer.is_some() || j.finished_at.is_some() {
                 continue;
             }
-            if j.running.is_empty() {
+            if j.running_tasks.is_empty() {
                 n.0 += 1;
             } else {
                 n.1 += 1;
             }
         }
-        out
+        counts
     }
 
-    /// How each job went.
+    /// Times and outcome of each submitted job.
     pub fn records(&self) -> Vec<JobRecord> {
         let secs = |t: Time| t.0 as f64 / 1e6;
         let jobs = self.jobs.iter();
-        jobs.filter(|(_, j)| j.submitted.is_some())
+        jobs.filter(|(_, j)| j.submitted_at.is_some())
             .map(|(id, j)| JobRecord {
                 job: id.clone(),
                 class: j.spec.class.to_string(),
                 team: j.spec.team.to_string(),
-                submitted_s: j.submitted.map_or(0.0, secs),
+                submitted_s: j.submitted_at.map_or(0.0, secs),
                 accepted: j.accepted,
-                started_s: j.first_run.map(secs),
-                ended_s: j.last.map(|l| secs(l.1)),
-                end: j.last.map(|l| l.0),
+                started_s: j.started_at.map(secs),
+                ended_s: j.final_answer.map(|l| secs(l.1)),
+                end: j.final_answer.map(|l| l.0),
             })
             .collect()
     }
 
-    /// The history of one job alone, a line each.
+    /// The events that concern one job, one line per event.
     pub fn history_of(&self, job: &str) -> Vec<String> {
-        let seen = self
+        let event_indices = self
             .jobs
             .get(job)
-            .map(|j| j.seen.as_slice())
+            .map(|j| j.event_indices.as_slice())
             .unwrap_or_default();
-        seen.iter()
+        event_indices
+            .iter()
             .filter_map(|&i| self.history.get(i))
-            .map(|(t, s)| format!("{:>9.3} s  {}", t.0 as f64 / 1e6, describe(s)))
+            .map(|(t, event)| format!("{:>9.3} s  {}", t.0 as f64 / 1e6, describe(event)))
             .collect()
     }
 }
 
-fn describe(s: &Seen) -> String {
-    match s {
-        Seen::Machine { machine, zone, .. } => format!("{machine} is up in {zone}"),
-        Seen::Asked { what, .. } => format!("its user asks: {what:?}"),
-        Seen::Told {
+/// One line for the history in a report.
+fn describe(event: &HistoryEvent) -> String {
+    match event {
+        HistoryEvent::MachineUp { machine, zone, .. } => format!("{machine} is up in {zone}"),
+        HistoryEvent::RequestSent { what, .. } => format!("its user asks: {what:?}"),
+        HistoryEvent::RequestOutcome {
             what,
             status: Some(status),
             stage,
@@ -820,22 +875,24 @@
             let stage = stage.map_or(String::new(), |s| format!(" {s:?}"));
             format!("its user is told, to {what:?}: {status}{stage}")
         }
-        Seen::Told { what, .. } => format!("no answer to {what:?}"),
-        Seen::Odd { job, status, .. } => format!("{job}, which cannot run, is answered {status:?}"),
-        Seen::GaveUp { .. } => "its user gives up submitting it".into(),
-        Seen::On {
+        HistoryEvent::RequestOutcome { what, .. } => format!("no answer to {what:?}"),
+        HistoryEvent::InvalidRequestOutcome { job, status, .. } => {
+            format!("{job}, which cannot run, is answered {status:?}")
+        }
+        HistoryEvent::SubmissionAbandoned { .. } => "its user gives up submitting it".into(),
+        HistoryEvent::TaskPlaced {
             machine,
             task,
             attempt,
         } => format!("{task} attempt {attempt} is on {machine}"),
-        Seen::Off {
+        HistoryEvent::TaskRemoved {
             machine,
             task,
             attempt,
             why,
         } => format!("{task} attempt {attempt} leaves {machine}: {why}"),
-        Seen::Runs { task } => format!("{task} runs"),
-        Seen::Done { task } => format!("{task} is complete"),
-        Seen::Fault { what } => format!("fault: {what}"),
+        HistoryEvent::TaskRunning { task } => format!("{task} runs"),
+        HistoryEvent::TaskCompleted { task } => format!("{task} is complete"),
+        HistoryEvent::FaultInjected { what } => format!("fault: {what}"),
     }
 }
--- a/crates/simulator/src/director.rs
+++ b/crates/simulator/src/director.rs
@@ -1,93 +1,101 @@
-//! When faults strike: at their times, and at the moments they aim at.
+//! When faults are injected: at a fixed time, or when an event in the traffic triggers them.
 
 use crate::script::{Fault, Moment, What, When};
 use pebblefold_controller::types::{Time, TimeSpan};
 
-/// A fault that waits for its moment.
+/// A fault that an event triggers.
 #[derive(Debug)]
-struct Armed {
+struct TriggeredFault {
     when: When,
     what: What,
-    seen: u32,
+    /// Number of matching events so far; the `nth` triggers the fault.
+    occurrences: u32,
 }
 
-/// The faults of a script.
+/// The pending faults of a script.
 #[derive(Debug, Default)]
-pub struct Director {
+pub struct FaultSchedule {
+    /// Faults with a fixed time, the latest first.
     timed: Vec<(Time, What)>,
-    armed: Vec<Armed>,
+    triggered: Vec<TriggeredFault>,
 }
 
-impl Director {
-    /// A director of these faults.
-    pub fn new(faults: &[Fault]) -> Director {
-        let mut d = Director::default();
-        for f in faults {
-            match (&f.when, f.at_s) {
-                (Some(when), _) => d.armed.push(Armed {
+impl FaultSchedule {
+    /// Creates the schedule of a script's faults. A fault with neither a trigger nor a time is
+    /// left out.
+    pub fn new(faults: &[Fault]) -> FaultSchedule {
+        let mut schedule = FaultSchedule::default();
+        for fault in faults {
+            match (&fault.when, fault.at_s) {
+                (Some(when), _) => schedule.triggered.push(TriggeredFault {
                     when: when.clone(),
-                    what: f.what.clone(),
-                    seen: 0,
+                    what: fault.what.clone(),
+                    occurrences: 0,
                 }),
-                (None, Some(at)) => d.timed.push((Time(0) + TimeSpan::secs(at), f.what.clone())),
+                (None, Some(at)) => schedule
+                    .timed
+                    .push((Time(0) + TimeSpan::secs(at), fault.what.clone())),
                 (None, None) => {}
             }
         }
-        // The earliest last, to be taken from the end.
-        d.timed.sort_by_key(|(t, _)| std::cmp::Reverse(*t));
-        d
+        // The earliest fault comes last, because `take_due` pops from the end.
+        schedule.timed.sort_by_key(|(t, _)| std::cmp::Reverse(*t));
+        schedule
     }
 
-    /// Faults whose time has come.
-    pub fn due(&mut self, now: Time) -> Vec<What> {
-        let mut out = Vec::new();
+    /// Removes and returns the faults whose time has come.
+    pub fn take_due(&mut self, now: Time) -> Vec<What> {
+        let mut due = Vec::new();
         while self.timed.last().is_some_and(|(t, _)| *t <= now)
             && let Some((_, what)) = self.timed.pop()
         {
-            out.push(what);
+            due.push(what);
         }
-        out
+        due
     }
 
-    /// Whether any fault still waits for a moment of this kind.
-    pub fn waits_for(&self, moment: Moment) -> bool {
-        self.armed.iter().any(|a| a.when.moment == moment)
+    /// Whether a pending fault is triggered by this kind of event.
+    pub fn has_trigger(&self, moment: Moment) -> bool {
+        self.triggered
+            .iter()
+            .any(|fault| fault.when.moment == moment)
     }
 
-    /// A moment has come; returns the faults that aimed at it.
-    pub fn moment(&mut self, now: Time, moment: Moment, class: Option<&str>) -> Vec<What> {
-        let mut out = Vec::new();
-        self.armed.retain_mut(|a| {
-            let fits = a.when.moment == moment
-                && now >= Time(0) + TimeSpan::secs(a.when.after_s)
-                && a.when.class.as_deref().is_none_or(|c| class == Some(c));
-            if !fits {
+    /// Counts an event, which concerns a job of `class` if any, and removes and returns the
+    /// faults that the event triggers.
+    pub fn take_triggered(&mut self, now: Time, moment: Moment, class: Option<&str>) -> Vec<What> {
+        let mut taken = Vec::new();
+        self.triggered.retain_mut(|fault| {
+            let matches = fault.when.moment == moment
+                && now >= Time(0) + TimeSpan::secs(fault.when.after_s)
+                && fault.when.class.as_deref().is_none_or(|c| class == Some(c));
+            if !matches {
                 return true;
             }
-            a.seen += 1;
-            if a.seen < a.when.nth {
+            fault.occurrences += 1;
+            if fault.occurrences < fault.when.nth {
                 return true;
             }
-            out.push(a.what.clone());
+            taken.push(fault.what.clone());
             false
         });
-        out
+        taken
     }
 
-    /// Faults that have not struck.
-    pub fn left(&self) -> Vec<String> {
+    /// Descriptions of the faults that were not injected yet.
+    pub fn pending(&self) -> Vec<String> {
         let timed = self
             .timed
             .iter()
             .map(|(t, w)| format!("{} at {} s", w.name(), t.0 / 1_000_000));
-        let armed = self
-            .armed
+        let triggered = self
+            .triggered
             .iter()
-            .map(|a| format!("{} at {:?}", w_name(a), a.when.moment));
-        timed.chain(armed).collect()
+            .map(|fault| format!("{} at {:?}", fault_name(fault), fault.when.moment));
+        timed.chain(triggered).collect()
     }
 }
 
-fn w_name(a: &Armed) -> String {
-    a.what.name()
+fn fault_name(fault: &TriggeredFault) -> String {
+    fault.what.name()
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -1,8 +1,8 @@
 //! All machines: their workers, and what tasks do on them. Arrays run and save
 //! alone; gangs start, complete, stop and fail together.
 
-use crate::checker::Seen;
-use crate::waiting::Room;
+use crate::checker::HistoryEvent;
+use crate::waiting::FreeCapacity;
 use crate::worker::{Heard, Jobs, Key, Task, Times, Worker, job_of};
 use pebblefold_controller::types::{NodeId, Time, TimeSpan};
 use pebblefold_controller::wire::cloud::{ListedMachine, MachineTypes};
@@ -50,7 +50,7 @@
     /// Machines that stand still for lack of power, by zone.
     frozen: BTreeSet<String>,
     changes: u64,
-    seen: Vec<Seen>,
+    seen: Vec<HistoryEvent>,
     last: Time,
     /// Seconds of run time that were lost and done again.
     pub repeated_s: f64,
@@ -145,7 +145,7 @@
     }
 
     /// What is free on each machine that is well and stays.
-    pub fn rooms(&self, now: Time) -> Vec<Room> {
+    pub fn rooms(&self, now: Time) -> Vec<FreeCapacity> {
         let well = self.workers.iter().filter(|(name, w)| {
             self.acts(now, name) && !w.is_deaf(now) && !w.is_mute(now) && w.taken.is_none()
         });
@@ -159,7 +159,7 @@
                     free -= j.needs();
                 }
             }
-            Some(Room {
+            Some(FreeCapacity {
                 zone: w.machine.zone.to_string(),
                 kind: w.machine.kind.to_string(),
                 spot: w.machine.spot,
@@ -197,7 +197,7 @@
         let Some(kind) = self.types.kinds.iter().find(|k| k.name == machine.kind) else {
             return;
         };
-        self.seen.push(Seen::Machine {
+        self.seen.push(HistoryEvent::MachineUp {
             machine: machine.id.to_string(),
             zone: machine.zone.to_string(),
             kind: machine.kind.to_string(),
@@ -248,7 +248,7 @@
     }
 
     /// What was seen since the last call.
-    pub fn take_seen(&mut self) -> Vec<Seen> {
+    pub fn take_seen(&mut self) -> Vec<HistoryEvent> {
         std::mem::take(&mut self.seen)
     }
 
@@ -270,7 +270,7 @@
         t: &Task,
         why: &'static str,
     ) {
-        self.seen.push(Seen::Off {
+        self.seen.push(HistoryEvent::TaskRemoved {
             machine: machine.into(),
             task: task.into(),
             attempt,
@@ -498,7 +498,7 @@
             return;
         };
         for (task, attempt) in w.fetch(now, step, &self.jobs) {
-            self.seen.push(Seen::On {
+            self.seen.push(HistoryEvent::TaskPlaced {
                 machine: machine.into(),
                 task: task.clone(),
                 attempt,
@@ -512,7 +512,7 @@
                 if let Some(t) = w.tasks.get_mut(&(task.clone(), attempt)) {
                     t.end(now, StopReason::Done, None);
                 }
-                self.seen.push(Seen::Off {
+                self.seen.push(HistoryEvent::TaskRemoved {
                     machine: machine.into(),
                     task,
                     attempt,
@@ -530,7 +530,7 @@
                 if let Some(t) = w.tasks.get_mut(&(task.clone(), attempt)) {
                     t.progress = work.saved.get(&index).copied().unwrap_or(0.0);
                 }
-                self.seen.push(Seen::Runs { task });
+                self.seen.push(HistoryEvent::TaskRunning { task });
             }
         }
     }
@@ -569,8 +569,9 @@
                         t.end(now, StopReason::Done, None);
                         changed = true;
                         work.done.insert(index);
-                        self.seen.push(Seen::Done { task: task.clone() });
-                        self.seen.push(Seen::Off {
+                        self.seen
+                            .push(HistoryEvent::TaskCompleted { task: task.clone() });
+                        self.seen.push(HistoryEvent::TaskRemoved {
                             machine: machine.into(),
                             task: task.clone(),
                             attempt: *attempt,
@@ -637,7 +638,8 @@
                 g.started = true;
                 for (task, machine) in &g.members {
                     self.set_state(now, machine, &(task.clone(), *attempt), TaskState::Running);
-                    self.seen.push(Seen::Runs { task: task.clone() });
+                    self.seen
+                        .push(HistoryEvent::TaskRunning { task: task.clone() });
                 }
             }
             return;
@@ -691,7 +693,8 @@
                 if let Some(w) = self.work.get_mut(job) {
                     w.done.insert(index_of(task));
                 }
-                self.seen.push(Seen::Done { task: task.clone() });
+                self.seen
+                    .push(HistoryEvent::TaskCompleted { task: task.clone() });
             }
             self.end_gang(now, key, g, StopReason::Done, None);
         }
@@ -744,7 +747,7 @@
                 };
                 t.end(now, why, saved);
             }
-            self.seen.push(Seen::Off {
+            self.seen.push(HistoryEvent::TaskRemoved {
                 machine,
                 task,
                 attempt: key.1,
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -3,7 +3,7 @@
 //! it back, lose it or reset its connection; between controllers it passes a
 //! proxy for each pair.
 
-use crate::checker::{Ask, Seen};
+use crate::checker::{HistoryEvent, RequestKind};
 use crate::cloud::Addresses;
 use crate::commands::{Commands, Place};
 use crate::layout::{Layout, settings, settings_json};
@@ -475,9 +475,9 @@
         }
         let now = self.now();
         let what = match (r.method.as_str(), r.path.ends_with("/cancel")) {
-            ("GET", _) => Ask::Poll,
-            (_, true) => Ask::Cancel,
-            _ => Ask::Submit,
+            ("GET", _) => RequestKind::Poll,
+            (_, true) => RequestKind::Cancel,
+            _ => RequestKind::Submit,
         };
         let named = r.path.split('/').nth(2).map(String::from);
         let job = spec.map(|s| s.id.to_string()).or(named);
@@ -486,7 +486,7 @@
             let job = job.clone();
             self.stand
                 .borrow_mut()
-                .overheard(now, Seen::Asked { job, what });
+                .overheard(now, HistoryEvent::RequestSent { job, what });
         }
         let path = full_path(&r);
         let mut last = None;
@@ -518,7 +518,7 @@
         });
         if let Some(job) = job {
             let stage = decode::<JobStatus>(&response.body).map(|a| a.stage);
-            let told = Seen::Told {
+            let told = HistoryEvent::RequestOutcome {
                 job,
                 what,
                 asked: now,
@@ -843,7 +843,7 @@
         self.stop().await;
         self.with(|s| {
             s.finish(now);
-            let mut verdict = Verdict::of(s, now, took);
+            let mut verdict = Verdict::from_stand(s, now, took);
             verdict.world = "loopback";
             verdict
         })
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,8 +1,8 @@
-//! The verdict of a rehearsal, as text, JSON and one HTML page with plots.
+//! The report on a run: text, JSON and one HTML page with plots.
 
 use crate::checker::{Breach, JobRecord};
 use crate::stand::{Sample, Stand};
-use crate::tally::Tally;
+use crate::tally::ProvisioningStats;
 use hdrhistogram::Histogram;
 use pebblefold_controller::types::Time;
 use pebblefold_controller::wire::users::JobStage;
@@ -12,106 +12,108 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// A broken rule with the history of its job.
+/// A violated invariant with the history of the job concerned.
 #[derive(Clone, Debug, Serialize)]
-pub struct Broken {
-    /// What was broken.
+pub struct BreachReport {
+    /// The violation.
     #[serde(flatten)]
     pub breach: Breach,
-    /// The history of the job alone, a line each.
+    /// Events that concern the job, one line per event.
     pub history: Vec<String>,
 }
 
-/// How a class or a team was served.
+/// Outcomes and delays of the jobs of one class or team.
 #[derive(Clone, Debug, Serialize)]
 pub struct ClassReport {
-    /// Jobs submitted.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// Jobs that started.
+    /// Number of jobs that started.
     pub started: usize,
-    /// Jobs that were done, or ended as their users wished.
+    /// Number of jobs that were done, or cancelled by their users.
     pub done: usize,
-    /// Seconds from submission to start: half of them, nine in ten, the longest.
+    /// Seconds from submission to start: median, 90th percentile, maximum.
     pub start_s: [f64; 3],
-    /// Seconds from submission to the end as its user heard it, likewise.
+    /// Seconds from submission until the user received the final answer: median, 90th
+    /// percentile, maximum.
     pub end_s: [f64; 3],
 }
 
 impl ClassReport {
-    fn of<'a>(jobs: impl Iterator<Item = &'a JobRecord>) -> ClassReport {
+    fn from_jobs<'a>(jobs: impl Iterator<Item = &'a JobRecord>) -> ClassReport {
         let jobs: Vec<&JobRecord> = jobs.collect();
-        let since = |t: fn(&JobRecord) -> Option<f64>| {
-            let all = jobs.iter().filter_map(|j| Some(t(j)? - j.submitted_s));
-            quantiles(all.collect())
+        let delays = |t: fn(&JobRecord) -> Option<f64>| {
+            let seconds = jobs.iter().filter_map(|j| Some(t(j)? - j.submitted_s));
+            quantiles(seconds.collect())
         };
-        let over = |j: &&&JobRecord| matches!(j.end, Some(JobStage::Done | JobStage::Cancelled));
+        let has_ended =
+            |j: &&&JobRecord| matches!(j.end, Some(JobStage::Done | JobStage::Cancelled));
         ClassReport {
             jobs: jobs.len(),
             started: jobs.iter().filter(|j| j.started_s.is_some()).count(),
-            done: jobs.iter().filter(over).count(),
-            start_s: since(|j| j.started_s),
-            end_s: since(|j| j.ended_s),
+            done: jobs.iter().filter(has_ended).count(),
+            start_s: delays(|j| j.started_s),
+            end_s: delays(|j| j.ended_s),
         }
     }
 
-    /// Which part of its jobs was done.
-    pub fn served(&self) -> f64 {
+    /// Share of the submitted jobs that were done, or cancelled by their users, from 0 to 1.
+    pub fn completed_ratio(&self) -> f64 {
         self.done as f64 / self.jobs.max(1) as f64
     }
 }
 
-/// The verdict.
+/// Outcome of one run of a script.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// The script's name.
+    /// Name of the script.
     pub name: String,
-    /// Whether no rule was broken.
+    /// Whether no invariant was violated.
     pub passed: bool,
     /// `simulated` or `loopback`.
     pub world: &'static str,
-    /// How to play it again.
+    /// Command line that repeats the run; empty until the caller sets it.
     pub replay: String,
-    /// Seconds it covered.
+    /// Seconds of scenario time that the run covered.
     pub length_s: f64,
-    /// Seconds it took.
+    /// Seconds of real time that the run took.
     pub took_s: f64,
-    /// Rules broken.
-    pub broken: Vec<Broken>,
-    /// Jobs accepted.
+    /// Violated invariants.
+    pub broken: Vec<BreachReport>,
+    /// Number of accepted jobs.
     pub accepted: usize,
-    /// Jobs whose final answer is done.
+    /// Number of jobs whose final answer is done.
     pub done: usize,
-    /// Jobs whose final answer is cancelled.
+    /// Number of jobs whose final answer is cancelled.
     pub cancelled: usize,
-    /// Jobs that no controller took in time.
+    /// Number of jobs that their users abandoned because no controller accepted them in time.
     pub given_up: usize,
-    /// Tasks started.
+    /// Number of task starts.
     pub starts: u64,
-    /// Tasks killed because a worker's lease ran out.
+    /// Number of tasks killed because an agent's lease expired.
     pub lease_kills: u64,
-    /// Seconds of task time that were lost and done again.
+    /// Seconds of task time that were lost and had to be repeated.
     pub repeated_s: f64,
-    /// Milliseconds to acceptance: half, 95 in 100, the longest.
+    /// Milliseconds from submission to acceptance: median, 95th percentile, maximum.
     pub accept_ms: [u64; 3],
-    /// Money spent on machines.
+    /// Money spent on machines, in the unit of the machine types' prices.
     pub cost: f64,
-    /// What renting came to.
-    pub renting: Tally,
-    /// By class.
+    /// Statistics on provisioning.
+    pub renting: ProvisioningStats,
+    /// Outcomes by job class.
     pub classes: BTreeMap<String, ClassReport>,
-    /// By team.
+    /// Outcomes by team.
     pub teams: BTreeMap<String, ClassReport>,
-    /// Faults that struck: the second, and what.
+    /// Injected faults: the time in seconds, and a description.
     pub faults: Vec<(f64, String)>,
-    /// Faults that never did.
+    /// Descriptions of the faults that were never injected.
     pub not_struck: Vec<String>,
-    /// Every second.
+    /// State of the cluster, sampled every second.
     pub samples: Vec<Sample>,
-    /// Every job.
+    /// Times and outcome of each submitted job.
     pub jobs: Vec<JobRecord>,
 }
 
-/// Colours that can be told apart on white, also by the colour-blind.
+/// Colours that colour-blind readers, too, can distinguish on white.
 const COLORS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -121,6 +123,7 @@
     RGBColor(90, 90, 90),
 ];
 
+/// Median, 90th percentile and maximum; zeros if there are no values.
 fn quantiles(mut values: Vec<f64>) -> [f64; 3] {
     values.sort_by(f64::total_cmp);
     let at = |q: f64| {
@@ -131,25 +134,26 @@
 }
 
 impl Verdict {
-    /// The verdict on what the stand-ins saw, in simulated time.
-    pub fn of(stand: &Stand, now: Time, took: Duration) -> Verdict {
+    /// Collects the outcome of a run that ended at `now` and took `took` in real time. The
+    /// field `world` is `simulated`, and `replay` is empty.
+    pub fn from_stand(stand: &Stand, now: Time, took: Duration) -> Verdict {
         let cost = stand.cost();
         let checker = stand.checker();
-        let broken: Vec<Broken> = checker
+        let broken: Vec<BreachReport> = checker
             .breaches()
             .iter()
-            .map(|b| Broken {
+            .map(|b| BreachReport {
                 breach: b.clone(),
                 history: checker.history_of(&b.job),
             })
             .collect();
         let jobs = checker.records();
-        let by = |name: fn(&JobRecord) -> &String| -> BTreeMap<String, ClassReport> {
+        let reports_by = |name: fn(&JobRecord) -> &String| -> BTreeMap<String, ClassReport> {
             let names: BTreeSet<&String> = jobs.iter().map(name).collect();
-            let of = |n: &String| ClassReport::of(jobs.iter().filter(|j| name(j) == n));
-            names.into_iter().map(|n| (n.clone(), of(n))).collect()
+            let report = |n: &String| ClassReport::from_jobs(jobs.iter().filter(|j| name(j) == n));
+            names.into_iter().map(|n| (n.clone(), report(n))).collect()
         };
-        let (classes, teams) = (by(|j| &j.class), by(|j| &j.team));
+        let (classes, teams) = (reports_by(|j| &j.class), reports_by(|j| &j.team));
         let mut accept = Histogram::<u64>::new_with_bounds(1, 600_000, 3).ok();
         for ms in stand.accept_ms() {
             if let Some(h) = &mut accept {
@@ -185,11 +189,11 @@
         }
     }
 
-    /// The verdict as text for a terminal.
+    /// The outcome as text for a terminal.
     pub fn text(&self) -> String {
         let mut out = String::new();
         self.write_text(&mut out)
-            .unwrap_or_else(|_| unreachable!("text takes everything"));
+            .unwrap_or_else(|_| unreachable!("writing to a string cannot fail"));
         out
     }
 
@@ -212,10 +216,10 @@
             self.repeated_s,
             self.cost
         )?;
-        let [a, b, c] = self.accept_ms;
+        let [p50, p95, max] = self.accept_ms;
         writeln!(
             out,
-            "  accepted within {a} ms (half), {b} ms (95 %), {c} ms (all)"
+            "  accepted within {p50} ms (half), {p95} ms (95 %), {max} ms (all)"
         )?;
         let r = &self.renting;
         writeln!(
@@ -223,12 +227,14 @@
             "  machines: {} hired, {} of them never used; paid and unknown to the leader {:.0} s, {:.0} s at the longest; {} tasks lost to a replaced controller's release",
             r.hired, r.unused, r.unknown_s, r.unknown_longest_s, r.lost_to_replaced
         )?;
-        let least = self.classes.iter().chain(&self.teams);
-        if let Some((name, k)) = least.min_by(|a, b| a.1.served().total_cmp(&b.1.served())) {
-            let part = k.served() * 100.0;
+        let by_group = self.classes.iter().chain(&self.teams);
+        if let Some((name, k)) =
+            by_group.min_by(|a, b| a.1.completed_ratio().total_cmp(&b.1.completed_ratio()))
+        {
+            let percent = k.completed_ratio() * 100.0;
             writeln!(
                 out,
-                "  least served: {name}, {} of {} jobs ({part:.0} %)",
+                "  least served: {name}, {} of {} jobs ({percent:.0} %)",
                 k.done, k.jobs
             )?;
         }
@@ -261,10 +267,10 @@
         Ok(())
     }
 
-    /// One page with everything in it.
+    /// One self-contained HTML page with the text and the plots.
     ///
     /// # Errors
-    /// A plot could not be drawn; the text names it.
+    /// A plot could not be drawn; the error text names the plot.
     pub fn html(&self) -> Result<String, String> {
         let classes: Vec<String> = self.classes.keys().cloned().collect();
         let zones: Vec<String> = self
@@ -295,8 +301,8 @@
         let starts: Vec<(String, Vec<(f64, f64)>)> = classes
             .iter()
             .map(|c| {
-                let of = self.jobs.iter().filter(|j| j.class == *c);
-                let mut points: Vec<(f64, f64)> = of
+                let class_jobs = self.jobs.iter().filter(|j| j.class == *c);
+                let mut points: Vec<(f64, f64)> = class_jobs
                     .filter_map(|j| j.started_s.map(|t| (j.submitted_s, t - j.submitted_s)))
                     .collect();
                 points.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -344,7 +350,7 @@
         let mut svg = String::new();
         {
             let root = SVGBackend::with_string(&mut svg, (900, 300)).into_drawing_area();
-            let most = series
+            let max_value = series
                 .iter()
                 .flat_map(|(_, points)| points.iter().map(|p| p.1))
                 .fold(1.0, f64::max);
@@ -354,14 +360,14 @@
                 .margin(8)
                 .x_label_area_size(28)
                 .y_label_area_size(44)
-                .build_cartesian_2d(0.0..end, 0.0..most * 1.05)?;
+                .build_cartesian_2d(0.0..end, 0.0..max_value * 1.05)?;
             chart
                 .configure_mesh()
                 .x_desc("seconds")
                 .disable_x_mesh()
                 .draw()?;
             for (at, _) in &self.faults {
-                let line = vec![(*at, 0.0), (*at, most * 1.05)];
+                let line = vec![(*at, 0.0), (*at, max_value * 1.05)];
                 let style = BLACK.mix(0.35);
                 chart.draw_series(DashedLineSeries::new(line, 4, 4, style.into()))?;
             }
--- a/crates/simulator/src/simulated.rs
+++ b/crates/simulator/src/simulated.rs
@@ -724,7 +724,7 @@
         let more = self.now + TimeSpan::secs(self.stand.script().cluster.workers.cancel_s + 2.0);
         self.play(more.min(until), false);
         self.stand.finish(self.now);
-        Verdict::of(&self.stand, self.now, begin.elapsed())
+        Verdict::from_stand(&self.stand, self.now, begin.elapsed())
     }
 }
 
--- a/crates/simulator/src/stand.rs
+++ b/crates/simulator/src/stand.rs
@@ -3,16 +3,16 @@
 
 mod faults;
 
-use crate::checker::{Checker, Seen};
+use crate::checker::{Checker, HistoryEvent};
 use crate::cloud::{Addresses, Cloud, Happened};
-use crate::director::Director;
+use crate::director::FaultSchedule;
 use crate::fleet::Fleet;
 use crate::layout::label;
 use crate::links::{Host, Links};
 use crate::script::{Moment, Script};
-use crate::tally::Tally;
+use crate::tally::ProvisioningStats;
 use crate::users::{Planned, UserRequest, Users, plan};
-use crate::waiting::{Waiting, could_start};
+use crate::waiting::{PendingJob, could_start};
 use crate::worker::{PATIENCE, Times, job_of};
 use pebblefold_controller::core::format_version::chunk_progress::ChunkProgress;
 use pebblefold_controller::core::format_version::member_versions;
@@ -226,7 +226,7 @@
     fleet: Fleet,
     users: Users,
     checker: Checker,
-    director: Director,
+    director: FaultSchedule,
     links: Links,
     /// Which share of transactions, and of reports' copies, comes late, and until when.
     late_writes: (f64, Time),
@@ -262,7 +262,7 @@
     lost_calls: BTreeSet<u64>,
     out: Vec<Out>,
     samples: Vec<Sample>,
-    tally: Tally,
+    tally: ProvisioningStats,
     marks: Vec<(f64, String)>,
 }
 
@@ -292,7 +292,7 @@
         let mut checker = Checker::new(c);
         let planned = plan(&script, &mut rng);
         for p in &planned {
-            checker.expect(p.spec.clone());
+            checker.add_job(p.spec.clone());
             fleet.describe(p.spec.clone(), p.run_s);
         }
         let mut stand = Stand {
@@ -304,7 +304,7 @@
             fleet,
             users: Users::new(planned, nodes),
             checker,
-            director: Director::new(&script.faults),
+            director: FaultSchedule::new(&script.faults),
             links: Links::new(delays),
             late_writes: (0.0, Time(0)),
             late_reports: (0.0, Time(0)),
@@ -330,7 +330,7 @@
             lost_calls: BTreeSet::new(),
             out: Vec::new(),
             samples: Vec::new(),
-            tally: Tally::default(),
+            tally: ProvisioningStats::default(),
             marks: Vec::new(),
             store,
             script,
@@ -392,7 +392,7 @@
 
     /// Faults that did not strike.
     pub fn left(&self) -> Vec<String> {
-        self.director.left()
+        self.director.pending()
     }
 
     /// Transactions of which only the answer was lost, and copies of reports that reached
@@ -412,7 +412,7 @@
     }
 
     /// What renting came to.
-    pub fn tally(&self) -> &Tally {
+    pub fn tally(&self) -> &ProvisioningStats {
         &self.tally
     }
 
@@ -423,7 +423,7 @@
             let paid = self.cloud.machines().filter(|m| !knows(&m.id));
             paid.map(|m| m.id.to_string()).collect()
         });
-        self.tally.look(now, unknown);
+        self.tally.record_unknown(now, unknown);
     }
 
     /// Counts the tasks that a release takes with it.
@@ -437,7 +437,7 @@
                 .filter_map(|m| workers.get(m.as_str()));
             let tasks = there.map(|w| w.tasks.values().filter(|t| t.on_machine()).count());
             let tasks = tasks.sum();
-            self.tally.released_by_replaced(tasks);
+            self.tally.record_terminated_by_replaced(tasks);
         }
     }
 
@@ -448,7 +448,7 @@
 
     /// A job by hand: its description is uploaded, its user submits it now.
     pub fn add_job(&mut self, p: Planned) {
-        self.checker.expect(p.spec.clone());
+        self.checker.add_job(p.spec.clone());
         self.fleet.describe(p.spec.clone(), p.run_s);
         self.users.add(p);
     }
@@ -458,9 +458,9 @@
     /// `again`: it was uploaded in an earlier life.
     pub fn upload(&mut self, spec: Submission, again: bool) {
         if again {
-            self.checker.expect_again(spec.clone());
+            self.checker.add_preexisting_job(spec.clone());
         } else {
-            self.checker.expect(spec.clone());
+            self.checker.add_job(spec.clone());
         }
         let run_s = spec.estimate_s;
         self.fleet.describe(spec, run_s);
@@ -480,12 +480,12 @@
 
     /// A controller ended by itself, which none may.
     pub fn ended(&mut self, now: Time, what: String) {
-        self.checker.protocol(now, what);
+        self.checker.report_protocol_breach(now, what);
     }
 
     /// Lets the checker hear what a user outside the stand-ins was told.
-    pub fn overheard(&mut self, now: Time, seen: Seen) {
-        self.checker.hear(now, seen);
+    pub fn overheard(&mut self, now: Time, seen: HistoryEvent) {
+        self.checker.record(now, seen);
     }
 
     /// The number of the cloud's next machine.
@@ -500,7 +500,7 @@
 
     /// Whether every job has been submitted and has its final answer.
     pub fn all_over(&self) -> bool {
-        self.users.to_come() == 0 && self.checker.all_over()
+        self.users.to_come() == 0 && self.checker.all_jobs_final()
     }
 
     /// Ends the rehearsal: what is open counts.
@@ -540,14 +540,14 @@
                 }
                 let (status, body) = self.cloud.handle(now, &mut self.rng, &r);
                 for what in std::mem::take(&mut self.cloud.misused) {
-                    self.checker.protocol(now, what);
+                    self.checker.report_protocol_breach(now, what);
                 }
                 let hired = status == 200 && r.method == "POST" && r.path == "/machines";
                 self.happen(now);
                 if hired {
                     let names = decode::<MachineNames>(&body).unwrap_or_default();
                     self.tally
-                        .hired(names.machines.iter().map(MachineId::as_str));
+                        .record_provisioned(names.machines.iter().map(MachineId::as_str));
                     let about = About {
                         node: Some(node),
                         call: Some(call),
@@ -605,8 +605,8 @@
                 .conditions
                 .iter()
                 .any(|c| holds.contains(&c.key.as_str()));
-            if self.director.waits_for(Moment::Accepted)
-                || self.director.waits_for(Moment::StartCommitted)
+            if self.director.has_trigger(Moment::Accepted)
+                || self.director.has_trigger(Moment::StartCommitted)
             {
                 noted = self.note(&txn);
             }
@@ -738,7 +738,7 @@
             ("GET", "/inspect") => self.fleet.inspected(now, machine),
             (method, path) => {
                 self.checker
-                    .protocol(now, format!("worker: {method} {path}"));
+                    .report_protocol_breach(now, format!("worker: {method} {path}"));
                 Some((400, Vec::new()))
             }
         };
@@ -823,7 +823,7 @@
         {
             self.heal(now, heal);
         }
-        for what in self.director.due(now) {
+        for what in self.director.take_due(now) {
             self.strike(now, &what, &About::default());
         }
         if let Some(state) = &mut self.state {
@@ -849,7 +849,7 @@
         self.send_reports(now);
         self.send_users(now);
         self.collect(now);
-        self.checker.pass(now);
+        self.checker.check_elapsed(now);
         self.sample(now);
     }
 
@@ -949,15 +949,15 @@
     /// Lets the checker hear what was seen.
     fn collect(&mut self, now: Time) {
         for seen in self.fleet.take_seen() {
-            if let Seen::On { machine, task, .. } = &seen {
-                self.tally.used(machine);
+            if let HistoryEvent::TaskPlaced { machine, task, .. } = &seen {
+                self.tally.record_task_placed(machine);
                 self.last_starts.insert(job_of(task).to_string(), now);
             }
             let ends = match &seen {
-                Seen::Done { task } => Some(job_of(task).to_string()),
+                HistoryEvent::TaskCompleted { task } => Some(job_of(task).to_string()),
                 _ => None,
             };
-            self.checker.hear(now, seen);
+            self.checker.record(now, seen);
             let (share, until) = self.cancel_at_end;
             if let Some(job) = ends.filter(|j| now < until && self.checker.is_complete(j))
                 && self.rng.random_bool(share)
@@ -966,7 +966,7 @@
             }
         }
         for seen in self.users.take_seen() {
-            self.checker.hear(now, seen);
+            self.checker.record(now, seen);
         }
     }
 
@@ -979,7 +979,7 @@
     /// Once all troubles are over: who could start, and since when.
     fn look_for_waiting(&mut self, now: Time) {
         let before = std::mem::take(&mut self.startable);
-        if now < self.quiet || !self.director.left().is_empty() {
+        if now < self.quiet || !self.director.pending().is_empty() {
             return;
         }
         let (rooms, live) = (self.fleet.rooms(now), self.fleet.live());
@@ -991,12 +991,12 @@
             }
         }
         let mut found = Vec::new();
-        for (spec, done) in self.checker.open() {
+        for (spec, done) in self.checker.open_jobs() {
             let id = spec.id.to_string();
             let in_zones = live.get(&id).cloned().unwrap_or_default();
             let placed: u32 = in_zones.values().sum();
             let tasks = spec.tasks.saturating_sub(done + placed);
-            let waiting = Waiting {
+            let waiting = PendingJob {
                 spec,
                 tasks,
                 in_zones,
@@ -1019,7 +1019,7 @@
             let longest = self.waited.entry(class).or_default();
             *longest = waited.max(*longest);
             if waited >= LEFT_WAITING {
-                self.checker.left_waiting(now, &id, waited);
+                self.checker.report_left_waiting(now, &id, waited);
             }
             self.startable.insert(id, (since, tasks));
         }
@@ -1043,7 +1043,7 @@
         self.look_for_waiting(now);
         self.samples.push(Sample {
             at_s,
-            classes: self.checker.by_class(),
+            classes: self.checker.job_counts_by_class(),
             zones,
         });
     }
--- a/crates/simulator/src/stand/faults.rs
+++ b/crates/simulator/src/stand/faults.rs
@@ -1,7 +1,7 @@
 //! Faults: how each strikes, and how it heals.
 
 use super::{About, Heal, NodeAction, Out, Returned, Stand, Store};
-use crate::checker::Seen;
+use crate::checker::HistoryEvent;
 use crate::links::{Group, Host};
 use crate::script::{LastWrite, Moment, Nodes, PowerLoss, Side, What};
 use crate::worker::PATIENCE;
@@ -17,7 +17,7 @@
 
 impl Stand {
     pub(super) fn moment(&mut self, now: Time, moment: Moment, class: Option<&str>, about: &About) {
-        for what in self.director.moment(now, moment, class) {
+        for what in self.director.take_triggered(now, moment, class) {
             self.strike(now, &what, about);
         }
     }
@@ -141,7 +141,8 @@
         let text = value.to_string();
         tracing::info!(at_s = now.0 as f64 / 1e6, fault = %text, "fault");
         self.marks.push((now.0 as f64 / 1e6, what.name()));
-        self.checker.hear(now, Seen::Fault { what: text });
+        self.checker
+            .record(now, HistoryEvent::FaultInjected { what: text });
         let until = |s: f64| now + TimeSpan::secs(s);
         match what {
             What::SitePower {
--- a/crates/simulator/src/tally.rs
+++ b/crates/simulator/src/tally.rs
@@ -1,74 +1,78 @@
-//! What renting came to, counted from what the cloud gave and took and what
-//! ran on its machines.
+//! Statistics on provisioning, from the machines that the cloud provisioned and
+//! terminated and from the tasks that ran on them.
 
 use pebblefold_controller::types::{Time, TimeSpan};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time between looks for machines that nobody who leads knows.
-const LOOK: TimeSpan = TimeSpan::millis(1000);
+/// Time between two checks for machines that the leader has no record of.
+const UNKNOWN_MACHINE_CHECK_INTERVAL: TimeSpan = TimeSpan::millis(1000);
 
-/// Counts on renting.
+/// Counts of machines provisioned, wasted and lost.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Tally {
-    /// Machines hired by controllers.
+pub struct ProvisioningStats {
+    /// Machines that controllers provisioned.
     pub hired: usize,
-    /// Those of them that never had a task on them.
+    /// Provisioned machines that never had a task on them.
     pub unused: usize,
-    /// Tasks on machines that were released by a controller that did not lead.
+    /// Tasks that were on machines when a controller that was not the leader terminated them.
     pub lost_to_replaced: usize,
-    /// Machine seconds paid while a controller led and did not know the machine.
+    /// Paid machine seconds during which there was a leader that had no record of the machine.
     pub unknown_s: f64,
-    /// The longest such time of one machine.
+    /// The longest time, in seconds, that the leader had no record of one paid machine.
     pub unknown_longest_s: f64,
+    /// Names of all provisioned machines.
     #[serde(skip)]
     names: BTreeSet<String>,
+    /// Names of the provisioned machines that have had no task yet.
     #[serde(skip)]
-    idle: BTreeSet<String>,
-    /// Machines that the leader does not know, and since when.
+    never_used: BTreeSet<String>,
+    /// Machines that the leader has no record of, and since when.
     #[serde(skip)]
     unknown: BTreeMap<String, Time>,
+    /// Time of the latest check.
     #[serde(skip)]
-    looked: Time,
+    last_check: Time,
 }
 
-impl Tally {
-    /// A hire was answered with these machines; a repeated one counts once.
-    pub fn hired<'a>(&mut self, machines: impl Iterator<Item = &'a str>) {
+impl ProvisioningStats {
+    /// Counts the machines in the cloud's answer to a provisioning request. A repeated answer
+    /// with the same machines counts once.
+    pub fn record_provisioned<'a>(&mut self, machines: impl Iterator<Item = &'a str>) {
         for m in machines {
             if self.names.insert(m.into()) {
-                self.idle.insert(m.into());
+                self.never_used.insert(m.into());
             }
         }
-        (self.hired, self.unused) = (self.names.len(), self.idle.len());
+        (self.hired, self.unused) = (self.names.len(), self.never_used.len());
     }
 
-    /// A task is on a machine.
-    pub fn used(&mut self, machine: &str) {
-        self.idle.remove(machine);
-        self.unused = self.idle.len();
+    /// Records that a task was placed on a machine.
+    pub fn record_task_placed(&mut self, machine: &str) {
+        self.never_used.remove(machine);
+        self.unused = self.never_used.len();
     }
 
-    /// A controller that did not lead released machines with so many tasks.
-    pub fn released_by_replaced(&mut self, tasks: usize) {
+    /// Counts the tasks on machines that a controller other than the leader terminated.
+    pub fn record_terminated_by_replaced(&mut self, tasks: usize) {
         self.lost_to_replaced += tasks;
     }
 
-    /// Whether it is time to look for unknown machines.
+    /// Whether the next check for unknown machines is due.
     pub fn is_due(&self, now: Time) -> bool {
-        now.since(self.looked) >= LOOK
+        now.since(self.last_check) >= UNKNOWN_MACHINE_CHECK_INTERVAL
     }
 
-    /// Looks: the machines that are paid and that the leader does not know.
-    /// `None`: nobody leads, so that nobody could know any.
-    pub fn look(&mut self, now: Time, unknown: Option<Vec<String>>) {
-        let passed = now.since(self.looked);
-        self.looked = now;
+    /// Counts the time since the latest check for each of `unknown`: the paid machines that
+    /// the leader has no record of, or `None` if there is no leader, and then no time counts.
+    pub fn record_unknown(&mut self, now: Time, unknown: Option<Vec<String>>) {
+        let elapsed = now.since(self.last_check);
+        self.last_check = now;
         let Some(names) = unknown else { return };
-        self.unknown_s += passed.as_secs() * names.len() as f64;
-        let before = std::mem::take(&mut self.unknown);
+        self.unknown_s += elapsed.as_secs() * names.len() as f64;
+        let previous = std::mem::take(&mut self.unknown);
         for name in names {
-            let since = before.get(&name).copied().unwrap_or(now - passed);
+            let since = previous.get(&name).copied().unwrap_or(now - elapsed);
             let longest = now.since(since).as_secs();
             self.unknown_longest_s = self.unknown_longest_s.max(longest);
             self.unknown.insert(name, since);
--- a/crates/simulator/src/users.rs
+++ b/crates/simulator/src/users.rs
@@ -1,7 +1,7 @@
 //! Users and the load balancer, by the users' protocol: submissions that are
 //! retried, polls, cancellations, and polls for jobs that nobody submitted.
 
-use crate::checker::{Ask, Seen};
+use crate::checker::{HistoryEvent, RequestKind};
 use crate::script::{JobShape, Jobs, Script};
 use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_controller::wire::users::{JobStage, JobStatus, Submission};
@@ -126,7 +126,7 @@
 enum Waiting {
     Job {
         job: String,
-        what: Ask,
+        what: RequestKind,
         asked: Time,
         tries: u32,
         node: usize,
@@ -168,7 +168,7 @@
     plan: VecDeque<Planned>,
     jobs: BTreeMap<String, Job>,
     /// What is asked when: (time, number) to (job, what).
-    due: BTreeMap<(Time, u64), (String, Ask)>,
+    due: BTreeMap<(Time, u64), (String, RequestKind)>,
     numbers: u64,
     waiting: BTreeMap<u64, (Time, Waiting)>,
     health: Vec<Health>,
@@ -180,7 +180,7 @@
     /// Until when they send odd requests, and when the next.
     odd_until: Time,
     odd_due: Time,
-    seen: Vec<Seen>,
+    seen: Vec<HistoryEvent>,
     out: Vec<UserRequest>,
     /// Milliseconds that accepted submissions took from their first attempt.
     pub accept_ms: Vec<u64>,
@@ -222,11 +222,11 @@
     }
 
     /// What was seen since the last call.
-    pub fn take_seen(&mut self) -> Vec<Seen> {
+    pub fn take_seen(&mut self) -> Vec<HistoryEvent> {
         std::mem::take(&mut self.seen)
     }
 
-    fn ask_at(&mut self, at: Time, job: &str, what: Ask) {
+    fn ask_at(&mut self, at: Time, job: &str, what: RequestKind) {
         self.numbers += 1;
         self.due.insert((at, self.numbers), (job.into(), what));
     }
@@ -247,9 +247,9 @@
                 ..Job::default()
             };
             self.jobs.insert(id.clone(), job);
-            self.ask_at(now, &id, Ask::Submit);
+            self.ask_at(now, &id, RequestKind::Submit);
             if let Some(at) = p.cancel_at {
-                self.ask_at(at, &id, Ask::Cancel);
+                self.ask_at(at, &id, RequestKind::Cancel);
             }
         }
         let late: Vec<u64> = self
@@ -270,7 +270,7 @@
         if now >= self.ghost_due {
             self.ghost_due = now + GHOST_EVERY;
             let ghost = format!("wk-9{:05}", rng.random_range(0..100_000));
-            self.ask(now, &ghost, Ask::Poll, 0, rng, &mut ticket);
+            self.ask(now, &ghost, RequestKind::Poll, 0, rng, &mut ticket);
         }
         if now < self.odd_until && now >= self.odd_due {
             self.odd_due = now + ODD_EVERY;
@@ -299,22 +299,23 @@
         &mut self,
         now: Time,
         id: &str,
-        what: Ask,
+        what: RequestKind,
         tries: u32,
         rng: &mut StdRng,
         mut ticket: &mut impl FnMut() -> u64,
     ) {
         if let Some(j) = self.jobs.get_mut(id) {
-            if what == Ask::Cancel {
+            if what == RequestKind::Cancel {
                 // A user who is not sure that the job was taken asks until it is.
                 if !j.accepted {
                     return self.ask_at(now + TimeSpan::millis(1000), id, what);
                 }
             }
-            if what == Ask::Submit {
+            if what == RequestKind::Submit {
                 let first = *j.first.get_or_insert(now);
                 if !j.accepted && now.since(first) > RETRIES {
-                    self.seen.push(Seen::GaveUp { job: id.into() });
+                    self.seen
+                        .push(HistoryEvent::SubmissionAbandoned { job: id.into() });
                     j.over = true;
                     return;
                 }
@@ -338,14 +339,14 @@
         &mut self,
         now: Time,
         id: &str,
-        what: Ask,
+        what: RequestKind,
         tries: u32,
         node: usize,
         look: bool,
         ticket: &mut impl FnMut() -> u64,
     ) {
         let (method, path, body) = match what {
-            Ask::Submit => (
+            RequestKind::Submit => (
                 "POST",
                 "/submissions".into(),
                 self.jobs
@@ -353,15 +354,15 @@
                     .map(|j| j.body.clone())
                     .unwrap_or_default(),
             ),
-            Ask::Poll => ("GET", format!("/submissions/{id}"), Vec::new()),
-            Ask::Cancel => ("POST", format!("/submissions/{id}/cancel"), Vec::new()),
+            RequestKind::Poll => ("GET", format!("/submissions/{id}"), Vec::new()),
+            RequestKind::Cancel => ("POST", format!("/submissions/{id}/cancel"), Vec::new()),
         };
-        let patience = if what == Ask::Poll {
+        let patience = if what == RequestKind::Poll {
             POLL_PATIENCE
         } else {
             PATIENCE
         };
-        self.seen.push(Seen::Asked {
+        self.seen.push(HistoryEvent::RequestSent {
             job: id.into(),
             what,
         });
@@ -423,7 +424,7 @@
         let status = answer.map(|(s, _, _)| s);
         match waiting {
             Waiting::Probe { node } => self.probed(now, node, status == Some(200)),
-            Waiting::Odd { job, wanted } => self.seen.push(Seen::Odd {
+            Waiting::Odd { job, wanted } => self.seen.push(HistoryEvent::InvalidRequestOutcome {
                 job,
                 wanted,
                 status,
@@ -441,7 +442,7 @@
                     .flatten()
                     .map(|a| a.stage);
                 let after = answer.and_then(|(_, after, _)| after);
-                self.seen.push(Seen::Told {
+                self.seen.push(HistoryEvent::RequestOutcome {
                     job: job.clone(),
                     what,
                     asked,
@@ -451,7 +452,7 @@
                 if !look {
                     let news = self.jobs.get(&job).is_some_and(|j| match stage {
                         Some(JobStage::Done | JobStage::Cancelled) => {
-                            !j.over || what == Ask::Cancel
+                            !j.over || what == RequestKind::Cancel
                         }
                         Some(_) => !j.accepted,
                         None => false,
@@ -473,7 +474,7 @@
         &mut self,
         now: Time,
         id: &str,
-        what: Ask,
+        what: RequestKind,
         stage: Option<JobStage>,
         status: Option<u16>,
         after: Option<u32>,
@@ -486,7 +487,7 @@
             f64::from(after.unwrap_or(1).clamp(1, MOST_RETRY_AFTER)) + rng.random_range(0.0..0.3),
         );
         match (what, stage) {
-            (Ask::Submit, Some(_)) => {
+            (RequestKind::Submit, Some(_)) => {
                 if !j.accepted
                     && let Some(first) = j.first
                 {
@@ -494,22 +495,22 @@
                 }
                 j.accepted = true;
                 if !std::mem::replace(&mut j.polling, true) {
-                    self.ask_at(now + POLL_EVERY, id, Ask::Poll);
+                    self.ask_at(now + POLL_EVERY, id, RequestKind::Poll);
                 }
                 // Some users submit again, long after.
                 if rng.random_bool(0.1) {
                     self.ask_at(
                         now + TimeSpan::secs(rng.random_range(20.0..120.0)),
                         id,
-                        Ask::Submit,
+                        RequestKind::Submit,
                     );
                 }
             }
-            (Ask::Submit, None) if matches!(status, Some(400 | 422)) => j.over = true,
-            (Ask::Submit, None) if j.accepted => {}
-            (Ask::Submit | Ask::Cancel, None) => self.ask_at(now + pause, id, what),
-            (Ask::Cancel, Some(_)) => {}
-            (Ask::Poll, _) => {
+            (RequestKind::Submit, None) if matches!(status, Some(400 | 422)) => j.over = true,
+            (RequestKind::Submit, None) if j.accepted => {}
+            (RequestKind::Submit | RequestKind::Cancel, None) => self.ask_at(now + pause, id, what),
+            (RequestKind::Cancel, Some(_)) => {}
+            (RequestKind::Poll, _) => {
                 j.over |= matches!(stage, Some(JobStage::Done | JobStage::Cancelled));
                 let every = if stage.is_some() && j.over {
                     POLL_OVER
@@ -519,7 +520,7 @@
                 self.ask_at(
                     now + every.scaled(rng.random_range(0.9..1.1)),
                     id,
-                    Ask::Poll,
+                    RequestKind::Poll,
                 );
             }
         }
--- a/crates/simulator/src/users/odd.rs
+++ b/crates/simulator/src/users/odd.rs
@@ -1,7 +1,7 @@
 //! Users who look closely, call jobs off all at once, or send what is to be refused.
 
 use super::{Job, PATIENCE, UserRequest, Users, Waiting};
-use crate::checker::Ask;
+use crate::checker::RequestKind;
 use pebblefold_controller::types::Time;
 use pebblefold_controller::wire::users::Submission;
 use pebblefold_controller::wire::{decode, encode};
@@ -28,7 +28,7 @@
 
     /// A job's user calls it off then.
     pub fn call_off(&mut self, at: Time, job: &str) {
-        self.ask_at(at, job, Ask::Cancel);
+        self.ask_at(at, job, RequestKind::Cancel);
     }
 
     /// What is asked at once about jobs of which somebody was just told something new:
@@ -43,13 +43,13 @@
         for job in std::mem::take(&mut self.looks) {
             for _ in 0..LOOKS {
                 for node in 0..nodes {
-                    self.ask_node(now, &job, Ask::Poll, 0, node, true, &mut ticket);
+                    self.ask_node(now, &job, RequestKind::Poll, 0, node, true, &mut ticket);
                 }
                 let node = rng.random_range(0..nodes);
-                self.ask_node(now, &job, Ask::Submit, 0, node, true, &mut ticket);
+                self.ask_node(now, &job, RequestKind::Submit, 0, node, true, &mut ticket);
             }
             if rng.random_bool(CALL_OFF) {
-                self.ask(now, &job, Ask::Cancel, 0, rng, &mut ticket);
+                self.ask(now, &job, RequestKind::Cancel, 0, rng, &mut ticket);
             }
         }
         std::mem::take(&mut self.out)
@@ -72,16 +72,20 @@
         let over = of(|j| j.accepted && j.over).map(|(id, _)| id).collect();
         let (open, over) = (any(rng, open), any(rng, over));
         match (rng.random_range(0..4), open, over) {
-            (0, Some(job), _) => self.ask_node(now, &job, Ask::Submit, 0, node, true, ticket),
+            (0, Some(job), _) => {
+                self.ask_node(now, &job, RequestKind::Submit, 0, node, true, ticket)
+            }
             (1, Some(job), _) => {
                 // Its user's tool has forgotten a field: the job is known all the same.
                 let whole = std::mem::take(&mut self.jobs.entry(job.clone()).or_default().body);
                 let lacking = without(&whole, FIELDS[rng.random_range(0..FIELDS.len())]);
                 self.jobs.entry(job.clone()).or_default().body = lacking;
-                self.ask_node(now, &job, Ask::Submit, 0, node, true, ticket);
+                self.ask_node(now, &job, RequestKind::Submit, 0, node, true, ticket);
                 self.jobs.entry(job).or_default().body = whole;
             }
-            (2, _, Some(job)) => self.ask_node(now, &job, Ask::Cancel, 0, node, true, ticket),
+            (2, _, Some(job)) => {
+                self.ask_node(now, &job, RequestKind::Cancel, 0, node, true, ticket)
+            }
             _ => self.ask_for_nothing(now, node, rng, ticket),
         }
     }
@@ -134,7 +138,7 @@
             body,
             patience: PATIENCE,
         });
-        self.ask_at(now + PATIENCE, &job, Ask::Poll);
+        self.ask_at(now + PATIENCE, &job, RequestKind::Poll);
     }
 }
 
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -224,7 +224,10 @@
         sound(&v, 1);
         for (name, k) in v.classes.iter().chain(&v.teams) {
             let (done, jobs) = (k.done, k.jobs);
-            assert!(k.served() >= 0.5, "flood of {of}: {name} {done} of {jobs}");
+            assert!(
+                k.completed_ratio() >= 0.5,
+                "flood of {of}: {name} {done} of {jobs}"
+            );
         }
     }
 }
--- a/crates/simulator/tests/meetings/answers.rs
+++ b/crates/simulator/tests/meetings/answers.rs
@@ -2,7 +2,7 @@
 //! transactions that it rests on.
 
 use super::*;
-use pebblefold_simulator::checker::Ask;
+use pebblefold_simulator::checker::RequestKind;
 use pebblefold_simulator::script::Jobs;
 
 /// Jobs of one short task, so many a second, a quarter of them called off.
@@ -19,7 +19,7 @@
     let mut news: BTreeMap<&str, Time> = BTreeMap::new();
     let mut answers = 0;
     for (at, seen) in world.stand().checker().history() {
-        let Seen::Told {
+        let HistoryEvent::RequestOutcome {
             job,
             what,
             asked,
@@ -32,7 +32,7 @@
         let close = |t: &Time| asked >= t && asked.since(*t) <= TimeSpan::millis(within_ms);
         answers += usize::from(news.get(job.as_str()).is_some_and(close));
         let ends = matches!(stage, JobStage::Done | JobStage::Cancelled);
-        if ends || *what == Ask::Submit {
+        if ends || *what == RequestKind::Submit {
             news.insert(job, *at);
         }
     }
@@ -201,7 +201,7 @@
         world.play(secs(150.0), false);
         let mut odd: BTreeMap<Option<u16>, usize> = BTreeMap::new();
         for (_, seen) in world.stand().checker().history() {
-            if let Seen::Odd { status, .. } = seen {
+            if let HistoryEvent::InvalidRequestOutcome { status, .. } = seen {
                 *odd.entry(*status).or_default() += 1;
             }
         }
--- a/crates/simulator/tests/meetings/cancels.rs
+++ b/crates/simulator/tests/meetings/cancels.rs
@@ -23,7 +23,7 @@
 /// and whose successor fetches its image; out of reach or not.
 fn full_teams(world: &Simulated) -> usize {
     let teams = &world.stand().script().cluster.teams;
-    let used = world.stand().checker().used();
+    let used = world.stand().checker().usage_by_team();
     let full = |t: &&pebblefold_simulator::script::Team| {
         used.get(&t.name)
             .is_some_and(|u| u.gpus >= t.gpus_max - 4.0)
--- a/crates/simulator/tests/meetings/machines.rs
+++ b/crates/simulator/tests/meetings/machines.rs
@@ -292,7 +292,7 @@
             s.faults.push(at(t, kill(0.2)));
         }
         broken(s, seed, 260.0, 55.0, |w| {
-            let by_class = w.stand().checker().by_class();
+            let by_class = w.stand().checker().job_counts_by_class();
             by_class.values().map(|(waiting, _)| *waiting).sum::<u32>() > 4
         })
     };
--- a/crates/simulator/tests/meetings/main.rs
+++ b/crates/simulator/tests/meetings/main.rs
@@ -12,7 +12,7 @@
 use pebblefold_controller::core::failpoints::{SafetyCheck, disable_check};
 use pebblefold_controller::types::{Time, TimeSpan};
 use pebblefold_controller::wire::users::JobStage;
-use pebblefold_simulator::checker::Seen;
+use pebblefold_simulator::checker::HistoryEvent;
 use pebblefold_simulator::script::{
     CutMode, Fault, JobPriority, JobShape, Moment, Nodes, Script, Side, Spread, What, When,
 };
@@ -48,7 +48,7 @@
 fn cancelled(world: &Simulated) -> BTreeMap<String, Time> {
     let mut out = BTreeMap::new();
     for (at, seen) in world.stand().checker().history() {
-        if let Seen::Told {
+        if let HistoryEvent::RequestOutcome {
             job,
             stage: Some(JobStage::Cancelled),
             ..
@@ -352,10 +352,10 @@
     let mut again = 0;
     for (_, seen) in world.stand().checker().history() {
         match seen {
-            Seen::Done { task } => {
+            HistoryEvent::TaskCompleted { task } => {
                 done.insert(task.clone());
             }
-            Seen::On { task, .. } if done.contains(task) => again += 1,
+            HistoryEvent::TaskPlaced { task, .. } if done.contains(task) => again += 1,
             _ => {}
         }
     }
--- a/crates/simulator/tests/moments.rs
+++ b/crates/simulator/tests/moments.rs
@@ -5,7 +5,7 @@
 mod common;
 use common::*;
 use pebblefold_controller::types::{Time, TimeSpan};
-use pebblefold_simulator::checker::Seen;
+use pebblefold_simulator::checker::HistoryEvent;
 use pebblefold_simulator::report::Verdict;
 use pebblefold_simulator::script::{
     CutMode, Fault, JobPriority, JobShape, LastWrite, Moment, Nodes, PowerLoss, Script, Side,
@@ -181,8 +181,8 @@
         stand.checker().breaches()
     );
     assert_eq!(stand.left(), Vec::<String>::new());
-    let up_late = |(t, seen): &&(Time, Seen)| {
-        *t > Time(0) + TimeSpan::secs(1800.0) && matches!(seen, Seen::Machine { .. })
+    let up_late = |(t, seen): &&(Time, HistoryEvent)| {
+        *t > Time(0) + TimeSpan::secs(1800.0) && matches!(seen, HistoryEvent::MachineUp { .. })
     };
     let late = stand.checker().history().iter().filter(up_late).count();
     assert!(late > 0, "none of the machines came up");
--- a/crates/simulator/tests/standins.rs
+++ b/crates/simulator/tests/standins.rs
@@ -11,7 +11,7 @@
     Command, DirectCommands, Heartbeat, HeartbeatResponse, LeaderRedirect, StopReason, TaskState,
 };
 use pebblefold_controller::wire::{decode, encode};
-use pebblefold_simulator::checker::Seen;
+use pebblefold_simulator::checker::HistoryEvent;
 use pebblefold_simulator::cloud::{Addresses, Cloud, Happened};
 use pebblefold_simulator::fleet::Fleet;
 use pebblefold_simulator::script::{JobShape, Script};
@@ -371,7 +371,7 @@
         .fleet
         .take_seen()
         .into_iter()
-        .filter(|s| matches!(s, Seen::On { .. }))
+        .filter(|s| matches!(s, HistoryEvent::TaskPlaced { .. }))
         .count();
     assert_eq!(on, 2);
 }
--- a/crates/simulator/tests/verdicts.rs
+++ b/crates/simulator/tests/verdicts.rs
@@ -1,217 +1,232 @@
-//! Every order of the steps around a verdict: a leader that may be well, frozen
-//! or dead at any point, a judge that takes its key at any point, two machines,
-//! and messages that are held back. What a report proves is told by the real
-//! core; the rest is as small as the protocol allows.
+//! Explores every order of the steps around the replacement of a suspected leader: a leader
+//! that may be healthy, frozen or dead at any point, a peer that replaces the leader key at
+//! any point, two machines, and delayed messages. The controller's own code evaluates what a
+//! heartbeat proves; the rest of the model is as small as the protocol allows.
 
 use pebblefold_controller::core::assignment::{Assignment, AssignmentPhase, PresenceProof};
 use pebblefold_controller::types::{AgentEpoch, Attempt, FencingToken, HeartbeatSequence};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-const OLD: u64 = 1;
-const NEW: u64 = 2;
-/// Reports that a machine makes; more bring nothing new.
-const REPORTS: u64 = 2;
+const OLD_TOKEN: u64 = 1;
+const NEW_TOKEN: u64 = 2;
+/// Heartbeats that each machine sends; more of them reach no new kind of state.
+const MAX_HEARTBEATS: u64 = 2;
 
-/// Decisions that a verdict rests on; each can be switched off.
+/// Safety checks that a safe replacement depends on; each can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Off {
+enum DisabledCheck {
     Nothing,
-    /// A leader's commits compare the version of its key.
+    /// A leader's commits compare the version of the leader key.
     CommitsAreFenced,
-    /// A start is sent only once it is stored.
+    /// A task start is sent only once it is stored.
     StartsAreStored,
-    /// A report proves absence only under the new leader's token.
+    /// A heartbeat proves a task's absence only under the new leader's fencing token.
     AbsenceNeedsOurToken,
 }
 
-/// What a leader knows of the task's place: machine, attempt, and how far it is.
+/// A leader's assignment of the task: phase, machine and attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Knows {
-    Nothing,
-    /// The commit is out.
+enum LeaderAssignment {
+    Unassigned,
+    /// The commit is in flight.
     Storing(usize, u64),
     Stored(usize, u64),
+    /// The start was sent: machine, attempt, number of the heartbeat that it answered.
     Sent(usize, u64, u64),
-    /// From the records.
+    /// Loaded from the stored record.
     Inherited(usize, u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
+    /// To the store: fencing token, machine, attempt.
     Commit(u64, usize, u64),
-    /// The commit's answer.
-    Done(u64),
-    /// Machine, to the old or new leader, token seen, attempt that it has, number.
+    /// The store's answer to a commit, for the leader with this fencing token.
+    CommitDone(u64),
+    /// Machine, fencing token of the receiving leader, highest token that the machine has
+    /// seen, attempt that runs on the machine (0: none), heartbeat number.
     Heartbeat(usize, u64, u64, u64, u64),
-    /// To a machine, for this report: token, attempt to start (0: none).
+    /// To a machine: the machine, number of the heartbeat answered, the leader's fencing
+    /// token, attempt to start (0: none).
     Answer(usize, u64, u64, u64),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    /// The key's version: who leads.
+struct ClusterState {
+    /// Version of the leader key: the fencing token of the current leader.
     version: u64,
+    /// Stored record of the task: machine and attempt.
     record: Option<(usize, u64)>,
-    old: Knows,
-    new: Knows,
+    old: LeaderAssignment,
+    new: LeaderAssignment,
+    /// Whether the new leader has loaded the record.
     loaded: bool,
-    /// Token seen, attempt that runs (0: none), reports made, the one under way.
+    /// Per machine: highest token seen, attempt that runs (0: none), heartbeats sent, number
+    /// of the heartbeat in flight (0: none).
     machines: [(u64, u64, u64, u64); 2],
-    sent: BTreeSet<Message>,
+    in_flight: BTreeSet<Message>,
 }
 
-impl World {
+impl ClusterState {
     /// Whether the task is on two machines.
-    fn doubled(&self) -> bool {
+    fn runs_twice(&self) -> bool {
         self.machines.iter().all(|m| m.1 > 0)
     }
 
-    /// What a report says to the new leader.
-    fn hears(&mut self, off: Off, m: usize, seen: u64, runs: u64, n: u64) {
-        let (at, attempt, phase) = match self.new {
-            Knows::Inherited(at, a) => (at, a, AssignmentPhase::Inherited),
-            Knows::Sent(at, a, n) => (at, a, AssignmentPhase::Sent(HeartbeatSequence(n))),
+    /// Applies heartbeat `n` of machine `m` to the new leader's assignment.
+    fn apply_heartbeat(&mut self, disabled: DisabledCheck, m: usize, seen: u64, runs: u64, n: u64) {
+        let (assigned_to, attempt, phase) = match self.new {
+            LeaderAssignment::Inherited(machine, a) => (machine, a, AssignmentPhase::Inherited),
+            LeaderAssignment::Sent(machine, a, n) => {
+                (machine, a, AssignmentPhase::Sent(HeartbeatSequence(n)))
+            }
             _ => return,
         };
-        if at != m {
+        if assigned_to != m {
             return;
         }
-        let place = Assignment {
+        let assignment = Assignment {
             phase,
             ..Assignment::inherited("m".into(), AgentEpoch(1), Attempt(attempt))
         };
-        // A report that lists the task proves that it is there; what lists it is
-        // not looked at here.
+        // A heartbeat that lists the task proves that the task is on the machine; the model
+        // does not cover how the leader handles the listed task.
         if runs > 0 {
             return;
         }
-        let token = if off == Off::AbsenceNeedsOurToken {
-            NEW
+        let token = if disabled == DisabledCheck::AbsenceNeedsOurToken {
+            NEW_TOKEN
         } else {
             seen
         };
-        let verdict = place.check_presence(
+        let proof = assignment.check_presence(
             AgentEpoch(1),
             HeartbeatSequence(n),
             FencingToken(token),
-            FencingToken(NEW),
+            FencingToken(NEW_TOKEN),
             None,
         );
-        match verdict {
+        match proof {
             PresenceProof::Absent => self.place(1 - m, attempt + 1),
-            PresenceProof::Undelivered => self.new = Knows::Stored(at, attempt),
+            PresenceProof::Undelivered => self.new = LeaderAssignment::Stored(assigned_to, attempt),
             PresenceProof::Present => {}
         }
     }
 
-    /// The new leader places the task.
+    /// The new leader assigns the task to machine `m`.
     fn place(&mut self, m: usize, attempt: u64) {
-        self.new = Knows::Storing(m, attempt);
-        self.sent.insert(Message::Commit(NEW, m, attempt));
+        self.new = LeaderAssignment::Storing(m, attempt);
+        self.in_flight
+            .insert(Message::Commit(NEW_TOKEN, m, attempt));
     }
 
-    /// All that may come next.
-    fn next(&self, off: Off) -> Vec<World> {
-        let mut out = Vec::new();
-        let mut step = |change: &dyn Fn(&mut World)| {
+    /// All states that one step can lead to.
+    fn successors(&self, disabled: DisabledCheck) -> Vec<ClusterState> {
+        let mut successors = Vec::new();
+        let mut step = |change: &dyn Fn(&mut ClusterState)| {
             let mut w = self.clone();
             change(&mut w);
             if w != *self {
-                out.push(w);
+                successors.push(w);
             }
         };
-        // The old leader decides, at any time: it may not know that it is none.
-        if self.old == Knows::Nothing {
+        // The old leader may decide at any time, also after it was replaced without noticing.
+        if self.old == LeaderAssignment::Unassigned {
             step(&|w| {
-                w.old = Knows::Storing(0, 1);
-                w.sent.insert(Message::Commit(OLD, 0, 1));
+                w.old = LeaderAssignment::Storing(0, 1);
+                w.in_flight.insert(Message::Commit(OLD_TOKEN, 0, 1));
             });
         }
-        // A verdict, right or wrong, at any time; then a load, at any later time.
-        if self.version == OLD {
-            step(&|w| w.version = NEW);
+        // A peer replaces the leader, rightly or wrongly, at any time; the new leader loads the
+        // record at any later time.
+        if self.version == OLD_TOKEN {
+            step(&|w| w.version = NEW_TOKEN);
         } else if !self.loaded {
             step(&|w| {
                 w.loaded = true;
                 match w.record {
-                    Some((m, a)) => w.new = Knows::Inherited(m, a),
+                    Some((m, a)) => w.new = LeaderAssignment::Inherited(m, a),
                     None => w.place(1, 1),
                 }
             });
         }
         for m in 0..2 {
-            let (seen, runs, made, under_way) = self.machines[m];
-            if under_way == 0 && made < REPORTS {
-                for to in [OLD, NEW] {
+            let (seen, runs, sent, in_flight) = self.machines[m];
+            if in_flight == 0 && sent < MAX_HEARTBEATS {
+                for to in [OLD_TOKEN, NEW_TOKEN] {
                     step(&|w| {
                         w.machines[m].2 += 1;
-                        w.machines[m].3 = made + 1;
-                        w.sent
-                            .insert(Message::Heartbeat(m, to, seen, runs, made + 1));
+                        w.machines[m].3 = sent + 1;
+                        w.in_flight
+                            .insert(Message::Heartbeat(m, to, seen, runs, sent + 1));
                     });
                 }
             }
-            // It gives a report up; whatever answers it is dropped.
-            if under_way > 0 {
+            // The machine abandons a heartbeat and then drops its answer.
+            if in_flight > 0 {
                 step(&|w| w.machines[m].3 = 0);
             }
         }
-        for message in &self.sent {
+        for message in &self.in_flight {
             step(&|w| {
-                w.sent.remove(message);
-                w.deliver(off, *message);
+                w.in_flight.remove(message);
+                w.deliver(disabled, *message);
             });
         }
-        out
+        successors
     }
 
-    fn deliver(&mut self, off: Off, message: Message) {
+    fn deliver(&mut self, disabled: DisabledCheck, message: Message) {
         match message {
             Message::Commit(token, m, attempt) => {
-                if token == self.version || off == Off::CommitsAreFenced {
+                if token == self.version || disabled == DisabledCheck::CommitsAreFenced {
                     self.record = Some((m, attempt));
-                    self.sent.insert(Message::Done(token));
+                    self.in_flight.insert(Message::CommitDone(token));
                 }
             }
-            Message::Done(token) => {
-                let of = if token == OLD {
+            Message::CommitDone(token) => {
+                let assignment = if token == OLD_TOKEN {
                     &mut self.old
                 } else {
                     &mut self.new
                 };
-                if let Knows::Storing(m, a) = *of {
-                    *of = Knows::Stored(m, a);
+                if let LeaderAssignment::Storing(m, a) = *assignment {
+                    *assignment = LeaderAssignment::Stored(m, a);
                 }
             }
             Message::Heartbeat(m, to, seen, runs, n) => {
-                // A leader that hears of a higher token is none.
-                if to == OLD && seen > OLD || to == NEW && !self.loaded {
+                // A leader that receives a higher fencing token is no longer the leader.
+                if to == OLD_TOKEN && seen > OLD_TOKEN || to == NEW_TOKEN && !self.loaded {
                     return;
                 }
-                if to == NEW {
-                    self.hears(off, m, seen, runs, n);
+                if to == NEW_TOKEN {
+                    self.apply_heartbeat(disabled, m, seen, runs, n);
                 }
-                let knows = if to == OLD {
+                let assignment = if to == OLD_TOKEN {
                     &mut self.old
                 } else {
                     &mut self.new
                 };
-                let start = match *knows {
-                    Knows::Stored(at, a) if at == m => a,
-                    Knows::Storing(at, a) if at == m && off == Off::StartsAreStored => a,
+                let start = match *assignment {
+                    LeaderAssignment::Stored(machine, a) if machine == m => a,
+                    LeaderAssignment::Storing(machine, a)
+                        if machine == m && disabled == DisabledCheck::StartsAreStored =>
+                    {
+                        a
+                    }
                     _ => 0,
                 };
                 if start > 0 {
-                    *knows = Knows::Sent(m, start, n);
+                    *assignment = LeaderAssignment::Sent(m, start, n);
                 }
-                self.sent.insert(Message::Answer(m, n, to, start));
+                self.in_flight.insert(Message::Answer(m, n, to, start));
             }
             Message::Answer(m, n, token, start) => {
-                let (seen, runs, _, under_way) = &mut self.machines[m];
-                if *under_way != n || token < *seen {
+                let (seen, runs, _, in_flight) = &mut self.machines[m];
+                if *in_flight != n || token < *seen {
                     return;
                 }
-                *under_way = 0;
+                *in_flight = 0;
                 *seen = token.max(*seen);
                 if start > 0 {
                     *runs = start;
@@ -221,25 +236,25 @@
     }
 }
 
-/// Looks through every order; how many worlds there are, and one in which the
-/// task is on two machines.
-fn explore(off: Off) -> (usize, Option<World>) {
-    let first = World {
-        version: OLD,
+/// Explores every order of steps. Returns the number of states found, and a state in which
+/// the task runs on two machines, if any.
+fn explore(disabled: DisabledCheck) -> (usize, Option<ClusterState>) {
+    let initial = ClusterState {
+        version: OLD_TOKEN,
         record: None,
-        old: Knows::Nothing,
-        new: Knows::Nothing,
+        old: LeaderAssignment::Unassigned,
+        new: LeaderAssignment::Unassigned,
         loaded: false,
         machines: [(0, 0, 0, 0); 2],
-        sent: BTreeSet::new(),
+        in_flight: BTreeSet::new(),
     };
-    let mut seen = HashSet::from([first.clone()]);
-    let mut queue = VecDeque::from([first]);
-    while let Some(world) = queue.pop_front() {
-        if world.doubled() {
-            return (seen.len(), Some(world));
+    let mut seen = HashSet::from([initial.clone()]);
+    let mut queue = VecDeque::from([initial]);
+    while let Some(state) = queue.pop_front() {
+        if state.runs_twice() {
+            return (seen.len(), Some(state));
         }
-        for next in world.next(off) {
+        for next in state.successors(disabled) {
             if seen.insert(next.clone()) {
                 queue.push_back(next);
             }
@@ -249,24 +264,27 @@
 }
 
 #[test]
-fn a_verdict_at_any_moment_doubles_no_start() {
-    let (worlds, breach) = explore(Off::Nothing);
-    println!("{worlds} worlds");
+fn replacing_a_leader_never_runs_a_task_twice() {
+    let (states, breach) = explore(DisabledCheck::Nothing);
+    println!("{states} states");
     assert_eq!(breach, None);
-    assert!(worlds > 10_000, "{worlds}");
+    assert!(states > 10_000, "{states}");
 }
 
-// Without any one of what the argument rests on there is an order that doubles a
-// task: the search sees what it looks for.
+// With any one safety check disabled the search finds an order of steps that runs the task
+// twice, so each check is needed and the search can find the fault.
 #[test]
-fn each_decision_is_needed() {
-    for off in [
-        Off::CommitsAreFenced,
-        Off::StartsAreStored,
-        Off::AbsenceNeedsOurToken,
+fn each_safety_check_is_needed() {
+    for disabled in [
+        DisabledCheck::CommitsAreFenced,
+        DisabledCheck::StartsAreStored,
+        DisabledCheck::AbsenceNeedsOurToken,
     ] {
-        let (worlds, breach) = explore(off);
-        println!("{off:?}: after {worlds} worlds");
-        assert!(breach.is_some(), "{off:?} was not missed");
+        let (states, breach) = explore(disabled);
+        println!("{disabled:?}: after {states} states");
+        assert!(
+            breach.is_some(),
+            "the search found no fault without {disabled:?}"
+        );
     }
 }
--- a/crates/simulator/tests/waiting.rs
+++ b/crates/simulator/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! Nobody is left waiting beside room that fits, once all troubles are over: each state
-//! that holds work, a machine or a team's room back ends within its bound.
+//! Once all faults are over, no job stays pending while free capacity fits it: each state
+//! that holds back a job, a machine or a team's quota ends within its bound.
 
 mod common;
 use common::*;
@@ -10,15 +10,15 @@
     CutMode, JobPriority, JobShape, Nodes, Script, Side, Spread, What,
 };
 use pebblefold_simulator::simulated::Simulated;
-use pebblefold_simulator::waiting::{Room, Waiting, could_start};
+use pebblefold_simulator::waiting::{FreeCapacity, PendingJob, could_start};
 
 fn secs(s: f64) -> Time {
     Time(0) + TimeSpan::secs(s)
 }
 
-/// The longest wait beside room that fits, in seconds, after the script's last trouble, and
-/// the rules that broke.
-fn longest(script: Script, seed: u64, policy: &str) -> (f64, Vec<String>) {
+/// The longest time, in seconds, that a job stayed pending although it could have started,
+/// after the script's last fault; and the names of the violated invariants.
+fn run_and_measure(script: Script, seed: u64, policy: &str) -> (f64, Vec<String>) {
     let until = script.length_s;
     let mut world = Simulated::with_policy(script, seed, policy).unwrap();
     world.play(secs(until), false);
@@ -29,28 +29,29 @@
     (waited, broken)
 }
 
-fn held(script: impl Fn() -> Script, most_s: f64) {
-    held_with("return {}", script, most_s);
+fn assert_bounded_wait(script: impl Fn() -> Script, max_wait_s: f64) {
+    assert_bounded_wait_with_policy("return {}", script, max_wait_s);
 }
 
-fn held_with(policy: &str, script: impl Fn() -> Script, most_s: f64) {
+fn assert_bounded_wait_with_policy(policy: &str, script: impl Fn() -> Script, max_wait_s: f64) {
     for seed in 1..4 {
-        let (waited, broken) = longest(script(), seed, policy);
+        let (waited, broken) = run_and_measure(script(), seed, policy);
         println!("seed {seed}: {waited:.0} s");
         assert!(broken.is_empty(), "seed {seed}: {broken:?}");
-        assert!(waited <= most_s, "seed {seed}: {waited} s");
+        assert!(waited <= max_wait_s, "seed {seed}: {waited} s");
     }
 }
 
-/// As [`held_with`], and with the hold's end switched off somebody is left waiting.
-fn ends(policy: &str, script: impl Fn() -> Script, most_s: f64) {
-    held_with(policy, &script, most_s);
+/// As [`assert_bounded_wait_with_policy`]. In addition, a job is left waiting when
+/// aged work does not skip preferences, so that a hold on the job never ends.
+fn assert_skip_bounds_wait(policy: &str, script: impl Fn() -> Script, max_wait_s: f64) {
+    assert_bounded_wait_with_policy(policy, &script, max_wait_s);
     disable_check(&[SafetyCheck::AgedWorkSkipsPreferences]);
-    let (_, broken) = longest(script(), 1, policy);
+    let (_, broken) = run_and_measure(script(), 1, policy);
     disable_check(&[]);
     assert!(
         broken.iter().any(|b| b == "left_waiting"),
-        "a hold without an end was not missed"
+        "no job was left waiting on a hold without an end"
     );
 }
 
@@ -65,8 +66,8 @@
 }
 
 #[test]
-fn a_gang_with_one_task_on_a_silent_machine() {
-    held(
+fn bounds_wait_of_gang_with_task_on_silent_machine() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 12, 16, 300.0);
             let mut gangs = jobs(JobShape::Gang, 8, 3.0);
@@ -83,11 +84,11 @@
     );
 }
 
-// Low-priority work whose image no machine holds, beside a stream of high-priority starts
-// that never ends: the paper lets it wait for a machine without such work.
+// Low-priority jobs whose image no machine has, during an endless stream of high-priority
+// starts: the policy lets these jobs wait for a machine without high-priority work.
 #[test]
-fn cold_low_priority_work_beside_a_stream_of_urgent_starts() {
-    ends(
+fn bounds_wait_of_uncached_low_priority_jobs_during_urgent_starts() {
+    assert_skip_bounds_wait(
         "return { floor_share = 0.0 }",
         || {
             let mut s = cluster(3, 3, 6, 6, 420.0);
@@ -108,8 +109,8 @@
 }
 
 #[test]
-fn machines_that_were_deaf_hear_again() {
-    held(
+fn bounds_wait_after_machines_lost_inbound_messages() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 9, 9, 320.0);
             let mut work = jobs(JobShape::Array, 40, 4.0);
@@ -126,10 +127,10 @@
     );
 }
 
-// All machines fall silent again and again, and are put aside.
+// All machines fall silent repeatedly, and the leader quarantines them.
 #[test]
-fn all_machines_put_aside_at_once() {
-    ends(
+fn bounds_wait_while_all_machines_are_quarantined() {
+    assert_skip_bounds_wait(
         "return { idle_s = 600.0 }",
         || {
             let mut s = cluster(3, 3, 6, 6, 600.0);
@@ -148,8 +149,8 @@
 }
 
 #[test]
-fn a_leader_replaced_every_ten_seconds_then_quiet() {
-    held(
+fn bounds_wait_after_leader_replacements_every_ten_seconds() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 9, 12, 320.0);
             let mut work = jobs(JobShape::Array, 40, 4.0);
@@ -166,10 +167,10 @@
     );
 }
 
-// A team at its limit by places of jobs that were called off, on machines that never return.
+// Tasks of cancelled jobs use up a team's maximum, on machines that never return.
 #[test]
-fn a_limit_held_by_machines_that_never_return() {
-    held(
+fn bounds_wait_when_lost_machines_hold_team_limit() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 12, 14, 320.0);
             s.cluster.teams[0].gpus_max = 16.0;
@@ -194,10 +195,10 @@
     );
 }
 
-// The only type that fits never comes up at first.
+// Machines of the only type that fits often never come up.
 #[test]
-fn hires_that_never_come_up() {
-    held(
+fn bounds_wait_when_provisioned_machines_never_come_up() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 3, 12, 420.0);
             s.cluster.cloud.never_up = 0.6;
@@ -211,8 +212,8 @@
 }
 
 #[test]
-fn an_outage_longer_than_h_then_a_restart_of_all() {
-    held(
+fn bounds_wait_after_store_outage_and_full_restart() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 9, 12, 360.0);
             let mut work = jobs(JobShape::Array, 30, 4.0);
@@ -229,10 +230,10 @@
     );
 }
 
-// A guess a hundred times too high.
+// Run time estimates are a hundred times too high.
 #[test]
-fn a_guess_far_too_high_beside_gangs() {
-    held(
+fn bounds_wait_with_overestimated_jobs_and_gangs() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 9, 9, 420.0);
             let mut work = jobs(JobShape::Array, 30, 4.0);
@@ -250,14 +251,14 @@
     );
 }
 
-// A gang for which machines are held that never come free as predicted: services run on
-// them. What is held for it is not held for ever. Services have no estimate, so their
-// machines counted as free at once and were reserved for a start that could not come, while
-// small work waited beside their free GPU, 429 s on seed 1; `inspect` showed the jobs with
-// "no room". `docs/incidents/reservations.md`.
+// Machines are reserved for a gang and never become free as predicted, because services run
+// on them; the reservation must end. Services have no estimate, so their machines counted as
+// free immediately and were reserved for a start that was impossible, while small jobs waited
+// although those machines had a free GPU: 429 s on seed 1. `inspect` showed the jobs with "no
+// room". See `docs/incidents/reservations.md`.
 #[test]
-fn room_is_not_held_for_ever_for_a_gang_that_cannot_begin() {
-    held(
+fn reservation_ends_for_gang_that_cannot_start() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 6, 6, 600.0);
             for t in &mut s.cluster.teams {
@@ -280,8 +281,9 @@
     );
 }
 
-/// How long a job of this class waited for its first start, in seconds, at the longest.
-fn longest_until_begun(script: Script, seed: u64, class: &str) -> f64 {
+/// The longest time, in seconds, from submission to start of a job of this class; infinite
+/// if one did not start.
+fn max_start_delay_s(script: Script, seed: u64, class: &str) -> f64 {
     let until = script.length_s;
     let mut world = Simulated::new(script, seed).unwrap();
     world.play(secs(until), false);
@@ -292,8 +294,8 @@
         .fold(0.0, f64::max)
 }
 
-/// The largest gang that the cluster has room for, from 60 s on, beside single tasks
-/// that come as fast as they end, by their estimates `guess` times as long as they are.
+/// The largest gang that fits the cluster, submitted at 60 s, among single tasks that arrive
+/// as fast as they end. `guess` is the ratio of their estimated to their actual run time.
 fn largest_gang_behind_single_tasks(guess: f64) -> Script {
     let mut s = cluster(3, 3, 9, 9, 600.0);
     for t in &mut s.cluster.teams {
@@ -311,11 +313,11 @@
 }
 
 #[test]
-fn largest_gang_begins_within_four_minutes_behind_single_tasks() {
+fn largest_gang_starts_within_four_minutes_behind_single_tasks() {
     for guess in [1.0, 0.01, 100.0] {
         for seed in 1..4 {
             let script = largest_gang_behind_single_tasks(guess);
-            let waited_s = longest_until_begun(script, seed, "gang");
+            let waited_s = max_start_delay_s(script, seed, "gang");
             println!("guess {guess}, seed {seed}: {waited_s:.0} s");
             assert!(
                 waited_s <= 240.0,
@@ -326,14 +328,14 @@
 }
 
 #[test]
-fn estimates_a_hundred_times_too_low_beside_an_aged_gang() {
-    held(|| largest_gang_behind_single_tasks(0.01), 90.0);
+fn bounds_wait_with_underestimated_tasks_and_aged_gang() {
+    assert_bounded_wait(|| largest_gang_behind_single_tasks(0.01), 90.0);
 }
 
-// Leaders end every twenty seconds while room is reserved for the gang.
+// The leader is killed every twenty seconds while machines are reserved for the gang.
 #[test]
-fn leaders_replaced_while_room_is_reserved() {
-    held(
+fn bounds_wait_when_leaders_change_during_reservation() {
+    assert_bounded_wait(
         || {
             let mut s = largest_gang_behind_single_tasks(1.0);
             s.jobs[0].over_s = 300.0;
@@ -349,11 +351,11 @@
     );
 }
 
-// The gang's team has all that it may use for as long as its service lives; the gang's
-// wait holds no machine back from others.
+// The gang's team is at its maximum for as long as the team's service runs; the pending gang
+// reserves no machine, so other teams can use all of them.
 #[test]
-fn a_gang_whose_team_is_at_its_limit_reserves_nothing() {
-    held(
+fn gang_of_team_at_limit_reserves_nothing() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 9, 9, 600.0);
             (s.cluster.teams[0].gpus, s.cluster.teams[0].gpus_max) = (0.0, 100.0);
@@ -375,10 +377,11 @@
     );
 }
 
-// Transactions are lost and carried out late, then no more.
+// The store executes transactions late without an answer, then others immediately without
+// an answer; then the faults end.
 #[test]
-fn a_job_whose_commit_was_lost() {
-    held(
+fn bounds_wait_of_jobs_with_lost_commits() {
+    assert_bounded_wait(
         || {
             let mut s = cluster(3, 3, 9, 12, 320.0);
             let mut work = jobs(JobShape::Array, 30, 4.0);
@@ -401,9 +404,9 @@
     );
 }
 
-// The model itself: each thing that a job needs to start keeps it from starting alone.
+// The model itself: each missing precondition alone keeps a job from starting.
 #[test]
-fn the_model_says_who_could_start() {
+fn could_start_checks_each_precondition() {
     let script = {
         let mut s = cluster(3, 3, 3, 9, 100.0);
         s.jobs = vec![jobs(JobShape::Array, 1, 4.0)];
@@ -413,7 +416,7 @@
     let array = pebblefold_simulator::users::plan(&script, &mut rng)
         .remove(0)
         .spec;
-    let room = |zone: &str, spot: bool, gpus: f64| Room {
+    let capacity = |zone: &str, spot: bool, gpus: f64| FreeCapacity {
         zone: zone.into(),
         kind: "g4".into(),
         spot,
@@ -424,60 +427,81 @@
         },
     };
     let team = &script.cluster.teams[0];
-    let could = |spec: &Submission, tasks, zones: &[(&str, u32)], rooms: &[Room], used: f64| {
-        let in_zones = zones.iter().map(|(z, n)| ((*z).to_string(), *n)).collect();
-        let used = Resources {
-            gpus: used,
-            ..Resources::default()
+    let can_start =
+        |spec: &Submission, tasks, zones: &[(&str, u32)], machines: &[FreeCapacity], used: f64| {
+            let in_zones = zones.iter().map(|(z, n)| ((*z).to_string(), *n)).collect();
+            let used = Resources {
+                gpus: used,
+                ..Resources::default()
+            };
+            let waiting = PendingJob {
+                spec,
+                tasks,
+                in_zones,
+            };
+            could_start(&waiting, machines, team, &used)
         };
-        let waiting = Waiting {
-            spec,
-            tasks,
-            in_zones,
-        };
-        could_start(&waiting, rooms, team, &used)
-    };
-    let one = [room("z0", true, 1.0)];
-    assert!(could(&array, 1, &[], &one, 0.0));
-    assert!(!could(&array, 0, &[], &one, 0.0), "nothing waits");
+    let one_gpu = [capacity("z0", true, 1.0)];
+    assert!(can_start(&array, 1, &[], &one_gpu, 0.0));
+    assert!(
+        !can_start(&array, 0, &[], &one_gpu, 0.0),
+        "no task is pending"
+    );
+    assert!(
+        !can_start(&array, 1, &[], &[capacity("z0", true, 0.5)], 0.0),
+        "too little free capacity"
+    );
     assert!(
-        !could(&array, 1, &[], &[room("z0", true, 0.5)], 0.0),
-        "no room"
+        can_start(&array, 1, &[], &one_gpu, 39.0) && !can_start(&array, 1, &[], &one_gpu, 39.5)
     );
-    assert!(could(&array, 1, &[], &one, 39.0) && !could(&array, 1, &[], &one, 39.5));
     let changed = |change: &dyn Fn(&mut Submission)| {
         let mut s = array.clone();
         change(&mut s);
         s
     };
     let ordinary = changed(&|j| j.spot = false);
-    assert!(!could(&ordinary, 1, &[], &one, 0.0), "no spot machine");
-    let there = changed(&|j| j.zone = Some("z1".into()));
-    assert!(!could(&there, 1, &[], &one, 0.0), "another zone");
-    let kind = changed(&|j| j.kinds = Some(vec!["g8".into()]));
-    assert!(!could(&kind, 1, &[], &one, 0.0), "another type");
+    assert!(
+        !can_start(&ordinary, 1, &[], &one_gpu, 0.0),
+        "no spot machine"
+    );
+    let zonal = changed(&|j| j.zone = Some("z1".into()));
+    assert!(!can_start(&zonal, 1, &[], &one_gpu, 0.0), "another zone");
+    let typed = changed(&|j| j.kinds = Some(vec!["g8".into()]));
+    assert!(!can_start(&typed, 1, &[], &one_gpu, 0.0), "another type");
     let bound = changed(&|j| j.one_zone = true);
     assert!(
-        !could(&bound, 1, &[("z1", 1)], &one, 0.0),
+        !can_start(&bound, 1, &[("z1", 1)], &one_gpu, 0.0),
         "bound to its zone"
     );
-    assert!(could(&bound, 1, &[("z0", 1)], &one, 0.0));
+    assert!(can_start(&bound, 1, &[("z0", 1)], &one_gpu, 0.0));
     let spread = changed(&|j| j.spread = true);
     assert!(
-        !could(&spread, 1, &[("z0", 2)], &one, 0.0),
-        "half are there"
+        !can_start(&spread, 1, &[("z0", 2)], &one_gpu, 0.0),
+        "half of the tasks are in the zone"
     );
-    assert!(could(&spread, 1, &[("z0", 1)], &one, 0.0));
+    assert!(can_start(&spread, 1, &[("z0", 1)], &one_gpu, 0.0));
     let gang = changed(&|j| j.shape = users::JobShape::Gang);
-    let four = [room("z0", true, 3.0), room("z1", true, 1.0)];
-    assert!(could(&gang, 4, &[], &four, 36.0));
-    assert!(!could(&gang, 4, &[], &four[..1], 0.0), "not all fit");
-    assert!(!could(&gang, 4, &[], &four, 36.5), "the team's limit");
+    let four_gpus = [capacity("z0", true, 3.0), capacity("z1", true, 1.0)];
+    assert!(can_start(&gang, 4, &[], &four_gpus, 36.0));
+    assert!(
+        !can_start(&gang, 4, &[], &four_gpus[..1], 0.0),
+        "not all fit"
+    );
+    assert!(
+        !can_start(&gang, 4, &[], &four_gpus, 36.5),
+        "the team's limit"
+    );
     assert!(
-        !could(&gang, 3, &[("z0", 1)], &four, 0.0),
-        "its last attempt"
+        !can_start(&gang, 3, &[("z0", 1)], &four_gpus, 0.0),
+        "a task of the last attempt is on a machine"
     );
     let together = changed(&|j| (j.shape, j.one_zone) = (users::JobShape::Gang, true));
-    assert!(!could(&together, 4, &[], &four, 0.0));
-    assert!(could(&together, 4, &[], &[room("z2", false, 4.0)], 0.0));
+    assert!(!can_start(&together, 4, &[], &four_gpus, 0.0));
+    assert!(can_start(
+        &together,
+        4,
+        &[],
+        &[capacity("z2", false, 4.0)],
+        0.0
+    ));
 }
