--- a/crates/pebblectl/src/args.rs
+++ b/crates/pebblectl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: verbs, flags and their help texts.
 
 use clap::{Args as ClapArgs, Parser, Subcommand, ValueEnum};
 use serde::{Deserialize, Serialize};
@@ -8,47 +8,47 @@
 /// Run, watch and rehearse a pebblefold cluster.
 ///
 /// Exit status: 0 done; 1 refused or failed; 2 bad input, nothing was done;
-/// 3 a rehearsal broke a rule; 4 no node could be reached.
+/// 3 a rehearsal broke a rule; 4 no controller could be reached.
 #[derive(Parser, Debug)]
 #[command(name = "pebblectl", version)]
 pub struct Args {
-    /// Settings file (TOML) with named clusters; goes before the environment.
+    /// Settings file (TOML) with named clusters; overrides environment variables.
     #[arg(long, global = true, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// The cluster, by its name in the settings or as an address.
+    /// The cluster: a name from the settings, or an address.
     #[arg(long, global = true, value_name = "NAME")]
     pub cluster: Option<String>,
-    /// How answers are printed.
+    /// How results are printed.
     #[arg(long, global = true, value_name = "FORM")]
-    pub output: Option<Form>,
-    /// What to do.
+    pub output: Option<OutputFormat>,
+    /// The command to run.
     #[command(subcommand)]
     pub verb: Verb,
 }
 
-/// How answers are printed.
+/// How results are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Form {
-    /// For people.
+pub enum OutputFormat {
+    /// Plain-text tables, for people.
     Table,
-    /// For programs.
+    /// JSON, for programs.
     Json,
 }
 
-/// Verbs.
+/// The commands of `pebblectl`.
 #[derive(Subcommand, Debug)]
 pub enum Verb {
-    /// Starts a cluster on this machine: state service, cloud, machines and
-    /// controllers on loopback.
+    /// Starts a cluster on this machine: key-value store, simulated cloud,
+    /// machines, and controllers on loopback.
     Up(Up),
-    /// Plays a rehearsal script with real controllers and judges it.
+    /// Runs a rehearsal script with real controllers and checks the outcome.
     Rehearse(Rehearse),
-    /// Shows a running cluster.
+    /// Shows a running cluster's machines and jobs, refreshed every second.
     Top(Top),
-    /// Submits a job, given as JSON in the users' form.
+    /// Submits a job, given as JSON in the format of the users' API.
     Submit {
-        /// File with the job; `-` for standard input.
+        /// File that describes the job; `-` for standard input.
         job: PathBuf,
     },
     /// Shows a job's state.
@@ -61,43 +61,43 @@
         /// The job's id.
         id: String,
     },
-    /// Shows what a node knows: who leads, machines, jobs, why they wait.
+    /// Shows a controller's state: leader, machines, jobs, and why jobs wait.
     Inspect {
-        /// Only machines whose names begin like this.
+        /// Show only machines whose names begin with NAME.
         #[arg(long, value_name = "NAME", default_value = "")]
         machine: String,
-        /// Only jobs whose ids begin like this.
+        /// Show only jobs whose ids begin with ID.
         #[arg(long, value_name = "ID", default_value = "")]
         job: String,
     },
-    /// The state service for one machine.
+    /// Runs, saves and restores a key-value store on this machine.
     #[command(subcommand)]
     State(StateVerb),
-    /// CWL workflows.
+    /// Checks, runs and shows CWL workflows.
     #[command(subcommand)]
     Workflow(WorkflowVerb),
-    /// Settings of this program.
+    /// Shows the settings of this program.
     Config {
-        /// `show`: every value and where it comes from.
+        /// `show`: prints every value and its source.
         #[arg(value_parser = ["show"])]
         what: String,
     },
-    /// Prints the schema of rehearsal scripts (JSON).
+    /// Prints the JSON schema of rehearsal scripts.
     Schema,
-    /// Prints completions for a shell.
+    /// Prints a completion script for a shell.
     Completions {
         /// The shell.
         shell: clap_complete::Shell,
     },
-    /// Writes man pages.
+    /// Writes a man page for the program and for each verb.
     Man {
-        /// Where to.
+        /// Directory for the pages; created if it does not exist.
         dir: PathBuf,
     },
-    /// Serves as one controller; `up` and `rehearse` start these.
+    /// Runs one controller; `up` and `rehearse` start controllers this way.
     #[command(hide = true)]
     Controller {
-        /// Settings file.
+        /// The controller's settings file.
         settings: PathBuf,
     },
 }
@@ -105,24 +105,27 @@
 /// Arguments of `up`.
 #[derive(ClapArgs, Debug)]
 pub struct Up {
-    /// Cluster to start, as in a rehearsal script; a small one otherwise.
+    /// Rehearsal script that describes the cluster; a small built-in cluster
+    /// otherwise.
     #[arg(long, value_name = "FILE")]
     pub script: Option<PathBuf>,
-    /// Where it keeps its state; `up` again goes on from there.
+    /// Directory for the cluster's state and logs; running `up` again resumes from
+    /// that state.
     #[arg(long, value_name = "DIR", default_value = "target/up")]
     pub dir: PathBuf,
-    /// First port: users' front door, then two for each controller; 0: any.
+    /// First port: users' address, then two for each controller, then the
+    /// key-value store; 0: any free ports.
     #[arg(long, default_value_t = 7600)]
     pub port: u16,
-    /// Submit this job, wait for its end, and end.
+    /// Submit this job, wait until it ends, then stop the cluster.
     #[arg(long, value_name = "FILE")]
     pub job: Option<PathBuf>,
 }
 
-fn named_program(text: &str) -> Result<(String, PathBuf), String> {
+fn parse_build(text: &str) -> Result<(String, PathBuf), String> {
     let (name, program) = text
         .split_once('=')
-        .ok_or("give it as NAME=PROGRAM, such as older=target/older/pebblefold")?;
+        .ok_or("expected NAME=PROGRAM, such as older=target/older/pebblefold")?;
     let program = PathBuf::from(program);
     if !program.is_file() {
         return Err(format!("{}: no such program", program.display()));
@@ -133,26 +136,26 @@
 /// Arguments of `rehearse`.
 #[derive(ClapArgs, Debug)]
 pub struct Rehearse {
-    /// The script (TOML).
+    /// The rehearsal script (TOML).
     pub file: PathBuf,
-    /// In simulated time, with the controllers' code in this process.
+    /// Run in simulated time, with the controllers' code in this process.
     #[arg(long)]
     pub simulated: bool,
-    /// The seed instead of the script's own.
+    /// Seed of the random numbers; overrides the script's seed.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// In simulated time: so many seeds from there on.
+    /// In simulated time: run N consecutive seeds, beginning with the seed above.
     #[arg(long, default_value_t = 1, value_name = "N", requires = "simulated",
           value_parser = clap::value_parser!(u64).range(1..))]
     pub seeds: u64,
-    /// Write the report of the last seed as one HTML page.
+    /// Write the report of the last seed to FILE as one HTML page.
     #[arg(long, value_name = "FILE")]
     pub html: Option<PathBuf>,
-    /// The daemon of another build that the script names; once for each.
-    #[arg(long = "build", value_name = "NAME=PROGRAM", value_parser = named_program)]
+    /// Controller program for a build that the script names; repeat for each build.
+    #[arg(long = "build", value_name = "NAME=PROGRAM", value_parser = parse_build)]
     pub builds: Vec<(String, PathBuf)>,
-    /// Keep settings, logs and state there; a directory that is removed
-    /// afterwards otherwise.
+    /// Keep settings, logs and state in DIR; otherwise a temporary directory, which
+    /// is removed afterwards.
     #[arg(long, value_name = "DIR")]
     pub dir: Option<PathBuf>,
 }
@@ -160,17 +163,17 @@
 /// Arguments of `top`.
 #[derive(ClapArgs, Debug)]
 pub struct Top {
-    /// Print once and end.
+    /// Print the state once and exit.
     #[arg(long)]
     pub once: bool,
 }
 
-/// Verbs of the state service.
+/// Verbs of the key-value store.
 #[derive(Subcommand, Debug)]
 pub enum StateVerb {
-    /// Serves.
+    /// Serves a key-value store until it is interrupted.
     Serve(Serve),
-    /// Saves and restores everything.
+    /// Saves, restores and checks snapshots of the whole store.
     #[command(subcommand)]
     Snapshot(SnapshotVerb),
 }
@@ -178,25 +181,25 @@
 /// Arguments of `state serve`.
 #[derive(ClapArgs, Debug)]
 pub struct Serve {
-    /// Where the store is kept.
+    /// Directory of the store's file; created if it does not exist.
     #[arg(long, value_name = "DIR")]
     pub dir: PathBuf,
-    /// Where controllers reach it.
+    /// Address for controllers' requests.
     #[arg(long, default_value = "127.0.0.1:2379")]
     pub listen: SocketAddrV4,
-    /// Where snapshots are asked for.
+    /// Address for snapshot requests.
     #[arg(long, default_value = "127.0.0.1:2380")]
     pub admin: SocketAddrV4,
-    /// Requests a second, all nodes together.
+    /// Most requests per second, all clients together.
     #[arg(long, default_value_t = 250.0)]
     pub rps: f64,
-    /// Changes a second, all nodes together.
+    /// Most changes per second, all clients together.
     #[arg(long, default_value_t = 100.0)]
     pub write_rps: f64,
-    /// Kilobytes of one value.
+    /// Most kilobytes (1024 bytes) in one value.
     #[arg(long, default_value_t = 8)]
     pub value_kb: usize,
-    /// Changes in one transaction.
+    /// Most changes in one transaction.
     #[arg(long, default_value_t = 48)]
     pub txn_ops: usize,
 }
@@ -204,25 +207,25 @@
 /// Verbs of snapshots.
 #[derive(Subcommand, Debug)]
 pub enum SnapshotVerb {
-    /// Saves everything to a file, while it serves.
+    /// Saves the whole store to a file while the store keeps serving.
     Save {
-        /// The state service's admin address.
+        /// The store's address for snapshot requests.
         #[arg(long, default_value = "127.0.0.1:2380")]
         admin: SocketAddrV4,
-        /// The file, on the state service's machine.
+        /// The snapshot file, on the store's machine.
         file: PathBuf,
     },
-    /// Restores a file into a new store.
+    /// Restores a snapshot file into a new store.
     Restore {
-        /// The file.
+        /// The snapshot file.
         file: PathBuf,
-        /// Where the store goes; there must be none.
+        /// Directory for the new store; it must not hold a store yet.
         #[arg(long, value_name = "DIR")]
         dir: PathBuf,
     },
-    /// Reads a file whole and says what it holds.
+    /// Reads a whole snapshot file and prints what it contains.
     Check {
-        /// The file.
+        /// The snapshot file.
         file: PathBuf,
     },
 }
@@ -230,64 +233,65 @@
 /// Verbs of workflows.
 #[derive(Subcommand, Debug)]
 pub enum WorkflowVerb {
-    /// Reads documents whole and says what is wrong with them.
+    /// Reads CWL documents completely and prints their problems.
     Check {
-        /// The documents; `file.cwl#main` names a process of a packed one.
+        /// The documents; `file.cwl#main` selects a process of a packed document.
         #[arg(required = true)]
         files: Vec<String>,
     },
-    /// Runs a workflow on a cluster that `up` has started, or goes on with one
-    /// that was begun: outputs on standard output.
+    /// Runs a workflow on a cluster that `up` has started, or resumes one that was
+    /// begun; prints the outputs on standard output.
     Run(WorkflowRun),
-    /// Goes on with a workflow as it was begun.
+    /// Resumes a workflow with the settings it was begun with.
     Resume {
-        /// The `--name` that it was run under.
+        /// The `--name` that the workflow was run under.
         name: String,
-        /// Take it up again although it failed: what is done stays, what failed is
-        /// run anew.
+        /// Resume the workflow although it failed: finished steps stay done, failed
+        /// steps are run again.
         #[arg(long)]
         again: bool,
         #[command(flatten)]
-        work: Work,
+        work: WorkArgs,
     },
-    /// Shows how far a workflow is, step by step.
+    /// Shows a workflow's progress, step by step.
     Status {
-        /// The `--name` that it was run under.
+        /// The `--name` that the workflow was run under.
         name: String,
         #[command(flatten)]
-        work: Work,
+        work: WorkArgs,
     },
     /// Cancels a workflow with all its jobs. Safe to repeat.
     Cancel {
-        /// The `--name` that it was run under.
+        /// The `--name` that the workflow was run under.
         name: String,
         #[command(flatten)]
-        work: Work,
+        work: WorkArgs,
     },
-    /// Prints who ran what, of which inputs, by which job, where and when (JSON).
+    /// Prints who ran which step, on which inputs, in which job, where and when
+    /// (JSON).
     Provenance {
-        /// The `--name` that it was run under.
+        /// The `--name` that the workflow was run under.
         name: String,
         #[command(flatten)]
-        work: Work,
+        work: WorkArgs,
     },
-    /// Draws steps and links: DOT on standard output, or SVG.
+    /// Draws a workflow's steps and links: DOT on standard output, or SVG.
     Graph {
-        /// The workflow.
+        /// The workflow's document.
         file: String,
-        /// Write a picture there instead.
+        /// Write an SVG picture to FILE instead.
         #[arg(long, value_name = "FILE")]
         svg: Option<PathBuf>,
     },
 }
 
-/// Where workflows' files are.
+/// A workflow's directory and user.
 #[derive(ClapArgs, Debug)]
-pub struct Work {
-    /// A directory that all machines share.
+pub struct WorkArgs {
+    /// Directory for workflows' files, shared by all machines.
     #[arg(long = "work", value_name = "DIR", default_value = "target/flows")]
     pub dir: PathBuf,
-    /// Who is recorded to have asked.
+    /// User recorded as the requester; the logged-in user otherwise.
     #[arg(long, env = "PEBBLECTL_USER", value_name = "NAME")]
     pub user: Option<String>,
 }
@@ -295,32 +299,32 @@
 /// Arguments of `workflow run`.
 #[derive(ClapArgs, Debug)]
 pub struct WorkflowRun {
-    /// The workflow.
+    /// The workflow's document.
     pub file: String,
-    /// Its inputs (YAML or JSON); none without.
+    /// File with the workflow's inputs (YAML or JSON); no inputs otherwise.
     pub inputs: Option<PathBuf>,
-    /// Its name; the same name goes on with the same workflow.
+    /// The workflow's name; running again under the same name resumes it.
     #[arg(long)]
     pub name: String,
-    /// What every step's job begins from, in the users' form: team, class,
-    /// priority, amounts. A step may ask for less, never for more.
+    /// Template of every step's job, in the format of the users' API: team, class,
+    /// priority, resource amounts. A step may request less, never more.
     #[arg(long, value_name = "FILE")]
     pub job: PathBuf,
     /// Another class that steps may name; may be repeated.
     #[arg(long = "class", value_name = "CLASS")]
     pub classes: Vec<String>,
     #[command(flatten)]
-    pub work: Work,
-    /// Steps at once.
+    pub work: WorkArgs,
+    /// Most steps that run at the same time.
     #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u16).range(1..))]
     pub at_once: u16,
-    /// When a step may be run again, where it does not say so: `never` once it may
-    /// have been started; `if-not-started`; `on-failure N` (or N), after its machine
-    /// was lost and after a failing exit so many times.
+    /// When to retry a step that sets no rule of its own: `never` once the step may
+    /// have been started; `if-not-started`; `on-failure N` (or N), after the step's
+    /// machine was lost, and up to N times after a failing exit.
     #[arg(long, default_value = "0")]
     pub retry: pebblefold_workflow::needs::Retry,
-    /// Use finished steps of the same tools on the same inputs again, and keep
-    /// finished steps there.
+    /// Cache of finished steps: reuse results of the same tools on the same inputs
+    /// from DIR, and add finished steps to DIR.
     #[arg(long, value_name = "DIR")]
     pub cache: Option<PathBuf>,
 }
--- a/crates/pebblectl/src/main.rs
+++ b/crates/pebblectl/src/main.rs
@@ -1,5 +1,6 @@
-//! The program that people use. What it does is in the packages below it; here
-//! stand its arguments, its settings and how answers look.
+//! The command line program of users and operators. This package holds the
+//! program's arguments, settings and output; the work itself is done by the packages
+//! it depends on.
 
 mod args;
 mod ask;
@@ -13,33 +14,35 @@
 
 use args::{Args, SnapshotVerb, StateVerb, Verb, WorkflowVerb};
 use clap::{CommandFactory, Parser};
-use output::{Failure, Show};
+use output::{Failure, Printer};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    // A controller brings a runtime and logs of its own: within ours it would
-    // end at once.
+    // A controller starts its own runtime and logging: inside the runtime below it
+    // would exit immediately.
     if let Verb::Controller { settings } = &args.verb {
-        return told(up::controller(settings));
+        return report_outcome(up::controller(settings));
     }
     pebblefold_controller::logging::start(tracing::Level::WARN);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let done = match runtime {
+    let outcome = match runtime {
         Ok(runtime) => {
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, run(args))
         }
-        Err(e) => Err(Failure::failed(format!("cannot start: {e}"))),
+        Err(e) => Err(Failure::failed(format!(
+            "cannot start the async runtime: {e}"
+        ))),
     };
-    told(done)
+    report_outcome(outcome)
 }
 
-/// The exit status; a failure is told a line each.
-fn told(done: Result<(), Failure>) -> ExitCode {
-    match done {
+/// Prints a failure to standard error, line by line, and returns the exit status.
+fn report_outcome(outcome: Result<(), Failure>) -> ExitCode {
+    match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             for line in e.lines() {
@@ -51,7 +54,8 @@
 }
 
 async fn run(args: Args) -> Result<(), Failure> {
-    // What needs no settings comes first: it has to work where they are broken.
+    // Verbs that need no settings come first: they have to work where the settings
+    // are broken.
     match &args.verb {
         Verb::Completions { shell } => {
             let mut command = Args::command();
@@ -67,32 +71,36 @@
         _ => {}
     }
     let config = config::Config::gather(&args)?;
-    let show = Show::new(config.output.value);
-    let client = |nodes| ask::client(nodes, ask::PERSON);
+    let printer = Printer::new(config.output.value);
+    let client = |nodes| ask::client(nodes, ask::USER_REQUEST_DEADLINE);
     match args.verb {
-        Verb::Up(up) => up::up(up, &show).await,
-        Verb::Rehearse(r) => rehearse::rehearse(r, &show).await,
-        Verb::Top(t) => top::top(&config.internal()?, t, &show).await,
+        Verb::Up(up) => up::up(up, &printer).await,
+        Verb::Rehearse(r) => rehearse::rehearse(r, &printer).await,
+        Verb::Top(t) => top::top(&config.internal()?, t, &printer).await,
         Verb::Submit { job } => {
             let job = ask::read_job(&job)?;
-            show.job(&client(config.api()?).submit(&job).await?)
+            printer.print_job(&client(config.api()?).submit(&job).await?)
+        }
+        Verb::Status { id } => {
+            printer.print_job(&client(config.api()?).status(&id.as_str().into()).await?)
+        }
+        Verb::Cancel { id } => {
+            printer.print_job(&client(config.api()?).cancel(&id.as_str().into()).await?)
         }
-        Verb::Status { id } => show.job(&client(config.api()?).status(&id.as_str().into()).await?),
-        Verb::Cancel { id } => show.job(&client(config.api()?).cancel(&id.as_str().into()).await?),
         Verb::Inspect { machine, job } => {
-            show.any(&ask::inspect(&config.internal()?, &machine, &job).await?)
+            printer.print_value(&ask::inspect(&config.internal()?, &machine, &job).await?)
         }
-        Verb::Workflow(verb) => workflow(verb, &config, &show).await,
-        Verb::Config { .. } => show.any_table(&config.shown()),
+        Verb::Workflow(verb) => run_workflow_verb(verb, &config, &printer).await,
+        Verb::Config { .. } => printer.print_table(&config.listing()),
         Verb::State(StateVerb::Serve(s)) => state::serve(s).await,
         Verb::State(StateVerb::Snapshot(SnapshotVerb::Save { admin, file })) => {
-            show.any(&state::save(admin, &file).await?)
+            printer.print_value(&state::save(admin, &file).await?)
         }
         Verb::State(StateVerb::Snapshot(SnapshotVerb::Restore { file, dir })) => {
-            show.any(&state::restore(&file, &dir)?)
+            printer.print_value(&state::restore(&file, &dir)?)
         }
         Verb::State(StateVerb::Snapshot(SnapshotVerb::Check { file })) => {
-            show.any(&state::check(&file)?)
+            printer.print_value(&state::check(&file)?)
         }
         Verb::Controller { .. } | Verb::Completions { .. } | Verb::Man { .. } | Verb::Schema => {
             Ok(())
@@ -100,7 +108,11 @@
     }
 }
 
-async fn workflow(verb: WorkflowVerb, config: &config::Config, show: &Show) -> Result<(), Failure> {
+async fn run_workflow_verb(
+    verb: WorkflowVerb,
+    config: &config::Config,
+    printer: &Printer,
+) -> Result<(), Failure> {
     let cluster = || -> Result<workflow::Cluster, Failure> {
         Ok(workflow::Cluster {
             front: config.front()?,
@@ -108,17 +120,17 @@
         })
     };
     match verb {
-        WorkflowVerb::Check { files } => workflow::check(&files, show),
+        WorkflowVerb::Check { files } => workflow::check(&files, printer),
         WorkflowVerb::Graph { file, svg } => workflow::graph(&file, svg.as_deref()),
         WorkflowVerb::Run(r) => workflow::run(r, cluster()?).await,
         WorkflowVerb::Resume { name, again, work } => {
             workflow::resume(&name, again, &work, cluster()?).await
         }
         WorkflowVerb::Status { name, work } => {
-            workflow::status(&name, &work, cluster()?, show).await
+            workflow::status(&name, &work, cluster()?, printer).await
         }
         WorkflowVerb::Cancel { name, work } => {
-            workflow::cancel(&name, &work, cluster()?, show).await
+            workflow::cancel(&name, &work, cluster()?, printer).await
         }
         WorkflowVerb::Provenance { name, work } => {
             workflow::provenance(&name, &work, cluster()?).await
--- a/crates/pebblectl/src/output.rs
+++ b/crates/pebblectl/src/output.rs
@@ -1,35 +1,36 @@
-//! How answers and failures look.
+//! How results are printed, and failures with their exit statuses.
 
-use crate::args::Form;
+use crate::args::OutputFormat;
 use comfy_table::Table;
 use pebblefold_wire::users::JobStatus;
 use serde::Serialize;
 use serde_json::Value;
 use std::path::Path;
 
-/// Why a verb failed, and the exit status that goes with it.
+/// Why a verb failed. The variant determines the exit status; the text is printed
+/// to standard error.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// Refused or failed: 1.
+    /// The request was refused or failed: exit status 1.
     #[error("{0}")]
     Failed(String),
-    /// Bad input, nothing was done: 2.
+    /// Bad input, nothing was done: exit status 2.
     #[error("{0}")]
     Input(String),
-    /// A rehearsal broke a rule: 3.
+    /// A rehearsal broke a rule: exit status 3.
     #[error("{0}")]
     Rule(String),
-    /// No node could be reached: 4.
+    /// No controller, or no key-value store, could be reached: exit status 4.
     #[error("{0}")]
     Unreachable(String),
 }
 
 impl Failure {
-    /// A failure of the work itself.
+    /// A failure of the requested work.
     pub fn failed(e: impl std::fmt::Display) -> Failure {
         Failure::Failed(e.to_string())
     }
-    /// A fault of what was given.
+    /// An error in the user's input.
     pub fn input(e: impl std::fmt::Display) -> Failure {
         Failure::Input(e.to_string())
     }
@@ -42,42 +43,42 @@
             Failure::Unreachable(_) => 4,
         }
     }
-    /// Its text, a line each.
+    /// The failure's text, split into lines.
     pub fn lines(&self) -> Vec<String> {
         self.to_string().lines().map(String::from).collect()
     }
 }
 
-/// JSON for people.
+/// Indented JSON.
 pub fn pretty<T: Serialize>(v: &T) -> String {
     serde_json::to_string_pretty(v).unwrap_or_default()
 }
 
-fn cell(v: &Value) -> String {
+fn format_cell(v: &Value) -> String {
     match v {
         Value::String(s) => s.clone(),
         Value::Null => "-".into(),
-        Value::Array(a) => a.iter().map(cell).collect::<Vec<_>>().join(", "),
+        Value::Array(a) => a.iter().map(format_cell).collect::<Vec<_>>().join(", "),
         other => other.to_string(),
     }
 }
 
-/// Prints answers in the form that was asked for.
-pub struct Show(Form);
+/// Prints results in the selected output format.
+pub struct Printer(OutputFormat);
 
-impl Show {
-    /// In this form.
-    pub fn new(form: Form) -> Show {
-        Show(form)
+impl Printer {
+    /// A printer for one output format.
+    pub fn new(format: OutputFormat) -> Printer {
+        Printer(format)
     }
 
-    /// Whether programs read it.
+    /// Whether the output format is JSON.
     pub fn json(&self) -> bool {
-        self.0 == Form::Json
+        self.0 == OutputFormat::Json
     }
 
-    /// A job's state.
-    pub fn job(&self, a: &JobStatus) -> Result<(), Failure> {
+    /// Prints a job's state.
+    pub fn print_job(&self, a: &JobStatus) -> Result<(), Failure> {
         if self.json() {
             println!("{}", pretty(a));
             return Ok(());
@@ -86,11 +87,11 @@
         let stage = serde_json::to_value(a.stage).unwrap_or_default();
         println!(
             "{}",
-            rows(
+            format_table(
                 &["job", "stage", "done", "running"],
                 &[vec![
                     a.id.to_string(),
-                    cell(&stage),
+                    format_cell(&stage),
                     count(a.done),
                     count(a.running)
                 ]],
@@ -99,24 +100,25 @@
         Ok(())
     }
 
-    /// Anything: its fields as rows, or JSON.
-    pub fn any<T: Serialize>(&self, v: &T) -> Result<(), Failure> {
+    /// Prints any value: as a table of its fields if the format is a table and no field
+    /// is an object, as JSON otherwise.
+    pub fn print_value<T: Serialize>(&self, v: &T) -> Result<(), Failure> {
         let value = serde_json::to_value(v).unwrap_or_default();
         match (&value, self.json()) {
             (Value::Object(fields), false) if fields.values().all(|v| !v.is_object()) => {
-                let all: Vec<Vec<String>> = fields
+                let cells: Vec<Vec<String>> = fields
                     .iter()
-                    .map(|(k, v)| vec![k.clone(), cell(v)])
+                    .map(|(k, v)| vec![k.clone(), format_cell(v)])
                     .collect();
-                println!("{}", rows(&["field", "value"], &all));
+                println!("{}", format_table(&["field", "value"], &cells));
             }
             _ => println!("{}", pretty(&value)),
         }
         Ok(())
     }
 
-    /// A list of things with the same fields.
-    pub fn any_table(&self, list: &[Value]) -> Result<(), Failure> {
+    /// Prints a list of objects with the same fields; the first one names the columns.
+    pub fn print_table(&self, list: &[Value]) -> Result<(), Failure> {
         if self.json() {
             println!("{}", pretty(&list));
             return Ok(());
@@ -126,26 +128,26 @@
             .and_then(Value::as_object)
             .map(|o| o.keys().cloned().collect())
             .unwrap_or_default();
-        let heads: Vec<&str> = names.iter().map(String::as_str).collect();
-        let all: Vec<Vec<String>> = list
+        let headings: Vec<&str> = names.iter().map(String::as_str).collect();
+        let cells: Vec<Vec<String>> = list
             .iter()
-            .map(|v| names.iter().map(|n| cell(&v[n])).collect())
+            .map(|v| names.iter().map(|n| format_cell(&v[n])).collect())
             .collect();
-        println!("{}", rows(&heads, &all));
+        println!("{}", format_table(&headings, &cells));
         Ok(())
     }
 }
 
-/// A table without frames.
-pub fn rows(heads: &[&str], rows: &[Vec<String>]) -> String {
+/// Formats a table without frames, with upper-case headings.
+pub fn format_table(headings: &[&str], rows: &[Vec<String>]) -> String {
     let mut table = Table::new();
     table.load_preset(comfy_table::presets::NOTHING);
-    table.set_header(heads.iter().map(|h| h.to_uppercase()));
+    table.set_header(headings.iter().map(|h| h.to_uppercase()));
     table.add_rows(rows);
     table.trim_fmt()
 }
 
-/// Writes a man page for the program and each verb.
+/// Writes a man page for the program and each verb into `dir`, which is created.
 pub fn man_pages(command: clap::Command, dir: &Path) -> Result<(), Failure> {
     std::fs::create_dir_all(dir)
         .and_then(|()| clap_mangen::generate_to(command, dir))
--- a/crates/pebblectl/src/rehearse.rs
+++ b/crates/pebblectl/src/rehearse.rs
@@ -1,7 +1,8 @@
-//! Rehearsals.
+//! `pebblectl rehearse`: runs a rehearsal script, in simulated time or with real
+//! controllers on loopback, and checks the outcome.
 
 use crate::args::Rehearse;
-use crate::output::{Failure, Show, pretty};
+use crate::output::{Failure, Printer, pretty};
 use indicatif::{ProgressBar, ProgressStyle};
 use pebblefold_simulator::loopback::{Loopback, Options};
 use pebblefold_simulator::report::Verdict;
@@ -10,7 +11,8 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Reads a script; everything that is wrong with it is told.
+/// Reads a rehearsal script; the failure lists every error in the script, line by
+/// line.
 pub fn load(file: &Path) -> Result<Script, Failure> {
     Script::load(file).map_err(|errors| {
         let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
@@ -18,24 +20,27 @@
     })
 }
 
-/// A bar on a terminal, nothing elsewhere.
-fn bar(steps: u64, what: &str) -> ProgressBar {
+/// A progress bar on a terminal; prints nothing elsewhere.
+fn progress_bar(steps: u64, unit: &str) -> ProgressBar {
     let bar = ProgressBar::new(steps);
     let style = ProgressStyle::with_template("{prefix} [{bar:30}] {pos}/{len} {msg}");
     if let Ok(style) = style {
         bar.set_style(style);
     }
-    bar.set_prefix(what.to_string());
+    bar.set_prefix(unit.to_string());
     bar
 }
 
-/// Plays a script and judges it.
-pub async fn rehearse(r: Rehearse, show: &Show) -> Result<(), Failure> {
+/// Runs a script, once or for several seeds, and prints a verdict for each run.
+///
+/// # Errors
+/// A run broke a rule, or the script is invalid.
+pub async fn rehearse(r: Rehearse, printer: &Printer) -> Result<(), Failure> {
     let script = load(&r.file)?;
     let seed = r.seed.unwrap_or(script.seed);
     let verdicts = if r.simulated {
-        let bar = bar(r.seeds, "seeds");
-        let mut all = Vec::new();
+        let bar = progress_bar(r.seeds, "seeds");
+        let mut simulated_verdicts = Vec::new();
         for seed in seed..seed + r.seeds {
             let mut v = simulated::rehearse(script.clone(), seed).map_err(Failure::input)?;
             v.replay = format!(
@@ -43,14 +48,14 @@
                 r.file.display()
             );
             bar.inc(1);
-            all.push(v);
+            simulated_verdicts.push(v);
         }
         bar.finish_and_clear();
-        all
+        simulated_verdicts
     } else {
         vec![on_loopback(&r, script, seed).await?]
     };
-    if show.json() {
+    if printer.json() {
         println!("{}", pretty(&verdicts));
     } else {
         for v in &verdicts {
@@ -72,15 +77,17 @@
     Ok(())
 }
 
+/// Runs a script in real time with controller processes on loopback.
 async fn on_loopback(r: &Rehearse, script: Script, seed: u64) -> Result<Verdict, Failure> {
-    let own = std::env::temp_dir().join(format!("pebblectl-rehearse-{}", std::process::id()));
-    let dir = r.dir.clone().unwrap_or_else(|| own.clone());
+    let temporary_dir =
+        std::env::temp_dir().join(format!("pebblectl-rehearse-{}", std::process::id()));
+    let dir = r.dir.clone().unwrap_or_else(|| temporary_dir.clone());
     let length = script.length_s as u64;
     let builds: BTreeMap<String, PathBuf> = r.builds.iter().cloned().collect();
-    let named = script.builds.iter().map(|b| &b.name);
-    if let Some(name) = named.into_iter().find(|n| !builds.contains_key(*n)) {
+    let build_names = script.builds.iter().map(|b| &b.name);
+    if let Some(name) = build_names.into_iter().find(|n| !builds.contains_key(*n)) {
         return Err(Failure::Input(format!(
-            "{}: build {name}: name its daemon with --build {name}=PROGRAM",
+            "{}: build {name}: give its controller program with --build {name}=PROGRAM",
             r.file.display()
         )));
     }
@@ -92,7 +99,7 @@
         log_level: std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into()),
     };
     let cluster = Loopback::start(script, seed, options).await?;
-    let bar = bar(length, "seconds");
+    let bar = progress_bar(length, "seconds");
     let mut verdict = cluster
         .rehearse(|stand, t| {
             bar.set_position(t as u64);
@@ -115,13 +122,14 @@
     Ok(verdict)
 }
 
-/// The controllers' program: the daemon beside this one or, where there is
-/// none, this one.
+/// The program that serves as a controller, and the arguments before its settings
+/// file: `pebblefold` from the directory of this program or, where it does not exist,
+/// this program.
 pub fn controller_program() -> Result<(PathBuf, Vec<String>), Failure> {
-    let own = std::env::current_exe().map_err(Failure::failed)?;
-    let daemon = own.with_file_name("pebblefold");
+    let this_program = std::env::current_exe().map_err(Failure::failed)?;
+    let daemon = this_program.with_file_name("pebblefold");
     if daemon.exists() {
         return Ok((daemon, vec!["--config".into()]));
     }
-    Ok((own, vec!["controller".into()]))
+    Ok((this_program, vec!["controller".into()]))
 }
--- a/crates/pebblectl/src/state.rs
+++ b/crates/pebblectl/src/state.rs
@@ -1,4 +1,4 @@
-//! The state service for one machine.
+//! `pebblectl state`: a key-value store for one machine, and its snapshots.
 
 use crate::args::Serve;
 use crate::output::Failure;
@@ -14,10 +14,10 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// The store's name within its directory.
-const STORE: &str = "state.redb";
+/// Name of the store's file within its directory.
+const STORE_FILE_NAME: &str = "state.redb";
 
-/// Serves until it is ended.
+/// Serves the key-value store until Ctrl-C.
 pub async fn serve(s: Serve) -> Result<(), Failure> {
     let dir = s.dir.display().to_string();
     std::fs::create_dir_all(&s.dir).map_err(|e| Failure::Input(format!("{dir}: {e}")))?;
@@ -27,7 +27,7 @@
         value_bytes: s.value_kb * 1024,
         txn_ops: s.txn_ops,
     };
-    let store = s.dir.join(STORE);
+    let store = s.dir.join(STORE_FILE_NAME);
     let server = Server::new(|now| Service::open(Disk::at(store), limits, now))
         .map_err(|e| Failure::Failed(format!("{dir}: {e}")))?;
     let bind = async |addr: SocketAddrV4| {
@@ -37,23 +37,25 @@
     let (listener, admin) = (bind(s.listen).await?, bind(s.admin).await?);
     let (revision, keys) = server.with(|s, _| s.size());
     println!(
-        "state service at {}, {keys} keys at version {revision}, store in {dir}",
+        "key-value store at {}, {keys} keys at revision {revision}, files in {dir}",
         s.listen
     );
     spawn_local(server.clone().listen(listener, ClientId(0)));
-    let administered = server.clone();
+    let admin_server = server.clone();
     spawn_local(answer_connections(admin, move |r| {
-        let server = administered.clone();
-        async move { Some(administer(&server, &r).await) }
+        let server = admin_server.clone();
+        async move { Some(answer_admin_request(&server, &r).await) }
     }));
     tokio::select! {
         () = server.run() => Ok(()),
-        // What is acknowledged is stored already.
+        // Every acknowledged change is already on disk.
         _ = tokio::signal::ctrl_c() => Ok(()),
     }
 }
 
-async fn administer(server: &Server<Disk>, r: &Request) -> Response {
+/// Answers a request to the admin address: `POST /snapshot` with a file's path saves
+/// the store to that file.
+async fn answer_admin_request(server: &Server<Disk>, r: &Request) -> Response {
     let answer = |status, body| Response {
         status,
         retry_after: None,
@@ -67,8 +69,8 @@
     let Some(file) = decode::<PathBuf>(&r.body) else {
         return refuse(400, "a file's path is needed".into());
     };
-    // The image shares its values with the service, which goes on serving while
-    // another thread writes it out.
+    // The snapshot shares its values with the store, which keeps serving while
+    // another thread writes the snapshot to the file.
     let state = server.with(|s, _| s.state());
     let (tx, rx) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || tx.send(backup::save(&state, &file)));
@@ -79,7 +81,8 @@
     }
 }
 
-/// Asks a service to save everything.
+/// Requests a running store to save a snapshot to `file`, a path on the store's
+/// machine; a relative path is resolved against the current directory.
 pub async fn save(admin: SocketAddrV4, file: &Path) -> Result<Value, Failure> {
     let path = std::path::absolute(file).map_err(Failure::input)?;
     let sent = Sent::default();
@@ -96,13 +99,13 @@
     ))
 }
 
-/// Restores a snapshot into a new store.
+/// Restores a snapshot into a new store in `dir`.
 pub fn restore(file: &Path, dir: &Path) -> Result<backup::BackupSummary, Failure> {
     std::fs::create_dir_all(dir).map_err(|e| Failure::Input(format!("{}: {e}", dir.display())))?;
-    backup::restore(file, &dir.join(STORE)).map_err(Failure::input)
+    backup::restore(file, &dir.join(STORE_FILE_NAME)).map_err(Failure::input)
 }
 
-/// Reads a snapshot whole.
+/// Reads a whole snapshot file and summarizes its contents.
 pub fn check(file: &Path) -> Result<backup::BackupSummary, Failure> {
     let state = backup::read(file).map_err(Failure::input)?;
     Ok(backup::BackupSummary::of(&state))
--- a/crates/pebblectl/src/top.rs
+++ b/crates/pebblectl/src/top.rs
@@ -1,9 +1,9 @@
-//! A running cluster, as its leader sees it: in the terminal, or as plain text
-//! or JSON where there is none.
+//! `pebblectl top`: the state of a running cluster as its leader reports it, on the
+//! whole terminal, or once as plain text or JSON where there is no terminal.
 
 use crate::args::Top;
 use crate::ask;
-use crate::output::{Failure, Show, rows};
+use crate::output::{Failure, Printer, format_table};
 use crossterm::event::{self, Event, KeyCode, KeyModifiers};
 use ratatui::layout::{Constraint, Layout};
 use ratatui::widgets::{Block, Cell, Paragraph, Row, Table};
@@ -13,22 +13,28 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Time between looks at the cluster.
-const EVERY: Duration = Duration::from_secs(1);
+/// Time between two requests to the cluster.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is shown.
+/// The lines and table cells to display.
 struct View {
-    heads: Vec<String>,
+    /// Lines above the tables.
+    summary: Vec<String>,
+    /// One row per zone, with the cells of `ZONE_COLUMNS`.
     zones: Vec<Vec<String>>,
+    /// One row per job, with the cells of `JOB_COLUMNS`.
     jobs: Vec<Vec<String>>,
 }
 
-const ZONE_HEADS: [&str; 5] = ["zone", "machines", "usable", "spot", "tasks"];
-const JOB_HEADS: [&str; 8] = [
-    "job", "owner", "class", "done", "placed", "waiting", "for s", "why",
+/// Headings of the zone table, which are also the names of the fields in `/inspect`.
+const ZONE_COLUMNS: [&str; 5] = ["zone", "machines", "usable", "spot", "tasks"];
+/// Headings of the job table. "done" is tasks done of all tasks, "placed" and
+/// "waiting" count tasks, "wait s" is in seconds.
+const JOB_COLUMNS: [&str; 8] = [
+    "job", "owner", "class", "done", "placed", "waiting", "wait s", "reason",
 ];
 
-fn text(v: &Value) -> String {
+fn cell_text(v: &Value) -> String {
     match v {
         Value::String(s) => s.clone(),
         Value::Null => "-".into(),
@@ -37,89 +43,99 @@
     }
 }
 
-fn list(v: &Value) -> impl Iterator<Item = &Value> {
+fn items(v: &Value) -> impl Iterator<Item = &Value> {
     v.as_array().into_iter().flatten()
 }
 
-fn view(seen: &Value) -> View {
-    let leading = &seen["leading"];
-    let zone = |z: &Value| ZONE_HEADS.map(|f| text(&z[f])).to_vec();
+/// Builds the view from an answer to `/inspect`.
+fn view(status: &Value) -> View {
+    let leading = &status["leading"];
+    let zone = |z: &Value| ZONE_COLUMNS.map(|f| cell_text(&z[f])).to_vec();
     let job = |j: &Value| {
-        let of = format!("{}/{}", text(&j["done"]), text(&j["tasks"]));
-        let mut row = vec![text(&j["job"]), text(&j["owner"]), text(&j["class"]), of];
-        row.extend(["placed", "waiting", "waits_s", "why"].map(|f| text(&j[f])));
+        let done_of_tasks = format!("{}/{}", cell_text(&j["done"]), cell_text(&j["tasks"]));
+        let mut row = vec![
+            cell_text(&j["job"]),
+            cell_text(&j["owner"]),
+            cell_text(&j["class"]),
+            done_of_tasks,
+        ];
+        row.extend(["placed", "waiting", "waits_s", "why"].map(|f| cell_text(&j[f])));
         row
     };
-    let times = &seen["times"];
-    let rate = |name: &str| {
+    let times = &status["times"];
+    let request_times = |name: &str| {
         let t = &times[name];
         format!(
             "{name} {} ({} / {} ms)",
-            text(&t["count"]),
-            text(&t["ms_50"]),
-            text(&t["ms_95"])
+            cell_text(&t["count"]),
+            cell_text(&t["ms_50"]),
+            cell_text(&t["ms_95"])
         )
     };
-    let ms = ["report", "submit", "poll", "cancel"].map(rate).join("   ");
+    let request_summary = ["report", "submit", "poll", "cancel"]
+        .map(request_times)
+        .join("   ");
     let totals = &leading["totals"];
     View {
-        heads: vec![
+        summary: vec![
             format!(
-                "leader {}   token {}   in office {} s   state service {} s ago   {} machines   {} jobs",
-                text(&seen["leader"]),
-                text(&leading["token"]),
-                text(&leading["in_office_s"]),
-                text(&leading["contact_s_ago"]),
-                text(&totals["machines"]),
-                text(&totals["jobs"]),
+                "leader {}   token {}   leading for {} s   key-value store {} s ago   {} machines   {} jobs",
+                cell_text(&status["leader"]),
+                cell_text(&leading["token"]),
+                cell_text(&leading["in_office_s"]),
+                cell_text(&leading["contact_s_ago"]),
+                cell_text(&totals["machines"]),
+                cell_text(&totals["jobs"]),
             ),
-            format!("answered since start (half / 95 %): {ms}"),
+            format!("requests answered since start (median / 95th percentile): {request_summary}"),
         ],
-        zones: list(&leading["zones"]).map(zone).collect(),
-        jobs: list(&leading["jobs"]).map(job).collect(),
+        zones: items(&leading["zones"]).map(zone).collect(),
+        jobs: items(&leading["jobs"]).map(job).collect(),
     }
 }
 
-/// Shows a cluster.
-pub async fn top(nodes: &[SocketAddrV4], t: Top, show: &Show) -> Result<(), Failure> {
-    let terminal = std::io::stdout().is_terminal() && !t.once && !show.json();
+/// Shows a cluster: prints its state once with `--once`, as JSON, or where standard
+/// output is no terminal; otherwise refreshes the terminal until a key ends it.
+pub async fn top(nodes: &[SocketAddrV4], t: Top, printer: &Printer) -> Result<(), Failure> {
+    let terminal = std::io::stdout().is_terminal() && !t.once && !printer.json();
     if !terminal {
-        let seen = ask::inspect(nodes, "", "").await?;
-        if show.json() {
-            return show.any(&seen);
+        let status = ask::inspect(nodes, "", "").await?;
+        if printer.json() {
+            return printer.print_value(&status);
         }
-        let v = view(&seen);
-        println!("{}\n", v.heads.join("\n"));
-        println!("{}\n", rows(&ZONE_HEADS, &v.zones));
-        println!("{}", rows(&JOB_HEADS, &v.jobs));
+        let v = view(&status);
+        println!("{}\n", v.summary.join("\n"));
+        println!("{}\n", format_table(&ZONE_COLUMNS, &v.zones));
+        println!("{}", format_table(&JOB_COLUMNS, &v.jobs));
         return Ok(());
     }
     let mut screen = ratatui::try_init().map_err(Failure::failed)?;
-    let shown = watch(nodes, &mut screen).await;
+    let outcome = watch(nodes, &mut screen).await;
     ratatui::restore();
-    shown
+    outcome
 }
 
+/// Redraws the screen every `REFRESH_INTERVAL` until q, Esc or Ctrl-C is pressed.
 async fn watch(nodes: &[SocketAddrV4], screen: &mut DefaultTerminal) -> Result<(), Failure> {
     loop {
-        let seen = ask::inspect(nodes, "", "").await;
-        let drawn = match &seen {
+        let status = ask::inspect(nodes, "", "").await;
+        let drawn = match &status {
             Ok(v) => screen.draw(|f| draw(f, &view(v))),
             Err(e) => {
-                let text = format!("{e}\n\ntrying again; q ends");
+                let text = format!("{e}\n\nretrying; q quits");
                 screen.draw(|f| f.render_widget(Paragraph::new(text), f.area()))
             }
         };
         drawn.map_err(Failure::failed)?;
-        let until = tokio::time::Instant::now() + EVERY;
-        while tokio::time::Instant::now() < until {
+        let next_refresh = tokio::time::Instant::now() + REFRESH_INTERVAL;
+        while tokio::time::Instant::now() < next_refresh {
             tokio::time::sleep(Duration::from_millis(30)).await;
             if event::poll(Duration::ZERO).map_err(Failure::failed)?
                 && let Event::Key(key) = event::read().map_err(Failure::failed)?
             {
-                let interrupts =
+                let ctrl_c =
                     key.code == KeyCode::Char('c') && key.modifiers.contains(KeyModifiers::CONTROL);
-                if interrupts || matches!(key.code, KeyCode::Char('q') | KeyCode::Esc) {
+                if ctrl_c || matches!(key.code, KeyCode::Char('q') | KeyCode::Esc) {
                     return Ok(());
                 }
             }
@@ -134,23 +150,29 @@
         Constraint::Length(zones),
         Constraint::Min(3),
     ]);
-    let [head, upper, lower] = parts.areas(f.area());
-    f.render_widget(Paragraph::new(v.heads.join("\n")), head);
-    let table = |heads: &[&str], rows: &[Vec<String>], widths: Vec<Constraint>, title: &str| {
+    let [summary_area, zones_area, jobs_area] = parts.areas(f.area());
+    f.render_widget(Paragraph::new(v.summary.join("\n")), summary_area);
+    let table = |headings: &[&str], rows: &[Vec<String>], widths: Vec<Constraint>, title: &str| {
         let cells =
             |r: &Vec<String>| Row::new(r.iter().map(|c| Cell::from(c.clone())).collect::<Vec<_>>());
         Table::new(rows.iter().map(cells).collect::<Vec<_>>(), widths)
             .header(Row::new(
-                heads.iter().map(|h| h.to_uppercase()).collect::<Vec<_>>(),
+                headings
+                    .iter()
+                    .map(|h| h.to_uppercase())
+                    .collect::<Vec<_>>(),
             ))
             .block(Block::bordered().title(title.to_string()))
     };
-    let even = vec![Constraint::Fill(1); ZONE_HEADS.len()];
+    let equal_widths = vec![Constraint::Fill(1); ZONE_COLUMNS.len()];
     f.render_widget(
-        table(&ZONE_HEADS, &v.zones, even, " machines by zone "),
-        upper,
+        table(&ZONE_COLUMNS, &v.zones, equal_widths, " machines by zone "),
+        zones_area,
     );
     let widths = [14, 12, 14, 9, 7, 8, 6].map(Constraint::Length);
     let widths = widths.into_iter().chain([Constraint::Fill(1)]).collect();
-    f.render_widget(table(&JOB_HEADS, &v.jobs, widths, " jobs (q ends) "), lower);
+    f.render_widget(
+        table(&JOB_COLUMNS, &v.jobs, widths, " jobs (q quits) "),
+        jobs_area,
+    );
 }
--- a/crates/pebblectl/src/up.rs
+++ b/crates/pebblectl/src/up.rs
@@ -1,8 +1,9 @@
-//! A cluster on this machine.
+//! `pebblectl up`: a whole cluster on this machine, for trials. Controllers are
+//! processes; the cloud, its machines and the key-value store run in this process.
 
 use crate::args::Up;
 use crate::ask;
-use crate::output::{Failure, Show};
+use crate::output::{Failure, Printer};
 use crate::rehearse::{controller_program, load};
 use pebblefold_controller::cli::ServeError;
 use pebblefold_simulator::checker::{Breach, Rule};
@@ -15,14 +16,17 @@
 use std::path::Path;
 use std::time::Duration;
 
-const CLUSTER: &str = include_str!("cluster.toml");
-/// Time between two looks at a job that is waited for.
-const LOOK: Duration = Duration::from_millis(500);
+/// The cluster that starts without `--script`.
+const DEFAULT_CLUSTER_SCRIPT: &str = include_str!("cluster.toml");
+/// Time between two polls of the state of the job given with `--job`.
+const JOB_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a cluster that has just started may take to accept its first job.
-const FIRST: TimeSpan = TimeSpan::millis(30_000);
+/// Deadline of the first job's submission: a cluster that has just started needs
+/// some time until it accepts jobs.
+const FIRST_SUBMISSION_DEADLINE: TimeSpan = TimeSpan::millis(30_000);
 
-/// Serves as one controller.
+/// Runs one controller, as `up` and `rehearse` start it where the directory of this
+/// program has no `pebblefold`.
 pub fn controller(settings: &Path) -> Result<(), Failure> {
     pebblefold_controller::cli::serve(settings, None).map_err(|e| match e {
         ServeError::Input(_) => Failure::input(e),
@@ -30,11 +34,12 @@
     })
 }
 
-/// Starts a cluster and keeps it until Ctrl-C, or until its job is over.
-pub async fn up(u: Up, show: &Show) -> Result<(), Failure> {
+/// Starts a cluster and keeps it running until Ctrl-C or a request to terminate, until
+/// the job given with `--job` ends, or until a controller exits by itself.
+pub async fn up(u: Up, printer: &Printer) -> Result<(), Failure> {
     let script = match &u.script {
         Some(file) => load(file)?,
-        None => Script::parse("cluster.toml", CLUSTER)
+        None => Script::parse("cluster.toml", DEFAULT_CLUSTER_SCRIPT)
             .map_err(|e| Failure::Failed(format!("the built-in cluster: {e:?}")))?,
     };
     let job = u.job.as_deref().map(ask::read_job).transpose()?;
@@ -62,51 +67,53 @@
         cluster.records
     );
     eprintln!(
-        "state, logs: {}   (up again goes on from there; Ctrl-C ends)",
+        "state, logs: {}   (up again resumes from this directory; Ctrl-C stops the cluster)",
         u.dir.display()
     );
-    let served = async {
-        let mut told = (0, 0, usize::MAX);
+    let serve_cluster = async {
+        let mut last_printed = (0, 0, usize::MAX);
         loop {
             cluster.step().await;
-            // A cluster whose controllers end is of no use; why is told below.
-            let ended = |b: &Breach| b.rule == Rule::Protocol;
-            if cluster.with(|s| s.checker().breaches().iter().any(ended)) {
+            // A cluster whose controllers exit is stopped; the reason is printed below,
+            // with the other broken rules.
+            let controller_exited = |b: &Breach| b.rule == Rule::Protocol;
+            if cluster.with(|s| s.checker().breaches().iter().any(controller_exited)) {
                 return;
             }
-            let now = cluster.with(|s| {
+            let counts = cluster.with(|s| {
                 let (accepted, done, cancelled, _) = s.checker().counts();
                 (accepted, done + cancelled, s.fleet().workers().len())
             });
-            if now != told && u.job.is_none() {
+            if counts != last_printed && u.job.is_none() {
                 eprintln!(
                     "{:>8.1} s  {} jobs accepted, {} over, {} machines",
                     cluster.elapsed(),
-                    now.0,
-                    now.1,
-                    now.2
+                    counts.0,
+                    counts.1,
+                    counts.2
                 );
-                told = now;
+                last_printed = counts;
             }
         }
     };
     let front = cluster.front;
-    let waited = async {
+    let job_result = async {
         match &job {
-            Some(job) => run(front, job).await.map(Some),
+            Some(job) => submit_and_wait(front, job).await.map(Some),
             None => std::future::pending().await,
         }
     };
     let answer = tokio::select! {
-        () = served => None,
-        () = ended() => None,
-        a = waited => Some(a),
+        () = serve_cluster => None,
+        () = stop_requested() => None,
+        a = job_result => Some(a),
     };
     cluster.stop().await;
     let broken: Vec<String> = cluster.with(|s| {
-        let all = s.checker().breaches().iter();
-        // What is open goes on with the next `up`.
-        all.filter(|b| b.rule != Rule::Unfinished)
+        let breaches = s.checker().breaches().iter();
+        // Unfinished jobs are no fault here: the next `up` resumes them.
+        breaches
+            .filter(|b| b.rule != Rule::Unfinished)
             .map(|b| format!("rule broken: {} {}: {}", b.rule, b.job, b.what))
             .collect()
     });
@@ -114,14 +121,14 @@
         return Err(Failure::Rule(broken.join("\n")));
     }
     match answer {
-        Some(Ok(Some(a))) => show.job(&a),
+        Some(Ok(Some(a))) => printer.print_job(&a),
         Some(Err(e)) => Err(e),
         Some(Ok(None)) | None => Ok(()),
     }
 }
 
-/// Ctrl-C, or the request to end: the controllers must not outlive us.
-async fn ended() {
+/// Waits for Ctrl-C or SIGTERM: the controllers must not outlive this process.
+async fn stop_requested() {
     use tokio::signal::unix::{SignalKind, signal};
     match signal(SignalKind::terminate()) {
         Ok(mut terminate) => tokio::select! {
@@ -134,13 +141,13 @@
     }
 }
 
-/// Submits a job and waits for its end.
-async fn run(front: SocketAddrV4, job: &Submission) -> Result<JobStatus, Failure> {
-    let client = ask::client(vec![front], FIRST);
-    // A cluster that has just started does not know its machines yet: the
-    // client asks again for a while.
+/// Submits a job, waits until it ends, and prints each change of its stage.
+async fn submit_and_wait(front: SocketAddrV4, job: &Submission) -> Result<JobStatus, Failure> {
+    let client = ask::client(vec![front], FIRST_SUBMISSION_DEADLINE);
+    // A cluster that has just started has not discovered its machines yet: the client
+    // retries until `FIRST_SUBMISSION_DEADLINE`.
     let answer = client.submit(job).await?;
     eprintln!("{}: accepted", answer.id);
-    let told = |a: &JobStatus| eprintln!("{}: {:?}", a.id, a.stage);
-    Ok(client.wait(&job.id, LOOK, told).await?)
+    let print_stage = |a: &JobStatus| eprintln!("{}: {:?}", a.id, a.stage);
+    Ok(client.wait(&job.id, JOB_POLL_INTERVAL, print_stage).await?)
 }
--- a/crates/pebblectl/src/workflow.rs
+++ b/crates/pebblectl/src/workflow.rs
@@ -1,8 +1,8 @@
-//! CWL workflows.
+//! `pebblectl workflow`: checks, runs and shows CWL workflows.
 
-use crate::args::{Work, WorkflowRun};
+use crate::args::{WorkArgs, WorkflowRun};
 use crate::ask;
-use crate::output::{Failure, Show, pretty};
+use crate::output::{Failure, Printer, pretty};
 use indicatif::{ProgressBar, ProgressStyle};
 use pebblefold_wire::types::JobId;
 use pebblefold_wire::users::{Submission, is_valid_job_id};
@@ -25,18 +25,19 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The parts of a cluster that workflows reach.
+/// The addresses of a cluster that a workflow uses.
 #[derive(Clone, Copy, Debug)]
 pub struct Cluster {
-    /// Its users' front door.
+    /// The users' address, to which steps' jobs are submitted.
     pub front: SocketAddrV4,
-    /// Its state service.
+    /// The key-value store, where the workflow's records are.
     pub state: SocketAddrV4,
 }
 
-/// How a workflow was run, kept beside its files so that it can be resumed.
+/// How a workflow was run, stored with the workflow's files so that `resume` runs it
+/// the same way.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct RunSettings {
     file: String,
     inputs: Object,
     job: Submission,
@@ -46,20 +47,23 @@
     cache: Option<PathBuf>,
 }
 
-/// Reads documents whole and says what is wrong with them.
-pub fn check(files: &[String], show: &Show) -> Result<(), Failure> {
-    let mut told: Vec<Value> = Vec::new();
-    let mut bad = 0;
+/// Reads documents completely and prints their problems.
+///
+/// # Errors
+/// A document is invalid; notes alone are no failure.
+pub fn check(files: &[String], printer: &Printer) -> Result<(), Failure> {
+    let mut problem_list: Vec<Value> = Vec::new();
+    let mut invalid_count = 0;
     for file in files {
         let loaded = load(&Disk, file);
-        bad += usize::from(!loaded.valid);
+        invalid_count += usize::from(!loaded.valid);
         for p in &loaded.problems {
-            if show.json() {
+            if printer.json() {
                 let weight = match p.weight {
                     Weight::Error => "error",
                     Weight::Note => "note",
                 };
-                told.push(json!({
+                problem_list.push(json!({
                     "file": &*p.file, "line": p.at.line, "column": p.at.column,
                     "weight": weight, "text": p.text,
                 }));
@@ -67,27 +71,28 @@
                 println!("{p}");
             }
         }
-        if loaded.more > 0 && !show.json() {
-            println!("{file}: and {} more", loaded.more);
+        if loaded.more > 0 && !printer.json() {
+            println!("{file}: and {} more problems", loaded.more);
         }
-        if loaded.valid && !show.json() {
+        if loaded.valid && !printer.json() {
             println!("{file}: valid");
         }
     }
-    if show.json() {
-        println!("{}", pretty(&told));
+    if printer.json() {
+        println!("{}", pretty(&problem_list));
     }
-    if bad > 0 {
+    if invalid_count > 0 {
         return Err(Failure::Input(format!(
-            "{bad} of {} documents cannot be used",
+            "{invalid_count} of {} documents are invalid",
             files.len()
         )));
     }
     Ok(())
 }
 
-/// A workflow's inputs, with their files found beside them.
-fn inputs(file: &Path) -> Result<Object, Failure> {
+/// Reads a workflow's inputs; paths of files in them are relative to the directory
+/// of the inputs' file.
+fn load_inputs(file: &Path) -> Result<Object, Failure> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| Failure::Input(format!("{name}: {e}")))?;
     let mut problems = Problems::default();
@@ -99,41 +104,43 @@
     let base = base.parent().unwrap_or(Path::new("/"));
     match with_files(&node.json(), base) {
         Ok(Value::Object(o)) => Ok(o),
-        Ok(_) => Err(Failure::Input(format!("{name}: a map of inputs is wanted"))),
+        Ok(_) => Err(Failure::Input(format!("{name}: the inputs must be a map"))),
         Err(e) => Err(Failure::Input(format!("{name}: {e}"))),
     }
 }
 
-fn valid_name(name: &str) -> Result<(), Failure> {
+fn check_name(name: &str) -> Result<(), Failure> {
     if is_valid_job_id(name) {
         return Ok(());
     }
     Err(Failure::Input(format!(
-        "--name {name}: letters, digits, '-', '_' and '.' are wanted"
+        "--name {name}: use 1 to 128 letters, digits, '-', '_' or '.'"
     )))
 }
 
-fn document(file: &str) -> Result<Rc<Process>, Failure> {
+/// Loads a workflow's document and prints its problems to standard error.
+fn load_process(file: &str) -> Result<Rc<Process>, Failure> {
     let loaded = load(&Disk, file);
     for p in &loaded.problems {
         eprintln!("{p}");
     }
     match loaded.process.filter(|_| loaded.valid) {
         Some(p) => Ok(p),
-        None => Err(Failure::Input(format!("{file} cannot be used"))),
+        None => Err(Failure::Input(format!("{file}: the document is invalid"))),
     }
 }
 
-impl Work {
-    fn place(&self) -> Result<PathBuf, Failure> {
+impl WorkArgs {
+    /// The absolute path of the directory for workflows' files.
+    fn absolute_dir(&self) -> Result<PathBuf, Failure> {
         std::path::absolute(&self.dir).map_err(Failure::input)
     }
 
-    /// Who is recorded: as told, or who is logged in.
-    fn by(&self) -> String {
+    /// The user to record: of `--user` or, without it, the logged-in user.
+    fn recorded_user(&self) -> String {
         let logged_in = || std::env::var("USER").or_else(|_| std::env::var("LOGNAME"));
-        let told = self.user.clone().map_or_else(logged_in, Ok);
-        told.unwrap_or_else(|_| "unknown".into())
+        let user = self.user.clone().map_or_else(logged_in, Ok);
+        user.unwrap_or_else(|_| "unknown".into())
     }
 }
 
@@ -159,11 +166,12 @@
     }
 }
 
-/// Says what happens: a bar on a terminal, lines elsewhere.
-fn teller() -> impl FnMut(News) {
+/// Prints a workflow's progress to standard error: a progress bar with lines above it
+/// on a terminal, lines alone elsewhere.
+fn progress_printer() -> impl FnMut(News) {
     let terminal = std::io::stderr().is_terminal();
     let bar = if terminal {
-        let style = "{bar:30} {pos}/{len} steps known so far, {elapsed}  {msg}";
+        let style = "{bar:30} {pos}/{len} steps found so far, {elapsed}  {msg}";
         let style = ProgressStyle::with_template(style);
         let style = style.unwrap_or_else(|_| ProgressStyle::default_bar());
         ProgressBar::new(0).with_style(style)
@@ -180,8 +188,8 @@
             News::Written(_) | News::Resumed(0) => return,
             News::Resumed(n) => format!("{n} steps are over already"),
             News::Submitted(path, id) => format!("{path}: submitted as {id}"),
-            News::Again(path, why) => format!("{path}: again: {why}"),
-            News::Reused(path, job) => format!("{path}: used again, as {job} made it"),
+            News::Again(path, why) => format!("{path}: retrying: {why}"),
+            News::Reused(path, job) => format!("{path}: reused the result of job {job}"),
             News::Ended(path, Ok(())) => format!("{path}: done"),
             News::Ended(path, Err(e)) => format!("{path}: failed: {e}"),
         };
@@ -193,20 +201,20 @@
     }
 }
 
-/// Runs a workflow, or goes on with one that was begun.
+/// Runs a workflow, or resumes one that was begun under the same name.
 pub async fn run(r: WorkflowRun, cluster: Cluster) -> Result<(), Failure> {
-    valid_name(&r.name)?;
-    let process = document(&r.file)?;
+    check_name(&r.name)?;
+    let process = load_process(&r.file)?;
     let inputs = match &r.inputs {
-        Some(file) => inputs(file)?,
+        Some(file) => load_inputs(file)?,
         None => Object::new(),
     };
     let (path, id) = r.file.split_once('#').unwrap_or((&r.file, ""));
     let path = std::path::absolute(path).map_err(Failure::input)?;
-    let hash = if id.is_empty() { "" } else { "#" };
+    let separator = if id.is_empty() { "" } else { "#" };
     let cache = r.cache.as_deref().map(std::path::absolute).transpose();
-    let kept = Kept {
-        file: format!("{}{hash}{id}", path.display()),
+    let settings = RunSettings {
+        file: format!("{}{separator}{id}", path.display()),
         inputs,
         job: ask::read_job(&r.job)?,
         classes: r.classes,
@@ -218,17 +226,19 @@
         },
         cache: cache.map_err(Failure::input)?,
     };
-    carry_out(process, kept, &r.name, &r.work, cluster).await
+    run_to_end(process, settings, &r.name, &r.work, cluster).await
 }
 
-async fn carry_out(
+/// Runs a workflow with these settings, stores the settings for `resume`, and prints
+/// the outputs.
+async fn run_to_end(
     process: Rc<Process>,
-    kept: Kept,
+    settings: RunSettings,
     name: &str,
-    work: &Work,
+    work: &WorkArgs,
     cluster: Cluster,
 ) -> Result<(), Failure> {
-    let dir = work.place()?;
+    let dir = work.absolute_dir()?;
     std::fs::create_dir_all(&dir).map_err(|e| Failure::Input(format!("{}: {e}", dir.display())))?;
     let options = Options {
         name: name.into(),
@@ -236,40 +246,50 @@
         state: cluster.state,
         work: dir.clone(),
         allowed: Allowed {
-            job: kept.job.clone(),
-            classes: kept.classes.clone(),
-            retry: kept.retry.parse().map_err(Failure::Input)?,
+            job: settings.job.clone(),
+            classes: settings.classes.clone(),
+            retry: settings.retry.parse().map_err(Failure::Input)?,
         },
-        at_once: usize::from(kept.at_once),
-        cache: kept.cache.clone().map(Cache),
-        by: work.by(),
+        at_once: usize::from(settings.at_once),
+        cache: settings.cache.clone().map(Cache),
+        by: work.recorded_user(),
     };
     let file = runner::place(&dir, name).join(RUN);
-    let bytes = serde_json::to_vec(&kept).map_err(Failure::failed)?;
-    let inputs = kept.inputs;
-    let mut tell = teller();
-    let mut said = false;
-    let told = |news: News| {
-        // The first news comes once the name is this workflow's.
-        if !std::mem::replace(&mut said, true)
+    let bytes = serde_json::to_vec(&settings).map_err(Failure::failed)?;
+    let inputs = settings.inputs;
+    let mut print_news = progress_printer();
+    let mut first_news_seen = false;
+    let on_news = |news: News| {
+        // The first news arrives only after the name was claimed for this workflow, so
+        // another workflow's settings are not overwritten.
+        if !std::mem::replace(&mut first_news_seen, true)
             && let Err(e) = write_whole(&file, &bytes)
         {
-            eprintln!("{}: {e}; it cannot be resumed by its name", file.display());
+            eprintln!(
+                "{}: {e}; the workflow cannot be resumed by its name",
+                file.display()
+            );
         }
-        tell(news);
+        print_news(news);
     };
-    let outputs = runner::run(process, inputs, options, told).await?;
+    let outputs = runner::run(process, inputs, options, on_news).await?;
     println!("{}", pretty(&outputs));
     Ok(())
 }
 
-/// Goes on with a workflow as it was begun.
-pub async fn resume(name: &str, again: bool, work: &Work, cluster: Cluster) -> Result<(), Failure> {
-    valid_name(name)?;
-    let file = runner::place(&work.place()?, name).join(RUN);
-    let kept: Kept = read_json(&file).map_err(|e| {
+/// Resumes a workflow with the settings it was begun with; `again` also reruns the
+/// failed steps of a workflow that failed.
+pub async fn resume(
+    name: &str,
+    again: bool,
+    work: &WorkArgs,
+    cluster: Cluster,
+) -> Result<(), Failure> {
+    check_name(name)?;
+    let file = runner::place(&work.absolute_dir()?, name).join(RUN);
+    let settings: RunSettings = read_json(&file).map_err(|e| {
         Failure::Input(format!(
-            "{}: {e}; was {name} run, with this --work?",
+            "{}: {e}; check that workflow {name} was run with this --work",
             file.display()
         ))
     })?;
@@ -279,22 +299,29 @@
             .take_up()
             .await?;
     }
-    let process = document(&kept.file)?;
-    carry_out(process, kept, name, work, cluster).await
+    let process = load_process(&settings.file)?;
+    run_to_end(process, settings, name, work, cluster).await
 }
 
 /// Cancels a workflow with all its jobs.
-pub async fn cancel(name: &str, work: &Work, cluster: Cluster, show: &Show) -> Result<(), Failure> {
-    valid_name(name)?;
-    let (dir, by) = (work.place()?, work.by());
-    let done = runner::cancel(name, cluster.front, cluster.state, &dir, &by).await?;
-    let (stage, why) = ended(Some(&done.end));
-    show.any(
-        &json!({"workflow": name, "stage": stage, "why": why, "jobs_cancelled_here": done.jobs}),
+pub async fn cancel(
+    name: &str,
+    work: &WorkArgs,
+    cluster: Cluster,
+    printer: &Printer,
+) -> Result<(), Failure> {
+    check_name(name)?;
+    let (dir, by) = (work.absolute_dir()?, work.recorded_user());
+    let outcome = runner::cancel(name, cluster.front, cluster.state, &dir, &by).await?;
+    let (stage, why) = stage_and_reason(Some(&outcome.end));
+    printer.print_value(
+        &json!({"workflow": name, "stage": stage, "why": why, "jobs_cancelled_here": outcome.jobs}),
     )
 }
 
-fn ended(end: Option<&End>) -> (&'static str, Option<String>) {
+/// A workflow's stage as printed, and why it failed or who cancelled it; `None` means
+/// that it has not ended.
+fn stage_and_reason(end: Option<&End>) -> (&'static str, Option<String>) {
     match end {
         None => ("begun", None),
         Some(End::Done) => ("done", None),
@@ -303,18 +330,24 @@
     }
 }
 
-/// Shows how far a workflow is.
-pub async fn status(name: &str, work: &Work, cluster: Cluster, show: &Show) -> Result<(), Failure> {
-    valid_name(name)?;
-    let dir = work.place()?;
+/// Shows a workflow's stage and the stage of each step that was begun.
+pub async fn status(
+    name: &str,
+    work: &WorkArgs,
+    cluster: Cluster,
+    printer: &Printer,
+) -> Result<(), Failure> {
+    check_name(name)?;
+    let dir = work.absolute_dir()?;
     let records = Records::existing(cluster.state, name).await?;
-    let client = ask::client(vec![cluster.front], ask::PERSON);
-    let over: BTreeMap<String, &Entry> = records.all().map(|(p, e)| (p.to_string(), e)).collect();
+    let client = ask::client(vec![cluster.front], ask::USER_REQUEST_DEADLINE);
+    let recorded: BTreeMap<String, &Entry> =
+        records.all().map(|(p, e)| (p.to_string(), e)).collect();
     let mut rows = Vec::new();
-    let mut seen = std::collections::BTreeSet::new();
+    let mut steps_with_jobs = std::collections::BTreeSet::new();
     for s in runner::steps(&dir, name) {
-        let mark = runner::mark(&dir, name, &s.job);
-        let (stage, why) = match over.get(&s.path) {
+        let exit = runner::mark(&dir, name, &s.job);
+        let (stage, why) = match recorded.get(&s.path) {
             Some(Entry::Done) => ("done".to_string(), None),
             Some(Entry::Failed(e)) => ("failed".to_string(), Some(e.clone())),
             None => {
@@ -328,18 +361,22 @@
                 }
             }
         };
-        seen.insert(s.path.clone());
-        let took = mark
+        steps_with_jobs.insert(s.path.clone());
+        let took_s = exit
             .as_ref()
             .map(|m| (m.ended_ms - m.began_ms.min(m.ended_ms)) as f64 / 1000.0);
         rows.push(json!({
             "step": s.path, "job": s.job, "stage": stage,
-            "machine": mark.as_ref().map(|m| m.machine.clone()),
-            "attempt": mark.as_ref().map(|m| m.attempt), "took_s": took, "why": why,
+            "machine": exit.as_ref().map(|m| m.machine.clone()),
+            "attempt": exit.as_ref().map(|m| m.attempt), "took_s": took_s, "why": why,
         }));
     }
-    // What was used again, or needed no machine, has no job.
-    for (path, entry) in over.iter().filter(|(p, _)| !seen.contains(*p)) {
+    // A step whose result was reused from the cache, or that needed no machine, has no
+    // job.
+    for (path, entry) in recorded
+        .iter()
+        .filter(|(p, _)| !steps_with_jobs.contains(*p))
+    {
         let (stage, why) = match entry {
             Entry::Done => ("done", None),
             Entry::Failed(e) => ("failed", Some(e.clone())),
@@ -350,9 +387,9 @@
         }));
     }
     let head = records.head();
-    let (stage, why) = ended(head.end.as_ref());
+    let (stage, why) = stage_and_reason(head.end.as_ref());
     let runners = records.claims().await?;
-    if show.json() {
+    if printer.json() {
         println!(
             "{}",
             pretty(&json!({
@@ -364,31 +401,31 @@
     }
     let why = why.map_or(String::new(), |w| format!(" ({w})"));
     println!(
-        "{name}, begun by {}: {stage}{why}; runners at work: {runners}",
+        "{name}, begun by {}: {stage}{why}; active runners: {runners}",
         head.by
     );
-    show.any_table(&rows)
+    printer.print_table(&rows)
 }
 
-/// Prints who ran what, of which inputs, by which job, where and when.
-pub async fn provenance(name: &str, work: &Work, cluster: Cluster) -> Result<(), Failure> {
-    valid_name(name)?;
-    let dir = work.place()?;
+/// Prints who ran which step, on which inputs, in which job, where and when.
+pub async fn provenance(name: &str, work: &WorkArgs, cluster: Cluster) -> Result<(), Failure> {
+    check_name(name)?;
+    let dir = work.absolute_dir()?;
     let records = Records::existing(cluster.state, name).await?;
     let run: Option<Value> = read_json(&runner::place(&dir, name).join(RUN)).ok();
-    let all: Vec<StepRecord> = runner::steps(&dir, name);
+    let step_records: Vec<StepRecord> = runner::steps(&dir, name);
     let mut steps = Vec::new();
     for (path, entry) in records.all() {
-        let kept = runner::kept(&dir, name, &path).ok();
+        let result = runner::kept(&dir, name, &path).ok();
         let mut jobs = Vec::new();
-        for s in all.iter().filter(|s| s.path == path.as_str()) {
+        for s in step_records.iter().filter(|s| s.path == path.as_str()) {
             jobs.push(json!({"asked": s, "ended": runner::mark(&dir, name, &s.job)}));
         }
         steps.push(json!({
             "step": path.as_str(), "record": entry, "jobs": jobs,
-            "made_by": kept.as_ref().map(|k| k.job.clone()),
-            "reused": kept.as_ref().map(|k| k.reused),
-            "outputs": kept.map(|k| k.outputs),
+            "made_by": result.as_ref().map(|k| k.job.clone()),
+            "reused": result.as_ref().map(|k| k.reused),
+            "outputs": result.map(|k| k.outputs),
         }));
     }
     println!(
@@ -398,15 +435,15 @@
     Ok(())
 }
 
-/// Draws steps and links.
+/// Draws a workflow's steps and links: DOT on standard output, or an SVG file.
 pub fn graph(file: &str, svg: Option<&Path>) -> Result<(), Failure> {
-    let process = document(file)?;
+    let process = load_process(file)?;
     match svg {
         None => print!("{}", pebblefold_workflow::graph::dot(&process)),
-        Some(to) => {
+        Some(path) => {
             let picture = pebblefold_workflow::graph::svg(&process).map_err(Failure::failed)?;
-            write_whole(to, picture.as_bytes())
-                .map_err(|e| Failure::Input(format!("{}: {e}", to.display())))?;
+            write_whole(path, picture.as_bytes())
+                .map_err(|e| Failure::Input(format!("{}: {e}", path.display())))?;
         }
     }
     Ok(())
--- a/crates/pebblectl/tests/workflow.rs
+++ b/crates/pebblectl/tests/workflow.rs
@@ -397,7 +397,7 @@
     let reused = with("other");
     assert_eq!(outputs(&reused)["r"], 42);
     assert!(
-        text_of(&reused.stderr).contains("used again"),
+        text_of(&reused.stderr).contains("reused the result of job"),
         "{}",
         text_of(&reused.stderr)
     );
