--- a/crates/pebblectl/benches/steps.rs
+++ b/crates/pebblectl/benches/steps.rs
@@ -1,7 +1,8 @@
-//! What a workflow's step costs above a job by hand, and what long and wide
-//! workflows take: a whole cluster on loopback, machines as stand-ins that run
-//! `true` for each step. Run with `cargo bench -p pebblectl`, or with a width:
-//! `cargo bench -p pebblectl -- 2000`. The figures are of the machine at hand.
+//! Measures the overhead of a workflow's step compared to a job submitted manually, and
+//! the duration of long and wide workflows, on a whole cluster on loopback whose
+//! simulated machines run `true` for each step. Run with `cargo bench -p pebblectl`, or
+//! with a width: `cargo bench -p pebblectl -- 2000`. The results depend on the machine
+//! that runs the benchmark.
 
 use pebblefold_client::{Client, RetryPolicy};
 use pebblefold_net::{Client as Net, Sent};
@@ -39,12 +40,13 @@
 const TOOL: &str = "{class: CommandLineTool, baseCommand: [\"true\"], inputs: {n: int}, outputs: {m: {type: int, outputBinding: {outputEval: $(inputs.n)}}}}";
 const HEAD: &str =
     "cwlVersion: v1.2\nclass: Workflow\nrequirements: {ScatterFeatureRequirement: {}}\n";
-/// Steps of the chain, and jobs by hand.
-const LONG: usize = 100;
+/// Number of steps in the chain, and of jobs submitted manually.
+const CHAIN_LENGTH: usize = 100;
 
-struct One(String);
+/// A file system in which every path holds the same text.
+struct SingleFile(String);
 
-impl Files for One {
+impl Files for SingleFile {
     fn read(&self, _: &Path) -> std::io::Result<String> {
         Ok(self.0.clone())
     }
@@ -75,16 +77,17 @@
     }
 }
 
-/// Jobs one after the other, as a person's script would submit them.
-async fn by_hand(front: SocketAddrV4, work: &Path) -> Duration {
+/// Submits `CHAIN_LENGTH` jobs, each after the previous one ended, as a user's script
+/// would; returns the total time.
+async fn run_manual_jobs(front: SocketAddrV4, work: &Path) -> Duration {
     let (client, net) = (
         Client::new(vec![front], RetryPolicy::default()),
         Net::default(),
     );
     let begun = Instant::now();
-    for i in 0..LONG {
+    for i in 0..CHAIN_LENGTH {
         let id = format!("wk-hand-{i}");
-        let d = CommandSpec {
+        let command = CommandSpec {
             argv: vec!["true".into()],
             dir: work.join(&id).display().to_string(),
             env: BTreeMap::from([("PATH".into(), "/usr/bin:/bin".into())]),
@@ -92,28 +95,29 @@
         };
         let path = format!("/descriptions/{id}");
         let sent = Sent::default();
-        net.exchange(front, "POST", &path, &encode(&d), &sent)
+        net.exchange(front, "POST", &path, &encode(&command), &sent)
             .await
             .expect("the cluster is up");
-        client.submit(&job(&id)).await.expect("it is taken");
-        let every = Duration::from_millis(100);
+        client.submit(&job(&id)).await.expect("the job is accepted");
+        let poll_interval = Duration::from_millis(100);
         client
-            .wait(&id.as_str().into(), every, |_| {})
+            .wait(&id.as_str().into(), poll_interval, |_| {})
             .await
-            .expect("it ends");
+            .expect("the job ends");
     }
     begun.elapsed()
 }
 
-/// Runs a workflow; how long it took and how many transactions it wrote.
-async fn flow(
+/// Runs a workflow; returns the time it took and the number of transactions that it
+/// wrote.
+async fn run_workflow(
     cluster: &Loopback,
     work: &Path,
     name: &str,
     text: &str,
     inputs: &Object,
 ) -> (Duration, u64) {
-    let loaded = load(&One(text.into()), "w.cwl");
+    let loaded = load(&SingleFile(text.into()), "w.cwl");
     assert!(loaded.valid, "{:?}", loaded.problems);
     let options = Options {
         name: name.into(),
@@ -131,19 +135,19 @@
     };
     let begun = Instant::now();
     let mut writes = 0;
-    let tell = |news| {
+    let on_news = |news| {
         if let News::Written(n) = news {
             writes = n;
         }
     };
     let process = loaded.process.expect("valid");
-    run(process, inputs.clone(), options, tell)
+    run(process, inputs.clone(), options, on_news)
         .await
-        .expect("it runs");
+        .expect("the workflow runs");
     (begun.elapsed(), writes)
 }
 
-/// The most memory that this process has held, in MB.
+/// Peak resident memory of this process, in MB; 0 if it cannot be read.
 fn peak_mb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmHWM"));
@@ -165,7 +169,7 @@
     };
     let cluster = Loopback::start(script, 1, options)
         .await
-        .expect("it starts");
+        .expect("the cluster starts");
     let cluster = Rc::new(cluster);
     let stepping = Rc::clone(&cluster);
     tokio::task::spawn_local(async move {
@@ -178,11 +182,11 @@
         "{HEAD}inputs: {{x: int}}\noutputs: []\nsteps: {{a: {{in: {{n: x}}, out: [m], run: {TOOL}}}}}\n"
     );
     let one = json!({"x": 1}).as_object().cloned().unwrap_or_default();
-    flow(&cluster, &work, "warm", &warm, &one).await;
+    run_workflow(&cluster, &work, "warm", &warm, &one).await;
 
-    let hand = by_hand(cluster.front, &work).await;
+    let manual_time = run_manual_jobs(cluster.front, &work).await;
     let mut chain = format!("{HEAD}inputs: {{x: int}}\noutputs: []\nsteps:\n");
-    for i in 0..LONG {
+    for i in 0..CHAIN_LENGTH {
         let from = match i {
             0 => "x".into(),
             i => format!("s{}/m", i - 1),
@@ -191,17 +195,17 @@
             "  s{i}: {{in: {{n: {from}}}, out: [m], run: {TOOL}}}\n"
         ));
     }
-    let (long, writes) = flow(&cluster, &work, "long", &chain, &one).await;
-    let each = |d: Duration| d.as_secs_f64() * 1000.0 / LONG as f64;
+    let (chain_time, writes) = run_workflow(&cluster, &work, "long", &chain, &one).await;
+    let each = |d: Duration| d.as_secs_f64() * 1000.0 / CHAIN_LENGTH as f64;
     println!(
-        "{LONG} jobs by hand, one after the other: {:.0} ms each",
-        each(hand)
+        "{CHAIN_LENGTH} jobs by hand, one after the other: {:.0} ms each",
+        each(manual_time)
     );
     println!(
-        "a chain of {LONG} steps: {:.0} ms each ({:.2} of a job by hand), {:.2} transactions a step",
-        each(long),
-        each(long) / each(hand),
-        writes as f64 / LONG as f64
+        "a chain of {CHAIN_LENGTH} steps: {:.0} ms each ({:.2} of a job by hand), {:.2} transactions a step",
+        each(chain_time),
+        each(chain_time) / each(manual_time),
+        writes as f64 / CHAIN_LENGTH as f64
     );
     let wide = format!(
         "{HEAD}inputs: {{l: \"int[]\"}}\noutputs: {{r: {{type: \"int[]\", outputSource: a/m}}}}\nsteps: {{a: {{scatter: n, in: {{n: l}}, out: [m], run: {TOOL}}}}}\n"
@@ -209,7 +213,7 @@
     let list: Vec<usize> = (0..width).collect();
     let list = json!({"l": list}).as_object().cloned().unwrap_or_default();
     let before = peak_mb();
-    let (took, writes) = flow(&cluster, &work, "wide", &wide, &list).await;
+    let (took, writes) = run_workflow(&cluster, &work, "wide", &wide, &list).await;
     println!(
         "a scatter of {width}, 400 at once: {:.1} s, {:.0} steps a second, {writes} transactions, {:.1} a second; peak memory of runner and stand-ins together {} MB (before: {before} MB)",
         took.as_secs_f64(),
@@ -217,7 +221,7 @@
         writes as f64 / took.as_secs_f64(),
         peak_mb()
     );
-    let (took, writes) = flow(&cluster, &work, "wide", &wide, &list).await;
+    let (took, writes) = run_workflow(&cluster, &work, "wide", &wide, &list).await;
     println!(
         "the same again from its {width} records: {:.2} s, {writes} transactions",
         took.as_secs_f64()
--- a/crates/pebblectl/tests/equal.rs
+++ b/crates/pebblectl/tests/equal.rs
@@ -1,5 +1,5 @@
-//! No back door: a workflow and the same jobs submitted by hand, on the same seed
-//! against the stand-ins, have one history, to the last event.
+//! Workflows get no special treatment: a workflow and the same jobs submitted manually,
+//! simulated with the same seed, have the same history, to the last event.
 
 use pebblefold_simulator::checker::{Ask, Seen};
 use pebblefold_simulator::script::Script;
@@ -16,15 +16,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-struct One(&'static str);
+/// A file system in which every path holds the same text.
+struct SingleFile(&'static str);
 
-impl Files for One {
+impl Files for SingleFile {
     fn read(&self, _: &Path) -> std::io::Result<String> {
         Ok(self.0.into())
     }
 }
 
-/// Eight readings, their sum, and four letters that may wait.
+/// Eight readings with high priority, their sum, and four letters with low priority.
 const FLOW: &str = r#"
 cwlVersion: v1.2
 class: Workflow
@@ -67,10 +68,12 @@
     }
 }
 
-/// Somebody who submits jobs, and hears which of them are done.
-trait Owner {
-    fn submits(&mut self, done: &BTreeSet<JobId>) -> Vec<Submission>;
-    fn over(&self) -> bool;
+/// A user who submits jobs, depending on which jobs are done.
+trait Submitter {
+    /// The jobs to submit next, given all jobs that are done.
+    fn next_jobs(&mut self, done: &BTreeSet<JobId>) -> Vec<Submission>;
+    /// Whether all jobs of this submitter are done.
+    fn is_over(&self) -> bool;
 }
 
 struct Workflow {
@@ -82,7 +85,7 @@
 
 impl Workflow {
     fn new() -> Workflow {
-        let loaded = load(&One(FLOW), "flow.cwl");
+        let loaded = load(&SingleFile(FLOW), "flow.cwl");
         assert!(loaded.valid, "{:?}", loaded.problems);
         let process = loaded.process.unwrap();
         let allowed = Allowed {
@@ -106,8 +109,8 @@
     }
 }
 
-impl Owner for Workflow {
-    fn submits(&mut self, done: &BTreeSet<JobId>) -> Vec<Submission> {
+impl Submitter for Workflow {
+    fn next_jobs(&mut self, done: &BTreeSet<JobId>) -> Vec<Submission> {
         let mut ended: Vec<TaskPath> = Vec::new();
         self.jobs.retain(|id, path| {
             let over = done.contains(id);
@@ -118,13 +121,13 @@
             let outputs: Object = json!({"m": 1}).as_object().unwrap().clone();
             self.engine.outcome(path, Outcome::Done(outputs));
         }
-        let mut out = Vec::new();
+        let mut submissions = Vec::new();
         for action in self.engine.advance() {
             match action {
                 Action::Run(task) => {
                     let id = job_id("night", &task.path, Try::default());
                     let job = self.allowed.submission(&task, &id, Limits::default());
-                    out.push(job.unwrap());
+                    submissions.push(job.unwrap());
                     self.jobs.insert(id, task.path);
                 }
                 Action::End(end) => {
@@ -134,21 +137,22 @@
                 Action::Stop(path) => panic!("{path} is stopped"),
             }
         }
-        out
+        submissions
     }
-    fn over(&self) -> bool {
+    fn is_over(&self) -> bool {
         self.over
     }
 }
 
-/// The same jobs by hand: each stage is submitted when the one before is done.
-struct ByHand {
+/// The same jobs submitted manually: each stage is submitted when the stage before is
+/// done.
+struct ManualJobs {
     stages: Vec<Vec<Submission>>,
     open: Vec<JobId>,
 }
 
-impl ByHand {
-    fn new() -> ByHand {
+impl ManualJobs {
+    fn new() -> ManualJobs {
         let id = |path: &str| job_id("night", &TaskPath::from(path), Try::default());
         let reading = |i: usize| Submission {
             id: id(&format!("read/{i}")),
@@ -168,7 +172,7 @@
             id: id("add"),
             ..template()
         };
-        ByHand {
+        ManualJobs {
             stages: vec![
                 (0..8).map(reading).collect(),
                 vec![sum],
@@ -179,8 +183,8 @@
     }
 }
 
-impl Owner for ByHand {
-    fn submits(&mut self, done: &BTreeSet<JobId>) -> Vec<Submission> {
+impl Submitter for ManualJobs {
+    fn next_jobs(&mut self, done: &BTreeSet<JobId>) -> Vec<Submission> {
         self.open.retain(|id| !done.contains(id));
         if !self.open.is_empty() || self.stages.is_empty() {
             return Vec::new();
@@ -189,17 +193,22 @@
         self.open = next.iter().map(|j| j.id.clone()).collect();
         next
     }
-    fn over(&self) -> bool {
+    fn is_over(&self) -> bool {
         self.stages.is_empty() && self.open.is_empty()
     }
 }
 
-/// Plays a night with one more owner; returns everything that was seen, and the
-/// order in which tasks of the owner and of urgent billing ran.
-fn night(owner: &mut dyn Owner, loses_a_site: bool, seed: u64) -> (Vec<String>, Vec<String>) {
+/// Simulates `billing-night.toml` with one more submitter. Returns the whole history,
+/// and the order in which tasks of the submitter and of urgent billing ran.
+fn simulate_night(
+    submitter: &mut dyn Submitter,
+    zone_loses_power: bool,
+    seed: u64,
+) -> (Vec<String>, Vec<String>) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals/billing-night.toml");
     let text = std::fs::read_to_string(path).unwrap();
-    // A shorter one: the first site is lost in the middle of the workflow.
+    // Fewer jobs than in the script; the script's faults are replaced by at most one:
+    // the first zone loses power in the middle of the workflow.
     let text = text
         .replace("count = 60", "count = 24")
         .replace("over_s = 200", "over_s = 60")
@@ -210,16 +219,16 @@
     let text = format!(
         "{}{}",
         &text[..faults],
-        if loses_a_site { loss } else { "" }
+        if zone_loses_power { loss } else { "" }
     );
     let script = Script::parse("night.toml", &text).unwrap_or_else(|e| panic!("{e:?}"));
     let mut world = Simulated::new(script, seed).unwrap();
-    // At the same moment as the first urgent billing.
+    // The submitter begins at the same time as the first urgent billing job.
     let mut now = Time(0) + TimeSpan::secs(5.0);
     let mut done: BTreeSet<JobId> = BTreeSet::new();
-    let mut heard = 0;
-    while !owner.over() && now < Time(0) + TimeSpan::secs(400.0) {
-        for spec in owner.submits(&done) {
+    let mut events_read = 0;
+    while !submitter.is_over() && now < Time(0) + TimeSpan::secs(400.0) {
+        for spec in submitter.next_jobs(&done) {
             let run_s = spec.estimate_s;
             world.stand_mut().add_job(Planned {
                 spec,
@@ -231,7 +240,7 @@
         now = now + TimeSpan::millis(500);
         world.play(now, false);
         let history = world.stand().checker().history();
-        for (_, seen) in &history[heard..] {
+        for (_, seen) in &history[events_read..] {
             if let Seen::Told {
                 job,
                 what: Ask::Poll,
@@ -242,9 +251,12 @@
                 done.insert(job.as_str().into());
             }
         }
-        heard = history.len();
+        events_read = history.len();
     }
-    assert!(owner.over(), "it is not over by then");
+    assert!(
+        submitter.is_over(),
+        "the submitter's jobs are not done after 400 s"
+    );
     world.play(Time(0) + TimeSpan::secs(419.0), true);
     let breaches = world.stand().checker().breaches();
     assert!(breaches.is_empty(), "{breaches:?}");
@@ -253,35 +265,36 @@
         Seen::Runs { task } => Some(format!("{:.3} {task}", t.0 as f64 / 1e6)),
         _ => None,
     });
-    let all = history.iter().map(|(t, s)| format!("{} {s:?}", t.0));
-    (all.collect(), runs.collect())
+    let events = history.iter().map(|(t, s)| format!("{} {s:?}", t.0));
+    (events.collect(), runs.collect())
 }
 
-fn alike(loses_a_site: bool, seed: u64) {
+fn assert_equal_histories(zone_loses_power: bool, seed: u64) {
     let mut flow = Workflow::new();
-    let (all, runs) = night(&mut flow, loses_a_site, seed);
-    let (by_hand, runs_by_hand) = night(&mut ByHand::new(), loses_a_site, seed);
-    // The order of starts first, for a failure that can be read.
-    assert_eq!(runs, runs_by_hand, "seed {seed}");
-    assert_eq!(all.len(), by_hand.len(), "seed {seed}");
-    let differ = all.iter().zip(&by_hand).find(|(a, b)| a != b);
-    assert_eq!(differ, None, "seed {seed}");
-    let own = runs
+    let (events, runs) = simulate_night(&mut flow, zone_loses_power, seed);
+    let (manual_events, manual_runs) =
+        simulate_night(&mut ManualJobs::new(), zone_loses_power, seed);
+    // The order of starts is compared first: its differences are easier to read.
+    assert_eq!(runs, manual_runs, "seed {seed}");
+    assert_eq!(events.len(), manual_events.len(), "seed {seed}");
+    let first_difference = events.iter().zip(&manual_events).find(|(a, b)| a != b);
+    assert_eq!(first_difference, None, "seed {seed}");
+    let own_runs = runs
         .iter()
         .filter(|r| r.contains("wk-") && !r.contains("wk-00"));
-    assert!(own.count() >= 13, "its thirteen jobs ran");
+    assert!(own_runs.count() >= 13, "fewer than the thirteen jobs ran");
 }
 
 #[test]
-fn a_workflow_and_equal_jobs_by_hand_have_one_history() {
+fn workflow_and_manual_jobs_have_equal_histories() {
     for seed in 1..=3 {
-        alike(false, seed);
+        assert_equal_histories(false, seed);
     }
 }
 
 #[test]
-fn likewise_where_a_site_is_lost_in_the_middle() {
+fn histories_stay_equal_when_zone_loses_power() {
     for seed in 1..=3 {
-        alike(true, seed);
+        assert_equal_histories(true, seed);
     }
 }
--- a/crates/pebblectl/tests/program.rs
+++ b/crates/pebblectl/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as people use it: real processes on loopback.
+//! The program as users run it: real processes on loopback.
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -23,30 +23,31 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-struct Dir(PathBuf);
+/// A temporary directory, removed when dropped.
+struct TempDir(PathBuf);
 
-impl Dir {
-    fn new(name: &str) -> Dir {
+impl TempDir {
+    fn new(name: &str) -> TempDir {
         let path = std::env::temp_dir().join(format!("pebblectl-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Dir(path)
+        TempDir(path)
     }
-    fn at(&self, name: &str) -> String {
+    fn path(&self, name: &str) -> String {
         self.0.join(name).display().to_string()
     }
 }
 
-impl Drop for Dir {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-// A job runs to its end on real sockets, and `up` again goes on from its state:
-// the same job is known and over.
+// A job runs to its end on real sockets; a second `up` resumes from the stored state,
+// in which the same job is already done.
 #[test]
-fn up_runs_a_job_to_its_end_and_goes_on_the_next_time() {
-    let dir = Dir::new("up");
+fn up_runs_job_and_resumes_from_stored_state() {
+    let dir = TempDir::new("up");
     let up = || {
         let o = pebblectl(&[
             "--output",
@@ -55,7 +56,7 @@
             "--port",
             "0",
             "--dir",
-            &dir.at("up"),
+            &dir.path("up"),
             "--job",
             "deploy/job.json",
         ]);
@@ -68,20 +69,20 @@
         text(&o.stderr)
     };
     assert!(up().contains("Running"));
-    assert!(!up().contains("Running"), "it ran a second time");
+    assert!(!up().contains("Running"), "the job ran a second time");
 }
 
-// Where the daemon was not built, pebblectl itself serves as a controller: it once
-// ended at once, and a fresh clone's first command failed while every machine with
-// a daemon beside it passed.
+// Where `pebblefold` was not built, pebblectl itself serves as a controller. Such a
+// controller once exited immediately: the first command in a fresh clone failed, and
+// passed on every machine with `pebblefold` in the same directory.
 #[test]
-fn up_needs_no_daemon_beside_it() {
-    let dir = Dir::new("alone");
-    let alone = dir.0.join("pebblectl");
-    std::fs::copy(env!("CARGO_BIN_EXE_pebblectl"), &alone).unwrap();
-    let o = Command::new(&alone)
+fn up_works_without_pebblefold_in_its_directory() {
+    let dir = TempDir::new("alone");
+    let copy = dir.0.join("pebblectl");
+    std::fs::copy(env!("CARGO_BIN_EXE_pebblectl"), &copy).unwrap();
+    let o = Command::new(&copy)
         .args(["--output", "json", "up", "--port", "0", "--dir"])
-        .arg(dir.at("up"))
+        .arg(dir.path("up"))
         .args(["--job", "deploy/job.json"])
         .current_dir(root())
         .output()
@@ -89,18 +90,19 @@
     assert!(o.status.success(), "{}", text(&o.stderr));
 }
 
-// Controllers that ended at once once left `up` waiting, with nothing said.
+// `up` once waited without any message when its controllers exited immediately.
 #[test]
-fn controllers_that_end_by_themselves_are_told() {
-    let dir = Dir::new("ends");
-    let beside = dir.0.join("pebblectl");
-    std::fs::copy(env!("CARGO_BIN_EXE_pebblectl"), &beside).unwrap();
+fn up_reports_controllers_that_exit_by_themselves() {
+    let dir = TempDir::new("ends");
+    let copy = dir.0.join("pebblectl");
+    std::fs::copy(env!("CARGO_BIN_EXE_pebblectl"), &copy).unwrap();
     std::os::unix::fs::symlink("/bin/false", dir.0.join("pebblefold")).unwrap();
-    // A program just written cannot be run while another test's child, not yet run
-    // itself, still holds the file open.
+    // A program that was just written cannot be executed while a child process that
+    // another test has forked, but that has not executed its program yet, still holds
+    // the file open for writing.
     let run = || {
-        let mut up = Command::new(&beside);
-        up.args(["up", "--port", "0", "--dir"]).arg(dir.at("up"));
+        let mut up = Command::new(&copy);
+        up.args(["up", "--port", "0", "--dir"]).arg(dir.path("up"));
         up.output()
     };
     let o = loop {
@@ -112,22 +114,22 @@
         }
     };
     assert_eq!(o.status.code(), Some(3));
-    let told = text(&o.stderr);
-    // Which of them is seen to have ended first depends on the computer.
-    let names = |n: u32| {
+    let stderr = text(&o.stderr);
+    // Which controller is first seen to have exited depends on timing.
+    let is_reported = |n: u32| {
         let (ended, log) = (
             format!("controller {n} ended by itself"),
             format!("node-{n}.log"),
         );
-        told.contains(&ended) && told.contains(&log)
+        stderr.contains(&ended) && stderr.contains(&log)
     };
-    assert!((0..3).any(names), "{told}");
+    assert!((0..3).any(is_reported), "{stderr}");
 }
 
 #[test]
-fn what_is_wrong_is_named_and_exits_with_its_status() {
-    let dir = Dir::new("wrong");
-    let cluster = dir.at("clusters.toml");
+fn errors_name_their_cause_and_set_exit_status() {
+    let dir = TempDir::new("wrong");
+    let cluster = dir.path("clusters.toml");
     std::fs::write(&cluster, "cluster = \"none\"\nouput = \"json\"\n").unwrap();
     let o = pebblectl(&["--config", &cluster, "status", "wk-1"]);
     assert_eq!(o.status.code(), Some(2));
@@ -150,21 +152,21 @@
         (of("cluster"), of("output")),
         (Value::from(cluster.as_str()), "--output".into())
     );
-    let broken = dir.at("script.toml");
+    let broken = dir.path("script.toml");
     std::fs::write(&broken, "name = \"x\"\nlength = 1\n").unwrap();
     let o = pebblectl(&["rehearse", &broken]);
     assert_eq!(o.status.code(), Some(2));
     assert!(text(&o.stderr).contains("line 2"), "{}", text(&o.stderr));
 }
 
-// A count of none once passed with nothing played, ports once wrapped around, and a
-// job without a field was refused by a node that named none.
+// `--seeds 0` once passed without running anything, port numbers once wrapped around,
+// and a job with a missing field was refused by a controller without naming the field.
 #[test]
-fn what_cannot_be_meant_is_refused_before_anything_is_done() {
-    let dir = Dir::new("meant");
-    let job = dir.at("job.json");
+fn invalid_input_is_refused_before_any_work() {
+    let dir = TempDir::new("meant");
+    let job = dir.path("job.json");
     std::fs::write(&job, "{\"ref\": \"wk-000001\"}").unwrap();
-    let up = dir.at("up");
+    let up = dir.path("up");
     let night = "rehearsals/billing-night.toml";
     let cases: [(&[&str], u8, &str); 4] = [
         (
@@ -184,23 +186,23 @@
             "missing field `lane`",
         ),
     ];
-    for (arguments, status, told) in cases {
+    for (arguments, status, expected) in cases {
         let o = pebblectl(arguments);
-        let said = text(&o.stderr);
+        let stderr = text(&o.stderr);
         assert_eq!(
             o.status.code(),
             Some(i32::from(status)),
-            "{arguments:?}: {said}"
+            "{arguments:?}: {stderr}"
         );
-        assert!(said.contains(told), "{arguments:?}: {said}");
+        assert!(stderr.contains(expected), "{arguments:?}: {stderr}");
     }
 }
 
-// A rehearsal with real controllers, one killed and one stopped for a while; a
-// page with plots that stands alone.
+// A rehearsal with real controllers, of which one is killed and one is paused for a
+// while, passes; its HTML page has plots and loads nothing from elsewhere.
 #[test]
-fn a_short_rehearsal_on_loopback_is_judged() {
-    let dir = Dir::new("rehearse");
+fn short_rehearsal_on_loopback_passes_with_report() {
+    let dir = TempDir::new("rehearse");
     let night = std::fs::read_to_string(root().join("rehearsals/billing-night.toml")).unwrap();
     let head = &night[..night.find("[[jobs]]").unwrap()];
     let short = format!(
@@ -211,16 +213,16 @@
          [[faults]]\nat_s = 6\nkind = \"state_killed\"\nfor_s = 1\n",
         head.replace("length_s = 420", "length_s = 90").replace("[cluster]", "[cluster]\nworkers = { report_s = 1.0, lease_s = 6.0, gang_wait_s = 20.0, gang_peer_s = 4.0, cancel_s = 12.0 }"),
     );
-    let script = dir.at("short.toml");
+    let script = dir.path("short.toml");
     std::fs::write(&script, short).unwrap();
-    let html = dir.at("report.html");
+    let html = dir.path("report.html");
     let o = pebblectl(&[
         "--output",
         "json",
         "rehearse",
         &script,
         "--dir",
-        &dir.at("kept"),
+        &dir.path("kept"),
         "--html",
         &html,
     ]);
@@ -236,15 +238,15 @@
     let page = std::fs::read_to_string(html).unwrap();
     assert!(
         page.matches("<svg").count() == 4 && !page.contains("src="),
-        "plots, and nothing from elsewhere"
+        "four plots, and nothing loaded from elsewhere"
     );
-    assert!(Path::new(&dir.at("kept/node-0.log")).exists());
+    assert!(Path::new(&dir.path("kept/node-0.log")).exists());
 }
 
 #[test]
-fn the_state_service_is_saved_and_restored_from_the_command_line() {
-    let dir = Dir::new("state");
-    let (bad, store) = (dir.at("bad"), dir.at("store"));
+fn restore_refuses_invalid_snapshot_and_creates_no_store() {
+    let dir = TempDir::new("state");
+    let (bad, store) = (dir.path("bad"), dir.path("store"));
     std::fs::write(&bad, b"not a snapshot").unwrap();
     let o = pebblectl(&["state", "snapshot", "restore", &bad, "--dir", &store]);
     assert_eq!(o.status.code(), Some(2));
@@ -257,11 +259,11 @@
 }
 
 #[test]
-fn completions_and_man_pages_come_from_the_arguments() {
-    let dir = Dir::new("man");
+fn completions_and_man_pages_list_verbs_and_flags() {
+    let dir = TempDir::new("man");
     let o = pebblectl(&["completions", "bash"]);
     assert!(text(&o.stdout).contains("rehearse"));
-    assert!(pebblectl(&["man", &dir.at("man")]).status.success());
-    let page = std::fs::read_to_string(dir.at("man/pebblectl-rehearse.1")).unwrap();
+    assert!(pebblectl(&["man", &dir.path("man")]).status.success());
+    let page = std::fs::read_to_string(dir.path("man/pebblectl-rehearse.1")).unwrap();
     assert!(page.contains("simulated"));
 }
--- a/crates/pebblectl/tests/state.rs
+++ b/crates/pebblectl/tests/state.rs
@@ -1,5 +1,5 @@
-//! The state service as a process with a real file: killed while it is written to,
-//! saved while it serves, restored.
+//! `pebblectl state` as a process with a real file: the store is killed while it is
+//! written to, saved to a snapshot while it serves, and restored.
 
 use pebblefold_net::{Client, Sent};
 use pebblefold_wire::http::Response;
@@ -19,15 +19,17 @@
     listener.local_addr().unwrap().to_string().parse().unwrap()
 }
 
-struct Service {
+/// A running `pebblectl state serve`.
+struct StoreProcess {
     child: Child,
     addr: SocketAddrV4,
     admin: SocketAddrV4,
 }
 
-impl Service {
-    /// Starts it and waits until it answers.
-    async fn start(dir: &Path) -> Service {
+impl StoreProcess {
+    /// Starts the store and waits until it answers, at most 30 s and the time of its
+    /// answers.
+    async fn start(dir: &Path) -> StoreProcess {
         let (addr, admin) = (free_port(), free_port());
         let child = Command::new(env!("CARGO_BIN_EXE_pebblectl"))
             .args([
@@ -44,10 +46,10 @@
             .stdout(Stdio::null())
             .spawn()
             .unwrap();
-        let service = Service { child, addr, admin };
+        let service = StoreProcess { child, addr, admin };
         for _ in 0..600 {
             if service
-                .ask("GET", "/keys?most=1", Vec::new())
+                .request("GET", "/keys?most=1", Vec::new())
                 .await
                 .is_some()
             {
@@ -55,15 +57,17 @@
             }
             sleep(Duration::from_millis(50)).await;
         }
-        panic!("it does not start");
+        panic!("the store does not start");
     }
 
-    async fn ask(&self, method: &str, path: &str, body: Vec<u8>) -> Option<Response> {
+    async fn request(&self, method: &str, path: &str, body: Vec<u8>) -> Option<Response> {
         let (client, sent) = (Client::default(), Sent::default());
-        let asked = client.exchange(self.addr, method, path, &body, &sent);
-        timeout(Duration::from_secs(20), asked).await.ok()?.ok()
+        let response = client.exchange(self.addr, method, path, &body, &sent);
+        timeout(Duration::from_secs(20), response).await.ok()?.ok()
     }
 
+    /// Writes keys `a/n` and `b/n` in one transaction; returns the revision, or `None`
+    /// if the commit was not acknowledged.
     async fn commit(&self, n: u64) -> Option<u64> {
         let put = |key: String| Operation::Put {
             key,
@@ -75,51 +79,53 @@
             conditions: Vec::new(),
             ops,
         };
-        let r = self.ask("POST", "/commit", encode(&txn)).await?;
+        let r = self.request("POST", "/commit", encode(&txn)).await?;
         (r.status == 200).then(|| decode::<TransactionResponse>(&r.body).unwrap().revision.0)
     }
 
-    async fn lease(&self) -> Option<u64> {
+    /// Grants a lease and returns its id.
+    async fn grant_lease(&self) -> Option<u64> {
         let body = encode(&LeaseGrantRequest { ttl_ms: 600_000 });
-        let r = self.ask("POST", "/leases", body).await?;
+        let r = self.request("POST", "/leases", body).await?;
         (r.status == 200).then(|| decode::<LeaseGrant>(&r.body).unwrap().lease)
     }
 
-    async fn keys(&self, starts: &str) -> Vec<String> {
-        let (mut all, mut since) = (Vec::new(), String::new());
+    /// All keys that begin with `prefix`, in order.
+    async fn keys(&self, prefix: &str) -> Vec<String> {
+        let (mut keys, mut since) = (Vec::new(), String::new());
         loop {
-            let path = format!("/keys?starts={starts}&since={since}&most=1000");
+            let path = format!("/keys?starts={prefix}&since={since}&most=1000");
             let page: EntryPage =
-                decode(&self.ask("GET", &path, Vec::new()).await.unwrap().body).unwrap();
+                decode(&self.request("GET", &path, Vec::new()).await.unwrap().body).unwrap();
             since = page.items.last().map(|e| e.key.clone()).unwrap_or_default();
-            all.extend(page.items.into_iter().map(|e| e.key));
+            keys.extend(page.items.into_iter().map(|e| e.key));
             if !page.more {
-                return all;
+                return keys;
             }
         }
     }
 }
 
-/// The program, to its successful end.
+/// Runs the program and checks that it succeeds.
 fn pebblectl(arguments: &[&str]) {
-    let out = Command::new(env!("CARGO_BIN_EXE_pebblectl"))
+    let output = Command::new(env!("CARGO_BIN_EXE_pebblectl"))
         .args(arguments)
         .output()
         .unwrap();
     assert!(
-        out.status.success(),
+        output.status.success(),
         "{}",
-        String::from_utf8_lossy(&out.stderr)
+        String::from_utf8_lossy(&output.stderr)
     );
 }
 
-fn dir(name: &str) -> PathBuf {
+fn create_dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("pebblectl-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-fn run(test: impl Future<Output = ()>) {
+fn run_async(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -127,58 +133,66 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-// Only the process that the test started is ended, by its own handle. Each life is
-// killed after another number of acknowledgements, with commits under way.
+// The store is started six times and each time killed, through the handle of the
+// process, after a different number of acknowledged commits and while other commits
+// are in progress. No acknowledged commit may be lost, no commit may be half applied,
+// no watch may miss an event, and no lease id may be granted twice.
 #[test]
-fn killed_while_it_is_written_to_it_keeps_what_it_acknowledged() {
-    run(async {
-        let dir = dir("killed");
+fn killed_store_keeps_acknowledged_commits() {
+    run_async(async {
+        let dir = create_dir("killed");
         let (mut acked, mut leases): (Vec<(u64, u64)>, Vec<u64>) = (Vec::new(), Vec::new());
         let mut next = 0;
-        for life in 0..6u64 {
-            let mut service = Service::start(&dir).await;
+        for run in 0..6u64 {
+            let mut service = StoreProcess::start(&dir).await;
             let a = service.keys("a/").await;
             let b = service.keys("b/").await;
             let tail = |k: &String| k[2..].to_string();
             assert_eq!(
                 a.iter().map(tail).collect::<Vec<_>>(),
                 b.iter().map(tail).collect::<Vec<_>>(),
-                "life {life}: half a commit"
+                "run {run}: half a commit"
             );
             for (n, _) in &acked {
                 assert!(
                     a.binary_search(&format!("a/{n:06}")).is_ok(),
-                    "life {life}: commit {n} is lost"
+                    "run {run}: commit {n} is lost"
                 );
             }
             if let Some((_, revision)) = acked.get(acked.len() / 2) {
                 let path = format!("/changes?starts=a/&since={revision}");
-                let seen: WatchResponse =
-                    decode(&service.ask("GET", &path, Vec::new()).await.unwrap().body).unwrap();
+                let seen: WatchResponse = decode(
+                    &service
+                        .request("GET", &path, Vec::new())
+                        .await
+                        .unwrap()
+                        .body,
+                )
+                .unwrap();
                 let after = acked.iter().filter(|(_, r)| r > revision).count();
                 assert!(
                     seen.events.len() >= after,
-                    "life {life}: a watch misses something"
+                    "run {run}: a watch misses something"
                 );
             }
-            let lease = service.lease().await.unwrap();
+            let lease = service.grant_lease().await.unwrap();
             assert!(
                 leases.iter().all(|l| *l < lease),
-                "life {life}: lease {lease} again"
+                "run {run}: lease {lease} again"
             );
             leases.push(lease);
-            let wanted = acked.len() + 7 + 5 * life as usize;
-            while acked.len() < wanted {
-                // Four at once: some are under way when it is killed.
+            let acked_before_kill = acked.len() + 7 + 5 * run as usize;
+            while acked.len() < acked_before_kill {
+                // Four concurrent commits: some are in progress when the store is killed.
                 let (n1, n2, n3, n4) = (next, next + 1, next + 2, next + 3);
                 next += 4;
-                let kill = acked.len() + 4 >= wanted;
-                let killer = async {
-                    if kill {
-                        sleep(Duration::from_micros(300 * (life + 1))).await;
+                let kills_now = acked.len() + 4 >= acked_before_kill;
+                let kill_delay = async {
+                    if kills_now {
+                        sleep(Duration::from_micros(300 * (run + 1))).await;
                     }
                 };
-                let all = async {
+                let commits = async {
                     tokio::join!(
                         service.commit(n1),
                         service.commit(n2),
@@ -186,15 +200,15 @@
                         service.commit(n4)
                     )
                 };
-                if kill {
-                    let mut got = None;
+                if kills_now {
+                    let mut results = None;
                     tokio::select! {
-                        r = all => got = Some(r),
-                        () = killer => {}
+                        r = commits => results = Some(r),
+                        () = kill_delay => {}
                     }
                     service.child.kill().unwrap();
                     service.child.wait().unwrap();
-                    if let Some((a, b, c, d)) = got {
+                    if let Some((a, b, c, d)) = results {
                         acked.extend(
                             [(n1, a), (n2, b), (n3, c), (n4, d)]
                                 .into_iter()
@@ -203,7 +217,7 @@
                     }
                     break;
                 }
-                let (a, b, c, d) = all.await;
+                let (a, b, c, d) = commits.await;
                 acked.extend(
                     [(n1, a), (n2, b), (n3, c), (n4, d)]
                         .into_iter()
@@ -218,20 +232,27 @@
 }
 
 #[test]
-fn it_is_saved_while_it_serves_and_restored_elsewhere() {
-    run(async {
-        let dir = dir("saved");
+fn snapshot_is_saved_while_serving_and_restored_elsewhere() {
+    run_async(async {
+        let dir = create_dir("saved");
         let (file, new) = (dir.join("snapshot"), dir.join("new"));
-        let mut service = Service::start(&dir.join("old")).await;
+        let mut service = StoreProcess::start(&dir.join("old")).await;
         for n in 0..50 {
             service.commit(n).await.unwrap();
         }
         let path = file.display().to_string();
-        let (asked, admin) = (path.clone(), service.admin.to_string());
+        let (snapshot_path, admin) = (path.clone(), service.admin.to_string());
         let saving = tokio::task::spawn_blocking(move || {
-            pebblectl(&["state", "snapshot", "save", "--admin", &admin, &asked]);
+            pebblectl(&[
+                "state",
+                "snapshot",
+                "save",
+                "--admin",
+                &admin,
+                &snapshot_path,
+            ]);
         });
-        // It serves meanwhile.
+        // The store serves while the snapshot is saved.
         let last = service.commit(50).await.unwrap();
         saving.await.unwrap();
         service.child.kill().unwrap();
@@ -245,12 +266,12 @@
             "--dir",
             &new.display().to_string(),
         ]);
-        let mut restored = Service::start(&new).await;
+        let mut restored = StoreProcess::start(&new).await;
         let keys = restored.keys("a/").await;
         assert!((50..=51).contains(&keys.len()), "{}", keys.len());
         assert!(
             restored.commit(99).await.unwrap() > last,
-            "versions went back"
+            "the revision went back"
         );
         restored.child.kill().unwrap();
         restored.child.wait().unwrap();
--- a/crates/pebblectl/tests/workflow.rs
+++ b/crates/pebblectl/tests/workflow.rs
@@ -1,5 +1,5 @@
-//! Workflows on a cluster of real processes: steps append to a log of their own,
-//! and the log alone tells what ran.
+//! Workflows on a cluster of real processes. Steps append lines to a log file, and the
+//! tests conclude from this log alone which steps ran.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -13,23 +13,24 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// So many ports in a row that nobody has; tests side by side look at different
-/// ones.
+/// First of `count` consecutive ports that are free; concurrent tests try different
+/// ports.
 fn free_ports(count: u16) -> u16 {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let first = 20_000 + (std::process::id() % 200) as u16 * 37;
     loop {
         let base = first + NEXT.fetch_add(count, Ordering::Relaxed);
         assert!(base < 32_000, "no free ports");
-        let all: Vec<_> = (base..base + count)
+        let listeners: Vec<_> = (base..base + count)
             .map(|p| TcpListener::bind(("127.0.0.1", p)))
             .collect();
-        if all.iter().all(Result::is_ok) {
+        if listeners.iter().all(Result::is_ok) {
             return base;
         }
     }
 }
 
+/// A cluster started by `pebblectl up`, with its files in a temporary directory.
 struct Cluster {
     up: Child,
     dir: PathBuf,
@@ -37,11 +38,11 @@
 
 impl Cluster {
     fn start(name: &str) -> Cluster {
-        Cluster::with(name, None)
+        Cluster::start_with(name, None)
     }
 
-    /// A cluster as a script has it, faults included.
-    fn with(name: &str, script: Option<&str>) -> Cluster {
+    /// Starts the cluster of a script, with the script's faults, or the built-in one.
+    fn start_with(name: &str, script: Option<&str>) -> Cluster {
         let dir = std::env::temp_dir().join(format!("pebblectl-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let port = free_ports(8);
@@ -69,8 +70,8 @@
         Cluster { up, dir }
     }
 
-    /// A verb on a workflow that was begun.
-    fn verb(&self, verb: &str, name: &str, more: &[&str]) -> Output {
+    /// Runs a verb of `pebblectl workflow` on a workflow that was begun.
+    fn workflow_verb(&self, verb: &str, name: &str, more: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_pebblectl"))
             .current_dir(root())
             .args(["--output", "json", "--config"])
@@ -82,13 +83,15 @@
             .unwrap()
     }
 
-    fn file(&self, name: &str, text: &str) -> String {
+    /// Writes a file into the cluster's directory and returns its path.
+    fn write_file(&self, name: &str, text: &str) -> String {
         let path = self.dir.join(name);
         std::fs::write(&path, text).unwrap();
         path.display().to_string()
     }
 
-    fn command(&self, name: &str, more: &[&str]) -> Command {
+    /// A `pebblectl workflow run` under this name.
+    fn run_command(&self, name: &str, more: &[&str]) -> Command {
         let mut c = Command::new(env!("CARGO_BIN_EXE_pebblectl"));
         c.current_dir(root())
             .arg("--config")
@@ -107,17 +110,19 @@
         c
     }
 
-    fn log(&self) -> BTreeMap<String, usize> {
+    /// How often each line occurs in the steps' log.
+    fn log_counts(&self) -> BTreeMap<String, usize> {
         let text = std::fs::read_to_string(self.dir.join("log")).unwrap_or_default();
-        let mut out = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for line in text.lines() {
-            *out.entry(line.to_string()).or_default() += 1;
+            *counts.entry(line.to_string()).or_default() += 1;
         }
-        out
+        counts
     }
 
-    /// A workflow of a scatter whose steps sleep, then write their number down.
-    fn sleepy(&self, items: usize) -> PathBuf {
+    /// A workflow with one scatter, whose steps sleep, then append their number to the
+    /// log.
+    fn sleeping_scatter(&self, items: usize) -> PathBuf {
         let file = self.dir.join(format!("sleepy-{items}.cwl"));
         let log = self.dir.join("log");
         let list: Vec<String> = (0..items).map(|i| i.to_string()).collect();
@@ -135,7 +140,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Asked to end, it takes its controllers along.
+        // On SIGTERM, `up` stops its controllers before it exits.
         let id = self.up.id().to_string();
         let _ = Command::new("kill").args(["-TERM", &id]).status();
         let _ = self.up.wait();
@@ -157,11 +162,11 @@
 }
 
 #[test]
-fn workflows_run_to_their_outputs_and_steps_run_once() {
+fn workflows_yield_outputs_and_run_steps_once() {
     let cluster = Cluster::start("flows");
-    // The first workflow of the users' page, as printed.
+    // The first workflow of the users' page, as printed there.
     let first = cluster
-        .command(
+        .run_command(
             "first",
             &[
                 "examples/workflow/readings.cwl",
@@ -174,9 +179,9 @@
     assert_eq!(out["total"], 126);
     let bill = out["bill"]["path"].as_str().unwrap();
     assert_eq!(std::fs::read_to_string(bill).unwrap(), "to pay 126\n");
-    // Once more: nothing runs, the outputs are the same.
+    // A second run under the same name runs no step and has the same outputs.
     let again = cluster
-        .command(
+        .run_command(
             "first",
             &[
                 "examples/workflow/readings.cwl",
@@ -192,18 +197,18 @@
         "{}",
         text_of(&again.stderr)
     );
-    // A slip in the inputs does not use a name up.
-    let slip = cluster
-        .command("slip", &["examples/workflow/readings.cwl"])
+    // A run with a missing input does not claim its name.
+    let invalid = cluster
+        .run_command("slip", &["examples/workflow/readings.cwl"])
         .output()
         .unwrap();
     assert!(
-        text_of(&slip.stderr).contains("input photos: null"),
+        text_of(&invalid.stderr).contains("input photos: null"),
         "{}",
-        text_of(&slip.stderr)
+        text_of(&invalid.stderr)
     );
-    let mended = cluster
-        .command(
+    let corrected = cluster
+        .run_command(
             "slip",
             &[
                 "examples/workflow/readings.cwl",
@@ -212,11 +217,11 @@
         )
         .output()
         .unwrap();
-    assert_eq!(outputs(&mended)["total"], 126);
-    // The name stands for this workflow alone.
-    let sleepy = cluster.sleepy(12);
+    assert_eq!(outputs(&corrected)["total"], 126);
+    // A name cannot be used for another workflow.
+    let sleepy = cluster.sleeping_scatter(12);
     let sleepy = sleepy.to_str().unwrap();
-    let taken = cluster.command("first", &[sleepy]).output().unwrap();
+    let taken = cluster.run_command("first", &[sleepy]).output().unwrap();
     assert_eq!(taken.status.code(), Some(2), "{}", text_of(&taken.stderr));
     assert!(
         text_of(&taken.stderr).contains("is taken"),
@@ -224,10 +229,10 @@
         text_of(&taken.stderr)
     );
 
-    // A runner killed at any moment, and begun again.
+    // A runner is killed at different moments, and started again.
     for ms in [900, 1500, 1200] {
         let mut runner = cluster
-            .command("killed", &[sleepy, "--at-once", "4"])
+            .run_command("killed", &[sleepy, "--at-once", "4"])
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
@@ -238,18 +243,18 @@
     }
     outputs(
         &cluster
-            .command("killed", &[sleepy, "--at-once", "4"])
+            .run_command("killed", &[sleepy, "--at-once", "4"])
             .output()
             .unwrap(),
     );
-    assert_eq!(cluster.log(), once_each(12));
+    assert_eq!(cluster.log_counts(), once_each(12));
 
-    // Two runners at once on one workflow.
+    // Two runners run the same workflow concurrently.
     std::fs::remove_file(cluster.dir.join("log")).unwrap();
     let runners: Vec<Child> = (0..2)
         .map(|_| {
             cluster
-                .command("two", &[sleepy, "--at-once", "6"])
+                .run_command("two", &[sleepy, "--at-once", "6"])
                 .stdout(Stdio::null())
                 .stderr(Stdio::piped())
                 .spawn()
@@ -260,13 +265,13 @@
         let o = r.wait_with_output().unwrap();
         assert!(o.status.success(), "{}", text_of(&o.stderr));
     }
-    assert_eq!(cluster.log(), once_each(12));
+    assert_eq!(cluster.log_counts(), once_each(12));
 
-    // A step that fails ends it, with its word.
+    // A failing step ends the workflow, and the failure names the step and exit code.
     let failing = cluster.dir.join("failing.cwl");
     std::fs::write(&failing, "cwlVersion: v1.2\nclass: Workflow\ninputs: []\noutputs: []\nsteps:\n  a: {in: {}, out: [], run: {class: CommandLineTool, baseCommand: [sh, -c, 'exit 3'], inputs: [], outputs: []}}\n").unwrap();
     let failed = cluster
-        .command("failing", &[failing.to_str().unwrap()])
+        .run_command("failing", &[failing.to_str().unwrap()])
         .output()
         .unwrap();
     assert_eq!(failed.status.code(), Some(1));
@@ -275,14 +280,14 @@
         "{}",
         text_of(&failed.stderr)
     );
-    // More than the workflow's own amounts is not to be had.
+    // A step cannot request more than the workflow's job template allows.
     let greedy = std::fs::read_to_string(&failing).unwrap().replace(
         "inputs: [], outputs: []}}",
         "requirements: {ResourceRequirement: {coresMin: 64}}, inputs: [], outputs: []}}",
     );
     std::fs::write(&failing, greedy).unwrap();
     let greedy = cluster
-        .command("greedy", &[failing.to_str().unwrap()])
+        .run_command("greedy", &[failing.to_str().unwrap()])
         .output()
         .unwrap();
     assert!(
@@ -293,35 +298,38 @@
     assert!(Path::new(&cluster.dir.join("up.log")).exists());
 }
 
-/// Waits until something holds.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds, at most 90 s.
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < Duration::from_secs(90), "never: {what}");
+        assert!(
+            begun.elapsed() < Duration::from_secs(90),
+            "not within 90 s: {what}"
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
 }
 
-fn stage_of(c: &Cluster, name: &str) -> Value {
-    outputs(&c.verb("status", name, &[]))
+fn workflow_status(c: &Cluster, name: &str) -> Value {
+    outputs(&c.workflow_verb("status", name, &[]))
 }
 
 #[test]
-fn a_workflow_is_cancelled_taken_up_again_and_told_of() {
+fn workflow_is_cancelled_resumed_and_shown() {
     let c = Cluster::start("verbs");
     let log = c.dir.join("log");
     let text = "cwlVersion: v1.2\nclass: Workflow\nrequirements: {ScatterFeatureRequirement: {}}\ninputs: {l: {type: \"int[]\", default: [0, 1, 2, 3, 4, 5, 6, 7]}}\noutputs: []\nsteps:\n  a:\n    scatter: n\n    in: {n: l}\n    out: []\n    run:\n      class: CommandLineTool\n      baseCommand: [sh, -c, 'echo \"begun $1\" >> \"$0\"; sleep 60; echo \"ended $1\" >> \"$0\"', LOG]\n      inputs: {n: {type: int, inputBinding: {}}}\n      outputs: []\n"
         .replace("LOG", &log.display().to_string());
-    let long = c.file("long.cwl", &text);
-    // Half of its steps run; its runner is at work.
+    let long = c.write_file("long.cwl", &text);
+    // The workflow is cancelled while half of its steps and its runner run.
     let runner = c
-        .command("long", &[&long, "--at-once", "4"])
+        .run_command("long", &[&long, "--at-once", "4"])
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    until("four steps run", || c.log().len() == 4);
-    let cancelled = outputs(&c.verb("cancel", "long", &[]));
+    wait_until("four steps run", || c.log_counts().len() == 4);
+    let cancelled = outputs(&c.workflow_verb("cancel", "long", &[]));
     assert_eq!(
         (&cancelled["stage"], &cancelled["why"]),
         (&"cancelled".into(), &"by ana".into())
@@ -333,46 +341,46 @@
         "{}",
         text_of(&o.stderr)
     );
-    // One final answer, however often it is asked for; every job is over.
+    // Cancelling again has the same result; every job is over.
     assert_eq!(
-        outputs(&c.verb("cancel", "long", &[]))["stage"],
+        outputs(&c.workflow_verb("cancel", "long", &[]))["stage"],
         "cancelled"
     );
-    let status = stage_of(&c, "long");
+    let status = workflow_status(&c, "long");
     let steps = status["steps"].as_array().unwrap();
     assert_eq!((steps.len(), &status["runners"]), (4, &0.into()));
     assert!(steps.iter().all(|s| s["stage"] == "withdrawn"), "{status}");
-    let again = c.command("long", &[&long]).output().unwrap();
+    let again = c.run_command("long", &[&long]).output().unwrap();
     assert_eq!(again.status.code(), Some(1), "{}", text_of(&again.stderr));
 
-    // The runner is killed, and nobody goes on with it: cancelled all the same.
+    // The workflow is also cancelled after its runner was killed and none replaced it.
     std::fs::remove_file(&log).unwrap();
     let mut runner = c
-        .command("left", &[&long, "--at-once", "3"])
+        .run_command("left", &[&long, "--at-once", "3"])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    until("three steps run", || c.log().len() == 3);
+    wait_until("three steps run", || c.log_counts().len() == 3);
     runner.kill().unwrap();
     runner.wait().unwrap();
-    let cancelled = outputs(&c.verb("cancel", "left", &[]));
+    let cancelled = outputs(&c.workflow_verb("cancel", "left", &[]));
     assert_eq!(
         (&cancelled["stage"], &cancelled["jobs_cancelled_here"]),
         (&"cancelled".into(), &3.into())
     );
-    assert!(!c.log().keys().any(|l| l.starts_with("ended")));
+    assert!(!c.log_counts().keys().any(|l| l.starts_with("ended")));
 
-    // What failed is run anew, what is done is not.
+    // `resume --again` reruns the failed step and not the finished one.
     std::fs::remove_file(&log).unwrap();
     let gate = c.dir.join("gate");
     let text = "cwlVersion: v1.2\nclass: Workflow\ninputs: []\noutputs: {r: {type: int, outputSource: b/r}}\nsteps:\n  a: {in: {}, out: [o], run: {class: CommandLineTool, baseCommand: [sh, -c, 'echo a >> \"$0\"; echo 42', 'LOG'], inputs: [], stdout: o.txt, outputs: {o: stdout}}}\n  b:\n    in: {f: a/o}\n    out: [r]\n    run:\n      class: CommandLineTool\n      requirements: {InlineJavascriptRequirement: {}, InitialWorkDirRequirement: {listing: [{entryname: in.txt, entry: $(inputs.f)}]}}\n      hints: {pebblefold:Job: {retry: never}}\n      baseCommand: [sh, -c, 'echo b >> \"$0\"; cat in.txt; test -e \"$1\"', 'LOG', 'GATE']\n      stdout: r.txt\n      inputs: {f: File}\n      outputs: {r: {type: int, outputBinding: {glob: r.txt, loadContents: true, outputEval: \"$(parseInt(self[0].contents))\"}}}\n"
         .replace("LOG", &log.display().to_string())
         .replace("GATE", &gate.display().to_string());
-    let gated = c.file("gated.cwl", &text);
+    let gated = c.write_file("gated.cwl", &text);
     let cache = c.dir.join("cache").display().to_string();
     let with = |name: &str| {
-        c.command(name, &[&gated, "--cache", &cache])
+        c.run_command(name, &[&gated, "--cache", &cache])
             .output()
             .unwrap()
     };
@@ -382,18 +390,28 @@
         "{}",
         text_of(&failed.stderr)
     );
-    let stays = c.verb("resume", "gated", &[]);
+    let stays = c.workflow_verb("resume", "gated", &[]);
     assert!(
         text_of(&stays.stderr).contains("--again"),
         "{}",
         text_of(&stays.stderr)
     );
     std::fs::write(&gate, "").unwrap();
-    assert_eq!(outputs(&c.verb("resume", "gated", &["--again"]))["r"], 42);
-    assert_eq!(c.log(), BTreeMap::from([("a".into(), 1), ("b".into(), 2)]));
-    assert_eq!(outputs(&c.verb("cancel", "gated", &[]))["stage"], "done");
+    assert_eq!(
+        outputs(&c.workflow_verb("resume", "gated", &["--again"]))["r"],
+        42
+    );
+    assert_eq!(
+        c.log_counts(),
+        BTreeMap::from([("a".into(), 1), ("b".into(), 2)])
+    );
+    assert_eq!(
+        outputs(&c.workflow_verb("cancel", "gated", &[]))["stage"],
+        "done"
+    );
 
-    // The same tools on the same inputs are not run again under another name.
+    // With a cache, a run under another name reuses results of the same tools on the
+    // same inputs.
     let reused = with("other");
     assert_eq!(outputs(&reused)["r"], 42);
     assert!(
@@ -401,11 +419,14 @@
         "{}",
         text_of(&reused.stderr)
     );
-    assert_eq!(c.log(), BTreeMap::from([("a".into(), 1), ("b".into(), 2)]));
+    assert_eq!(
+        c.log_counts(),
+        BTreeMap::from([("a".into(), 1), ("b".into(), 2)])
+    );
 
-    // Who, what, which inputs, where and when.
-    let told = outputs(&c.verb("provenance", "gated", &[]));
-    let b = told["steps"]
+    // The provenance names jobs, hashes of inputs, machines and times.
+    let provenance = outputs(&c.workflow_verb("provenance", "gated", &[]));
+    let b = provenance["steps"]
         .as_array()
         .unwrap()
         .iter()
@@ -418,9 +439,9 @@
         assert!(j["ended"]["machine"].as_str().unwrap().starts_with("host-"));
         assert!(j["ended"]["ended_ms"].as_u64() >= j["ended"]["began_ms"].as_u64());
     }
-    assert_eq!(told["head"]["round"], 1);
+    assert_eq!(provenance["head"]["round"], 1);
 
-    let none = c.verb("status", "nothing", &[]);
+    let none = c.workflow_verb("status", "nothing", &[]);
     assert_eq!(none.status.code(), Some(2));
     assert!(text_of(&none.stderr).contains("no workflow nothing"));
     let graph = Command::new(env!("CARGO_BIN_EXE_pebblectl"))
@@ -437,9 +458,9 @@
     assert!(std::fs::read_to_string(svg).unwrap().contains("<svg"));
 }
 
-/// A cluster whose state service is out, whose leader is killed and one of whose
-/// machines vanishes, one after the other, while a workflow runs.
-const ROUGH: &str = r#"
+/// A cluster with three faults while a workflow runs: the key-value store is
+/// unavailable for 5 s, then the leader is killed, then two machines vanish.
+const FAULT_SCRIPT: &str = r#"
 name = "rough"
 length_s = 600
 [cluster]
@@ -465,22 +486,23 @@
 count = 2
 "#;
 
-// Whatever fails, a step that may be repeated goes to its end, and one whose class
-// forbids it is begun once at most: then the workflow may stop, with its word.
+// During the faults, a workflow whose steps may be retried finishes. A step with
+// `--retry never` is started at most once; its workflow may therefore fail, and then
+// says that the step's fate is unknown.
 #[test]
-fn workflows_go_through_failures_and_never_repeat_what_must_not_be() {
-    let c = Cluster::with("rough", Some(ROUGH));
+fn workflows_survive_faults_without_repeating_unretryable_steps() {
+    let c = Cluster::start_with("rough", Some(FAULT_SCRIPT));
     let steps = |word: &str| -> String {
-        let text = std::fs::read_to_string(c.sleepy(24)).unwrap();
+        let text = std::fs::read_to_string(c.sleeping_scatter(24)).unwrap();
         let text = text.replace(
             "sleep 0.7;",
             &format!("echo {word}-$1 >> $0.begun; sleep 2;"),
         );
-        c.file(&format!("{word}.cwl"), &text)
+        c.write_file(&format!("{word}.cwl"), &text)
     };
     let (may, never) = (steps("may"), steps("never"));
     let run = |name: &str, file: &str, retry: &str| {
-        c.command(name, &[file, "--at-once", "5", "--retry", retry])
+        c.run_command(name, &[file, "--at-once", "5", "--retry", retry])
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
@@ -501,7 +523,7 @@
     for i in 0..24 {
         assert!(
             count(&format!("never-{i}")) <= 1,
-            "step {i} was begun twice\n{begun}"
+            "step {i} was started more than once\n{begun}"
         );
         assert!(count(&format!("may-{i}")) >= 1);
     }
